--- a/node/src/fleet/carrier.rs
+++ b/crates/proxy/src/fleet/carrier.rs
@@ -8,11 +8,11 @@
 
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction};
-use pinefront_accord::duties::DutyEvent;
-use pinefront_accord::duties::term::Term;
-use pinefront_accord::envelope::DATAGRAM_MOST;
-use pinefront_accord::membership::table::Event;
-use pinefront_accord::{Accord, Micros};
+use pinefront_cluster::duties::DutyEvent;
+use pinefront_cluster::duties::term::Term;
+use pinefront_cluster::envelope::DATAGRAM_MOST;
+use pinefront_cluster::membership::table::Event;
+use pinefront_cluster::{Accord, Micros};
 use rustix::time::{ClockId, clock_gettime};
 use slog::{Logger, info, warn};
 
--- a/node/src/fleet/carrier/tests.rs
+++ b/crates/proxy/src/fleet/carrier/tests.rs
@@ -1,9 +1,9 @@
 use std::time::{Duration, Instant};
 
 use calloop::EventLoop;
-use pinefront_accord::Part;
-use pinefront_accord::duties::{Duty, DutyTerms, LEASE_USUAL};
-use pinefront_accord::envelope::Key;
+use pinefront_cluster::Part;
+use pinefront_cluster::duties::{Duty, DutyTerms, LEASE_USUAL};
+use pinefront_cluster::envelope::Key;
 
 use super::*;
 
--- a/node/src/fleet/operator.rs
+++ b/crates/proxy/src/fleet/operator.rs
@@ -6,14 +6,14 @@
 use std::ops::Range;
 use std::rc::Rc;
 
-use pinefront_accord::duties::term::DutyId;
-use pinefront_accord::duties::{
+use pinefront_cluster::duties::term::DutyId;
+use pinefront_cluster::duties::{
     DUTIES_MOST, Duty, DutyTerms, LEASE_LEAST, LEASE_MOST, LEASE_USUAL, VOTERS_MOST,
 };
-use pinefront_accord::envelope::{Key, Life};
-use pinefront_accord::frames::{NAME_MOST, is_name};
-use pinefront_accord::membership::table::MEMBERS_MOST;
-use pinefront_accord::{Micros, Part};
+use pinefront_cluster::envelope::{Key, Life};
+use pinefront_cluster::frames::{NAME_MOST, is_name};
+use pinefront_cluster::membership::table::MEMBERS_MOST;
+use pinefront_cluster::{Micros, Part};
 use serde::Deserialize;
 use toml::Spanned;
 
--- a/node/src/fleet/page.rs
+++ b/crates/proxy/src/fleet/page.rs
@@ -1,6 +1,6 @@
 //! `GET /fleet`: what this balancer holds of the others, and what it can't know.
 
-use pinefront_accord::membership::table::{Member, Standing, Table};
+use pinefront_cluster::membership::table::{Member, Standing, Table};
 use serde_json::{Value, json};
 
 use crate::fleet::carrier::{Fleet, now, term_text};
--- a/node/src/fleet/roster.rs
+++ b/crates/proxy/src/fleet/roster.rs
@@ -4,11 +4,11 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use pinefront_accord::duties::term::{DutyId, Term};
-use pinefront_accord::roster::editor::{Editor, Entry};
-use pinefront_accord::roster::reader::Reader;
-use pinefront_accord::roster::{RosterSaid, RosterWants};
-use pinefront_accord::{Accord, Micros};
+use pinefront_cluster::duties::term::{DutyId, Term};
+use pinefront_cluster::roster::editor::{Editor, Entry};
+use pinefront_cluster::roster::reader::Reader;
+use pinefront_cluster::roster::{RosterSaid, RosterWants};
+use pinefront_cluster::{Accord, Micros};
 use serde_json::Value;
 
 /// How long telling one part may take after the lease was looked at.
--- a/node/src/life/place.rs
+++ b/crates/proxy/src/life/place.rs
@@ -3,9 +3,9 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use pinefront::{Effect, Group, Micros, Terms, UseCase};
-use pinefront_terms::fields::{Decoded, list, optional, part, text, whole};
-use pinefront_terms::terms;
+use pinefront_policy::{Effect, Group, Micros, Terms, UseCase};
+use pinefront_settings::fields::{Decoded, list, optional, part, text, whole};
+use pinefront_settings::terms;
 use serde_json::Value;
 
 use crate::life::start::passes;
--- a/node/src/life/reread.rs
+++ b/crates/proxy/src/life/reread.rs
@@ -2,7 +2,7 @@
 //! name, the address that clients connect to and the seed. Tickets that are open go on under the use case that they
 //! came with; nothing is sent because of it.
 
-use pinefront::Micros;
+use pinefront_policy::Micros;
 use slog::{info, warn};
 
 use crate::life::place::{Variables, read, variables};
--- a/node/src/life/serve.rs
+++ b/crates/proxy/src/life/serve.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use calloop::EventLoop;
-use pinefront::{Balancer, Micros};
+use pinefront_policy::{Balancer, Micros};
 use slog::warn;
 
 use crate::life::log::Pipe;
--- a/node/src/life/stop.rs
+++ b/crates/proxy/src/life/stop.rs
@@ -1,7 +1,7 @@
 //! An orderly stop: not ready at once, accepting a little longer, every ticket answered.
 
 use calloop::signals::Signal;
-use pinefront::Micros;
+use pinefront_policy::Micros;
 use slog::info;
 
 use crate::life::reasons;
--- a/node/src/memory/clock.rs
+++ b/crates/proxy/src/memory/clock.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-use pinefront::Micros;
+use pinefront_policy::Micros;
 
 #[cfg(test)]
 mod tests;
--- a/node/src/memory/deadlines.rs
+++ b/crates/proxy/src/memory/deadlines.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use pinefront::{Ending, Micros};
+use pinefront_policy::{Ending, Micros};
 
 use crate::memory::slots::{ClientSlot, LinkSlot, TicketSlot, UpstreamSlot};
 
--- a/node/src/memory/desk.rs
+++ b/crates/proxy/src/memory/desk.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
-use pinefront::{Effect, Ending, Micros};
+use pinefront_policy::{Effect, Ending, Micros};
 use slog::Logger;
 use slotmap::{Key, SlotMap};
 
--- a/node/src/stand.rs
+++ b/crates/proxy/src/stand.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use calloop::EventLoop;
-use pinefront::{Host, Micros};
+use pinefront_policy::{Host, Micros};
 use serde_json::{Value, json};
 
 use crate::life::log::Pipe;
--- a/node/src/wire/accepting.rs
+++ b/crates/proxy/src/wire/accepting.rs
@@ -3,7 +3,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 
-use pinefront::Micros;
+use pinefront_policy::Micros;
 use rustix::event::PollFlags;
 use rustix::io::Errno;
 use slog::warn;
--- a/node/src/wire/answers.rs
+++ b/crates/proxy/src/wire/answers.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use httparse::{Header, Response, Status};
-use pinefront::Ending;
+use pinefront_policy::Ending;
 
 use crate::life::reasons;
 use crate::life::serve::Node;
--- a/node/src/wire/clients.rs
+++ b/crates/proxy/src/wire/clients.rs
@@ -3,7 +3,7 @@
 use std::net::{Shutdown, TcpStream};
 
 use bytes::Bytes;
-use pinefront::Micros;
+use pinefront_policy::Micros;
 use rustix::event::PollFlags;
 use slog::info;
 
--- a/node/src/wire/discovery/lists.rs
+++ b/crates/proxy/src/wire/discovery/lists.rs
@@ -2,8 +2,8 @@
 
 use std::net::SocketAddr;
 
-use pinefront::Micros;
-use pinefront_terms::fields::{Decoded, flag, list, number, optional, text, whole};
+use pinefront_policy::Micros;
+use pinefront_settings::fields::{Decoded, flag, list, number, optional, text, whole};
 use serde_json::Value;
 use slog::{info, warn};
 
--- a/node/src/wire/discovery/mod.rs
+++ b/crates/proxy/src/wire/discovery/mod.rs
@@ -3,8 +3,8 @@
 
 use bytes::Bytes;
 use httparse::{Response, Status};
-use pinefront::Micros;
-use pinefront_terms::fields::{Decoded, flag, whole};
+use pinefront_policy::Micros;
+use pinefront_settings::fields::{Decoded, flag, whole};
 use serde_json::Value;
 use slog::{info, warn};
 
--- a/node/src/wire/discovery/schedule.rs
+++ b/crates/proxy/src/wire/discovery/schedule.rs
@@ -7,7 +7,7 @@
 //! counts as told.
 
 use nanorand::{Rng, WyRand};
-use pinefront::Micros;
+use pinefront_policy::Micros;
 
 #[cfg(test)]
 mod tests;
--- a/node/src/wire/hands.rs
+++ b/crates/proxy/src/wire/hands.rs
@@ -2,7 +2,7 @@
 //! of the module.
 
 use bytes::Bytes;
-use pinefront::{Ending, Host, Micros};
+use pinefront_policy::{Ending, Host, Micros};
 use slog::info;
 
 use crate::life::reasons;
--- a/node/src/wire/peers/tests.rs
+++ b/crates/proxy/src/wire/peers/tests.rs
@@ -1,6 +1,6 @@
 use std::net::UdpSocket;
 
-use pinefront::Host;
+use pinefront_policy::Host;
 use rstest::rstest;
 
 use super::*;
--- a/node/src/wire/sending.rs
+++ b/crates/proxy/src/wire/sending.rs
@@ -4,7 +4,7 @@
 //! rules ask of a send is therefore asked again here, and what is refused was proven never sent.
 
 use bytes::Bytes;
-use pinefront::{Effect, Micros, begin_before};
+use pinefront_policy::{Effect, Micros, begin_before};
 use slog::{info, warn};
 
 use crate::memory::desk::{Desk, Errand, Ticket};
--- a/node/src/wire/sending/tests.rs
+++ b/crates/proxy/src/wire/sending/tests.rs
@@ -46,7 +46,7 @@
     assert_eq!(asked(|desk, slot, _| drained(desk, slot, ago)), (wanted, 0));
 }
 
-const KEYED: Effect = Effect::Labelled { group: pinefront::Group::All, window: 1_000_000 };
+const KEYED: Effect = Effect::Labelled { group: pinefront_policy::Group::All, window: 1_000_000 };
 
 #[rstest]
 #[case::safe(Effect::Redoable, LONG, (Ok(()), 0))]
--- a/node/src/wire/tickets.rs
+++ b/crates/proxy/src/wire/tickets.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use httparse::{Header, Request, Status};
-use pinefront::{Effect, Micros};
+use pinefront_policy::{Effect, Micros};
 use siphasher::sip::SipHasher13;
 
 use crate::life::place::Place;
--- a/node/src/wire/upstreams.rs
+++ b/crates/proxy/src/wire/upstreams.rs
@@ -5,7 +5,7 @@
 use std::ops::Range;
 use std::rc::Rc;
 
-use pinefront::{Ending, Micros};
+use pinefront_policy::{Ending, Micros};
 use rustix::io::Errno;
 use slog::{info, warn};
 use socket2::{Domain, Protocol, Socket, Type};
--- a/node/src/wire/upstreams/tests.rs
+++ b/crates/proxy/src/wire/upstreams/tests.rs
@@ -1,7 +1,7 @@
 use std::io::Read;
 use std::net::{TcpListener, TcpStream};
 
-use pinefront::Host;
+use pinefront_policy::Host;
 use rstest::rstest;
 
 use super::*;
--- a/terms/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -4,7 +4,7 @@
 pub mod fields;
 
 use fields::{Decoded, count, flag, list, number, optional, part, text, whole};
-use pinefront::{Effect, Group, Terms, UseCase, Warming};
+use pinefront_policy::{Effect, Group, Terms, UseCase, Warming};
 use serde_json::Value;
 
 /// The longest rest of a key, an hour: no ticket waits that long, and beyond it lies only overflow.
--- a/drill/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -9,9 +9,9 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 
-use pinefront::{Balancer, Ending, Host, Micros};
-use pinefront_terms::fields::Decoded;
-use pinefront_terms::terms;
+use pinefront_policy::{Balancer, Ending, Host, Micros};
+use pinefront_settings::fields::Decoded;
+use pinefront_settings::terms;
 use serde::Deserialize;
 use serde_json::Value;
 
@@ -270,7 +270,7 @@
     match play(io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => {
-            eprintln!("pinefront-drill: {problem}");
+            eprintln!("pinefront-simulator-adapter: {problem}");
             ExitCode::FAILURE
         }
     }
--- a/lab/src/accord/clockwork.rs
+++ b/crates/testbed/src/accord/clockwork.rs
@@ -4,10 +4,10 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-use pinefront_accord::duties::{Duty, DutyEvent, DutyTerms, LEASE_USUAL, Why};
-use pinefront_accord::envelope::{Key, Life};
-use pinefront_accord::membership::table::Event;
-use pinefront_accord::{Accord, Part, Planted};
+use pinefront_cluster::duties::{Duty, DutyEvent, DutyTerms, LEASE_USUAL, Why};
+use pinefront_cluster::envelope::{Key, Life};
+use pinefront_cluster::membership::table::Event;
+use pinefront_cluster::{Accord, Part, Planted};
 use pinefront_model::chance::Chance;
 use pinefront_model::tenures::{Held, Tenures};
 use pinefront_model::{Micros, SECOND};
--- a/lab/src/accord/judge.rs
+++ b/crates/testbed/src/accord/judge.rs
@@ -3,10 +3,10 @@
 
 use std::collections::BTreeSet;
 
-use pinefront_accord::Accord;
-use pinefront_accord::envelope::Life;
-use pinefront_accord::frames::State;
-use pinefront_accord::membership::table::{Event, Standing};
+use pinefront_cluster::Accord;
+use pinefront_cluster::envelope::Life;
+use pinefront_cluster::frames::State;
+use pinefront_cluster::membership::table::{Event, Standing};
 use pinefront_model::presence::{Held, Presence, Said};
 use pinefront_model::{Micros, SECOND};
 
--- a/lab/src/accord/mod.rs
+++ b/crates/testbed/src/accord/mod.rs
@@ -1,4 +1,4 @@
-//! `pinefront-lab accord`: the accord of many members on a virtual clock, no process, under faults drawn from seeds.
+//! `pinefront-testbed accord`: the accord of many members on a virtual clock, no process, under faults drawn from seeds.
 
 pub mod clockwork;
 pub mod judge;
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
 use clap::ValueEnum;
-use pinefront_accord::Planted;
+use pinefront_cluster::Planted;
 use serde::Serialize;
 
 use crate::world::locked;
@@ -146,7 +146,7 @@
             let loss = wish.loss.map_or(String::new(), |loss| format!(" --loss {loss}"));
             let duties = if wish.duties > 0 { format!(" --duties {}", wish.duties) } else { String::new() };
             let replay = format!(
-                "pinefront-lab accord --seeds {seed}..{} --members {}{kind}{loss}{duties}{planted}",
+                "pinefront-testbed accord --seeds {seed}..{} --members {}{kind}{loss}{duties}{planted}",
                 seed + 1,
                 wish.members
             );
--- a/lab/src/accord/tests.rs
+++ b/crates/testbed/src/accord/tests.rs
@@ -1,6 +1,6 @@
 use std::sync::atomic::AtomicBool;
 
-use pinefront_accord::Planted;
+use pinefront_cluster::Planted;
 use rstest::rstest;
 
 use super::scenario::Kind;
@@ -16,7 +16,7 @@
     assert_eq!((found.seeds, found.broken.first().map(|broken| broken.what.clone())), (12, None));
 }
 
-/// Four of the eight; all eight: `cargo run --release -p pinefront-lab --features planted -- accord --plant NAME`.
+/// Four of the eight; all eight: `cargo run --release -p pinefront-testbed --features planted -- accord --plant NAME`.
 #[rstest]
 #[case::incarnation(Planted::IncarnationGoesBack)]
 #[case::silent(Planted::SilentCountsAsGone)]
--- a/lab/src/commands/agreement.rs
+++ b/crates/testbed/src/commands/agreement.rs
@@ -27,7 +27,7 @@
     duties: usize,
     /// Plant a fault, in a lab built with --features planted
     #[arg(long, value_parser = planted)]
-    plant: Option<pinefront_accord::Planted>,
+    plant: Option<pinefront_cluster::Planted>,
     #[arg(long)]
     json: Option<PathBuf>,
 }
@@ -44,13 +44,13 @@
     candidates: u64,
     /// Plant a fault, to see its trace
     #[arg(long, value_parser = planted_duty)]
-    plant: Option<pinefront_accord::duties::Planted>,
+    plant: Option<pinefront_cluster::duties::Planted>,
     #[arg(long)]
     json: Option<PathBuf>,
 }
 
-pub fn planted(text: &str) -> Result<pinefront_accord::Planted, String> {
-    let all = pinefront_accord::Planted::ALL;
+pub fn planted(text: &str) -> Result<pinefront_cluster::Planted, String> {
+    let all = pinefront_cluster::Planted::ALL;
     let known = all.iter().find(|(name, _)| *name == text);
     if !cfg!(feature = "planted") {
         return Err("this lab was built without --features planted".into());
@@ -60,8 +60,8 @@
     })
 }
 
-pub fn planted_duty(text: &str) -> Result<pinefront_accord::duties::Planted, String> {
-    let all = pinefront_accord::duties::Planted::ALL;
+pub fn planted_duty(text: &str) -> Result<pinefront_cluster::duties::Planted, String> {
+    let all = pinefront_cluster::duties::Planted::ALL;
     all.iter().find(|(name, _)| *name == text).map(|(_, fault)| *fault).ok_or_else(|| {
         format!("is none of {}", all.iter().map(|(name, _)| *name).collect::<Vec<_>>().join(", "))
     })
--- a/lab/src/commands/days.rs
+++ b/crates/testbed/src/commands/days.rs
@@ -228,7 +228,7 @@
         options.loss.into_iter().for_each(|loss| fleet::drawn::lose(&mut day, loss));
         let figures = played(&day, seed, &who, &wishes)?;
         if !figures.is_sound() {
-            println!("again: pinefront-lab fleet {} --seeds {seed}..{}", options.day.display(), seed + 1);
+            println!("again: pinefront-testbed fleet {} --seeds {seed}..{}", options.day.display(), seed + 1);
         }
         all.push(figures);
     }
--- a/lab/src/commands/mod.rs
+++ b/crates/testbed/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands of `pinefront-lab`: their arguments, and what each does with the rest of the lab.
+//! The commands of `pinefront-testbed`: their arguments, and what each does with the rest of the lab.
 
 pub mod agreement;
 pub mod days;
--- a/lab/src/explore.rs
+++ b/crates/testbed/src/explore.rs
@@ -8,10 +8,10 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-use pinefront_accord::duties::frames::DutyFrame;
-use pinefront_accord::duties::plan::Place;
-use pinefront_accord::duties::term::Term;
-use pinefront_accord::duties::{Duties, Duty, DutyEvent, DutyTerms, LEASE_MOST, Planted};
+use pinefront_cluster::duties::frames::DutyFrame;
+use pinefront_cluster::duties::plan::Place;
+use pinefront_cluster::duties::term::Term;
+use pinefront_cluster::duties::{Duties, Duty, DutyEvent, DutyTerms, LEASE_MOST, Planted};
 use pinefront_model::Micros;
 use pinefront_model::chance::Chance;
 use serde::Serialize;
--- a/lab/src/fleet/company.rs
+++ b/crates/testbed/src/fleet/company.rs
@@ -9,8 +9,8 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use pinefront_accord::envelope::{DATAGRAM_MOST, Key};
-use pinefront_accord::{Accord, Micros, Part};
+use pinefront_cluster::envelope::{DATAGRAM_MOST, Key};
+use pinefront_cluster::{Accord, Micros, Part};
 
 const FLEET: &str = "lab";
 const KEY: &str = "a key for the lab's own fleet\n";
--- a/lab/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! `pinefront-lab`: runs pinefront before stand-in servers, plays days, measures.
+//! `pinefront-testbed`: runs pinefront before stand-in servers, plays days, measures.
 
 mod accord;
 mod balancers;
@@ -106,11 +106,11 @@
     match done {
         Ok(()) => ExitCode::SUCCESS,
         Err(Failure::Wrong(problem)) => {
-            eprintln!("pinefront-lab: {problem}");
+            eprintln!("pinefront-testbed: {problem}");
             ExitCode::from(2)
         }
         Err(Failure::Failed(problem)) => {
-            eprintln!("pinefront-lab: {problem}");
+            eprintln!("pinefront-testbed: {problem}");
             ExitCode::FAILURE
         }
     }
--- a/lab/src/play.rs
+++ b/crates/testbed/src/play.rs
@@ -83,7 +83,7 @@
 impl Folder {
     pub fn new() -> io::Result<Self> {
         static COUNT: AtomicU64 = AtomicU64::new(0);
-        let name = format!("pinefront-lab-{}-{}", std::process::id(), COUNT.fetch_add(1, Ordering::Relaxed));
+        let name = format!("pinefront-testbed-{}-{}", std::process::id(), COUNT.fetch_add(1, Ordering::Relaxed));
         let path = std::env::temp_dir().join(name);
         std::fs::create_dir(&path)?;
         Ok(Self(path))
@@ -147,7 +147,7 @@
             }
             for number in world.happens(what) {
                 if let Err(problem) = stand::server(&world, number, true).await {
-                    eprintln!("pinefront-lab: cannot start the stand-in of server {number}: {problem}");
+                    eprintln!("pinefront-testbed: cannot start the stand-in of server {number}: {problem}");
                 }
             }
         }
@@ -264,7 +264,7 @@
             if let Some(child) = locked(&children).get_mut(balancer)
                 && let Err(problem) = child.reload()
             {
-                eprintln!("pinefront-lab: no new configuration: {problem}");
+                eprintln!("pinefront-testbed: no new configuration: {problem}");
             }
             continue;
         }
@@ -273,7 +273,7 @@
             if let Some(child) = locked(&children).get_mut(balancer)
                 && let Err(problem) = child.knows(list)
             {
-                eprintln!("pinefront-lab: no known list: {problem}");
+                eprintln!("pinefront-testbed: no known list: {problem}");
             }
             load.world.lives(balancer, false);
         }
@@ -326,7 +326,7 @@
                     };
                     match ready {
                         Ok(()) => load.front.set(balancer, true),
-                        Err(problem) => eprintln!("pinefront-lab: {problem}"),
+                        Err(problem) => eprintln!("pinefront-testbed: {problem}"),
                     }
                 }
                 _ => {}
--- a/lab/src/soak/mod.rs
+++ b/crates/testbed/src/soak/mod.rs
@@ -103,7 +103,7 @@
         std::fs::create_dir_all(&wish.save).map_err(|problem| problem.to_string())?;
         let path = wish.save.join(format!("soak-{seed}.toml"));
         std::fs::write(&path, text).map_err(|problem| format!("{}: {problem}", path.display()))?;
-        played.again = Some(format!("pinefront-lab run {} --seed {seed}", path.display()));
+        played.again = Some(format!("pinefront-testbed run {} --seed {seed}", path.display()));
     }
     Ok((played, day))
 }
