--- a/crates/cluster/src/duties/fence.rs
+++ b/crates/cluster/src/duties/fence.rs
@@ -13,7 +13,10 @@
 
 impl Fence {
     pub fn new(planted: Option<Planted>) -> Self {
-        Self { known: BTreeMap::new(), planted }
+        Self {
+            known: BTreeMap::new(),
+            planted,
+        }
     }
 
     pub fn known(&self, duty: DutyId) -> Option<Term> {
--- a/crates/cluster/src/duties/mod.rs
+++ b/crates/cluster/src/duties/mod.rs
@@ -104,7 +104,11 @@
 
 impl Duty {
     pub fn new(name: &str, zone: Option<Rc<str>>) -> Self {
-        Self { id: DutyId::of(name), name: name.into(), zone }
+        Self {
+            id: DutyId::of(name),
+            name: name.into(),
+            zone,
+        }
     }
 }
 
@@ -206,14 +210,22 @@
 impl Wanted {
     /// It is not held any more; whoever stands by goes first for a while, where anybody does.
     fn rest(&mut self, now: Micros) {
-        self.rests_until = if self.order.len() > 1 { now + RESTS } else { now };
-        self.tenure = Tenure::Idle { next: self.rests_until };
+        self.rests_until = if self.order.len() > 1 {
+            now + RESTS
+        } else {
+            now
+        };
+        self.tenure = Tenure::Idle {
+            next: self.rests_until,
+        };
     }
 
     /// Asks again after that and its turn by rank.
     fn wait(&mut self, now: Micros, wait: Micros) {
         let rank = self.rank.unwrap_or(plan::RANKS) as Micros;
-        self.tenure = Tenure::Idle { next: now + wait + rank * STEP };
+        self.tenure = Tenure::Idle {
+            next: now + wait + rank * STEP,
+        };
     }
 
     /// A voter told its greatest term: a number to go beyond, no more, as who was granted that term there need not have
@@ -264,7 +276,12 @@
     }
 
     pub fn planted(
-        now: Micros, terms: DutyTerms, me: Rc<str>, life: u64, wall: u64, planted: Option<Planted>,
+        now: Micros,
+        terms: DutyTerms,
+        me: Rc<str>,
+        life: u64,
+        wall: u64,
+        planted: Option<Planted>,
     ) -> Self {
         let voter = terms.voters.contains(&me).then(|| Voter::new(now, planted));
         Self {
@@ -298,7 +315,12 @@
     /// Follows one that this same process had before: answers to its rounds and its numbers must not pass for new ones.
     pub fn following(mut self, before: &Self) -> Self {
         self.round = before.round;
-        self.numbers_from = before.wanted.values().map(|wanted| wanted.number).max().unwrap_or(0);
+        self.numbers_from = before
+            .wanted
+            .values()
+            .map(|wanted| wanted.number)
+            .max()
+            .unwrap_or(0);
         self.numbers_from = self.numbers_from.max(before.numbers_from);
         self
     }
@@ -315,7 +337,12 @@
     /// The duties that this fleet has, in place of those before. What is held and no longer wanted is let go.
     pub fn want(&mut self, now: Micros, duties: Vec<Duty>) {
         let ids: Vec<DutyId> = duties.iter().map(|duty| duty.id).collect();
-        let gone: Vec<DutyId> = self.wanted.keys().filter(|id| !ids.contains(id)).copied().collect();
+        let gone: Vec<DutyId> = self
+            .wanted
+            .keys()
+            .filter(|id| !ids.contains(id))
+            .copied()
+            .collect();
         self.let_go(now, &gone, Why::LetGo);
         for wanted in gone.iter().filter_map(|id| self.wanted.remove(id)) {
             self.numbers_from = self.numbers_from.max(wanted.number);
@@ -354,20 +381,24 @@
 
     /// Duties with their terms held at that moment: name, term, since when and until when.
     pub fn held(&self, now: Micros) -> impl Iterator<Item = (&Duty, Term, Micros, Micros)> {
-        self.wanted.values().filter_map(move |wanted| match &wanted.tenure {
-            Tenure::Holding(held) if now < held.until => {
-                Some((&wanted.duty, held.term, held.from, held.until))
-            }
-            _ => None,
-        })
+        self.wanted
+            .values()
+            .filter_map(move |wanted| match &wanted.tenure {
+                Tenure::Holding(held) if now < held.until => {
+                    Some((&wanted.duty, held.term, held.from, held.until))
+                }
+                _ => None,
+            })
     }
 
     /// All that was taken and not said to be lost, run out or not: up to when each was held at the latest.
     pub fn open(&self) -> impl Iterator<Item = (&Duty, Term, Micros)> {
-        self.wanted.values().filter_map(|wanted| match &wanted.tenure {
-            Tenure::Holding(held) => Some((&wanted.duty, held.term, held.until)),
-            _ => None,
-        })
+        self.wanted
+            .values()
+            .filter_map(|wanted| match &wanted.tenure {
+                Tenure::Holding(held) => Some((&wanted.duty, held.term, held.until)),
+                _ => None,
+            })
     }
 
     pub fn wanted(&self) -> impl Iterator<Item = &Duty> {
@@ -376,7 +407,9 @@
 
     /// Whether this member is a voter that keeps silent, as it has just started.
     pub fn is_silent_voter(&self, now: Micros) -> bool {
-        self.voter.as_ref().is_some_and(|voter| voter.is_silent(now))
+        self.voter
+            .as_ref()
+            .is_some_and(|voter| voter.is_silent(now))
     }
 
     pub fn take_frames(&mut self) -> Vec<(Rc<str>, DutyFrame)> {
@@ -388,18 +421,30 @@
     }
 
     /// Sends an act in a duty's name to a member, if it is held now and for as long as sending may take.
-    pub fn act(&mut self, now: Micros, duty: DutyId, to: &Rc<str>, takes: Micros, body: Vec<u8>) -> bool {
-        let Some(term) = self.holds(now, duty, takes).filter(|_| body.len() <= BODY_MOST) else {
+    pub fn act(
+        &mut self,
+        now: Micros,
+        duty: DutyId,
+        to: &Rc<str>,
+        takes: Micros,
+        body: Vec<u8>,
+    ) -> bool {
+        let Some(term) = self
+            .holds(now, duty, takes)
+            .filter(|_| body.len() <= BODY_MOST)
+        else {
             return false;
         };
-        self.out.push((Rc::clone(to), DutyFrame::Act { duty, term, body }));
+        self.out
+            .push((Rc::clone(to), DutyFrame::Act { duty, term, body }));
         true
     }
 
     /// Says something about a duty to a member, held or not.
     pub fn say(&mut self, duty: DutyId, to: &Rc<str>, body: Vec<u8>) {
         if body.len() <= BODY_MOST {
-            self.out.push((Rc::clone(to), DutyFrame::Say { duty, body }));
+            self.out
+                .push((Rc::clone(to), DutyFrame::Say { duty, body }));
         }
     }
 
@@ -439,7 +484,11 @@
             Tenure::Holding(held) => Some(held.until.min(self.renews_at)),
         };
         let first = self.wanted.values().filter_map(of).min();
-        let plans = if self.wanted.is_empty() { Micros::MAX } else { self.planned.0 + PLANS_APART };
+        let plans = if self.wanted.is_empty() {
+            Micros::MAX
+        } else {
+            self.planned.0 + PLANS_APART
+        };
         first.unwrap_or(Micros::MAX).min(plans)
     }
 
@@ -487,17 +536,30 @@
         if members == self.planned.1 {
             return;
         }
-        let duties: Vec<Duty> = self.wanted.values().map(|wanted| wanted.duty.clone()).collect();
+        let duties: Vec<Duty> = self
+            .wanted
+            .values()
+            .map(|wanted| wanted.duty.clone())
+            .collect();
         for (wanted, order) in self.wanted.values_mut().zip(plan(&duties, &members)) {
-            wanted.order = order.into_iter().map(|place| Rc::clone(&members[place].name)).collect();
+            wanted.order = order
+                .into_iter()
+                .map(|place| Rc::clone(&members[place].name))
+                .collect();
             let rank = wanted.order.iter().position(|name| *name == self.me);
             // Who has moved up need not wait for what it would have waited for before.
             let up = rank.is_some_and(|rank| wanted.rank.is_none_or(|before| rank < before));
             if let (Tenure::Idle { next }, true) = (&mut wanted.tenure, up) {
-                *next = (*next).min(now + rank.unwrap_or(0) as Micros * STEP).max(wanted.rests_until);
+                *next = (*next)
+                    .min(now + rank.unwrap_or(0) as Micros * STEP)
+                    .max(wanted.rests_until);
             }
             wanted.rank = rank;
-            wanted.better_since = if rank == Some(0) { None } else { wanted.better_since.or(Some(now)) };
+            wanted.better_since = if rank == Some(0) {
+                None
+            } else {
+                wanted.better_since.or(Some(now))
+            };
         }
         self.planned.1 = members;
     }
@@ -513,7 +575,8 @@
     /// Says the same to all voters, and hears itself at once where it is one.
     fn tell_voters(&mut self, now: Micros, frame: &DutyFrame) {
         let others = self.terms.voters.iter().filter(|voter| **voter != self.me);
-        self.out.extend(others.map(|voter| (Rc::clone(voter), frame.clone())));
+        self.out
+            .extend(others.map(|voter| (Rc::clone(voter), frame.clone())));
         if self.voter.is_some() {
             let me = Rc::clone(&self.me);
             self.heard(now, &me, self.life, frame);
@@ -533,7 +596,12 @@
         let due = |wanted: &&mut Wanted| {
             wanted.rank.is_some() && matches!(wanted.tenure, Tenure::Idle { next } if next <= now)
         };
-        let ids: Vec<DutyId> = self.wanted.values_mut().filter(due).map(|wanted| wanted.duty.id).collect();
+        let ids: Vec<DutyId> = self
+            .wanted
+            .values_mut()
+            .filter(due)
+            .map(|wanted| wanted.duty.id)
+            .collect();
         for duties in ids.chunks(NAMED_MOST) {
             let round = self.next_round(now);
             for id in duties {
@@ -542,7 +610,14 @@
                 }
             }
             let voters = self.fingerprint;
-            self.tell_voters(now, &DutyFrame::Ask { round, voters, duties: duties.to_vec() });
+            self.tell_voters(
+                now,
+                &DutyFrame::Ask {
+                    round,
+                    voters,
+                    duties: duties.to_vec(),
+                },
+            );
         }
     }
 
@@ -553,9 +628,14 @@
             let mut claims = Vec::new();
             for id in ids {
                 let known = self.fence.known(*id).map_or(0, |term| term.number);
-                let Some(wanted) = self.wanted.get_mut(id) else { continue };
+                let Some(wanted) = self.wanted.get_mut(id) else {
+                    continue;
+                };
                 wanted.number = wanted.number.max(known).saturating_add(1).max(floor);
-                let term = Term { number: wanted.number, life: self.life };
+                let term = Term {
+                    number: wanted.number,
+                    life: self.life,
+                };
                 wanted.tenure = Tenure::Claiming(Claimed::new(term, round, now));
                 claims.push((*id, term.number));
             }
@@ -566,12 +646,18 @@
     fn renew(&mut self, now: Micros) {
         self.renews_at = now + self.terms.lease / RENEWALS;
         let holding = |wanted: &&Wanted| matches!(wanted.tenure, Tenure::Holding(_));
-        let ids: Vec<DutyId> = self.wanted.values().filter(holding).map(|wanted| wanted.duty.id).collect();
+        let ids: Vec<DutyId> = self
+            .wanted
+            .values()
+            .filter(holding)
+            .map(|wanted| wanted.duty.id)
+            .collect();
         for ids in ids.chunks(NAMED_MOST) {
             let round = self.next_round(now);
             let mut claims = Vec::new();
             for id in ids {
-                if let Some(Tenure::Holding(held)) = self.wanted.get_mut(id).map(|wanted| &mut wanted.tenure)
+                if let Some(Tenure::Holding(held)) =
+                    self.wanted.get_mut(id).map(|wanted| &mut wanted.tenure)
                 {
                     held.begin_round(round);
                     claims.push((*id, held.term.number));
@@ -583,7 +669,15 @@
 
     fn send_claims(&mut self, now: Micros, round: u32, claims: Vec<(DutyId, u64)>) {
         let (voters, lease) = (self.fingerprint, self.terms.lease as u32);
-        self.tell_voters(now, &DutyFrame::Claim { round, voters, lease, claims });
+        self.tell_voters(
+            now,
+            &DutyFrame::Claim {
+                round,
+                voters,
+                lease,
+                claims,
+            },
+        );
     }
 
     /// Judges rounds that have waited long enough.
@@ -600,7 +694,11 @@
                         true => 0,
                         false => (wanted.backing_off * 2).clamp(BACK_OFF.0, BACK_OFF.1),
                     };
-                    let wait = if heard { asked.free_in(majority).max(STEP) } else { wanted.backing_off };
+                    let wait = if heard {
+                        asked.free_in(majority).max(STEP)
+                    } else {
+                        wanted.backing_off
+                    };
                     wanted.wait(now, wait);
                 }
                 Tenure::Claiming(claimed) if now >= claimed.since + ROUND => {
@@ -623,21 +721,33 @@
         let missing = self.unanswered >= 2;
         if missing != self.majority_missing {
             self.majority_missing = missing;
-            self.events.push(if missing { DutyEvent::NoMajority } else { DutyEvent::Majority });
+            self.events.push(if missing {
+                DutyEvent::NoMajority
+            } else {
+                DutyEvent::Majority
+            });
         }
     }
 
     fn release(&mut self, now: Micros, turns: &[(DutyId, u64)]) {
         for turns in turns.chunks(NAMED_MOST) {
-            self.tell_voters(now, &DutyFrame::Release { turns: turns.to_vec() });
+            self.tell_voters(
+                now,
+                &DutyFrame::Release {
+                    turns: turns.to_vec(),
+                },
+            );
         }
     }
 
     /// Lets go of what is held or claimed of these, and tells the next in the order.
     fn let_go(&mut self, now: Micros, ids: &[DutyId], why: Why) {
-        let (mut turns, mut next): (Vec<_>, BTreeMap<Rc<str>, Vec<DutyId>>) = (Vec::new(), BTreeMap::new());
+        let (mut turns, mut next): (Vec<_>, BTreeMap<Rc<str>, Vec<DutyId>>) =
+            (Vec::new(), BTreeMap::new());
         for id in ids {
-            let Some(wanted) = self.wanted.get_mut(id) else { continue };
+            let Some(wanted) = self.wanted.get_mut(id) else {
+                continue;
+            };
             let before = wanted.tenure.clone();
             wanted.rest(now);
             match before {
@@ -661,7 +771,12 @@
         self.release(now, &turns);
         for (name, duties) in next {
             for duties in duties.chunks(NAMED_MOST) {
-                self.out.push((Rc::clone(&name), DutyFrame::Free { duties: duties.to_vec() }));
+                self.out.push((
+                    Rc::clone(&name),
+                    DutyFrame::Free {
+                        duties: duties.to_vec(),
+                    },
+                ));
             }
         }
     }
@@ -688,7 +803,9 @@
     /// Somebody has held the duty by a later term: whoever holds an earlier one has lost it.
     fn learn(&mut self, now: Micros, duty: DutyId, term: Term) {
         self.fence.learn(duty, term);
-        let Some(wanted) = self.wanted.get_mut(&duty) else { return };
+        let Some(wanted) = self.wanted.get_mut(&duty) else {
+            return;
+        };
         wanted.number = wanted.number.max(term.number);
         if matches!(&wanted.tenure, Tenure::Holding(held) if held.term < term) {
             self.let_go(now, &[duty], Why::Later);
@@ -698,15 +815,35 @@
     /// A frame came from a member, of the life with that chance.
     pub fn heard(&mut self, now: Micros, sender: &Rc<str>, life: u64, frame: &DutyFrame) {
         match frame {
-            DutyFrame::Ask { round, voters, duties } => {
+            DutyFrame::Ask {
+                round,
+                voters,
+                duties,
+            } => {
                 if self.agrees(sender, *voters)
                     && let Some(voter) = &self.voter
                 {
-                    let told = duties.iter().take(NAMED_MOST).map(|duty| voter.told(now, *duty)).collect();
-                    self.reply(now, sender, DutyFrame::Told { round: *round, told });
+                    let told = duties
+                        .iter()
+                        .take(NAMED_MOST)
+                        .map(|duty| voter.told(now, *duty))
+                        .collect();
+                    self.reply(
+                        now,
+                        sender,
+                        DutyFrame::Told {
+                            round: *round,
+                            told,
+                        },
+                    );
                 }
             }
-            DutyFrame::Claim { round, voters, lease, claims } => {
+            DutyFrame::Claim {
+                round,
+                voters,
+                lease,
+                claims,
+            } => {
                 if !self.agrees(sender, *voters) {
                     return;
                 }
@@ -718,7 +855,15 @@
                         Err(told) => refused.push(told),
                     }
                 }
-                self.reply(now, sender, DutyFrame::Granted { round: *round, granted, refused });
+                self.reply(
+                    now,
+                    sender,
+                    DutyFrame::Granted {
+                        round: *round,
+                        granted,
+                        refused,
+                    },
+                );
             }
             DutyFrame::Release { turns } => {
                 if let Some(voter) = &mut self.voter {
@@ -732,14 +877,20 @@
                     self.told(now, place, *round, told);
                 }
             }
-            DutyFrame::Granted { round, granted, refused } => {
+            DutyFrame::Granted {
+                round,
+                granted,
+                refused,
+            } => {
                 if let Some(place) = self.voter_place(sender) {
                     self.granted(now, place, *round, granted, refused);
                 }
             }
             DutyFrame::Free { duties } => {
                 for id in duties.iter().take(NAMED_MOST) {
-                    let Some(wanted) = self.wanted.get_mut(id) else { continue };
+                    let Some(wanted) = self.wanted.get_mut(id) else {
+                        continue;
+                    };
                     if let Tenure::Idle { next } = &mut wanted.tenure {
                         *next = now.max(wanted.rests_until);
                     }
@@ -749,23 +900,42 @@
                 Ok(()) => {
                     self.learn(now, *duty, *term);
                     let (from, body) = (Rc::clone(sender), body.clone());
-                    self.events.push(DutyEvent::Acted { from, duty: *duty, term: *term, body });
+                    self.events.push(DutyEvent::Acted {
+                        from,
+                        duty: *duty,
+                        term: *term,
+                        body,
+                    });
                 }
                 Err(known) => {
                     self.old_refused += 1;
-                    self.out.push((Rc::clone(sender), DutyFrame::Old { duty: *duty, term: known }));
+                    self.out.push((
+                        Rc::clone(sender),
+                        DutyFrame::Old {
+                            duty: *duty,
+                            term: known,
+                        },
+                    ));
                 }
             },
             DutyFrame::Say { duty, body } => {
                 let (from, body) = (Rc::clone(sender), body.clone());
-                self.events.push(DutyEvent::Said { from, duty: *duty, body });
+                self.events.push(DutyEvent::Said {
+                    from,
+                    duty: *duty,
+                    body,
+                });
             }
             DutyFrame::Old { duty, term } => self.learn(now, *duty, *term),
         }
     }
 
     fn voter_place(&self, name: &str) -> Option<usize> {
-        self.terms.voters.iter().position(|voter| **voter == *name).filter(|place| *place < VOTERS_MOST)
+        self.terms
+            .voters
+            .iter()
+            .position(|voter| **voter == *name)
+            .filter(|place| *place < VOTERS_MOST)
     }
 
     /// Whether a claimant has the same voters in its file; else nothing is granted to it, as two majorities of
@@ -784,9 +954,13 @@
         let voters = self.terms.voters.len() as u32;
         let (mut claims, mut heard) = (Vec::new(), false);
         for told in told {
-            let Some(wanted) = self.wanted.get_mut(&told.duty) else { continue };
+            let Some(wanted) = self.wanted.get_mut(&told.duty) else {
+                continue;
+            };
             wanted.hears_of(told);
-            let Tenure::Asking(asked) = &mut wanted.tenure else { continue };
+            let Tenure::Asking(asked) = &mut wanted.tenure else {
+                continue;
+            };
             if asked.round != round {
                 continue;
             }
@@ -811,16 +985,31 @@
     }
 
     fn granted(
-        &mut self, now: Micros, place: usize, round: u32, granted: &[(DutyId, u64)], refused: &[Told],
+        &mut self,
+        now: Micros,
+        place: usize,
+        round: u32,
+        granted: &[(DutyId, u64)],
+        refused: &[Told],
     ) {
-        let Some(&sent) = self.sent.get(&round) else { return };
+        let Some(&sent) = self.sent.get(&round) else {
+            return;
+        };
         let majority = self.terms.majority();
-        let counted = if self.planted == Some(Planted::CountsFromGrant) { now } else { sent };
+        let counted = if self.planted == Some(Planted::CountsFromGrant) {
+            now
+        } else {
+            sent
+        };
         let until = counted + self.terms.lease;
         for &(duty, number) in granted {
-            let Some(wanted) = self.wanted.get_mut(&duty) else { continue };
+            let Some(wanted) = self.wanted.get_mut(&duty) else {
+                continue;
+            };
             match &mut wanted.tenure {
-                Tenure::Claiming(claimed) if (claimed.round, claimed.term.number) == (round, number) => {
+                Tenure::Claiming(claimed)
+                    if (claimed.round, claimed.term.number) == (round, number) =>
+                {
                     claimed.granted |= 1 << place;
                     if claimed.granted.count_ones() >= majority && until > now {
                         let term = claimed.term;
@@ -828,12 +1017,23 @@
                         wanted.tenure = Tenure::Holding(Held::new(term, now, until));
                         let duty_name = Rc::clone(&wanted.duty.name);
                         self.fence.learn(duty, term);
-                        self.events.push(DutyEvent::Taken { duty: duty_name, term, until });
+                        self.events.push(DutyEvent::Taken {
+                            duty: duty_name,
+                            term,
+                            until,
+                        });
                         // All hear who it is; an act of nothing that makes older ones void.
                         let others = self.planned.1.iter().filter(|place| place.name != self.me);
                         let body = Vec::new();
                         self.out.extend(others.map(|place| {
-                            (Rc::clone(&place.name), DutyFrame::Act { duty, term, body: body.clone() })
+                            (
+                                Rc::clone(&place.name),
+                                DutyFrame::Act {
+                                    duty,
+                                    term,
+                                    body: body.clone(),
+                                },
+                            )
                         }));
                         self.renews_at = self.renews_at.min(sent + self.terms.lease / RENEWALS);
                     }
@@ -850,7 +1050,9 @@
         }
         let mut given_up = Vec::new();
         for told in refused {
-            let Some(wanted) = self.wanted.get_mut(&told.duty) else { continue };
+            let Some(wanted) = self.wanted.get_mut(&told.duty) else {
+                continue;
+            };
             wanted.hears_of(told);
             if let Tenure::Claiming(claimed) = &mut wanted.tenure
                 && claimed.round == round
--- a/crates/cluster/src/duties/tenure.rs
+++ b/crates/cluster/src/duties/tenure.rs
@@ -34,7 +34,13 @@
 
 impl Asked {
     pub fn new(round: u32, since: Micros) -> Self {
-        Self { round, since, heard: 0, free: 0, left: [0; VOTERS_MOST] }
+        Self {
+            round,
+            since,
+            heard: 0,
+            free: 0,
+            left: [0; VOTERS_MOST],
+        }
     }
 
     pub fn told(&mut self, place: usize, left: Micros) {
@@ -52,7 +58,10 @@
             .map(|place| self.left[place])
             .collect();
         left.sort_unstable();
-        left.get(majority as usize - 1).or(left.last()).copied().unwrap_or(0)
+        left.get(majority as usize - 1)
+            .or(left.last())
+            .copied()
+            .unwrap_or(0)
     }
 }
 
@@ -68,7 +77,13 @@
 
 impl Claimed {
     pub fn new(term: Term, round: u32, since: Micros) -> Self {
-        Self { term, round, since, granted: 0, refused: 0 }
+        Self {
+            term,
+            round,
+            since,
+            granted: 0,
+            refused: 0,
+        }
     }
 }
 
@@ -86,7 +101,12 @@
 
 impl Held {
     pub fn new(term: Term, from: Micros, until: Micros) -> Self {
-        Self { term, from, until, rounds: Vec::new() }
+        Self {
+            term,
+            from,
+            until,
+            rounds: Vec::new(),
+        }
     }
 
     pub fn begin_round(&mut self, round: u32) {
@@ -98,7 +118,9 @@
 
     /// Voters that granted in that round, this one with them. Grants of different rounds are never added up.
     pub fn grants(&mut self, round: u32, place: usize) -> u32 {
-        let Some(entry) = self.rounds.iter_mut().find(|entry| entry.0 == round) else { return 0 };
+        let Some(entry) = self.rounds.iter_mut().find(|entry| entry.0 == round) else {
+            return 0;
+        };
         entry.1 |= 1 << place;
         entry.1.count_ones()
     }
--- a/crates/cluster/src/duties/term.rs
+++ b/crates/cluster/src/duties/term.rs
@@ -9,7 +9,11 @@
 impl DutyId {
     pub fn of(name: &str) -> Self {
         let hash = blake3::hash(name.as_bytes());
-        let head = hash.as_bytes().first_chunk::<4>().copied().unwrap_or_default();
+        let head = hash
+            .as_bytes()
+            .first_chunk::<4>()
+            .copied()
+            .unwrap_or_default();
         Self(u32::from_le_bytes(head))
     }
 }
--- a/crates/cluster/src/duties/voter.rs
+++ b/crates/cluster/src/duties/voter.rs
@@ -44,8 +44,16 @@
 impl Voter {
     /// Starts with nothing known, and so silent for the longest lease that it may have granted before.
     pub fn new(now: Micros, planted: Option<Planted>) -> Self {
-        let silence = if planted == Some(Planted::NoSilence) { 0 } else { guarded(super::LEASE_MOST) };
-        Self { silent_until: now + silence, seats: BTreeMap::new(), planted }
+        let silence = if planted == Some(Planted::NoSilence) {
+            0
+        } else {
+            guarded(super::LEASE_MOST)
+        };
+        Self {
+            silent_until: now + silence,
+            seats: BTreeMap::new(),
+            planted,
+        }
     }
 
     pub fn is_silent(&self, now: Micros) -> bool {
@@ -56,23 +64,47 @@
     pub fn told(&self, now: Micros, duty: DutyId) -> Told {
         let silent = self.silent_until.saturating_sub(now);
         let seat = self.seats.get(&duty);
-        let held = seat.filter(|seat| !seat.ended).map_or(0, |seat| seat.until.saturating_sub(now));
+        let held = seat
+            .filter(|seat| !seat.ended)
+            .map_or(0, |seat| seat.until.saturating_sub(now));
         let left = u32::try_from(silent.max(held)).unwrap_or(u32::MAX);
-        Told { duty, term: seat.map(|seat| seat.term), left }
+        Told {
+            duty,
+            term: seat.map(|seat| seat.term),
+            left,
+        }
     }
 
     /// Grants a claim, or renews what it granted, for so long by the claimant's clock.
-    pub fn claim(&mut self, now: Micros, duty: DutyId, term: Term, lease: Micros) -> Result<(), Told> {
+    pub fn claim(
+        &mut self,
+        now: Micros,
+        duty: DutyId,
+        term: Term,
+        lease: Micros,
+    ) -> Result<(), Told> {
         let refused = Err(self.told(now, duty));
         if lease > super::LEASE_MOST || self.is_silent(now) {
             return refused;
         }
-        let until = now + if self.planted == Some(Planted::NoGuard) { lease } else { guarded(lease) };
+        let until = now
+            + if self.planted == Some(Planted::NoGuard) {
+                lease
+            } else {
+                guarded(lease)
+            };
         let Some(seat) = self.seats.get_mut(&duty) else {
             if self.seats.len() >= SEATS_MOST {
                 return refused;
             }
-            self.seats.insert(duty, Seat { term, until, ended: false });
+            self.seats.insert(
+                duty,
+                Seat {
+                    term,
+                    until,
+                    ended: false,
+                },
+            );
             return Ok(());
         };
         let same = match self.planted == Some(Planted::EqualTermsTwice) {
@@ -87,18 +119,28 @@
         if term <= seat.term || (!seat.ended && seat.until > now) {
             return refused;
         }
-        *seat = Seat { term, until, ended: false };
+        *seat = Seat {
+            term,
+            until,
+            ended: false,
+        };
         Ok(())
     }
 
     /// A claimant lets go of its turn. A release that comes before its own claim uses that claim up; one of any other turn
     /// than the last says nothing.
     pub fn release(&mut self, now: Micros, duty: DutyId, term: Term) {
-        let Some(seat) = self.seats.get_mut(&duty) else { return };
+        let Some(seat) = self.seats.get_mut(&duty) else {
+            return;
+        };
         if seat.term == term || self.planted == Some(Planted::ReleaseReplayed) {
             seat.ended = true;
         } else if term > seat.term && (seat.ended || seat.until <= now) {
-            *seat = Seat { term, until: now, ended: true };
+            *seat = Seat {
+                term,
+                until: now,
+                ended: true,
+            };
         }
     }
 }
--- a/crates/cluster/src/envelope.rs
+++ b/crates/cluster/src/envelope.rs
@@ -67,7 +67,10 @@
     fn from_str(text: &str) -> Result<Self, NoLife> {
         let (born, chance) = text.split_once('-').ok_or(NoLife)?;
         let number = |text: &str| u64::from_str_radix(text, 16).map_err(|_| NoLife);
-        Ok(Self { born: number(born)?, chance: number(chance)? })
+        Ok(Self {
+            born: number(born)?,
+            chance: number(chance)?,
+        })
     }
 }
 
@@ -137,7 +140,8 @@
     if !(READ_FROM..=VERSION).contains(version) {
         return Err(Drop::Version);
     }
-    let (letter, left): (Letter, &[u8]) = postcard::take_from_bytes(body).map_err(|_| Drop::Form)?;
+    let (letter, left): (Letter, &[u8]) =
+        postcard::take_from_bytes(body).map_err(|_| Drop::Form)?;
     if !left.is_empty() || letter.records.iter().any(|record| !record.is_sound()) {
         return Err(Drop::Form);
     }
@@ -177,20 +181,36 @@
             if self.windows.len() >= COUNTERS_MOST {
                 let oldest = self.windows.iter().min_by_key(|entry| entry.1.used);
                 let oldest = oldest.map(|entry| entry.0.clone());
-                oldest.into_iter().for_each(|name| _ = self.windows.remove(&name));
+                oldest
+                    .into_iter()
+                    .for_each(|name| _ = self.windows.remove(&name));
             }
-            let window = Window { life: letter.life, highest: letter.counter, seen: 1, used };
+            let window = Window {
+                life: letter.life,
+                highest: letter.counter,
+                seen: 1,
+                used,
+            };
             self.windows.insert(letter.sender.clone(), window);
             return Ok(());
         };
         window.used = used;
         if window.life != letter.life {
-            *window = Window { life: letter.life, highest: letter.counter, seen: 1, used };
+            *window = Window {
+                life: letter.life,
+                highest: letter.counter,
+                seen: 1,
+                used,
+            };
             return Ok(());
         }
         if letter.counter > window.highest {
             let by = letter.counter - window.highest;
-            window.seen = if by < OVERTAKEN_MOST { window.seen << by } else { 0 } | 1;
+            window.seen = if by < OVERTAKEN_MOST {
+                window.seen << by
+            } else {
+                0
+            } | 1;
             window.highest = letter.counter;
             return Ok(());
         }
--- a/crates/cluster/src/envelope/tests.rs
+++ b/crates/cluster/src/envelope/tests.rs
@@ -27,7 +27,10 @@
     let bytes = seal(&key(), &letter(3)).unwrap();
     assert_eq!(open(&key(), "f", &bytes), Ok(letter(3)));
     assert_eq!(open(&key(), "g", &bytes), Err(Drop::Fleet));
-    assert_eq!(open(&Key::new(b"another key of length").unwrap(), "f", &bytes), Err(Drop::Hash));
+    assert_eq!(
+        open(&Key::new(b"another key of length").unwrap(), "f", &bytes),
+        Err(Drop::Hash)
+    );
 }
 
 #[rstest]
@@ -61,7 +64,10 @@
     assert_eq!(open(&key(), "f", &sealed(&bytes)), Err(Drop::Form));
     let mut odd = letter(0);
     odd.records[0].name = "a b".into();
-    assert_eq!(open(&key(), "f", &seal(&key(), &odd).unwrap()), Err(Drop::Form));
+    assert_eq!(
+        open(&key(), "f", &seal(&key(), &odd).unwrap()),
+        Err(Drop::Form)
+    );
 }
 
 proptest! {
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -157,7 +157,10 @@
 impl Accord {
     pub fn new(part: Part, key: Key, seed: u64, now: Micros) -> Self {
         let mut chance = WyRand::new_seed(seed);
-        let life = Life { born: part.born, chance: chance.generate::<u64>().max(1) };
+        let life = Life {
+            born: part.born,
+            chance: chance.generate::<u64>().max(1),
+        };
         let own = own_record(&part.name, &part.zone, part.address, life);
         let mut table = Table::new(own);
         table.strike(part.struck.clone());
@@ -209,7 +212,11 @@
     /// make this process a new voter, which is silent at first.
     pub fn take_duties(&mut self, now: Micros, terms: DutyTerms, duties: Vec<Duty>) {
         self.now = self.now.max(now);
-        if self.duties.as_ref().is_none_or(|known| *known.terms() != terms || known.is_stopping()) {
+        if self
+            .duties
+            .as_ref()
+            .is_none_or(|known| *known.terms() != terms || known.is_stopping())
+        {
             self.leave_duties(now);
             // Where local time began, by the time of day at the start.
             let wall = (self.part.born / 1_000).saturating_sub(self.began / 1_000);
@@ -241,13 +248,26 @@
     }
 
     pub fn take_duty_events(&mut self) -> Vec<DutyEvent> {
-        self.duties.as_mut().map(Duties::take_events).unwrap_or_default()
+        self.duties
+            .as_mut()
+            .map(Duties::take_events)
+            .unwrap_or_default()
     }
 
     /// Sends an act in a duty's name to a member, if this one holds it now and for so long yet.
-    pub fn act(&mut self, now: Micros, duty: DutyId, to: &Rc<str>, takes: Micros, body: Vec<u8>) -> bool {
+    pub fn act(
+        &mut self,
+        now: Micros,
+        duty: DutyId,
+        to: &Rc<str>,
+        takes: Micros,
+        body: Vec<u8>,
+    ) -> bool {
         self.now = self.now.max(now);
-        let done = self.duties.as_mut().is_some_and(|duties| duties.act(now, duty, to, takes, body));
+        let done = self
+            .duties
+            .as_mut()
+            .is_some_and(|duties| duties.act(now, duty, to, takes, body));
         self.say_duties();
         done
     }
@@ -264,9 +284,15 @@
     /// Does what is due of duties.
     fn turn_duties(&mut self) {
         let own = &self.table.own;
-        let of = |record: &Record| Place { name: Rc::clone(&record.name), zone: Rc::clone(&record.zone) };
-        let present: Vec<Place> =
-            [own].into_iter().chain(self.table.present().map(|member| &member.record)).map(of).collect();
+        let of = |record: &Record| Place {
+            name: Rc::clone(&record.name),
+            zone: Rc::clone(&record.zone),
+        };
+        let present: Vec<Place> = [own]
+            .into_iter()
+            .chain(self.table.present().map(|member| &member.record))
+            .map(of)
+            .collect();
         let fit = self.deaf_until.is_none() && self.now >= self.quiet_until;
         if let Some(duties) = &mut self.duties {
             duties.due(self.now, &present, fit);
@@ -276,7 +302,9 @@
 
     /// Sends what duties have to say, and hangs when they are next due.
     fn say_duties(&mut self) {
-        let Some(duties) = &mut self.duties else { return };
+        let Some(duties) = &mut self.duties else {
+            return;
+        };
         let (frames, next) = (duties.take_frames(), duties.next_due().max(self.now + 1));
         for (name, frame) in frames {
             if let Some(place) = self.table.place(&name) {
@@ -416,7 +444,11 @@
             self.learn(record);
         }
         let Some(place) = self.table.place(&letter.sender) else {
-            return if letter.sender == self.part.name { Ok(()) } else { Err(Drop::Full) };
+            return if letter.sender == self.part.name {
+                Ok(())
+            } else {
+                Err(Drop::Full)
+            };
         };
         self.heard_from(place, &letter, known);
         self.frame(place, &letter)
@@ -433,8 +465,14 @@
             self.old_told.clear();
         }
         self.old_told.insert(letter.sender.clone(), self.now);
-        let theirs = letter.records.iter().find(|record| *record.name == *letter.sender);
-        let known = self.table.named(&letter.sender).map(|member| member.record.clone());
+        let theirs = letter
+            .records
+            .iter()
+            .find(|record| *record.name == *letter.sender);
+        let known = self
+            .table
+            .named(&letter.sender)
+            .map(|member| member.record.clone());
         if let Some((theirs, known)) = theirs.zip(known) {
             self.send(theirs.address, Frame::News, vec![known]);
         }
@@ -492,21 +530,37 @@
         match &letter.frame {
             Frame::News => {}
             Frame::Probe { number, target } => {
-                if target.as_ref().is_none_or(|target| **target == *self.part.name) {
+                if target
+                    .as_ref()
+                    .is_none_or(|target| **target == *self.part.name)
+                {
                     self.say(place, Frame::Answer { number: *number });
                 }
             }
             Frame::Answer { number } => self.answered(*number, &letter.sender),
-            Frame::Ask { number, target, address } => {
+            Frame::Ask {
+                number,
+                target,
+                address,
+            } => {
                 let for_whom = self.table.members[place].record.address;
                 if let Some(mine) = self.probing.take_errand(for_whom, *number) {
-                    let frame = Frame::Probe { number: mine, target: Some(Rc::clone(target)) };
+                    let frame = Frame::Probe {
+                        number: mine,
+                        target: Some(Rc::clone(target)),
+                    };
                     self.send(*address, frame, Vec::new());
-                    self.timers.hang(self.now + self.part.answer_within, Due::Errand(mine));
+                    self.timers
+                        .hang(self.now + self.part.answer_within, Due::Errand(mine));
                 }
             }
             Frame::Asked { number, answered } => {
-                if let Some(probe) = self.probing.under_way.as_mut().filter(|probe| probe.number == *number) {
+                if let Some(probe) = self
+                    .probing
+                    .under_way
+                    .as_mut()
+                    .filter(|probe| probe.number == *number)
+                {
                     probe.told += 1;
                     probe.answered |= answered;
                 }
@@ -536,7 +590,10 @@
         {
             probe.answered = true;
         } else if let Some(errand) = self.probing.end_errand(number) {
-            let frame = Frame::Asked { number: errand.their_number, answered: true };
+            let frame = Frame::Asked {
+                number: errand.their_number,
+                answered: true,
+            };
             self.send(errand.for_whom, frame, Vec::new());
         }
     }
@@ -544,7 +601,10 @@
     /// An answer to what was sent after it slept: others hear us, and what we don't hear may be their fault again.
     fn heard_again(&mut self, number: u32) {
         // Numbers go round: those within half the range after it are later.
-        if self.deaf_until.is_some_and(|from| number.wrapping_sub(from) < u32::MAX / 2) {
+        if self
+            .deaf_until
+            .is_some_and(|from| number.wrapping_sub(from) < u32::MAX / 2)
+        {
             self.deaf_until = None;
             self.table.events.push(Event::HeardAgain);
             self.extend_doubts();
@@ -563,7 +623,10 @@
             Due::Again => self.probe_again(),
             Due::Errand(number) => {
                 if let Some(errand) = self.probing.end_errand(number) {
-                    let frame = Frame::Asked { number: errand.their_number, answered: false };
+                    let frame = Frame::Asked {
+                        number: errand.their_number,
+                        answered: false,
+                    };
                     self.send(errand.for_whom, frame, Vec::new());
                 }
             }
@@ -579,7 +642,9 @@
             Due::Swap => {
                 self.timers.hang(self.now + SWAP_EVERY, Due::Swap);
                 let place = self.some(1, |member| member.record.state == State::Present);
-                place.into_iter().for_each(|place| self.say_part(place, true));
+                place
+                    .into_iter()
+                    .for_each(|place| self.say_part(place, true));
             }
             Due::Gone => {
                 self.timers.hang(self.now + GONE_EVERY, Due::Gone);
@@ -587,7 +652,11 @@
                 for place in place {
                     let record = self.table.members[place].record.clone();
                     let (number, target) = (self.probing.number(), Some(Rc::clone(&record.name)));
-                    self.send(record.address, Frame::Probe { number, target }, vec![record]);
+                    self.send(
+                        record.address,
+                        Frame::Probe { number, target },
+                        vec![record],
+                    );
                 }
             }
             Due::Seeds => self.ask_seeds(),
@@ -601,13 +670,30 @@
         let scatter = self.chance.generate_range(0..=wait / 2);
         self.timers.hang(self.now + wait + scatter, Due::Seeds);
         let known = |seed: &&SocketAddr| {
-            **seed == self.part.address || self.table.present().any(|member| member.record.address == **seed)
+            **seed == self.part.address
+                || self
+                    .table
+                    .present()
+                    .any(|member| member.record.address == **seed)
         };
-        let unknown: Vec<_> = self.part.seeds.iter().filter(|seed| !known(seed)).copied().collect();
+        let unknown: Vec<_> = self
+            .part
+            .seeds
+            .iter()
+            .filter(|seed| !known(seed))
+            .copied()
+            .collect();
         if !unknown.is_empty() {
             let seed = unknown[self.chance.generate_range(0..unknown.len())];
             let number = self.probing.number();
-            self.send(seed, Frame::Probe { number, target: None }, Vec::new());
+            self.send(
+                seed,
+                Frame::Probe {
+                    number,
+                    target: None,
+                },
+                Vec::new(),
+            );
         }
     }
 
@@ -616,42 +702,96 @@
         if let Some(probe) = self.probing.under_way.take() {
             self.judge(&probe);
         }
-        self.timers.hang(self.now + self.probing.slower(self.part.probe_every), Due::Round);
+        self.timers.hang(
+            self.now + self.probing.slower(self.part.probe_every),
+            Due::Round,
+        );
         let table = &self.table;
         let names = || {
-            let probed = table.members.iter().filter(|member| member.record.state < State::Gone);
-            probed.map(|member| Rc::clone(&member.record.name)).collect()
+            let probed = table
+                .members
+                .iter()
+                .filter(|member| member.record.state < State::Gone);
+            probed
+                .map(|member| Rc::clone(&member.record.name))
+                .collect()
         };
         let target = self.probing.next(&mut self.chance, names);
-        let Some(place) = target.and_then(|name| self.table.place(&name)) else { return };
-        let Record { name: target, life, state, .. } = self.table.members[place].record.clone();
+        let Some(place) = target.and_then(|name| self.table.place(&name)) else {
+            return;
+        };
+        let Record {
+            name: target,
+            life,
+            state,
+            ..
+        } = self.table.members[place].record.clone();
         if state >= State::Gone {
             return;
         }
         let number = self.probing.number();
-        let probe = Probe { number, target, life, answered: false, asked: 0, told: 0 };
-        self.say(place, Frame::Probe { number, target: Some(Rc::clone(&probe.target)) });
+        let probe = Probe {
+            number,
+            target,
+            life,
+            answered: false,
+            asked: 0,
+            told: 0,
+        };
+        self.say(
+            place,
+            Frame::Probe {
+                number,
+                target: Some(Rc::clone(&probe.target)),
+            },
+        );
         self.probing.under_way = Some(probe);
-        self.timers.hang(self.now + self.probing.slower(self.part.answer_within), Due::Again);
+        self.timers.hang(
+            self.now + self.probing.slower(self.part.answer_within),
+            Due::Again,
+        );
     }
 
     /// No answer in time: once more, and others are asked to try, as the fault may lie on our way or with us.
     fn probe_again(&mut self) {
-        let Some(probe) = self.probing.under_way.as_ref().filter(|probe| !probe.answered) else { return };
+        let Some(probe) = self
+            .probing
+            .under_way
+            .as_ref()
+            .filter(|probe| !probe.answered)
+        else {
+            return;
+        };
         let (number, target) = (probe.number, Rc::clone(&probe.target));
-        let Some(place) = self.table.place(&target) else { return };
+        let Some(place) = self.table.place(&target) else {
+            return;
+        };
         let address = self.table.members[place].record.address;
         if self.table.planted(Planted::DoubtsWithoutAsking) {
             return;
         }
-        self.say(place, Frame::Probe { number, target: Some(Rc::clone(&target)) });
-        let others = self
-            .some(ASKED, |member| member.record.state == State::Present && *member.record.name != *target);
+        self.say(
+            place,
+            Frame::Probe {
+                number,
+                target: Some(Rc::clone(&target)),
+            },
+        );
+        let others = self.some(ASKED, |member| {
+            member.record.state == State::Present && *member.record.name != *target
+        });
         if let Some(probe) = self.probing.under_way.as_mut() {
             probe.asked = others.len() as u32;
         }
         for other in others {
-            self.say(other, Frame::Ask { number, target: Rc::clone(&target), address });
+            self.say(
+                other,
+                Frame::Ask {
+                    number,
+                    target: Rc::clone(&target),
+                    address,
+                },
+            );
         }
     }
 
@@ -663,12 +803,18 @@
         if probe.told < probe.asked {
             self.probing.worse();
         }
-        let Some(held) = self.table.named(&probe.target).map(|member| &member.record) else { return };
+        let Some(held) = self.table.named(&probe.target).map(|member| &member.record) else {
+            return;
+        };
         if self.deaf_until.is_some() || held.life != probe.life || held.state > State::Doubted {
             return;
         }
         let (first, by) = (held.state == State::Present, self.life.chance);
-        let record = Record { state: State::Doubted, by, ..held.clone() };
+        let record = Record {
+            state: State::Doubted,
+            by,
+            ..held.clone()
+        };
         self.learn(&record);
         if first {
             // Whoever is doubted hears of it first.
@@ -685,7 +831,13 @@
     }
 
     fn watch_doubt(&mut self, name: &Rc<str>) {
-        let Some(doubt) = self.table.named(name).and_then(|member| member.doubt.as_ref()) else { return };
+        let Some(doubt) = self
+            .table
+            .named(name)
+            .and_then(|member| member.doubt.as_ref())
+        else {
+            return;
+        };
         let at = (doubt.began + self.doubt_span(doubt.doubters.len())).max(self.now);
         self.timers.hang(at, Due::Doubt(Rc::clone(name)));
     }
@@ -704,21 +856,31 @@
     }
 
     fn doubt_ends(&mut self, name: &str) {
-        let Some(member) = self.table.named(name) else { return };
-        let Some(doubt) = member.doubt.as_ref() else { return };
+        let Some(member) = self.table.named(name) else {
+            return;
+        };
+        let Some(doubt) = member.doubt.as_ref() else {
+            return;
+        };
         let ends = doubt.began + self.doubt_span(doubt.doubters.len());
         // A deaf one judges nobody; it looks again when it was heard.
         if self.deaf_until.is_some() || ends > self.now {
             return;
         }
-        let record = Record { state: State::Gone, by: 0, ..member.record.clone() };
+        let record = Record {
+            state: State::Gone,
+            by: 0,
+            ..member.record.clone()
+        };
         self.learn(&record);
     }
 
     /// Up to so many members that fit, drawn by chance.
     fn some(&mut self, count: usize, fits: impl Fn(&Member) -> bool) -> Vec<usize> {
         let members = &self.table.members;
-        let mut places: Vec<usize> = (0..members.len()).filter(|&place| fits(&members[place])).collect();
+        let mut places: Vec<usize> = (0..members.len())
+            .filter(|&place| fits(&members[place]))
+            .collect();
         let count = count.min(places.len());
         for at in 0..count {
             let other = self.chance.generate_range(at..places.len());
@@ -737,7 +899,9 @@
 
     /// Sends a part of the table, as much as fits; the next part begins where this one ends.
     fn say_part(&mut self, place: usize, wants: bool) {
-        let Some(member) = self.table.members.get(place) else { return };
+        let Some(member) = self.table.members.get(place) else {
+            return;
+        };
         let address = member.record.address;
         let mut letter = self.letter(Frame::Swap { wants }, Vec::new());
         let mut length = envelope::sealed_length(&letter);
@@ -759,7 +923,11 @@
         let record = self.table.members[place].record.clone();
         let doubted = matches!(record.state, State::Doubted | State::Gone);
         let address = record.address;
-        self.send(address, frame, if doubted { vec![record] } else { Vec::new() });
+        self.send(
+            address,
+            frame,
+            if doubted { vec![record] } else { Vec::new() },
+        );
     }
 
     fn letter(&self, frame: Frame, records: Vec<Record>) -> Letter {
@@ -785,7 +953,9 @@
             if letter.records.iter().any(|record| *record.name == *name) {
                 return true;
             }
-            let Some(member) = table.named(name) else { return true };
+            let Some(member) = table.named(name) else {
+                return true;
+            };
             length += record_length(&member.record);
             let fits = length <= DATAGRAM_MOST;
             if fits {
--- a/crates/cluster/src/membership/probing.rs
+++ b/crates/cluster/src/membership/probing.rs
@@ -49,7 +49,11 @@
     }
 
     /// The next name of the round; a new round is shuffled when one is over.
-    pub fn next(&mut self, chance: &mut WyRand, names: impl Fn() -> Vec<Rc<str>>) -> Option<Rc<str>> {
+    pub fn next(
+        &mut self,
+        chance: &mut WyRand,
+        names: impl Fn() -> Vec<Rc<str>>,
+    ) -> Option<Rc<str>> {
         if self.round.is_empty() {
             self.round = names();
             chance.shuffle(&mut self.round);
@@ -75,12 +79,19 @@
             return None;
         }
         let number = self.number();
-        self.errands.push(Errand { number, for_whom, their_number });
+        self.errands.push(Errand {
+            number,
+            for_whom,
+            their_number,
+        });
         Some(number)
     }
 
     pub fn end_errand(&mut self, number: u32) -> Option<Errand> {
-        let at = self.errands.iter().position(|errand| errand.number == number)?;
+        let at = self
+            .errands
+            .iter()
+            .position(|errand| errand.number == number)?;
         Some(self.errands.swap_remove(at))
     }
 }
--- a/crates/cluster/src/membership/table.rs
+++ b/crates/cluster/src/membership/table.rs
@@ -167,7 +167,9 @@
         if record.name == self.own.name {
             return self.told_of_us(record);
         }
-        let Some(place) = self.place(&record.name) else { return self.take_in(now, record) };
+        let Some(place) = self.place(&record.name) else {
+            return self.take_in(now, record);
+        };
         let member = &mut self.members[place];
         let before = member.record.clone();
         if !record.goes_before(&before) {
@@ -181,7 +183,10 @@
             }
             let same = (record.incarnation, record.life) == (before.incarnation, before.life);
             let both = record.state == State::Doubted && before.state == State::Doubted;
-            if let Some(doubt) = member.doubt.as_mut().filter(|_| same && both && record.by != 0)
+            if let Some(doubt) = member
+                .doubt
+                .as_mut()
+                .filter(|_| same && both && record.by != 0)
                 && doubt.doubters.len() < DOUBTERS_MOST
                 && !doubt.doubters.contains(&record.by)
             {
@@ -196,29 +201,36 @@
             let ended = before.state == State::Left || record.address == before.address;
             if !ended {
                 match member.earlier.len() < EARLIER_MOST {
-                    true => member.earlier.push(Earlier { life: before.life, address: before.address }),
+                    true => member.earlier.push(Earlier {
+                        life: before.life,
+                        address: before.address,
+                    }),
                     false => member.earlier_uncounted += 1,
                 }
             }
             // Only of one name: of two names nobody knows whose record is the later one.
-            member.earlier.retain(|earlier| earlier.address != record.address);
+            member
+                .earlier
+                .retain(|earlier| earlier.address != record.address);
             member.heard = None;
         }
         member.record = record.clone();
         if record.state != before.state || record.life != before.life {
             member.since = now;
         }
-        member.doubt = (record.state == State::Doubted)
-            .then(|| Doubt { began: now, doubters: [record.by].into_iter().filter(|by| *by != 0).collect() });
+        member.doubt = (record.state == State::Doubted).then(|| Doubt {
+            began: now,
+            doubters: [record.by].into_iter().filter(|by| *by != 0).collect(),
+        });
         let name = Rc::clone(&record.name);
         let event = match (before.state, record.state) {
             (State::Present, State::Present) if record.life == before.life => None,
             (State::Left, State::Present) => Some(Event::Joined(name)),
             (State::Doubted | State::Gone, State::Present) => Some(Event::Returned(name)),
             (State::Present, State::Present) => Some(Event::Joined(name)),
-            (State::Doubted, State::Doubted) | (State::Gone, State::Gone) | (State::Left, State::Left) => {
-                None
-            }
+            (State::Doubted, State::Doubted)
+            | (State::Gone, State::Gone)
+            | (State::Left, State::Left) => None,
             (_, State::Doubted) => Some(Event::Doubted(name)),
             (_, State::Gone) => Some(Event::Gone(name)),
             (_, State::Left) => Some(Event::Left(name)),
@@ -232,7 +244,10 @@
             record: record.clone(),
             heard: None,
             since: now,
-            doubt: (record.state == State::Doubted).then(|| Doubt { began: now, doubters: vec![record.by] }),
+            doubt: (record.state == State::Doubted).then(|| Doubt {
+                began: now,
+                doubters: vec![record.by],
+            }),
             earlier: Vec::new(),
             earlier_uncounted: 0,
         };
@@ -241,7 +256,8 @@
             self.members.len() - 1
         } else {
             // Only those give way of whom nothing is left to be known.
-            let left = |member: &Member| member.record.state >= State::Gone && self.may_serve(member) == 0;
+            let left =
+                |member: &Member| member.record.state >= State::Gone && self.may_serve(member) == 0;
             let oldest = (0..self.members.len()).filter(|&place| left(&self.members[place]));
             let Some(place) = oldest.min_by_key(|&place| self.members[place].since) else {
                 return Merged::Full;
@@ -297,7 +313,9 @@
 
     /// Those that nobody doubts, by name.
     pub fn present(&self) -> impl Iterator<Item = &Member> {
-        self.members.iter().filter(|member| member.record.state == State::Present)
+        self.members
+            .iter()
+            .filter(|member| member.record.state == State::Present)
     }
 
     /// How many processes beside this one may be serving. Never fewer because somebody fell silent.
@@ -346,7 +364,10 @@
 
     /// Earlier processes of a member's name that may be serving.
     pub fn earlier_of<'a>(&'a self, member: &'a Member) -> impl Iterator<Item = &'a Earlier> {
-        member.earlier.iter().filter(|earlier| !self.is_struck(&member.record.name, earlier.life))
+        member
+            .earlier
+            .iter()
+            .filter(|earlier| !self.is_struck(&member.record.name, earlier.life))
     }
 
     /// Processes of a member's name that may be serving.
--- a/crates/cluster/src/roster/editor.rs
+++ b/crates/cluster/src/roster/editor.rs
@@ -38,7 +38,11 @@
 
 fn worded<'a>(version: u64, all: bool, texts: impl Iterator<Item = &'a str>) -> Vec<u8> {
     let texts: Vec<&str> = texts.collect();
-    format!("{{\"rev\":{version},\"all\":{all},\"targets\":[{}]}}", texts.join(",")).into_bytes()
+    format!(
+        "{{\"rev\":{version},\"all\":{all},\"targets\":[{}]}}",
+        texts.join(",")
+    )
+    .into_bytes()
 }
 
 impl Page {
@@ -49,11 +53,20 @@
     fn part(&self, part: u16) -> Option<RosterSaid> {
         let bytes = self.text.chunks(PART).nth(usize::from(part))?.to_vec();
         let (page, whole, version, of) = (self.number, self.whole, self.version, self.parts());
-        Some(RosterSaid::Part { page, whole, version, part, of, bytes })
+        Some(RosterSaid::Part {
+            page,
+            whole,
+            version,
+            part,
+            of,
+            bytes,
+        })
     }
 
     fn said(&self) -> Vec<RosterSaid> {
-        (0..self.parts()).filter_map(|part| self.part(part)).collect()
+        (0..self.parts())
+            .filter_map(|part| self.part(part))
+            .collect()
     }
 }
 
@@ -82,8 +95,17 @@
         let page = match complete {
             true => self.whole(),
             false => {
-                let text = worded(version, false, entries.iter().map(|entry| entry.text.as_str()));
-                Page { number: self.page, whole: false, version, text }
+                let text = worded(
+                    version,
+                    false,
+                    entries.iter().map(|entry| entry.text.as_str()),
+                );
+                Page {
+                    number: self.page,
+                    whole: false,
+                    version,
+                    text,
+                }
             }
         };
         if page.text.len() > PART * usize::from(PARTS_MOST) {
@@ -108,9 +130,14 @@
         if self.page == 0 {
             return Vec::new();
         }
-        let RosterWants::Parts { page, whole, parts } = wants else { return self.whole().said() };
+        let RosterWants::Parts { page, whole, parts } = wants else {
+            return self.whole().said();
+        };
         let some = |page: &Page| parts.iter().filter_map(|part| page.part(*part)).collect();
-        let kept = self.pages.iter().find(|known| (known.number, known.whole) == (*page, *whole));
+        let kept = self
+            .pages
+            .iter()
+            .find(|known| (known.number, known.whole) == (*page, *whole));
         match kept {
             Some(kept) => some(kept),
             None if *whole && *page == self.page => some(&self.whole()),
@@ -120,8 +147,17 @@
 
     /// The list as it stands. The same entries give the same bytes, so that parts of one fit to those of another.
     fn whole(&self) -> Page {
-        let text = worded(self.version, true, self.entries.values().map(String::as_str));
-        Page { number: self.page, whole: true, version: self.version, text }
+        let text = worded(
+            self.version,
+            true,
+            self.entries.values().map(String::as_str),
+        );
+        Page {
+            number: self.page,
+            whole: true,
+            version: self.version,
+            text,
+        }
     }
 
     /// A beat, if one is due.
@@ -130,10 +166,17 @@
             return None;
         }
         self.beats_at = now + BEATS_APART;
-        Some(RosterSaid::Beat { page: self.page, follows: self.follows })
+        Some(RosterSaid::Beat {
+            page: self.page,
+            follows: self.follows,
+        })
     }
 
     pub fn next_due(&self) -> Micros {
-        if self.page == 0 { Micros::MAX } else { self.beats_at }
+        if self.page == 0 {
+            Micros::MAX
+        } else {
+            self.beats_at
+        }
     }
 }
--- a/crates/cluster/src/roster/mod.rs
+++ b/crates/cluster/src/roster/mod.rs
@@ -33,7 +33,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RosterSaid {
     /// One part of a page. A whole list stands for all pages up to its own.
-    Part { page: u32, whole: bool, version: u64, part: u16, of: u16, bytes: Vec<u8> },
+    Part {
+        page: u32,
+        whole: bool,
+        version: u64,
+        part: u16,
+        of: u16,
+        bytes: Vec<u8>,
+    },
     /// The last page, and whether the holder's watch is open.
     Beat { page: u32, follows: bool },
 }
@@ -62,7 +69,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RosterWants {
     /// These parts of a page, or of the whole list as it stood with it.
-    Parts { page: u32, whole: bool, parts: Vec<u16> },
+    Parts {
+        page: u32,
+        whole: bool,
+        parts: Vec<u16>,
+    },
     /// The whole list as it stands.
     Whole,
 }
--- a/crates/cluster/src/roster/reader.rs
+++ b/crates/cluster/src/roster/reader.rs
@@ -22,7 +22,11 @@
 
 impl Pieces {
     fn text(&self) -> Option<Vec<u8>> {
-        self.parts.iter().map(Option::as_deref).collect::<Option<Vec<&[u8]>>>().map(|parts| parts.concat())
+        self.parts
+            .iter()
+            .map(Option::as_deref)
+            .collect::<Option<Vec<&[u8]>>>()
+            .map(|parts| parts.concat())
     }
 }
 
@@ -69,7 +73,8 @@
     }
 
     fn is_distrusted(&self, now: Micros) -> bool {
-        self.distrusted.is_some_and(|(term, until)| Some(term) == self.term && now < until)
+        self.distrusted
+            .is_some_and(|(term, until)| Some(term) == self.term && now < until)
     }
 
     /// The list was had from discovery itself: what a holder tells must not be older.
@@ -78,7 +83,12 @@
     }
 
     /// The holder of that term says something: pages to take now, in order, and what to ask of it.
-    pub fn heard(&mut self, now: Micros, term: Term, said: &RosterSaid) -> (Vec<Taken>, Option<RosterWants>) {
+    pub fn heard(
+        &mut self,
+        now: Micros,
+        term: Term,
+        said: &RosterSaid,
+    ) -> (Vec<Taken>, Option<RosterWants>) {
         if self.term.is_none_or(|known| known < term) {
             // Another holder counts its pages anew.
             (self.term, self.page, self.last, self.wanted_at) = (Some(term), 0, 0, 0);
@@ -88,19 +98,31 @@
             return (Vec::new(), None);
         }
         match said {
-            RosterSaid::Part { page, whole, version, part, of, bytes } => {
+            RosterSaid::Part {
+                page,
+                whole,
+                version,
+                part,
+                of,
+                bytes,
+            } => {
                 self.last = self.last.max(*page);
                 if *page > self.page && *of <= PARTS_MOST && part < of {
                     let count = usize::from(*of);
                     let known = self.pieces.get(page);
                     let same = (*whole, *version, count);
-                    let other =
-                        known.is_some_and(|known| (known.whole, known.version, known.parts.len()) != same);
+                    let other = known.is_some_and(|known| {
+                        (known.whole, known.version, known.parts.len()) != same
+                    });
                     if known.is_none() && self.pieces.len() >= PAGES_MOST {
                         self.pieces.clear();
                     }
-                    let new =
-                        || Pieces { whole: *whole, version: *version, parts: vec![None; count], since: now };
+                    let new = || Pieces {
+                        whole: *whole,
+                        version: *version,
+                        parts: vec![None; count],
+                        since: now,
+                    };
                     let pieces = self.pieces.entry(*page).or_insert_with(new);
                     if other {
                         // The same page as change and as whole list: the whole list needs no earlier page.
@@ -134,8 +156,12 @@
                     .then(|| pieces.text())?
                     .map(|text| (*page, text))
             };
-            let Some((page, text)) = self.pieces.iter().find_map(follows) else { break };
-            let Some(pieces) = self.pieces.remove(&page) else { break };
+            let Some((page, text)) = self.pieces.iter().find_map(follows) else {
+                break;
+            };
+            let Some(pieces) = self.pieces.remove(&page) else {
+                break;
+            };
             let older = self.version.is_some_and(|version| pieces.version < version);
             let empty = pieces.whole && !text.windows(2).any(|pair| pair == b"[{");
             if older || empty {
@@ -160,17 +186,24 @@
         self.wanted_at = now + WANTS_APART;
         let next = self.page + 1;
         let missing = |pieces: &Pieces| -> Vec<u16> {
-            let parts =
-                (0u16..).zip(&pieces.parts).filter(|(_, part)| part.is_none()).map(|(number, _)| number);
+            let parts = (0u16..)
+                .zip(&pieces.parts)
+                .filter(|(_, part)| part.is_none())
+                .map(|(number, _)| number);
             parts.take(PARTS_WANTED).collect()
         };
-        let under_way = self.pieces.iter().find(|(page, pieces)| pieces.whole || **page == next);
+        let under_way = self
+            .pieces
+            .iter()
+            .find(|(page, pieces)| pieces.whole || **page == next);
         match under_way {
             // Its parts may still be on their way.
             Some((_, pieces)) if now < pieces.since + WANTS_APART => None,
-            Some((page, pieces)) => {
-                Some(RosterWants::Parts { page: *page, whole: pieces.whole, parts: missing(pieces) })
-            }
+            Some((page, pieces)) => Some(RosterWants::Parts {
+                page: *page,
+                whole: pieces.whole,
+                parts: missing(pieces),
+            }),
             None => Some(RosterWants::Whole),
         }
     }
--- a/crates/model/src/call_queue.rs
+++ b/crates/model/src/call_queue.rs
@@ -32,12 +32,27 @@
 impl CallQueue {
     pub fn new(discovery: &Discovery) -> Self {
         let rate = discovery.calls_per_second;
-        let work = if rate > 0.0 { (SECOND as f64 / rate) as Micros } else { 0 };
-        Self { work, longest_wait: discovery.longest_queue.0, free_at: 0, answered: BTreeMap::new() }
+        let work = if rate > 0.0 {
+            (SECOND as f64 / rate) as Micros
+        } else {
+            0
+        };
+        Self {
+            work,
+            longest_wait: discovery.longest_queue.0,
+            free_at: 0,
+            answered: BTreeMap::new(),
+        }
     }
 
     /// A call arrives: for the whole list or on a watch. `slower` multiplies what it takes.
-    pub fn admit(&mut self, now: Micros, balancer: usize, is_watch: bool, slower: f64) -> Admission {
+    pub fn admit(
+        &mut self,
+        now: Micros,
+        balancer: usize,
+        is_watch: bool,
+        slower: f64,
+    ) -> Admission {
         let last = self.answered.remove(&balancer);
         let goes_on = is_watch && last.is_some_and(|at| now <= at + CONTINUES_WITHIN);
         if goes_on || self.work == 0 {
@@ -68,7 +83,11 @@
 
     fn queue(calls_per_second: f64) -> CallQueue {
         let longest_queue = Span(SECOND);
-        CallQueue::new(&Discovery { calls_per_second, longest_queue, ..Discovery::default() })
+        CallQueue::new(&Discovery {
+            calls_per_second,
+            longest_queue,
+            ..Discovery::default()
+        })
     }
 
     #[test]
@@ -93,9 +112,15 @@
         );
         queue.answered(2 * SECOND, 0);
         // Later it is a new watch, and a call for the whole list is none.
-        assert_eq!(queue.admit(2 * SECOND + CONTINUES_WITHIN + 1, 0, true, 1.0), Admission::At(2_700_001));
+        assert_eq!(
+            queue.admit(2 * SECOND + CONTINUES_WITHIN + 1, 0, true, 1.0),
+            Admission::At(2_700_001)
+        );
         queue.answered(3 * SECOND, 0);
-        assert_eq!(queue.admit(3 * SECOND, 0, false, 1.0), Admission::At(7 * SECOND / 2));
+        assert_eq!(
+            queue.admit(3 * SECOND, 0, false, 1.0),
+            Admission::At(7 * SECOND / 2)
+        );
     }
 
     #[test]
--- a/crates/model/src/chance.rs
+++ b/crates/model/src/chance.rs
@@ -19,12 +19,13 @@
     /// A stream of its own for the part of the model with that name and number: more draws in one do not move others.
     pub fn split(seed: u64, part: &str, number: u64) -> Self {
         // FNV-1a, so that names and numbers near each other start far apart.
-        let bytes = part.bytes().chain(number.to_le_bytes()).chain(seed.to_le_bytes());
-        Self::new(
-            bytes.fold(0xcbf2_9ce4_8422_2325, |sum, byte| {
-                (sum ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3)
-            }),
-        )
+        let bytes = part
+            .bytes()
+            .chain(number.to_le_bytes())
+            .chain(seed.to_le_bytes());
+        Self::new(bytes.fold(0xcbf2_9ce4_8422_2325, |sum, byte| {
+            (sum ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3)
+        }))
     }
 
     /// Any whole number.
@@ -67,7 +68,8 @@
     /// The place among `sums`, running totals of weights, that a draw falls to.
     pub fn place(&mut self, sums: &[f64]) -> usize {
         let drawn = self.unit() * sums.last().copied().unwrap_or(0.0);
-        sums.partition_point(|sum| *sum <= drawn).min(sums.len().saturating_sub(1))
+        sums.partition_point(|sum| *sum <= drawn)
+            .min(sums.len().saturating_sub(1))
     }
 
     /// `count` different places below `end`, in rising order.
@@ -111,13 +113,19 @@
         let mut split = Chance::split(7, "server", 3);
         assert_eq!(split.whole(), PINNED[2]);
     }
-    const PINNED: [u64; 3] = [16292765481176799425, 15778304849968482104, 15433792414885178538];
+    const PINNED: [u64; 3] = [
+        16292765481176799425,
+        15778304849968482104,
+        15433792414885178538,
+    ];
 
     #[test]
     fn draws_keep_to_their_means() {
         let mut chance = Chance::new(1);
         let count = 100_000;
-        let mean = |mut draw: Box<dyn FnMut() -> f64>| (0..count).map(|_| draw()).sum::<f64>() / count as f64;
+        let mean = |mut draw: Box<dyn FnMut() -> f64>| {
+            (0..count).map(|_| draw()).sum::<f64>() / count as f64
+        };
         let mut other = chance.clone();
         assert!((mean(Box::new(move || other.wait(5.0))) - 5.0).abs() < 0.1);
         let mut other = chance.clone();
--- a/crates/model/src/day.rs
+++ b/crates/model/src/day.rs
@@ -16,7 +16,9 @@
         let span = humantime::parse_duration(&text).map_err(|problem| {
             de::Error::custom(format!("'{text}' is no span such as \"300ms\": {problem}"))
         })?;
-        Micros::try_from(span.as_micros()).map(Span).map_err(|_| de::Error::custom("the span is too long"))
+        Micros::try_from(span.as_micros())
+            .map(Span)
+            .map_err(|_| de::Error::custom("the span is too long"))
     }
 }
 
@@ -471,8 +473,16 @@
     0.4
 }
 fn machine() -> Vec<Spanned<Machine>> {
-    let of = |name: &str, share, speed| Machine { name: name.into(), share, cores: 1, speed };
-    vec![Spanned::new(0..0, of("quick", 1.0, [1.2, 1.6])), Spanned::new(0..0, of("slow", 1.0, [0.7, 0.9]))]
+    let of = |name: &str, share, speed| Machine {
+        name: name.into(),
+        share,
+        cores: 1,
+        speed,
+    };
+    vec![
+        Spanned::new(0..0, of("quick", 1.0, [1.2, 1.6])),
+        Spanned::new(0..0, of("slow", 1.0, [0.7, 0.9])),
+    ]
 }
 fn use_cases() -> Vec<Spanned<UseCase>> {
     let of = |name: &str, share, effect, work, promised, stop, earnings| UseCase {
@@ -489,9 +499,33 @@
         earnings,
     };
     [
-        of("look", 0.6, Effect::Redoable, 20_000, 400_000, 1_500_000, 1.0),
-        of("order", 0.25, Effect::Labelled, 25_000, 500_000, 2_000_000, 2.0),
-        of("pay", 0.15, Effect::Irreversible, 30_000, 600_000, 2_000_000, 3.0),
+        of(
+            "look",
+            0.6,
+            Effect::Redoable,
+            20_000,
+            400_000,
+            1_500_000,
+            1.0,
+        ),
+        of(
+            "order",
+            0.25,
+            Effect::Labelled,
+            25_000,
+            500_000,
+            2_000_000,
+            2.0,
+        ),
+        of(
+            "pay",
+            0.15,
+            Effect::Irreversible,
+            30_000,
+            600_000,
+            2_000_000,
+            3.0,
+        ),
     ]
     .map(|use_case| Spanned::new(0..0, use_case))
     .into()
--- a/crates/model/src/discovery.rs
+++ b/crates/model/src/discovery.rs
@@ -31,16 +31,35 @@
 
 impl Registry {
     pub fn new(discovery: &Discovery, servers: usize, seed: u64) -> Self {
-        let first = |server| (0, Entry { server, state: State::Active, born: None });
+        let first = |server| {
+            (
+                0,
+                Entry {
+                    server,
+                    state: State::Active,
+                    born: None,
+                },
+            )
+        };
         let changes = (0..servers).map(first).collect();
         let delay = discovery.delay.map(|span| span.0);
-        Self { changes, delay, chance: Chance::split(seed, "discovery", 0) }
+        Self {
+            changes,
+            delay,
+            chance: Chance::split(seed, "discovery", 0),
+        }
     }
 
     /// Something changed now; it is told after a drawn delay, and never before what changed earlier. Says when.
     pub fn change(&mut self, now: Micros, entry: Entry) -> Micros {
-        let delay = self.chance.between(self.delay[0] as f64, self.delay[1] as f64) as Micros;
-        let at = self.changes.last().map_or(0, |last| last.0).max(now + delay);
+        let delay = self
+            .chance
+            .between(self.delay[0] as f64, self.delay[1] as f64) as Micros;
+        let at = self
+            .changes
+            .last()
+            .map_or(0, |last| last.0)
+            .max(now + delay);
         self.changes.push((at, entry));
         at
     }
@@ -87,22 +106,46 @@
     use crate::day::Span;
 
     fn entry(server: usize, state: State) -> Entry {
-        Entry { server, state, born: None }
+        Entry {
+            server,
+            state,
+            born: None,
+        }
     }
 
     #[test]
     fn changes_are_told_late_in_order_and_each_server_once() {
         let delay = [Span(100), Span(1000)];
-        let mut registry = Registry::new(&Discovery { delay, ..Discovery::default() }, 3, 5);
+        let mut registry = Registry::new(
+            &Discovery {
+                delay,
+                ..Discovery::default()
+            },
+            3,
+            5,
+        );
         assert_eq!(registry.list(0).0, 3);
         let first = registry.change(0, entry(1, State::Leaving));
         let second = registry.change(0, entry(1, State::Left));
         assert!((100..=1000).contains(&first) && second >= first);
-        assert_eq!((registry.version(first - 1), registry.next(3)), (3, Some(first)));
+        assert_eq!(
+            (registry.version(first - 1), registry.next(3)),
+            (3, Some(first))
+        );
         assert_eq!(registry.since(second, 3), (5, vec![entry(1, State::Left)]));
         let (version, list) = registry.list(second);
-        assert_eq!((version, list.iter().map(|entry| entry.server).collect::<Vec<_>>()), (5, vec![0, 2]));
-        assert_eq!(registry.since(second, 9), (5, vec![]), "a version from elsewhere is not behind");
+        assert_eq!(
+            (
+                version,
+                list.iter().map(|entry| entry.server).collect::<Vec<_>>()
+            ),
+            (5, vec![0, 2])
+        );
+        assert_eq!(
+            registry.since(second, 9),
+            (5, vec![]),
+            "a version from elsewhere is not behind"
+        );
         assert_eq!(registry.next(5), None);
     }
 }
--- a/crates/model/src/faults.rs
+++ b/crates/model/src/faults.rs
@@ -93,8 +93,10 @@
 
     /// Whether it holds for all alike while it lasts.
     pub fn is_wide(self) -> bool {
-        matches!(self, Self::DiscoveryGone | Self::DiscoveryStale | Self::Burst)
-            || self.is_of_clients()
+        matches!(
+            self,
+            Self::DiscoveryGone | Self::DiscoveryStale | Self::Burst
+        ) || self.is_of_clients()
             || self.is_of_answers()
             || self.is_of_system()
             || self.is_of_lists()
@@ -119,19 +121,29 @@
 
     /// Whether it is about what clients do.
     pub fn is_of_clients(self) -> bool {
-        matches!(self, Self::ClientsInPieces | Self::ClientsStop | Self::ClientsPipeline)
+        matches!(
+            self,
+            Self::ClientsInPieces | Self::ClientsStop | Self::ClientsPipeline
+        )
     }
 
     /// Whether it is about how servers' answers and connections go.
     pub fn is_of_answers(self) -> bool {
-        matches!(self, Self::AnswersInPieces | Self::AnswersUnended | Self::AnswersTwice | Self::IdleClosed)
+        matches!(
+            self,
+            Self::AnswersInPieces | Self::AnswersUnended | Self::AnswersTwice | Self::IdleClosed
+        )
     }
 
     /// Whether it is about the system that balancers run on.
     pub fn is_of_system(self) -> bool {
         matches!(
             self,
-            Self::SystemFails | Self::CallsShort | Self::ConnectionsBreak | Self::HeldUp | Self::ClockSteps
+            Self::SystemFails
+                | Self::CallsShort
+                | Self::ConnectionsBreak
+                | Self::HeldUp
+                | Self::ClockSteps
         )
     }
 
@@ -172,7 +184,9 @@
             Self::Slow => Some((3.0, 1.0, 1000.0)),
             Self::Errors | Self::Spoilt | Self::Reset | Self::Lost => Some((1.0, 0.0, 1.0)),
             Self::ClientsInPieces | Self::ClientsPipeline => Some((0.3, 0.0, 1.0)),
-            Self::AnswersInPieces | Self::AnswersUnended | Self::AnswersTwice => Some((0.3, 0.0, 1.0)),
+            Self::AnswersInPieces | Self::AnswersUnended | Self::AnswersTwice => {
+                Some((0.3, 0.0, 1.0))
+            }
             Self::ClientsStop => Some((2.0, 0.0, 20.0)),
             Self::DiscoverySlow => Some((3.0, 1.0, 100.0)),
             Self::ListsCut
@@ -211,27 +225,45 @@
 
 /// The servers that a fault names, as numbers in the fleet that the day begins with.
 pub fn named(day: &Day, fault: &Fault, specs: &[Spec], chance: &mut Chance) -> Vec<usize> {
-    let zone = fault.zone.as_ref().map(|zone| day.fleet.zones.iter().position(|name| name == zone));
-    let machine =
-        fault.machine.as_ref().map(|machine| day.machines.iter().position(|m| m.get_ref().name == *machine));
+    let zone = fault
+        .zone
+        .as_ref()
+        .map(|zone| day.fleet.zones.iter().position(|name| name == zone));
+    let machine = fault.machine.as_ref().map(|machine| {
+        day.machines
+            .iter()
+            .position(|m| m.get_ref().name == *machine)
+    });
     let fits = |spec: &&Spec| {
         zone.is_none_or(|zone| zone == Some(spec.zone))
             && machine.is_none_or(|machine| machine == Some(spec.machine))
-            && fault.servers.as_ref().is_none_or(|servers| servers.contains(&spec.number))
+            && fault
+                .servers
+                .as_ref()
+                .is_none_or(|servers| servers.contains(&spec.number))
     };
     let all: Vec<usize> = specs.iter().filter(fits).map(|spec| spec.number).collect();
     match fault.part {
         None => all,
         Some(part) => {
             let count = (part * all.len() as f64).ceil() as usize;
-            chance.some_of(count, all.len()).into_iter().map(|place| all[place]).collect()
+            chance
+                .some_of(count, all.len())
+                .into_iter()
+                .map(|place| all[place])
+                .collect()
         }
     }
 }
 
 impl Timeline {
     pub fn new(day: &Day, specs: &[Spec], seed: u64) -> Self {
-        let mut line = Self { hits: Vec::new(), wide: Vec::new(), ways: Ways::default(), events: Vec::new() };
+        let mut line = Self {
+            hits: Vec::new(),
+            wide: Vec::new(),
+            ways: Ways::default(),
+            events: Vec::new(),
+        };
         for (place, fault) in day.faults.iter().enumerate() {
             line.add(day, specs, seed, place, fault.get_ref());
         }
@@ -241,7 +273,10 @@
     /// Adds a fault; `place` is its number, from which what it draws follows.
     pub fn add(&mut self, day: &Day, specs: &[Spec], seed: u64, place: usize, fault: &Fault) {
         let mut chance = Chance::split(seed, "fault", place as u64);
-        let factor = fault.factor.or(fault.kind.factor().map(|usual| usual.0)).unwrap_or(0.0);
+        let factor = fault
+            .factor
+            .or(fault.kind.factor().map(|usual| usual.0))
+            .unwrap_or(0.0);
         let (from, lasts, by) = (fault.at.0, fault.lasts.0, fault.by.unwrap_or_default().0);
         if fault.kind.hits_servers() {
             let named = named(day, fault, specs, &mut chance);
@@ -249,7 +284,15 @@
             for (turn, server) in named.into_iter().enumerate() {
                 let from = from + turn as u64 * each;
                 let (kind, to) = (fault.kind, from + lasts);
-                self.hits.push(Hit { kind, server, from, to, factor, by, fault: place });
+                self.hits.push(Hit {
+                    kind,
+                    server,
+                    from,
+                    to,
+                    factor,
+                    by,
+                    fault: place,
+                });
                 self.server_events(kind, server, from, to);
             }
         } else if fault.kind.hits_balancers() {
@@ -263,17 +306,25 @@
                     continue;
                 }
                 let (goes, comes) = match fault.kind {
-                    Kind::BalancerStopped => {
-                        (What::BalancerStopped(balancer), What::BalancerStarts(balancer))
-                    }
-                    Kind::BalancerStalled | Kind::BalancerHurt => {
-                        (What::BalancerPauses(balancer), What::BalancerGoesOn(balancer))
-                    }
+                    Kind::BalancerStopped => (
+                        What::BalancerStopped(balancer),
+                        What::BalancerStarts(balancer),
+                    ),
+                    Kind::BalancerStalled | Kind::BalancerHurt => (
+                        What::BalancerPauses(balancer),
+                        What::BalancerGoesOn(balancer),
+                    ),
                     Kind::BalancerSwapped => {
                         let next = named[(turn + 1) % named.len()];
-                        (What::BalancerKilled(balancer), What::BalancerTakesPlace(balancer, next))
+                        (
+                            What::BalancerKilled(balancer),
+                            What::BalancerTakesPlace(balancer, next),
+                        )
                     }
-                    _ => (What::BalancerKilled(balancer), What::BalancerStarts(balancer)),
+                    _ => (
+                        What::BalancerKilled(balancer),
+                        What::BalancerStarts(balancer),
+                    ),
                 };
                 let hurt = fault.kind == Kind::BalancerHurt;
                 let (every, stopped) = match hurt {
@@ -287,9 +338,22 @@
             }
         } else if fault.kind.hits_ways() {
             let side = fault.balancers.clone().unwrap_or_else(|| vec![0]);
-            let (kind, to, against, one_way) =
-                (fault.kind, from + lasts, fault.against.clone(), fault.one_way);
-            self.ways.troubles.push(Trouble { kind, from, to, side, against, one_way, factor, by });
+            let (kind, to, against, one_way) = (
+                fault.kind,
+                from + lasts,
+                fault.against.clone(),
+                fault.one_way,
+            );
+            self.ways.troubles.push(Trouble {
+                kind,
+                from,
+                to,
+                side,
+                against,
+                one_way,
+                factor,
+                by,
+            });
         } else if fault.kind == Kind::Grow {
             let count = (factor * specs.len() as f64).ceil() as usize;
             self.events.push((from, What::Grow(count)));
@@ -315,13 +379,21 @@
 
     /// The next moment at which some server's condition changes.
     pub fn next_edge(&self, now: Micros) -> Option<Micros> {
-        self.hits.iter().flat_map(|hit| [hit.from, hit.to]).filter(|edge| *edge > now).min()
+        self.hits
+            .iter()
+            .flat_map(|hit| [hit.from, hit.to])
+            .filter(|edge| *edge > now)
+            .min()
     }
 
     /// What faults do to a server at that moment. Overlapping ones add up.
     pub fn condition(&self, server: usize, now: Micros) -> Condition {
         let mut condition = Condition::default();
-        for hit in self.hits.iter().filter(|hit| hit.server == server && hit.from <= now && now < hit.to) {
+        for hit in self
+            .hits
+            .iter()
+            .filter(|hit| hit.server == server && hit.from <= now && now < hit.to)
+        {
             match hit.kind {
                 Kind::Freeze => condition.frozen = true,
                 Kind::Silent => condition.silent = true,
@@ -340,7 +412,9 @@
     }
 
     fn wide_at(&self, kind: Kind, now: Micros) -> impl Iterator<Item = (f64, Micros)> {
-        let here = move |at: &&(Kind, Micros, Micros, f64, Micros)| at.0 == kind && at.1 <= now && now < at.2;
+        let here = move |at: &&(Kind, Micros, Micros, f64, Micros)| {
+            at.0 == kind && at.1 <= now && now < at.2
+        };
         self.wide.iter().filter(here).map(|at| (at.3, at.4))
     }
 
@@ -351,29 +425,45 @@
 
     /// Whether a fault of that kind began between two moments.
     pub fn began(&self, kind: Kind, from: Micros, to: Micros) -> Option<Micros> {
-        self.wide.iter().filter(|at| at.0 == kind).map(|at| at.1).find(|at| (from..to).contains(at))
+        self.wide
+            .iter()
+            .filter(|at| at.0 == kind)
+            .map(|at| at.1)
+            .find(|at| (from..to).contains(at))
     }
 
     /// When the next fault of that kind begins, from a moment on.
     pub fn begins_next(&self, kind: Kind, from: Micros) -> Option<Micros> {
-        self.wide.iter().filter(|at| at.0 == kind && at.1 >= from).map(|at| at.1).min()
+        self.wide
+            .iter()
+            .filter(|at| at.0 == kind && at.1 >= from)
+            .map(|at| at.1)
+            .min()
     }
 
     /// The multiple of the usual traffic that bursts make.
     pub fn burst(&self, now: Micros) -> f64 {
-        self.wide_at(Kind::Burst, now).map(|(factor, _)| factor).product()
+        self.wide_at(Kind::Burst, now)
+            .map(|(factor, _)| factor)
+            .product()
     }
 
     /// The moments at which bursts begin.
     pub fn edges_of_bursts(&self) -> impl Iterator<Item = Micros> {
-        self.wide.iter().filter(|at| at.0 == Kind::Burst).map(|at| at.1)
+        self.wide
+            .iter()
+            .filter(|at| at.0 == Kind::Burst)
+            .map(|at| at.1)
     }
 
     pub fn telling(&self, now: Micros) -> Telling {
         if self.wide_at(Kind::DiscoveryGone, now).next().is_some() {
             return Telling::Gone;
         }
-        self.wide_at(Kind::DiscoveryStale, now).map(|(_, by)| by).max().map_or(Telling::Fine, Telling::Stale)
+        self.wide_at(Kind::DiscoveryStale, now)
+            .map(|(_, by)| by)
+            .max()
+            .map_or(Telling::Fine, Telling::Stale)
     }
 }
 
@@ -397,18 +487,28 @@
              [[faults]]\nkind = 'burst'\nat = '2s'\nfor = '1s'\nfactor = 3.0",
         );
         let rate = |now| line.condition(2, now * SECOND).rate;
-        assert_eq!((rate(0), rate(1), rate(3), rate(5), rate(7)), (1.0, 0.5, 0.25, 0.5, 1.0));
+        assert_eq!(
+            (rate(0), rate(1), rate(3), rate(5), rate(7)),
+            (1.0, 0.5, 0.25, 0.5, 1.0)
+        );
         assert_eq!(line.condition(1, 3 * SECOND), Condition::default());
         assert_eq!((line.burst(0), line.burst(2 * SECOND)), (1.0, 3.0));
         let edges = std::iter::successors(line.next_edge(0), |edge| line.next_edge(*edge));
-        assert_eq!(edges.collect::<Vec<_>>(), [1, 3, 5, 7].map(|at| at * SECOND));
+        assert_eq!(
+            edges.collect::<Vec<_>>(),
+            [1, 3, 5, 7].map(|at| at * SECOND)
+        );
     }
 
     #[test]
     fn a_rolling_drain_takes_servers_one_after_the_other() {
         let (specs, line) =
             line("[[faults]]\nkind = 'drain'\nat = '2s'\nfor = '1s'\nover = '6s'\nzone = 'a'");
-        let zone: Vec<_> = specs.iter().filter(|spec| spec.zone == 0).map(|spec| spec.number).collect();
+        let zone: Vec<_> = specs
+            .iter()
+            .filter(|spec| spec.zone == 0)
+            .map(|spec| spec.number)
+            .collect();
         assert_eq!(zone.len(), 6);
         for (turn, server) in zone.into_iter().enumerate() {
             let at = (2 + turn as u64) * SECOND;
--- a/crates/model/src/judge.rs
+++ b/crates/model/src/judge.rs
@@ -45,23 +45,45 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Seen {
     /// The ticket's last byte was written to a balancer; the answer must come by `hard_stop`.
-    Taken { ticket: u64, balancer: usize, use_case: usize, hard_stop: Micros },
+    Taken {
+        ticket: u64,
+        balancer: usize,
+        use_case: usize,
+        hard_stop: Micros,
+    },
     /// A dispatch whose first byte was seen at `began` came whole to a server.
-    Sent { ticket: u64, place: Place, began: Micros, work: f64 },
+    Sent {
+        ticket: u64,
+        place: Place,
+        began: Micros,
+        work: f64,
+    },
     /// What an attempt that began then tells its server of the time that is left.
-    ToldTime { ticket: u64, began: Micros, told: Micros },
+    ToldTime {
+        ticket: u64,
+        began: Micros,
+        told: Micros,
+    },
     /// The server proved that a dispatch did not run.
     NotRun { ticket: u64, server: usize },
     /// The effect took place.
     Ran { ticket: u64, server: usize },
     /// The final answer's last byte; whether a server made it for this ticket.
-    Answered { ticket: u64, outcome: Outcome, genuine: bool },
+    Answered {
+        ticket: u64,
+        outcome: Outcome,
+        genuine: bool,
+    },
     /// The connection ended without a whole answer.
     Lost { ticket: u64 },
     /// The client left.
     Left { ticket: u64 },
     /// A balancer was told that a server drains or is gone, or serves.
-    Told { balancer: usize, server: usize, drains: bool },
+    Told {
+        balancer: usize,
+        server: usize,
+        drains: bool,
+    },
     /// A balancer was killed: what it had is nobody's fault.
     Killed { balancer: usize },
     /// It is stopped, or goes on: what it had taken can't be answered in time by anybody.
@@ -89,8 +111,16 @@
 impl fmt::Display for Seen {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Taken { balancer, hard_stop, .. } => {
-                write!(out, "taken by balancer {balancer}, hard stop {}", seconds(*hard_stop))
+            Self::Taken {
+                balancer,
+                hard_stop,
+                ..
+            } => {
+                write!(
+                    out,
+                    "taken by balancer {balancer}, hard stop {}",
+                    seconds(*hard_stop)
+                )
             }
             Self::Sent { place, began, .. } => {
                 write!(out, "whole at s{}, begun {}", place.server, seconds(*began))
@@ -98,12 +128,26 @@
             Self::ToldTime { told, .. } => write!(out, "told {told} us"),
             Self::NotRun { server, .. } => write!(out, "turned away unrun by s{server}"),
             Self::Ran { server, .. } => write!(out, "ran at s{server}"),
-            Self::Answered { outcome, genuine, .. } => {
-                write!(out, "{outcome:?}{}", if *genuine { "" } else { " with what no server made for it" })
+            Self::Answered {
+                outcome, genuine, ..
+            } => {
+                write!(
+                    out,
+                    "{outcome:?}{}",
+                    if *genuine {
+                        ""
+                    } else {
+                        " with what no server made for it"
+                    }
+                )
             }
             Self::Lost { .. } => write!(out, "connection ended without an answer"),
             Self::Left { .. } => write!(out, "client left"),
-            Self::Told { balancer, server, drains } => {
+            Self::Told {
+                balancer,
+                server,
+                drains,
+            } => {
                 write!(
                     out,
                     "balancer {balancer} told that s{server} {}",
@@ -138,7 +182,9 @@
             write!(out, ", ticket {ticket}")?;
         }
         write!(out, ": {}", self.what)?;
-        self.history.iter().try_for_each(|(at, seen)| write!(out, "; {} {seen}", seconds(*at)))
+        self.history
+            .iter()
+            .try_for_each(|(at, seen)| write!(out, "; {} {seen}", seconds(*at)))
     }
 }
 
@@ -174,7 +220,11 @@
     pub fn new(day: &Day) -> Self {
         Self {
             rules: day.rules.clone(),
-            use_cases: day.use_cases.iter().map(|use_case| use_case.get_ref().clone()).collect(),
+            use_cases: day
+                .use_cases
+                .iter()
+                .map(|use_case| use_case.get_ref().clone())
+                .collect(),
             tickets: BTreeMap::new(),
             servers: BTreeMap::new(),
             killed: BTreeMap::new(),
@@ -199,11 +249,23 @@
             self.clear(at);
         }
         if let Some(ticket) = seen.ticket() {
-            self.tickets.entry(ticket).or_default().seen.push((at, seen));
+            self.tickets
+                .entry(ticket)
+                .or_default()
+                .seen
+                .push((at, seen));
         }
         match seen {
-            Seen::Taken { ticket, balancer, use_case, hard_stop } => {
-                let killed = self.killed.get(&balancer).is_some_and(|killed| *killed >= at);
+            Seen::Taken {
+                ticket,
+                balancer,
+                use_case,
+                hard_stop,
+            } => {
+                let killed = self
+                    .killed
+                    .get(&balancer)
+                    .is_some_and(|killed| *killed >= at);
                 let history = self.tickets.entry(ticket).or_default();
                 history.taken = Some((balancer, use_case, hard_stop));
                 history.excused |= killed;
@@ -215,8 +277,17 @@
                     self.in_time(ticket, answered);
                 }
             }
-            Seen::Sent { ticket, place, began, work } => self.sent(at, ticket, place, began, work),
-            Seen::Answered { ticket, outcome, genuine } => self.answered(at, ticket, outcome, genuine),
+            Seen::Sent {
+                ticket,
+                place,
+                began,
+                work,
+            } => self.sent(at, ticket, place, began, work),
+            Seen::Answered {
+                ticket,
+                outcome,
+                genuine,
+            } => self.answered(at, ticket, outcome, genuine),
             Seen::Lost { ticket } => {
                 if let Some(history) = self.tickets.get_mut(&ticket) {
                     history.lost = true;
@@ -229,7 +300,11 @@
                 }
             }
             Seen::ToldTime { .. } => self.told_time(at, seen),
-            Seen::Told { balancer, server, drains } => {
+            Seen::Told {
+                balancer,
+                server,
+                drains,
+            } => {
                 let kept = self.servers.entry(server).or_default();
                 match drains {
                     true => _ = kept.drains.entry(balancer).or_insert(at),
@@ -239,49 +314,84 @@
             Seen::Killed { balancer } | Seen::Stalled { balancer } => {
                 self.killed.insert(balancer, at);
                 for history in self.tickets.values_mut() {
-                    history.excused |=
-                        history.answered.is_none() && history.taken.is_some_and(|t| t.0 == balancer);
+                    history.excused |= history.answered.is_none()
+                        && history.taken.is_some_and(|t| t.0 == balancer);
                 }
                 if matches!(seen, Seen::Killed { .. }) {
                     // Its next life is told anew.
-                    self.servers.values_mut().for_each(|kept| _ = kept.drains.remove(&balancer));
+                    self.servers
+                        .values_mut()
+                        .for_each(|kept| _ = kept.drains.remove(&balancer));
                 }
             }
-            Seen::Fell { server } => self.break_of(4, at, None, format!("s{server} fell over while cold")),
+            Seen::Fell { server } => {
+                self.break_of(4, at, None, format!("s{server} fell over while cold"))
+            }
             Seen::NotRun { .. } | Seen::Ran { .. } => {}
         }
     }
 
     /// The end: whatever is still open by then is broken.
     pub fn finish(&mut self, now: Micros) {
-        let open: Vec<_> =
-            self.tickets.iter().filter(|(_, h)| h.is_owed(now, &self.rules)).map(|(t, _)| *t).collect();
+        let open: Vec<_> = self
+            .tickets
+            .iter()
+            .filter(|(_, h)| h.is_owed(now, &self.rules))
+            .map(|(t, _)| *t)
+            .collect();
         for ticket in open {
             self.break_of(1, now, Some(ticket), "no final answer".into());
         }
     }
 
     fn break_of(&mut self, rule: u8, at: Micros, ticket: Option<u64>, what: String) {
-        let history =
-            ticket.and_then(|ticket| self.tickets.get(&ticket)).map(|h| h.seen.clone()).unwrap_or_default();
-        self.breaks.push(Break { rule, at, ticket, what, history });
+        let history = ticket
+            .and_then(|ticket| self.tickets.get(&ticket))
+            .map(|h| h.seen.clone())
+            .unwrap_or_default();
+        self.breaks.push(Break {
+            rule,
+            at,
+            ticket,
+            what,
+            history,
+        });
     }
 
     fn in_time(&mut self, ticket: u64, at: Micros) {
         let owed = self.tickets.get(&ticket).filter(|history| !history.excused);
-        let Some((_, _, hard_stop)) = owed.and_then(|history| history.taken) else { return };
+        let Some((_, _, hard_stop)) = owed.and_then(|history| history.taken) else {
+            return;
+        };
         if at > hard_stop + self.rules.answer_late() {
-            self.break_of(1, at, Some(ticket), format!("answered {} us after its hard stop", at - hard_stop));
+            self.break_of(
+                1,
+                at,
+                Some(ticket),
+                format!("answered {} us after its hard stop", at - hard_stop),
+            );
         }
     }
 
     /// An attempt tells at most what its client has left.
     fn told_time(&mut self, at: Micros, seen: Seen) {
-        let Seen::ToldTime { ticket, began, told } = seen else { return };
+        let Seen::ToldTime {
+            ticket,
+            began,
+            told,
+        } = seen
+        else {
+            return;
+        };
         let taken = self.tickets.get(&ticket).and_then(|history| history.taken);
-        let Some((_, _, hard_stop)) = taken else { return };
+        let Some((_, _, hard_stop)) = taken else {
+            return;
+        };
         if began + told > hard_stop + TOLD_SLACK + self.rules.slack.0 {
-            let what = format!("told {told} us where {} were left", hard_stop.saturating_sub(began));
+            let what = format!(
+                "told {told} us where {} were left",
+                hard_stop.saturating_sub(began)
+            );
             self.break_of(1, at, Some(ticket), what);
         }
     }
@@ -300,21 +410,35 @@
         let ran = self.may_have_run(ticket);
         self.in_time(ticket, at);
         if !genuine {
-            self.break_of(1, at, Some(ticket), "answered with what no server made for it".into());
+            self.break_of(
+                1,
+                at,
+                Some(ticket),
+                "answered with what no server made for it".into(),
+            );
         }
-        let Some(use_case) = use_case.and_then(|place| self.use_cases.get(place)) else { return };
+        let Some(use_case) = use_case.and_then(|place| self.use_cases.get(place)) else {
+            return;
+        };
         let harmless = match (use_case.effect, use_case.group) {
             (Effect::Redoable, _) | (Effect::Labelled, Group::All) => true,
             (Effect::Labelled | Effect::Irreversible, _) => ran.is_empty(),
         };
         if outcome == Outcome::Dismissed && !harmless {
-            self.break_of(2, at, Some(ticket), "dismissed though a dispatch may have run".into());
+            self.break_of(
+                2,
+                at,
+                Some(ticket),
+                "dismissed though a dispatch may have run".into(),
+            );
         }
     }
 
     /// The dispatches of a ticket that nothing proves not to have run: where and when they came whole.
     fn may_have_run(&self, ticket: u64) -> Vec<(Micros, Place)> {
-        let Some(history) = self.tickets.get(&ticket) else { return Vec::new() };
+        let Some(history) = self.tickets.get(&ticket) else {
+            return Vec::new();
+        };
         let mut ran: Vec<(Micros, Place)> = Vec::new();
         for (at, seen) in &history.seen {
             match seen {
@@ -358,7 +482,11 @@
                     Group::Cell => other.cell == place.cell,
                 };
                 let late = began > first + use_case.window.0 + slack;
-                let what = if same { "behind its window" } else { "outside its group" };
+                let what = if same {
+                    "behind its window"
+                } else {
+                    "outside its group"
+                };
                 (!same || late).then(|| format!("a labelled ticket sent again {what}"))
             }),
         });
@@ -366,11 +494,17 @@
             self.break_of(2, at, Some(ticket), what);
         }
         if let Some((balancer, ..)) = taken {
-            let drains = self.servers.get(&place.server).and_then(|kept| kept.drains.get(&balancer).copied());
+            let drains = self
+                .servers
+                .get(&place.server)
+                .and_then(|kept| kept.drains.get(&balancer).copied());
             let past = |told: &Micros| began > told + self.rules.drain_grace.0 + slack;
             if let Some(told) = drains.filter(past) {
-                let what =
-                    format!("sent to s{} {} us after it was told to drain", place.server, began - told);
+                let what = format!(
+                    "sent to s{} {} us after it was told to drain",
+                    place.server,
+                    began - told
+                );
                 self.break_of(3, at, Some(ticket), what);
             }
         }
@@ -405,11 +539,23 @@
     fn clear(&mut self, now: Micros) {
         let over = |history: &History| match history.taken {
             Some((_, _, hard_stop)) => hard_stop + KEPT < now,
-            None => history.seen.last().is_none_or(|(at, _)| at + 4 * KEPT < now),
+            None => history
+                .seen
+                .last()
+                .is_none_or(|(at, _)| at + 4 * KEPT < now),
         };
-        let ended: Vec<_> = self.tickets.iter().filter(|(_, h)| over(h)).map(|(ticket, _)| *ticket).collect();
+        let ended: Vec<_> = self
+            .tickets
+            .iter()
+            .filter(|(_, h)| over(h))
+            .map(|(ticket, _)| *ticket)
+            .collect();
         for ticket in ended {
-            if self.tickets.get(&ticket).is_some_and(|history| history.is_owed(now, &self.rules)) {
+            if self
+                .tickets
+                .get(&ticket)
+                .is_some_and(|history| history.is_owed(now, &self.rules))
+            {
                 self.break_of(1, now, Some(ticket), "no final answer".into());
             }
             self.tickets.remove(&ticket);
@@ -419,8 +565,9 @@
 
 impl History {
     fn is_owed(&self, now: Micros, rules: &Rules) -> bool {
-        let over =
-            self.taken.is_some_and(|(_, _, hard_stop)| self.lost || now > hard_stop + rules.answer_late());
+        let over = self
+            .taken
+            .is_some_and(|(_, _, hard_stop)| self.lost || now > hard_stop + rules.answer_late());
         over && self.answered.is_none() && !self.excused
     }
 }
--- a/crates/model/src/judge/tests.rs
+++ b/crates/model/src/judge/tests.rs
@@ -10,25 +10,63 @@
 }
 
 fn place(server: usize) -> Place {
-    Place { server, zone: server % 2, cell: server / 2, cold: None }
+    Place {
+        server,
+        zone: server % 2,
+        cell: server / 2,
+        cold: None,
+    }
 }
 fn taken(use_case: usize) -> Seen {
-    Seen::Taken { ticket: 1, balancer: 0, use_case, hard_stop: SECOND }
+    Seen::Taken {
+        ticket: 1,
+        balancer: 0,
+        use_case,
+        hard_stop: SECOND,
+    }
 }
 fn sent(server: usize, began: Micros) -> Seen {
-    Seen::Sent { ticket: 1, place: place(server), began, work: 10_000.0 }
+    Seen::Sent {
+        ticket: 1,
+        place: place(server),
+        began,
+        work: 10_000.0,
+    }
 }
 fn answered(outcome: Outcome) -> Seen {
-    Seen::Answered { ticket: 1, outcome, genuine: true }
+    Seen::Answered {
+        ticket: 1,
+        outcome,
+        genuine: true,
+    }
 }
-const NOT_RUN: Seen = Seen::NotRun { ticket: 1, server: 0 };
+const NOT_RUN: Seen = Seen::NotRun {
+    ticket: 1,
+    server: 0,
+};
 const LEFT: Seen = Seen::Left { ticket: 1 };
 fn told_time(began: Micros, told: Micros) -> Seen {
-    Seen::ToldTime { ticket: 1, began, told }
+    Seen::ToldTime {
+        ticket: 1,
+        began,
+        told,
+    }
 }
-const DRAINS: Seen = Seen::Told { balancer: 0, server: 0, drains: true };
-const SERVES: Seen = Seen::Told { balancer: 0, server: 0, drains: false };
-const FORGED: Seen = Seen::Answered { ticket: 1, outcome: Outcome::Succeeded, genuine: false };
+const DRAINS: Seen = Seen::Told {
+    balancer: 0,
+    server: 0,
+    drains: true,
+};
+const SERVES: Seen = Seen::Told {
+    balancer: 0,
+    server: 0,
+    drains: false,
+};
+const FORGED: Seen = Seen::Answered {
+    ticket: 1,
+    outcome: Outcome::Succeeded,
+    genuine: false,
+};
 use Outcome::{Abandoned, Dismissed, Succeeded};
 
 /// What was seen, when, and which rules that breaks.
@@ -77,27 +115,74 @@
     }
     ledger.finish(10 * SECOND);
     let found: Vec<_> = ledger.breaks().iter().map(|broken| broken.rule).collect();
-    assert_eq!(found, rules, "{}", ledger.breaks().iter().map(Break::to_string).collect::<String>());
-    for broken in ledger.breaks().iter().filter(|broken| broken.ticket.is_some()) {
+    assert_eq!(
+        found,
+        rules,
+        "{}",
+        ledger
+            .breaks()
+            .iter()
+            .map(Break::to_string)
+            .collect::<String>()
+    );
+    for broken in ledger
+        .breaks()
+        .iter()
+        .filter(|broken| broken.ticket.is_some())
+    {
         let first = seen.iter().find(|(_, seen)| seen.ticket().is_some());
-        assert_eq!(broken.history.first(), first, "its history is told from the beginning");
+        assert_eq!(
+            broken.history.first(),
+            first,
+            "its history is told from the beginning"
+        );
     }
 }
 
 #[test]
 fn a_cold_server_over_its_multiple_is_found_once() {
     let mut ledger = ledger();
-    let cold = Place { cold: Some(0.3), ..place(0) };
+    let cold = Place {
+        cold: Some(0.3),
+        ..place(0)
+    };
     for ticket in 0..12 {
         // 100 ms of work every 100 ms is 1.0 of a core; three times 0.3 is less.
         let at = ticket * 100_000;
-        ledger.note(at, Seen::Taken { ticket, balancer: 0, use_case: 0, hard_stop: at + SECOND });
-        ledger.note(at, Seen::Sent { ticket, place: cold, began: at, work: 99_000.0 });
-        ledger.note(at, Seen::Answered { ticket, outcome: Succeeded, genuine: true });
+        ledger.note(
+            at,
+            Seen::Taken {
+                ticket,
+                balancer: 0,
+                use_case: 0,
+                hard_stop: at + SECOND,
+            },
+        );
+        ledger.note(
+            at,
+            Seen::Sent {
+                ticket,
+                place: cold,
+                began: at,
+                work: 99_000.0,
+            },
+        );
+        ledger.note(
+            at,
+            Seen::Answered {
+                ticket,
+                outcome: Succeeded,
+                genuine: true,
+            },
+        );
     }
     ledger.finish(20 * SECOND);
     assert_eq!(
-        ledger.breaks().iter().map(|broken| (broken.rule, broken.ticket)).collect::<Vec<_>>(),
+        ledger
+            .breaks()
+            .iter()
+            .map(|broken| (broken.rule, broken.ticket))
+            .collect::<Vec<_>>(),
         [(4, Some(9))]
     );
 }
@@ -126,7 +211,11 @@
 #[case::late(SECOND + 400_000, 0)]
 #[case::lost(SECOND + 600_000, 1)]
 fn a_late_answer_is_lost_only_beyond_what_the_day_says(#[case] at: Micros, #[case] broken: usize) {
-    let day = check::read("name = 'd'\nlength = '20s'\n[rules]\nlate = '500ms'", "d.toml").unwrap();
+    let day = check::read(
+        "name = 'd'\nlength = '20s'\n[rules]\nlate = '500ms'",
+        "d.toml",
+    )
+    .unwrap();
     let mut ledger = Ledger::new(&day);
     ledger.note(0, taken(0));
     ledger.note(at, answered(Abandoned));
--- a/crates/model/src/presence.rs
+++ b/crates/model/src/presence.rs
@@ -45,7 +45,11 @@
 
 impl<L: PartialEq + Clone> Presence<L> {
     pub fn new(balancers: usize) -> Self {
-        Self { lives: Vec::new(), latest: vec![None; balancers], knew: vec![BTreeSet::new(); balancers] }
+        Self {
+            lives: Vec::new(),
+            latest: vec![None; balancers],
+            knew: vec![BTreeSet::new(); balancers],
+        }
     }
 
     /// A process of a balancer serves from then on, and knows of nobody.
@@ -53,7 +57,14 @@
         self.latest[member] = Some(self.lives.len());
         self.knew[member].clear();
         let noticed = BTreeSet::new();
-        self.lives.push(Truth { member, life, from: now, to: None, left: false, noticed });
+        self.lives.push(Truth {
+            member,
+            life,
+            from: now,
+            to: None,
+            left: false,
+            noticed,
+        });
     }
 
     /// The latest process of a balancer serves no more: killed, or gone in order (`left`).
@@ -72,11 +83,16 @@
     }
 
     pub fn owner(&self, life: &L) -> Option<usize> {
-        self.lives.iter().find(|truth| truth.life == *life).map(|truth| truth.member)
+        self.lives
+            .iter()
+            .find(|truth| truth.life == *life)
+            .map(|truth| truth.member)
     }
 
     pub fn serves(&self, life: &L) -> bool {
-        self.lives.iter().any(|truth| truth.life == *life && truth.to.is_none())
+        self.lives
+            .iter()
+            .any(|truth| truth.life == *life && truth.to.is_none())
     }
 
     /// The latest process of each balancer: whose, which, whether it serves and whether it left in order.
@@ -87,10 +103,21 @@
 
     /// What is wrong in a view that one had at some moment of a span: a process that served throughout taken for gone,
     /// forgotten, or not counted among those that may serve.
-    pub fn view(&mut self, who: usize, span: [Micros; 2], held: &[Held<L>], counted: usize) -> Vec<String> {
+    pub fn view(
+        &mut self,
+        who: usize,
+        span: [Micros; 2],
+        held: &[Held<L>],
+        counted: usize,
+    ) -> Vec<String> {
         let mut wrong = Vec::new();
         let mut serving = 0;
-        for (place, truth) in self.lives.iter().enumerate().filter(|(_, truth)| truth.member != who) {
+        for (place, truth) in self
+            .lives
+            .iter()
+            .enumerate()
+            .filter(|(_, truth)| truth.member != who)
+        {
             let held = held.iter().find(|held| held.life == truth.life);
             if held.is_some() {
                 self.knew[who].insert(place);
@@ -103,13 +130,18 @@
             match held.map(|held| held.said) {
                 Some(Said::MayServe) => {}
                 Some(Said::ProvenGone) => {
-                    wrong.push(format!("b{who} takes b{} for proven gone, which serves", truth.member));
+                    wrong.push(format!(
+                        "b{who} takes b{} for proven gone, which serves",
+                        truth.member
+                    ));
                 }
                 None => wrong.push(format!("b{who} forgot b{}, which serves", truth.member)),
             }
         }
         if counted < serving {
-            wrong.push(format!("b{who} counts {counted} that may serve, and knows {serving} that do"));
+            wrong.push(format!(
+                "b{who} counts {counted} that may serve, and knows {serving} that do"
+            ));
         }
         wrong
     }
@@ -130,7 +162,9 @@
     }
 
     fn held(all: &[(char, Said)]) -> Vec<Held<char>> {
-        all.iter().map(|&(life, said)| Held { life, said }).collect()
+        all.iter()
+            .map(|&(life, said)| Held { life, said })
+            .collect()
     }
 
     #[rstest]
@@ -139,9 +173,14 @@
     #[case::taken_for_gone(&[('b', Said::ProvenGone), ('c', Said::MayServe)], 2, 1)]
     #[case::not_counted(&[('b', Said::MayServe), ('c', Said::MayServe)], 1, 1)]
     fn a_view_is_held_against_who_serves(
-        #[case] all: &[(char, Said)], #[case] counted: usize, #[case] wrong: usize,
+        #[case] all: &[(char, Said)],
+        #[case] counted: usize,
+        #[case] wrong: usize,
     ) {
-        assert_eq!(presence().view(0, [20, 30], &held(all), counted).len(), wrong);
+        assert_eq!(
+            presence().view(0, [20, 30], &held(all), counted).len(),
+            wrong
+        );
     }
 
     #[test]
@@ -161,7 +200,10 @@
     fn a_death_is_noticed_by_each_once() {
         let mut presence = presence();
         presence.ends(100, 2, false);
-        assert_eq!([0, 0, 1].map(|who| presence.notices(who, &'c')), [Some(100), None, Some(100)]);
+        assert_eq!(
+            [0, 0, 1].map(|who| presence.notices(who, &'c')),
+            [Some(100), None, Some(100)]
+        );
         presence.ends(100, 1, true);
         assert_eq!(presence.notices(0, &'b'), None);
     }
--- a/crates/model/src/server.rs
+++ b/crates/model/src/server.rs
@@ -102,7 +102,10 @@
 impl How {
     /// Whether its effect took place.
     pub fn ran(self) -> bool {
-        matches!(self, Self::Answered | Self::Spoilt | Self::Swallowed | Self::Reset)
+        matches!(
+            self,
+            Self::Answered | Self::Spoilt | Self::Swallowed | Self::Reset
+        )
     }
 }
 
@@ -209,7 +212,9 @@
 
     /// How far its cold rise has come, of 1.
     pub fn warmth(&self, now: Micros) -> f64 {
-        let (Some(born), whole) = (self.spec.born, self.rules.warm_after.0) else { return 1.0 };
+        let (Some(born), whole) = (self.spec.born, self.rules.warm_after.0) else {
+            return 1.0;
+        };
         let age = now.saturating_sub(born);
         if age >= whole {
             return 1.0;
@@ -228,7 +233,11 @@
         if self.condition.frozen {
             return 0.0;
         }
-        let flooded = if self.flooded { self.fleet.flooded_slower.max(1.0) } else { 1.0 };
+        let flooded = if self.flooded {
+            self.fleet.flooded_slower.max(1.0)
+        } else {
+            1.0
+        };
         self.spec.speed * self.warmth(self.at) * self.condition.rate / flooded
     }
 
@@ -259,11 +268,17 @@
     pub fn arrive(&mut self, now: Micros, arrival: Arrival, out: &mut Vec<Done>) {
         self.advance(now, out);
         if self.dead {
-            return out.push(Done { job: arrival.job, how: How::Died });
+            return out.push(Done {
+                job: arrival.job,
+                how: How::Died,
+            });
         }
         if self.pushed_over(arrival.work) {
             self.fell = true;
-            out.push(Done { job: arrival.job, how: How::Died });
+            out.push(Done {
+                job: arrival.job,
+                how: How::Died,
+            });
             return self.kill(now, out);
         }
         match self.condition.frozen {
@@ -275,19 +290,32 @@
 
     fn admit(&mut self, arrival: Arrival, out: &mut Vec<Done>) {
         if self.chance.happens(self.condition.errors) {
-            return out.push(Done { job: arrival.job, how: How::Failed });
+            return out.push(Done {
+                job: arrival.job,
+                how: How::Failed,
+            });
         }
         let free = self.spec.cores.saturating_sub(self.running.len());
         if self.waiting.len() >= self.fleet.queue + free {
-            return out.push(Done { job: arrival.job, how: How::Full });
+            return out.push(Done {
+                job: arrival.job,
+                how: How::Full,
+            });
         }
-        let left = arrival.work * if self.meets(arrival.key) { 1.0 - self.fleet.keys_save } else { 1.0 };
+        let left = arrival.work
+            * if self.meets(arrival.key) {
+                1.0 - self.fleet.keys_save
+            } else {
+                1.0
+            };
         self.waiting.push_back(Job { arrival, left });
     }
 
     /// Whether a key was met lately; from now on it is.
     fn meets(&mut self, key: Option<u64>) -> bool {
-        let (Some(key), keeps @ 1..) = (key, self.fleet.keeps_keys.0) else { return false };
+        let (Some(key), keeps @ 1..) = (key, self.fleet.keeps_keys.0) else {
+            return false;
+        };
         let now = self.at;
         if self.met.len() >= KEYS_MOST {
             self.met.retain(|_, met| now < *met + keeps);
@@ -295,7 +323,9 @@
         if self.met.len() >= KEYS_MOST && !self.met.contains_key(&key) {
             return false;
         }
-        self.met.insert(key, now).is_some_and(|met| now < met + keeps)
+        self.met
+            .insert(key, now)
+            .is_some_and(|met| now < met + keeps)
     }
 
     /// Whether this work is more than a cold server bears.
@@ -305,7 +335,11 @@
             self.sent_cold.clear();
             return false;
         }
-        while self.sent_cold.front().is_some_and(|(sent, _)| sent + span <= now) {
+        while self
+            .sent_cold
+            .front()
+            .is_some_and(|(sent, _)| sent + span <= now)
+        {
             self.sent_cold.pop_front();
         }
         self.sent_cold.push_back((now, work));
@@ -333,10 +367,19 @@
         self.at = self.at.max(now);
         self.dead = true;
         self.connections = 0;
-        let cores = self.running.drain(..).chain(self.waiting.drain(..)).map(|job| job.arrival.job);
+        let cores = self
+            .running
+            .drain(..)
+            .chain(self.waiting.drain(..))
+            .map(|job| job.arrival.job);
         let rest = self.elsewhere.drain(..).map(|(_, job)| job);
-        let jobs = cores.chain(rest).chain(self.unread.drain(..).map(|arrival| arrival.job));
-        out.extend(jobs.map(|job| Done { job, how: How::Died }));
+        let jobs = cores
+            .chain(rest)
+            .chain(self.unread.drain(..).map(|arrival| arrival.job));
+        out.extend(jobs.map(|job| Done {
+            job,
+            how: How::Died,
+        }));
     }
 
     /// When something happens here by itself, if nothing comes in between.
@@ -346,9 +389,17 @@
         }
         let rate = self.rate();
         let at = |left: f64| self.at + (left / rate).ceil().clamp(1.0, 1e15) as Micros;
-        let works = self.running.iter().filter(|_| rate > 0.0).map(|job| at(job.left));
+        let works = self
+            .running
+            .iter()
+            .filter(|_| rate > 0.0)
+            .map(|job| at(job.left));
         let ends = self.elsewhere.iter().map(|(ends, _)| *ends);
-        works.chain(ends).chain(self.next_step()).chain(self.next_mark()).min()
+        works
+            .chain(ends)
+            .chain(self.next_step())
+            .chain(self.next_mark())
+            .min()
     }
 
     /// The next step of the cold rise, which only counts while there is work.
@@ -356,11 +407,16 @@
         let (born, whole) = (self.spec.born?, self.rules.warm_after.0);
         let age = self.at.saturating_sub(born);
         let step = age * COLD_STEPS / whole.max(1) + 1;
-        (age < whole && !self.running.is_empty()).then(|| born + (step * whole).div_ceil(COLD_STEPS))
+        (age < whole && !self.running.is_empty())
+            .then(|| born + (step * whole).div_ceil(COLD_STEPS))
     }
 
     fn next_mark(&self) -> Option<Micros> {
-        let lasts = if self.flooded { self.fleet.flooded_rest } else { self.fleet.flooded_after };
+        let lasts = if self.flooded {
+            self.fleet.flooded_rest
+        } else {
+            self.fleet.flooded_after
+        };
         Some(self.mark_since? + lasts.0)
     }
 
@@ -407,7 +463,8 @@
         while place < self.running.len() {
             if self.running[place].left <= NOTHING {
                 let job = self.running.remove(place);
-                self.elsewhere.push((now + job.arrival.waits, job.arrival.job));
+                self.elsewhere
+                    .push((now + job.arrival.waits, job.arrival.job));
             } else {
                 place += 1;
             }
@@ -416,7 +473,8 @@
             && let Some(job) = self.waiting.pop_front()
         {
             if job.left <= NOTHING {
-                self.elsewhere.push((now + job.arrival.waits, job.arrival.job));
+                self.elsewhere
+                    .push((now + job.arrival.waits, job.arrival.job));
             } else {
                 self.running.push(job);
             }
@@ -424,7 +482,10 @@
         self.elsewhere.sort_by_key(|(ends, _)| *ends);
         let over = self.elsewhere.partition_point(|(ends, _)| *ends <= now);
         for (_, job) in self.elsewhere.drain(..over).collect::<Vec<_>>() {
-            out.push(Done { job, how: self.fate() });
+            out.push(Done {
+                job,
+                how: self.fate(),
+            });
         }
         self.look_at_marks();
     }
@@ -442,16 +503,25 @@
     }
 
     fn look_at_marks(&mut self) {
-        let Fleet { flooded_by, flooded_after, flooded_rest, .. } = self.fleet;
+        let Fleet {
+            flooded_by,
+            flooded_after,
+            flooded_rest,
+            ..
+        } = self.fleet;
         if flooded_by <= 0.0 {
             return;
         }
         let cores = self.spec.cores as f64;
         let (reached, lasts) = match self.flooded {
-            true => {
-                (self.running.len() as f64 <= RESTS_BELOW * cores && self.waiting.is_empty(), flooded_rest)
-            }
-            false => (self.waiting.len() as f64 > flooded_by * cores, flooded_after),
+            true => (
+                self.running.len() as f64 <= RESTS_BELOW * cores && self.waiting.is_empty(),
+                flooded_rest,
+            ),
+            false => (
+                self.waiting.len() as f64 > flooded_by * cores,
+                flooded_after,
+            ),
         };
         let since = reached.then(|| self.mark_since.unwrap_or(self.at));
         let over = since.is_some_and(|since| self.at >= since + lasts.0);
@@ -465,7 +535,11 @@
             return None;
         }
         let until = now.saturating_sub(self.condition.reports_late);
-        self.readings.iter().rev().find(|(read, _)| *read <= until).map(|(_, report)| *report)
+        self.readings
+            .iter()
+            .rev()
+            .find(|(read, _)| *read <= until)
+            .map(|(_, report)| *report)
     }
 }
 
--- a/crates/model/src/service.rs
+++ b/crates/model/src/service.rs
@@ -50,12 +50,19 @@
 
 impl Tally {
     pub fn new() -> Self {
-        Self { fates: BTreeMap::new() }
+        Self {
+            fates: BTreeMap::new(),
+        }
     }
 
     /// A first try was due.
     pub fn asked(&mut self, ticket: &Ticket) {
-        let Ticket { first_due: due, use_case, tenant, .. } = *ticket;
+        let Ticket {
+            first_due: due,
+            use_case,
+            tenant,
+            ..
+        } = *ticket;
         self.fates.entry(ticket.first).or_insert(Fate {
             due,
             use_case,
@@ -68,9 +75,13 @@
     /// A try ended so, at that moment.
     pub fn ended(&mut self, ticket: &Ticket, at: Micros, outcome: Option<Outcome>) {
         self.asked(ticket);
-        let Some(fate) = self.fates.get_mut(&ticket.first) else { return };
+        let Some(fate) = self.fates.get_mut(&ticket.first) else {
+            return;
+        };
         match outcome {
-            Some(Outcome::Succeeded) if fate.took.is_none() => fate.took = Some(at.saturating_sub(fate.due)),
+            Some(Outcome::Succeeded) if fate.took.is_none() => {
+                fate.took = Some(at.saturating_sub(fate.due))
+            }
             Some(Outcome::Dismissed) => fate.dismissed = true,
             _ => {}
         }
@@ -83,7 +94,10 @@
             let use_case = day.use_cases[fate.use_case].get_ref();
             asked += use_case.earnings;
             count += 1;
-            if fate.took.is_some_and(|took| took <= use_case.promised_time.0) {
+            if fate
+                .took
+                .is_some_and(|took| took <= use_case.promised_time.0)
+            {
                 earned += use_case.earnings;
             }
         }
@@ -97,9 +111,15 @@
     /// By use case and span: all of it while few answers are late, nothing at five times that.
     fn tail(&self, day: &Day) -> f64 {
         let mut cells: BTreeMap<(usize, Micros), (usize, usize)> = BTreeMap::new();
-        for fate in self.fates.values().filter(|fate| fate.took.is_some() || !fate.dismissed) {
+        for fate in self
+            .fates
+            .values()
+            .filter(|fate| fate.took.is_some() || !fate.dismissed)
+        {
             let promised = day.use_cases[fate.use_case].get_ref().promised_time.0;
-            let cell = cells.entry((fate.use_case, fate.due / TAIL_SPAN)).or_default();
+            let cell = cells
+                .entry((fate.use_case, fate.due / TAIL_SPAN))
+                .or_default();
             cell.0 += 1;
             cell.1 += usize::from(fate.took.is_none_or(|took| took > promised));
         }
@@ -110,14 +130,22 @@
             .filter(|(count, _)| *count >= FEWEST)
             .map(|(count, late)| full(*late as f64 / *count as f64))
             .collect();
-        if told.is_empty() { 1.0 } else { told.iter().sum::<f64>() / told.len() as f64 }
+        if told.is_empty() {
+            1.0
+        } else {
+            told.iter().sum::<f64>() / told.len() as f64
+        }
     }
 
     pub fn parts(&self, day: &Day) -> Parts {
         let whole = self.share(day, |_| true).unwrap_or(0.0);
         let last = self.fates.values().map(|fate| fate.due).max().unwrap_or(0);
-        let stretch = |from: Micros| self.share(day, |fate| (from..from + STRETCH).contains(&fate.due));
-        let worst_10s = Self::worst((0..=last / SECOND).map(|second| stretch(second * SECOND)), whole);
+        let stretch =
+            |from: Micros| self.share(day, |fate| (from..from + STRETCH).contains(&fate.due));
+        let worst_10s = Self::worst(
+            (0..=last / SECOND).map(|second| stretch(second * SECOND)),
+            whole,
+        );
         let by_use_case = |number| self.share(day, |fate| fate.use_case == number);
         let worst_use_case = Self::worst((0..day.use_cases.len()).map(by_use_case), whole);
         let by_tenant = |number| self.share(day, |fate| fate.tenant == number);
@@ -131,9 +159,19 @@
             (weights.worst_tenant, worst_tenant),
             (weights.tail, tail),
         ];
-        let total = parts.iter().map(|(weight, part)| weight * part).sum::<f64>()
+        let total = parts
+            .iter()
+            .map(|(weight, part)| weight * part)
+            .sum::<f64>()
             / parts.iter().map(|(weight, _)| weight).sum::<f64>();
-        Parts { whole, worst_10s, worst_use_case, worst_tenant, tail, total }
+        Parts {
+            whole,
+            worst_10s,
+            worst_use_case,
+            worst_tenant,
+            tail,
+            total,
+        }
     }
 
     /// Earned over asked by second of when tickets were due, for a plot.
@@ -144,12 +182,17 @@
             let use_case = day.use_cases[fate.use_case].get_ref();
             if let Some(sum) = sums.get_mut((fate.due / SECOND) as usize) {
                 sum.0 += use_case.earnings;
-                if fate.took.is_some_and(|took| took <= use_case.promised_time.0) {
+                if fate
+                    .took
+                    .is_some_and(|took| took <= use_case.promised_time.0)
+                {
                     sum.1 += use_case.earnings;
                 }
             }
         }
-        sums.into_iter().map(|(asked, earned)| if asked > 0.0 { earned / asked } else { 1.0 }).collect()
+        sums.into_iter()
+            .map(|(asked, earned)| if asked > 0.0 { earned / asked } else { 1.0 })
+            .collect()
     }
 }
 
@@ -181,13 +224,19 @@
     #[test]
     fn all_in_time_is_all_of_it_and_all_late_nothing() {
         let parts_of = |took| parts(move |_| Some(took));
-        assert_eq!((parts_of(10).total, parts_of(10 * SECOND).total), (1.0, 0.0));
+        assert_eq!(
+            (parts_of(10).total, parts_of(10 * SECOND).total),
+            (1.0, 0.0)
+        );
     }
 
     #[test]
     fn the_worst_parts_are_found() {
         let bad_stretch = parts(|ticket| (ticket.due < 10 * SECOND).then_some(10));
-        assert!((bad_stretch.whole - 0.5).abs() < 0.05 && bad_stretch.worst_10s < 0.01, "{bad_stretch:?}");
+        assert!(
+            (bad_stretch.whole - 0.5).abs() < 0.05 && bad_stretch.worst_10s < 0.01,
+            "{bad_stretch:?}"
+        );
         assert_eq!(bad_stretch.tail, 1.0, "dismissals are no late answers");
         let bad_use_case = parts(|ticket| (ticket.use_case != 2).then_some(10));
         assert_eq!(bad_use_case.worst_use_case, 0.0);
@@ -200,7 +249,10 @@
         let mut tally = Tally::new();
         for (number, ticket) in Arrivals::new(&day, &line, 1).enumerate() {
             tally.ended(&ticket, ticket.due, Some(Outcome::Dismissed));
-            let second = Ticket { number: 1_000_000 + number as u64, ..ticket };
+            let second = Ticket {
+                number: 1_000_000 + number as u64,
+                ..ticket
+            };
             tally.ended(&second, ticket.due + 1000, Some(Outcome::Succeeded));
         }
         assert_eq!(tally.parts(&day).whole, 1.0);
--- a/crates/model/src/tenures.rs
+++ b/crates/model/src/tenures.rs
@@ -47,7 +47,13 @@
 impl Tenures {
     /// From then on that one may act in the duty's name.
     pub fn begins(&mut self, now: Micros, who: usize, duty: &str, turn: Turn) {
-        let span = Span { who, turn, from: now, to: None, how: None };
+        let span = Span {
+            who,
+            turn,
+            from: now,
+            to: None,
+            how: None,
+        };
         self.by_duty.entry(duty.to_owned()).or_default().push(span);
     }
 
@@ -77,7 +83,9 @@
     pub fn acted(&mut self, process: u64, duty: &str, turn: Turn) {
         let known = self.taken.entry((process, duty.to_owned())).or_insert(turn);
         if turn < *known {
-            self.old_taken.push(format!("{duty}: an act of term {turn:?} after one of {known:?}"));
+            self.old_taken.push(format!(
+                "{duty}: an act of term {turn:?} after one of {known:?}"
+            ));
         }
         *known = (*known).max(turn);
     }
@@ -101,7 +109,10 @@
                         ));
                     }
                     if span.turn < before.turn {
-                        found.fallen.push(format!("{duty}: term {:?} after {:?}", span.turn, before.turn));
+                        found.fallen.push(format!(
+                            "{duty}: term {:?} after {:?}",
+                            span.turn, before.turn
+                        ));
                     }
                     if let Some(how) = before.how {
                         found.without.push((span.from.saturating_sub(ended), how));
@@ -116,9 +127,15 @@
                 }
             }
             found.changes += changes.len();
-            let within =
-                |at: &Micros| changes.iter().filter(|other| (*at..*at + MINUTE).contains(other)).count();
-            found.most_a_minute = found.most_a_minute.max(changes.iter().map(within).max().unwrap_or(0));
+            let within = |at: &Micros| {
+                changes
+                    .iter()
+                    .filter(|other| (*at..*at + MINUTE).contains(other))
+                    .count()
+            };
+            found.most_a_minute = found
+                .most_a_minute
+                .max(changes.iter().map(within).max().unwrap_or(0));
         }
         found
     }
@@ -126,7 +143,10 @@
     /// Duties that nobody held at that moment, of all that were ever held.
     pub fn vacant(&self, now: Micros) -> Vec<&str> {
         let held = |span: &Span| span.from <= now && span.to.is_none_or(|to| now < to);
-        let all = self.by_duty.iter().filter(|(_, spans)| !spans.iter().any(held));
+        let all = self
+            .by_duty
+            .iter()
+            .filter(|(_, spans)| !spans.iter().any(held));
         all.map(|(duty, _)| duty.as_str()).collect()
     }
 }
@@ -142,7 +162,10 @@
     #[case::at_once(20, 20, 0, 0)]
     #[case::overlapping(20, 19, 1, 0)]
     fn spans_of_one_duty_must_not_meet(
-        #[case] ends: Micros, #[case] begins: Micros, #[case] overlaps: usize, #[case] gap: Micros,
+        #[case] ends: Micros,
+        #[case] begins: Micros,
+        #[case] overlaps: usize,
+        #[case] gap: Micros,
     ) {
         let mut tenures = Tenures::default();
         tenures.begins(10, 0, "d", (1, 1));
@@ -150,7 +173,10 @@
         tenures.begins(begins, 1, "d", (2, 2));
         tenures.begins(begins, 1, "another", (2, 2));
         let found = tenures.found(100);
-        assert_eq!((found.overlaps.len(), found.changes, found.fallen.len()), (overlaps, 1, 0));
+        assert_eq!(
+            (found.overlaps.len(), found.changes, found.fallen.len()),
+            (overlaps, 1, 0)
+        );
         assert_eq!(found.without, [(gap, "ran out")]);
         assert!(tenures.vacant(100).is_empty());
     }
@@ -160,7 +186,13 @@
         let mut tenures = Tenures::default();
         tenures.begins(10, 0, "d", (5, 1));
         tenures.begins(50, 1, "d", (4, 2));
-        assert_eq!((tenures.found(100).overlaps.len(), tenures.found(100).fallen.len()), (1, 1));
+        assert_eq!(
+            (
+                tenures.found(100).overlaps.len(),
+                tenures.found(100).fallen.len()
+            ),
+            (1, 1)
+        );
         tenures.dies(40, 0);
         assert_eq!(tenures.found(100).overlaps.len(), 0);
         tenures.dies(60, 1);
--- a/crates/model/src/traffic.rs
+++ b/crates/model/src/traffic.rs
@@ -48,7 +48,11 @@
 /// The multiple of the usual rate that the day's curve gives, evenly between its points.
 fn curve(points: &[(Span, f64)], now: Micros) -> f64 {
     let next = points.partition_point(|(at, _)| at.0 <= now);
-    let multiple = |place: usize| points.get(place).map(|(at, multiple)| (at.0 as f64, *multiple));
+    let multiple = |place: usize| {
+        points
+            .get(place)
+            .map(|(at, multiple)| (at.0 as f64, *multiple))
+    };
     match (next.checked_sub(1).and_then(multiple), multiple(next)) {
         (None, None) => 1.0,
         (Some((_, only)), None) | (None, Some((_, only))) => only,
@@ -63,11 +67,19 @@
 
 impl<'a> Arrivals<'a> {
     pub fn new(day: &'a Day, line: &'a Timeline, seed: u64) -> Self {
-        let mut greatest = day.traffic.curve.iter().map(|(_, multiple)| *multiple).fold(0.0, f64::max);
+        let mut greatest = day
+            .traffic
+            .curve
+            .iter()
+            .map(|(_, multiple)| *multiple)
+            .fold(0.0, f64::max);
         if day.traffic.curve.is_empty() {
             greatest = 1.0;
         }
-        let burst = line.edges_of_bursts().map(|at| line.burst(at)).fold(1.0, f64::max);
+        let burst = line
+            .edges_of_bursts()
+            .map(|at| line.burst(at))
+            .fold(1.0, f64::max);
         let most = day.traffic.rate.get_ref() * greatest * burst / SECOND as f64;
         let popularity = |rank: usize| ((rank + 1) as f64).powf(-day.traffic.skew);
         Self {
@@ -77,7 +89,11 @@
             at: 0.0,
             number: 0,
             most,
-            use_cases: sums(day.use_cases.iter().map(|use_case| use_case.get_ref().share)),
+            use_cases: sums(
+                day.use_cases
+                    .iter()
+                    .map(|use_case| use_case.get_ref().share),
+            ),
             tenants: sums(day.tenants.iter().map(|tenant| tenant.get_ref().share)),
             keys: sums((0..day.traffic.keys).map(popularity)),
         }
@@ -90,7 +106,9 @@
         let stop = class.hard_stop.0 as f64;
         let (patient, leaves) = (self.day.traffic.give_up, self.day.traffic.leaves);
         let wait = stop * chance.between(patient, 1.0);
-        let leaves = chance.happens(leaves).then(|| chance.between(LEAVES_FROM * stop, wait) as Micros);
+        let leaves = chance
+            .happens(leaves)
+            .then(|| chance.between(LEAVES_FROM * stop, wait) as Micros);
         self.number += 1;
         Ticket {
             number: self.number,
@@ -137,7 +155,11 @@
 /// The next try after one that was dismissed or abandoned, under a number of its own: nothing where the client has
 /// tried often enough. `come_back` is what the answer asked for.
 pub fn again(
-    day: &Day, ticket: &Ticket, number: u64, now: Micros, come_back: Option<Micros>,
+    day: &Day,
+    ticket: &Ticket,
+    number: u64,
+    now: Micros,
+    come_back: Option<Micros>,
 ) -> Option<Ticket> {
     if ticket.tries > day.traffic.retries || ticket.leaves_after.is_some() {
         return None;
@@ -145,7 +167,13 @@
     let due = now + come_back.unwrap_or(0).max(day.traffic.retry_wait.0);
     // A new draw for the dealing, which another number moves far.
     let dealt = (ticket.dealt + 0.618_033_988_749_895).fract();
-    Some(Ticket { number, due, tries: ticket.tries + 1, dealt, ..ticket.clone() })
+    Some(Ticket {
+        number,
+        due,
+        tries: ticket.tries + 1,
+        dealt,
+        ..ticket.clone()
+    })
 }
 
 #[cfg(test)]
@@ -161,19 +189,31 @@
 
     #[test]
     fn the_same_seed_gives_the_same_tickets_at_the_rates_told() {
-        let (day, line) =
-            day("[traffic]\nrate = 500.0\ncurve = [['0s', 1.0], ['10s', 1.0], ['10001ms', 2.0]]\n\
-             [[faults]]\nkind = 'burst'\nat = '4s'\nfor = '2s'\nfactor = 3.0");
+        let (day, line) = day(
+            "[traffic]\nrate = 500.0\ncurve = [['0s', 1.0], ['10s', 1.0], ['10001ms', 2.0]]\n\
+             [[faults]]\nkind = 'burst'\nat = '4s'\nfor = '2s'\nfactor = 3.0",
+        );
         let tickets: Vec<_> = Arrivals::new(&day, &line, 9).collect();
         assert_eq!(tickets, Arrivals::new(&day, &line, 9).collect::<Vec<_>>());
         assert_ne!(tickets.len(), Arrivals::new(&day, &line, 10).count());
         let within = |from: u64, to: u64| {
-            tickets.iter().filter(|t| (from * SECOND..to * SECOND).contains(&t.due)).count() as f64
+            tickets
+                .iter()
+                .filter(|t| (from * SECOND..to * SECOND).contains(&t.due))
+                .count() as f64
                 / (to - from) as f64
         };
-        for (from, to, rate) in [(0, 4, 500.0), (4, 6, 1500.0), (6, 10, 500.0), (11, 20, 1000.0)] {
+        for (from, to, rate) in [
+            (0, 4, 500.0),
+            (4, 6, 1500.0),
+            (6, 10, 500.0),
+            (11, 20, 1000.0),
+        ] {
             let seen = within(from, to);
-            assert!((seen / rate - 1.0).abs() < 0.1, "{seen} a second from {from} to {to} s");
+            assert!(
+                (seen / rate - 1.0).abs() < 0.1,
+                "{seen} a second from {from} to {to} s"
+            );
         }
         assert!(tickets.windows(2).all(|pair| pair[0].due <= pair[1].due));
     }
@@ -181,9 +221,14 @@
     #[test]
     fn clients_try_again_as_often_as_told_and_not_before_asked() {
         let (day, line) = day("[traffic]\nretries = 1\nretry_wait = '100ms'");
-        let first = Arrivals::new(&day, &line, 1).find(|ticket| ticket.leaves_after.is_none()).unwrap();
+        let first = Arrivals::new(&day, &line, 1)
+            .find(|ticket| ticket.leaves_after.is_none())
+            .unwrap();
         let second = again(&day, &first, 99, SECOND, Some(300_000)).unwrap();
-        assert_eq!((second.first, second.number, second.due), (first.number, 99, SECOND + 300_000));
+        assert_eq!(
+            (second.first, second.number, second.due),
+            (first.number, 99, SECOND + 300_000)
+        );
         assert_eq!((second.label, second.work), (first.label, first.work));
         assert_eq!(again(&day, &second, 100, 2 * SECOND, None), None);
     }
--- a/crates/model/src/ways.rs
+++ b/crates/model/src/ways.rs
@@ -67,37 +67,57 @@
     pub fn carry(&self, from: usize, to: usize, now: Micros, chance: &mut Chance) -> Carried {
         let mut delays = vec![self.usual[0] + chance.span(self.usual[1] - self.usual[0])];
         let mut spoilt = None;
-        for trouble in self.troubles.iter().filter(|trouble| trouble.holds(from, to, now)) {
+        for trouble in self
+            .troubles
+            .iter()
+            .filter(|trouble| trouble.holds(from, to, now))
+        {
             match trouble.kind {
                 Kind::LinkCut => delays.clear(),
                 Kind::LinkLossy => delays.retain(|_| !chance.happens(trouble.factor)),
                 // Each takes between a half and all of it more, so that they overtake one another.
-                Kind::LinkSlow => {
-                    delays.iter_mut().for_each(|delay| *delay += trouble.by / 2 + chance.span(trouble.by / 2))
-                }
+                Kind::LinkSlow => delays
+                    .iter_mut()
+                    .for_each(|delay| *delay += trouble.by / 2 + chance.span(trouble.by / 2)),
                 Kind::LinkRepeats => {
-                    if let Some(delay) = delays.first().copied().filter(|_| chance.happens(trouble.factor)) {
+                    if let Some(delay) = delays
+                        .first()
+                        .copied()
+                        .filter(|_| chance.happens(trouble.factor))
+                    {
                         delays.push(delay + chance.span(500_000));
                     }
                 }
                 Kind::LinkSpoils => {
-                    spoilt = chance.happens(trouble.factor).then(|| chance.unit()).or(spoilt);
+                    spoilt = chance
+                        .happens(trouble.factor)
+                        .then(|| chance.unit())
+                        .or(spoilt);
                 }
                 _ => {}
             }
         }
-        Carried { copies: delays, spoilt }
+        Carried {
+            copies: delays,
+            spoilt,
+        }
     }
 
     /// Whether any trouble but the usual time lies on that way at any moment of a span.
     pub fn calm(&self, from: usize, to: usize, between: [Micros; 2]) -> bool {
         let over = |trouble: &Trouble| trouble.to <= between[0] || trouble.from >= between[1];
-        self.troubles.iter().all(|trouble| over(trouble) || !trouble.lies_on(from, to))
+        self.troubles
+            .iter()
+            .all(|trouble| over(trouble) || !trouble.lies_on(from, to))
     }
 
     /// When the last trouble is over.
     pub fn over(&self) -> Micros {
-        self.troubles.iter().map(|trouble| trouble.to).max().unwrap_or(0)
+        self.troubles
+            .iter()
+            .map(|trouble| trouble.to)
+            .max()
+            .unwrap_or(0)
     }
 }
 
@@ -106,12 +126,27 @@
     use super::*;
 
     fn trouble(kind: Kind, one_way: bool, against: Option<Vec<usize>>) -> Trouble {
-        Trouble { kind, from: 10, to: 20, side: vec![0, 1], against, one_way, factor: 1.0, by: 0 }
+        Trouble {
+            kind,
+            from: 10,
+            to: 20,
+            side: vec![0, 1],
+            against,
+            one_way,
+            factor: 1.0,
+            by: 0,
+        }
     }
 
     fn passes(trouble: Trouble, from: usize, to: usize, now: Micros) -> bool {
-        let ways = Ways { troubles: vec![trouble], usual: [1, 2] };
-        !ways.carry(from, to, now, &mut Chance::new(1)).copies.is_empty()
+        let ways = Ways {
+            troubles: vec![trouble],
+            usual: [1, 2],
+        };
+        !ways
+            .carry(from, to, now, &mut Chance::new(1))
+            .copies
+            .is_empty()
     }
 
     #[test]
@@ -126,14 +161,28 @@
     #[test]
     fn a_one_way_cut_lets_the_other_way_pass() {
         let cut = || trouble(Kind::LinkCut, true, Some(vec![2]));
-        assert_eq!([(0, 2), (2, 0), (0, 3)].map(|(a, b)| passes(cut(), a, b, 15)), [false, true, true]);
+        assert_eq!(
+            [(0, 2), (2, 0), (0, 3)].map(|(a, b)| passes(cut(), a, b, 15)),
+            [false, true, true]
+        );
     }
 
     #[test]
     fn repeats_come_later_and_spoilt_ones_are_marked() {
-        let troubles = vec![trouble(Kind::LinkRepeats, false, None), trouble(Kind::LinkSpoils, false, None)];
-        let carried = Ways { troubles, usual: [1, 2] }.carry(0, 2, 15, &mut Chance::new(1));
+        let troubles = vec![
+            trouble(Kind::LinkRepeats, false, None),
+            trouble(Kind::LinkSpoils, false, None),
+        ];
+        let carried = Ways {
+            troubles,
+            usual: [1, 2],
+        }
+        .carry(0, 2, 15, &mut Chance::new(1));
         assert!(carried.copies.len() == 2 && carried.copies[1] >= carried.copies[0]);
-        assert!(carried.spoilt.is_some_and(|part| (0.0..1.0).contains(&part)));
+        assert!(
+            carried
+                .spoilt
+                .is_some_and(|part| (0.0..1.0).contains(&part))
+        );
     }
 }
--- a/crates/policy/src/arithmetic.rs
+++ b/crates/policy/src/arithmetic.rs
@@ -35,7 +35,9 @@
 pub(crate) fn scattered(ring: Vec<usize>, from: f64) -> Vec<usize> {
     let mut left: Vec<Option<usize>> = ring.iter().map(|&u| Some(u)).collect();
     let step = |n: usize| ((from + n as f64 * RING_STEP).fract() * ring.len() as f64) as usize;
-    let mut order: Vec<usize> = (0..2 * ring.len()).filter_map(|n| left[step(n)].take()).collect();
+    let mut order: Vec<usize> = (0..2 * ring.len())
+        .filter_map(|n| left[step(n)].take())
+        .collect();
     order.extend(left.into_iter().flatten());
     order
 }
@@ -51,10 +53,17 @@
 
 /// The drawn candidate's chance under the present weights and its gradient, through softplus,
 /// normalisation and projection; nothing where it is no longer among the top.
-pub(crate) fn slope(weights: &[f64; FEATURES], scene: &Scene, m: usize) -> Option<(f64, [f64; FEATURES])> {
+pub(crate) fn slope(
+    weights: &[f64; FEATURES],
+    scene: &Scene,
+    m: usize,
+) -> Option<(f64, [f64; FEATURES])> {
     let raw: Vec<f64> = scene.rows.iter().map(|row| dot(weights, row)).collect();
     // Of the rest is what lies below the last of the top, so that ties with it count as top.
-    let last = *raw.clone().select_nth_unstable_by(m - 1, |a, b| b.total_cmp(a)).1;
+    let last = *raw
+        .clone()
+        .select_nth_unstable_by(m - 1, |a, b| b.total_cmp(a))
+        .1;
     let in_rest = |place: usize| raw[place] < last;
     if in_rest(scene.drawn) {
         return None;
@@ -79,12 +88,18 @@
 
 /// The clipped policy step (eq. 5 and 6 of the paper); `usual` is the payoff that is no advantage.
 pub(crate) fn clipped_step(
-    weights: &[f64; FEATURES], samples: &[(Scene, f64)], usual: f64, clip: f64, top: impl Fn(usize) -> usize,
+    weights: &[f64; FEATURES],
+    samples: &[(Scene, f64)],
+    usual: f64,
+    clip: f64,
+    top: impl Fn(usize) -> usize,
 ) -> [f64; FEATURES] {
     let mut step = [0.0; FEATURES];
     for (scene, payoff) in samples {
         let advantage = payoff - usual;
-        let Some((chance, slope)) = slope(weights, scene, top(scene.rows.len())) else { continue };
+        let Some((chance, slope)) = slope(weights, scene, top(scene.rows.len())) else {
+            continue;
+        };
         let ratio = chance / scene.chance;
         if (ratio < 1.0 - clip && advantage < 0.0) || (ratio > 1.0 + clip && advantage > 0.0) {
             continue;
--- a/crates/policy/src/books.rs
+++ b/crates/policy/src/books.rs
@@ -12,15 +12,25 @@
 impl<H: Host> Balancer<H> {
     /// What another balancer tells. All of it is hearsay that fades; what can't be read is passed over.
     pub fn told(&mut self, now: Micros, from: usize, words: &str) {
-        let Some(word) = Word::read(words) else { return };
-        let named = |short| self.upstreams.iter().position(|up| up.short() == short && !up.id.is_empty());
+        let Some(word) = Word::read(words) else {
+            return;
+        };
+        let named = |short| {
+            self.upstreams
+                .iter()
+                .position(|up| up.short() == short && !up.id.is_empty())
+        };
         match (word, word.upstream().and_then(named)) {
             (Word::Dropped(rested), _) => self.believe_dropped(now, rested),
             (Word::Sent(_), Some(u)) => self.upstreams[u].note(from, now),
             (Word::Ended(_, _, fate), Some(u)) => self.upstreams[u].strike(from, now, fate),
             (Word::Asks(short), Some(u)) => {
-                let (held, lost) = (self.upstreams[u].read_book(now) as u64, self.upstreams[u].lost);
-                self.host.tell(Some(from), &Word::Holds(short, held, lost).text());
+                let (held, lost) = (
+                    self.upstreams[u].read_book(now) as u64,
+                    self.upstreams[u].lost,
+                );
+                self.host
+                    .tell(Some(from), &Word::Holds(short, held, lost).text());
             }
             (Word::Holds(_, held, lost), Some(u)) if from == self.keeper(u) => {
                 let upstream = &mut self.upstreams[u];
@@ -33,8 +43,14 @@
 
     /// Tells who keeps an upstream's book what was sent there or how it ended.
     pub(crate) fn tell_keeper(&mut self, now: Micros, u: usize, ended: Option<(usize, Fate)>) {
-        let (keeper, own, short) = (self.keeper(u), self.terms.own_number, self.upstreams[u].short());
-        let word = ended.map_or(Word::Sent(short), |(use_case, fate)| Word::Ended(short, use_case, fate));
+        let (keeper, own, short) = (
+            self.keeper(u),
+            self.terms.own_number,
+            self.upstreams[u].short(),
+        );
+        let word = ended.map_or(Word::Sent(short), |(use_case, fate)| {
+            Word::Ended(short, use_case, fate)
+        });
         match ended {
             _ if !self.terms.peers || (ended.is_none() && !self.terms.loads_untold) => {}
             _ if keeper != own => self.host.tell(Some(keeper), &word.text()),
@@ -76,14 +92,18 @@
 
     /// Hundredth parts of what the book tells of that failed. One failure among few is no sign.
     pub(crate) fn booked_lost(&self, now: Micros) -> u64 {
-        let (failed, succeeded) = (self.fame.0.read(now, HEARSAY), self.fame.1.read(now, HEARSAY));
+        let (failed, succeeded) = (
+            self.fame.0.read(now, HEARSAY),
+            self.fame.1.read(now, HEARSAY),
+        );
         (100.0 * failed / (failed + succeeded + 1.0)) as u64
     }
 
     /// What it holds by the book. A word that was lost must not count for ever.
     pub(crate) fn read_book(&mut self, now: Micros) -> usize {
         self.book.retain(|entry| entry.1 + HEARSAY as Micros > now);
-        (self.held, self.reported, self.lost) = (Some(self.book.len() as f64), now, self.booked_lost(now));
+        (self.held, self.reported, self.lost) =
+            (Some(self.book.len() as f64), now, self.booked_lost(now));
         self.book.len()
     }
 }
--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -101,7 +101,9 @@
 
     /// Balancers that see little keep to a few upstreams, from evenly spread starts on the common ring.
     pub(crate) fn draw_order(&mut self) {
-        let mut ring: Vec<usize> = (0..self.upstreams.len()).filter(|&u| self.upstreams[u].ready).collect();
+        let mut ring: Vec<usize> = (0..self.upstreams.len())
+            .filter(|&u| self.upstreams[u].ready)
+            .collect();
         if ring.len() == self.order.len() && self.order.iter().all(|&u| self.upstreams[u].ready) {
             return;
         }
@@ -114,13 +116,18 @@
         (self.near_first, self.order) = ([near.as_slice(), &far].concat(), Vec::new());
         let (mut near, mut far) = (near.into_iter(), far.into_iter());
         while near.len() + far.len() > 0 {
-            self.order.extend(near.by_ref().take(MIX).chain(far.by_ref().take(1)));
+            self.order
+                .extend(near.by_ref().take(MIX).chain(far.by_ref().take(1)));
         }
     }
 
     /// The order to go by now: near ones may bear less than comes there, and leave tickets without room then.
     fn present_order(&self, now: Micros) -> &[usize] {
-        if now < self.crowded_until { &self.order } else { &self.near_first }
+        if now < self.crowded_until {
+            &self.order
+        } else {
+            &self.near_first
+        }
     }
 
     /// How many upstreams this balancer keeps to, and how many balancers keep to each.
@@ -134,10 +141,21 @@
 
     #[allow(clippy::too_many_arguments)]
     pub fn ticket_arrived(
-        &mut self, now: Micros, id: &str, use_case: usize, account: usize, hard_stop: Micros,
-        hint: Option<Micros>, key: Option<u64>,
+        &mut self,
+        now: Micros,
+        id: &str,
+        use_case: usize,
+        account: usize,
+        hard_stop: Micros,
+        hint: Option<Micros>,
+        key: Option<u64>,
     ) {
-        let Some(promised) = self.terms.use_cases.get(use_case).map(|c| now + c.promised_time) else {
+        let Some(promised) = self
+            .terms
+            .use_cases
+            .get(use_case)
+            .map(|c| now + c.promised_time)
+        else {
             return self.host.dismiss(id, 0);
         };
         self.seen.arrivals.add(now, LASTING, 1.0);
@@ -148,18 +166,38 @@
         });
         let within_share = self.within_share(now, account);
         let line = key.filter(|_| self.terms.use_cases[use_case].in_order);
-        let blank = Ticket::new(Rc::from(id), use_case, promised, hard_stop, work, within_share);
-        let ticket = Ticket { account, line, ..blank };
+        let blank = Ticket::new(
+            Rc::from(id),
+            use_case,
+            promised,
+            hard_stop,
+            work,
+            within_share,
+        );
+        let ticket = Ticket {
+            account,
+            line,
+            ..blank
+        };
         let [late, heard] =
             [&self.seen.pressure.total, &self.seen.pressure.weight].map(|s| s.read(now, SECOND));
         self.ease = 1.0 - (late + HEARD_PRIOR) / (heard + HEARD_PRIOR);
-        self.let_through = (self.let_through * (1.0 + THINNING.0 * self.ease)).clamp(THROUGH.0, 1.0);
+        self.let_through =
+            (self.let_through * (1.0 + THINNING.0 * self.ease)).clamp(THROUGH.0, 1.0);
         // With several upstreams to itself, or loads to ask for, a balancer needs no guess.
-        let own = if self.asks() { usize::MAX } else { self.order.len() } as f64;
+        let own = if self.asks() {
+            usize::MAX
+        } else {
+            self.order.len()
+        } as f64;
         let let_through =
             1.0 - (1.0 - self.let_through) / (1.0 + (own / self.terms.balancers as f64).powi(4));
         // Beyond the share gives way first.
-        let part = if within_share { let_through } else { 2.0 * let_through - 1.0 };
+        let part = if within_share {
+            let_through
+        } else {
+            2.0 * let_through - 1.0
+        };
         if self.chance.generate::<f64>() > part || self.kept_out(now, &ticket) {
             return self.give_up(now, ticket);
         }
@@ -198,7 +236,10 @@
         for &u in &ticket.waits {
             match self.terms.loads_probed {
                 true => self.host.probe(&self.upstreams[u].id),
-                false => self.host.tell(Some(self.keeper(u)), &Word::Asks(self.upstreams[u].short()).text()),
+                false => self.host.tell(
+                    Some(self.keeper(u)),
+                    &Word::Asks(self.upstreams[u].short()).text(),
+                ),
             }
         }
         if ticket.waits.is_empty() {
@@ -217,7 +258,11 @@
                 ticket.answered.extend(answered.then_some(u));
             }
         }
-        while let Some(at) = self.asking.iter().position(|ticket| ticket.waits.is_empty()) {
+        while let Some(at) = self
+            .asking
+            .iter()
+            .position(|ticket| ticket.waits.is_empty())
+        {
             let ticket = self.asking.remove(at);
             self.place_asked(now, ticket);
         }
@@ -248,19 +293,29 @@
 
     /// Whether an upstream would answer a ticket in the part of its time that its earnings are worth.
     fn in_time(&self, now: Micros, ticket: &Ticket, u: usize) -> bool {
-        let (each, Some(held)) = (self.each(now, u), self.upstreams[u].held) else { return true };
+        let (each, Some(held)) = (self.each(now, u), self.upstreams[u].held) else {
+            return true;
+        };
         let spare = ticket.promised.min(ticket.hard_stop).saturating_sub(now) as f64;
         let worth = self.terms.use_cases[ticket.use_case].earnings / self.terms.most_earned();
         let part = WORTHLESS_PART + (1.0 - WORTHLESS_PART) * worth;
         // With no hint of its work a ticket may be one of the long ones; once sent there is less to lose.
         let unsent = ticket.dispatches.is_empty();
-        let scatter = if unsent { self.paces[ticket.use_case].margin() } else { 0.0 };
+        let scatter = if unsent {
+            self.paces[ticket.use_case].margin()
+        } else {
+            0.0
+        };
         each * held * (1.0 + scatter) <= part * (spare - each * ticket.work * (1.0 + scatter))
     }
 
     /// Idle connections that rested so long are not used for a while.
     pub(crate) fn believe_dropped(&mut self, now: Micros, rested: Micros) {
-        let least = if now < self.dropped.1 { self.dropped.0.min(rested) } else { rested };
+        let least = if now < self.dropped.1 {
+            self.dropped.0.min(rested)
+        } else {
+            rested
+        };
         self.dropped = (least, now + DROPPED.0);
     }
 
@@ -270,19 +325,29 @@
         let score = |row| softplus(dot(&self.weights, row));
         let mut scored: Vec<(f64, usize)> = rows.iter().map(score).zip(0..).collect();
         scored.sort_by(|a, b| b.0.total_cmp(&a.0));
-        let chances = project(&scored.iter().map(|s| s.0).collect::<Vec<_>>(), top(scored.len()));
+        let chances = project(
+            &scored.iter().map(|s| s.0).collect::<Vec<_>>(),
+            top(scored.len()),
+        );
         let mut left = self.chance.generate::<f64>();
         let beyond = |chance: &f64| {
             left -= chance;
             left < 0.0
         };
         let drawn = chances.iter().position(beyond).unwrap_or(0);
-        let Some((chance, u)) = chances.get(drawn).map(|chance| (*chance, ready[scored[drawn].1])) else {
+        let Some((chance, u)) = chances
+            .get(drawn)
+            .map(|chance| (*chance, ready[scored[drawn].1]))
+        else {
             return false;
         };
-        let teaches = rows.len() <= TEACHING || self.chance.generate_range(0..rows.len()) < TEACHING;
-        let scene =
-            teaches.then(|| Scene { rows: scored.iter().map(|s| rows[s.1]).collect(), drawn, chance });
+        let teaches =
+            rows.len() <= TEACHING || self.chance.generate_range(0..rows.len()) < TEACHING;
+        let scene = teaches.then(|| Scene {
+            rows: scored.iter().map(|s| rows[s.1]).collect(),
+            drawn,
+            chance,
+        });
         self.send(now, ticket, u, scene)
     }
 
@@ -298,7 +363,13 @@
         let latency = gather(&|_, up| up.latency(now));
         // Served rate per own request in flight is the inverse of the answer time.
         let rate = |up: &Upstream| up.lasting_answers.read().map(f64::recip);
-        let capacity = gather(&|_, up| if self.terms.weights_listed { up.weight.read() } else { rate(up) });
+        let capacity = gather(&|_, up| {
+            if self.terms.weights_listed {
+                up.weight.read()
+            } else {
+                rate(up)
+            }
+        });
         // An old report speaks of a load that is gone.
         let weight = |u: &usize| (-2.0 * now.saturating_sub(ups[*u].reported) as f64 / heard).exp();
         let fresh: Vec<f64> = ready.iter().map(weight).collect();
@@ -306,7 +377,8 @@
         let busy = gather(&|_, up| up.utilisation.map(|busy| busy + 0.1));
         let since = self.unheard_since(now);
         // Own work in flight, and of what is reported the part that is the other balancers'.
-        let others = |i: usize, up: &Upstream| (1.0 - 1.0 / sharers) * fresh[i] * up.queue.unwrap_or(0.0);
+        let others =
+            |i: usize, up: &Upstream| (1.0 - 1.0 / sharers) * fresh[i] * up.queue.unwrap_or(0.0);
         let in_flight = gather(&|i, up| match up.held.filter(|_| self.asks()) {
             Some(held) => Some(IDLE + held * fresh[i]),
             None => Some(0.5 + up.out_since(since).1 + others(i, up)),
@@ -314,7 +386,15 @@
         let near = |u: usize| f64::from(u8::from(ups[u].zone == self.terms.zone));
         let row = |(i, &u): (usize, &usize)| {
             let (busy, queue) = (busy[i] * fresh[i], queue[i] * fresh[i]);
-            [1.0, latency[i], busy, in_flight[i] - capacity[i] / 2.0, capacity[i], near(u), queue]
+            [
+                1.0,
+                latency[i],
+                busy,
+                in_flight[i] - capacity[i] / 2.0,
+                capacity[i],
+                near(u),
+                queue,
+            ]
         };
         ready.iter().enumerate().map(row).collect()
     }
@@ -342,17 +422,26 @@
         if let Some(line) = ticket.line.and_then(|key| self.lines.get_mut(&key)) {
             line.out += 1;
         }
-        ticket.dispatches.push(Dispatch { rested, before, ..Dispatch::new(u, now, scene) });
+        ticket.dispatches.push(Dispatch {
+            rested,
+            before,
+            ..Dispatch::new(u, now, scene)
+        });
         let id = Rc::clone(&upstream.id);
         // Where answers get lost a dispatch ends by itself in time for another.
         let told = self.upstreams[u].lost > LONE.0 && !self.terms.may_call_off;
         let lone = (told || self.paces[ticket.use_case].loses(now))
             && self.terms.use_cases[ticket.use_case].effect.repeats();
         let spare = ticket.promised.saturating_sub(now) as f64;
-        let patience =
-            (LONE.3 * self.expected(ticket.use_case)).clamp(LONE.1 * spare, LONE.2 * spare) as Micros;
-        let until = if lone { now + patience.max(PUMP_EVERY) } else { Micros::MAX };
-        self.host.dispatch(&ticket.id, &id, until.min(ticket.hard_stop));
+        let patience = (LONE.3 * self.expected(ticket.use_case))
+            .clamp(LONE.1 * spare, LONE.2 * spare) as Micros;
+        let until = if lone {
+            now + patience.max(PUMP_EVERY)
+        } else {
+            Micros::MAX
+        };
+        self.host
+            .dispatch(&ticket.id, &id, until.min(ticket.hard_stop));
         self.tell_keeper(now, u, None);
         true
     }
@@ -368,7 +457,10 @@
     fn permitted(&self, now: Micros, ticket: &Ticket, u: usize) -> bool {
         let (upstream, (_, spent, budget)) = (&self.upstreams[u], self.cold_budget(now, u));
         // Two that went down under a ticket may do so by it: no third, unless one of them has answered since.
-        let down = |d: &&Dispatch| d.broke.is_some_and(|at| self.upstreams[d.upstream].answered <= at);
+        let down = |d: &&Dispatch| {
+            d.broke
+                .is_some_and(|at| self.upstreams[d.upstream].answered <= at)
+        };
         let open = upstream.ready
             // What a request may go over is no allowance of its own: many balancers without one would add up.
             && budget >= 1.0
@@ -404,10 +496,23 @@
             && ticket.dispatches.iter().all(|d| !d.out)
     }
 
-    pub fn dispatch_ended(&mut self, now: Micros, id: &str, n: usize, last: bool, how: Ending, took: Micros) {
-        let Some(mut ticket) = self.tickets.remove(id) else { return self.end_trailing(now, id, how) };
+    pub fn dispatch_ended(
+        &mut self,
+        now: Micros,
+        id: &str,
+        n: usize,
+        last: bool,
+        how: Ending,
+        took: Micros,
+    ) {
+        let Some(mut ticket) = self.tickets.remove(id) else {
+            return self.end_trailing(now, id, how);
+        };
         ticket.untold = false;
-        ticket.line.into_iter().for_each(|key| self.end_in_line(now, key, how));
+        ticket
+            .line
+            .into_iter()
+            .for_each(|key| self.end_in_line(now, key, how));
         self.ended(now, &mut ticket, n, how, took);
         if last {
             self.close(now, ticket);
@@ -423,13 +528,17 @@
     }
 
     pub fn stream_began(&mut self, id: &str) {
-        self.tickets.entry(Rc::from(id)).and_modify(|ticket| ticket.streaming = true);
+        self.tickets
+            .entry(Rc::from(id))
+            .and_modify(|ticket| ticket.streaming = true);
     }
 
     pub fn client_left(&mut self, now: Micros, id: &str) {
         let lines = self.lines.values_mut().map(|line| &mut line.waiting);
         let lists = [&mut self.held, &mut self.asking].into_iter().chain(lines);
-        let waiting = lists.flat_map(|list| list.extract_if(.., |ticket| *ticket.id == *id)).next();
+        let waiting = lists
+            .flat_map(|list| list.extract_if(.., |ticket| *ticket.id == *id))
+            .next();
         if let Some(ticket) = self.tickets.remove(id).or(waiting) {
             self.close(now, ticket);
             self.pump(now);
@@ -440,11 +549,20 @@
     pub(crate) fn give_up(&mut self, now: Micros, ticket: Ticket) {
         let ran = ticket.dispatches.iter().any(|d| d.may_have_run);
         let effect = self.terms.use_cases[ticket.use_case].effect;
-        let harmless =
-            !ran || matches!(effect, Effect::Redoable | Effect::Labelled { group: Group::All, .. });
+        let harmless = !ran
+            || matches!(
+                effect,
+                Effect::Redoable
+                    | Effect::Labelled {
+                        group: Group::All,
+                        ..
+                    }
+            );
         let soon = (COME_BACK * self.expected(ticket.use_case)) as Micros;
         match harmless {
-            true => self.host.dismiss(&ticket.id, soon.min(self.terms.longest_come_back)),
+            true => self
+                .host
+                .dismiss(&ticket.id, soon.min(self.terms.longest_come_back)),
             false => self.host.abandon(&ticket.id),
         }
         self.close(now, ticket);
@@ -472,7 +590,9 @@
             _ => match self.alarms.remove(&alarm) {
                 Some(Alarm::Asked(id)) => {
                     let asked = self.asking.extract_if(.., |ticket| ticket.id == id).next();
-                    asked.into_iter().for_each(|ticket| self.place_asked(now, ticket));
+                    asked
+                        .into_iter()
+                        .for_each(|ticket| self.place_asked(now, ticket));
                 }
                 Some(Alarm::Line(key)) => self.move_line(now, key),
                 None => {}
@@ -501,25 +621,39 @@
         // All budgets add up to what it bears: those of its circles to one half, all the others' to another.
         let keeps = self.asks() || self.order.iter().take(kept).any(|&kept| kept == u);
         let part = if keeps { 1.0 } else { kept as f64 / all as f64 };
-        let budget = part * COLD.0 * warming.multiple * self.grown(now, u) * each * warming.span as f64;
+        let budget =
+            part * COLD.0 * warming.multiple * self.grown(now, u) * each * warming.span as f64;
         let (spent_in, spent) = upstream.cold_spent;
-        (span, if spent_in == span { spent } else { 0.0 }, (budget + chance).floor())
+        (
+            span,
+            if spent_in == span { spent } else { 0.0 },
+            (budget + chance).floor(),
+        )
     }
 
     /// The candidates to draw from: the first of the own order that are open.
     fn candidates(&mut self, now: Micros, ticket: &Ticket) -> Vec<usize> {
-        self.warm = self.order.iter().filter(|&&u| !self.is_cold(now, u)).count();
+        self.warm = self
+            .order
+            .iter()
+            .filter(|&&u| !self.is_cold(now, u))
+            .count();
         let silence = self.silence();
         let open = |u: &usize| {
             let up = &self.upstreams[*u];
             // Of what is silent one at a time shows whether it still is.
-            let tried =
-                up.silent_for(now) > silence && up.used.is_some_and(|at| now < at + silence as Micros);
+            let tried = up.silent_for(now) > silence
+                && up.used.is_some_and(|at| now < at + silence as Micros);
             let met = ticket.dispatches.iter().any(|d| d.upstream == *u);
             !tried && !met && self.has_room(now, *u) && self.permitted(now, ticket, *u)
         };
-        let mut ready: Vec<_> =
-            self.present_order(now).iter().copied().filter(open).take(self.circle().0).collect();
+        let mut ready: Vec<_> = self
+            .present_order(now)
+            .iter()
+            .copied()
+            .filter(open)
+            .take(self.circle().0)
+            .collect();
         // Ties would fall to whoever comes first, again and again.
         let turn = self.chance.generate_range(0..ready.len().max(1));
         ready.rotate_left(turn);
@@ -547,16 +681,26 @@
     }
 
     fn has_room(&self, now: Micros, u: usize) -> bool {
-        let (up, (held, _)) = (&self.upstreams[u], self.upstreams[u].out_since(self.unheard_since(now)));
+        let (up, (held, _)) = (
+            &self.upstreams[u],
+            self.upstreams[u].out_since(self.unheard_since(now)),
+        );
         up.full_until <= now && (self.asks() || held == 0.0 || held + ROUNDING < self.limit(now, u))
     }
 
     /// Whether all limits together leave room, with their root for chance: each may be less than a ticket.
     fn pool_has_room(&self, now: Micros) -> bool {
         let since = self.unheard_since(now);
-        let heard = || self.present_order(now).iter().filter(|&&u| !self.upstreams[u].silent_since(since));
+        let heard = || {
+            self.present_order(now)
+                .iter()
+                .filter(|&&u| !self.upstreams[u].silent_since(since))
+        };
         let held: f64 = heard().map(|&u| self.upstreams[u].out_since(since).0).sum();
-        let limit: f64 = heard().take(self.circle().0).map(|&u| self.limit(now, u)).sum();
+        let limit: f64 = heard()
+            .take(self.circle().0)
+            .map(|&u| self.limit(now, u))
+            .sum();
         let root = CHANCE * self.ease.max(0.0) + (1.0 / self.terms.balancers as f64).sqrt();
         held < LEAST.1.max(limit + root * limit.sqrt())
     }
@@ -564,7 +708,10 @@
     /// The moment after which an answer would likely come too late.
     pub(crate) fn last_start(&self, ticket: &Ticket) -> Micros {
         let needed = TIME_LEFT * self.expected(ticket.use_case) * ticket.work.max(1.0);
-        ticket.promised.min(ticket.hard_stop.saturating_sub(PUMP_EVERY)).saturating_sub(needed as Micros)
+        ticket
+            .promised
+            .min(ticket.hard_stop.saturating_sub(PUMP_EVERY))
+            .saturating_sub(needed as Micros)
     }
 
     /// Places a ticket, holds it where it would be sent soon, or gives it up at once.
@@ -580,12 +727,21 @@
         }
         self.crowded_until = now + LASTING as Micros;
         let rate = self.seen.succeeded.read(now, RECENT) / self.watched(now);
-        let place = self.held.partition_point(|held| held.promised <= ticket.promised);
-        let ahead = self.held[..place].iter().filter(|held| held.dispatches.is_empty()).count();
+        let place = self
+            .held
+            .partition_point(|held| held.promised <= ticket.promised);
+        let ahead = self.held[..place]
+            .iter()
+            .filter(|held| held.dispatches.is_empty())
+            .count();
         let wait = ahead as f64 / rate.max(1.0 / SECOND);
         // With nothing to spare a ticket is not even held until the next look: its hard stop may come first.
         let slack = self.last_start(&ticket) as f64 - now as f64;
-        let part = if ticket.within_share { HELD_PART.0 } else { HELD_PART.1 };
+        let part = if ticket.within_share {
+            HELD_PART.0
+        } else {
+            HELD_PART.1
+        };
         // Where others fill the places that come free, holding only makes for later ones.
         if slack <= 0.0 || wait > part * slack || self.order.len() < HOLDS * self.terms.balancers {
             return self.give_up(now, ticket);
@@ -617,7 +773,9 @@
 
     /// Whether a ticket lies within this balancer's part of its account's allowance.
     fn within_share(&mut self, now: Micros, account: usize) -> bool {
-        let Some(admitted) = self.admitted.get_mut(account) else { return true };
+        let Some(admitted) = self.admitted.get_mut(account) else {
+            return true;
+        };
         let usual = self.terms.allowances[account] / self.terms.balancers as f64 * RECENT / SECOND;
         let within = admitted.read(now, RECENT) < usual + usual.sqrt();
         admitted.add(now, RECENT, f64::from(u8::from(within)));
@@ -626,9 +784,16 @@
 
     /// Takes in how a dispatch ended.
     pub(crate) fn ended(
-        &mut self, now: Micros, ticket: &mut Ticket, number: usize, ending: Ending, took: Micros,
+        &mut self,
+        now: Micros,
+        ticket: &mut Ticket,
+        number: usize,
+        ending: Ending,
+        took: Micros,
     ) {
-        let Some(dispatch) = ticket.dispatches.get_mut(number).filter(|d| d.out) else { return };
+        let Some(dispatch) = ticket.dispatches.get_mut(number).filter(|d| d.out) else {
+            return;
+        };
         let (heard, cold) = (self.heard_within(now), self.is_cold(now, dispatch.upstream));
         dispatch.out = false;
         dispatch.may_have_run = !ending.proves_not_run();
@@ -640,15 +805,21 @@
         self.tell_keeper(now, u, Some((ticket.use_case, Fate::of(ending))));
         let unknown = |rested: &Micros| now >= self.dropped.1 || *rested < self.dropped.0;
         let at_once = ending == Ending::Broken && took < promised / DROPPED.2;
-        if let Some(rested) = rested.filter(unknown).filter(|rested| at_once && *rested >= DROPPED.1) {
+        if let Some(rested) = rested
+            .filter(unknown)
+            .filter(|rested| at_once && *rested >= DROPPED.1)
+        {
             self.believe_dropped(now, rested / 2);
             if self.terms.peers {
                 self.host.tell(None, &Word::Dropped(rested / 2).text());
             }
         }
-        let told = took as f64 > self.silence() && matches!(ending, Ending::Silent | Ending::Succeeded);
+        let told =
+            took as f64 > self.silence() && matches!(ending, Ending::Silent | Ending::Succeeded);
         let [told, lost] = [told, ending == Ending::Silent].map(|is| f64::from(u8::from(is)));
-        self.paces[ticket.use_case].overdue.add(now, RECENT, lost, told);
+        self.paces[ticket.use_case]
+            .overdue
+            .add(now, RECENT, lost, told);
         if took >= promised || ending == Ending::Succeeded {
             self.fared(now, ticket, took);
         }
@@ -664,14 +835,23 @@
         let took = took.max(1) as f64 / ticket.work;
         // A hung or broken upstream says nothing of the others' load.
         if matches!(ending, Ending::Succeeded | Ending::TurnedAway) {
-            let (promised, ease) = (promised as f64, AT_EASE.0 * pace.shortest.unwrap_or(f64::INFINITY));
+            let (promised, ease) = (
+                promised as f64,
+                AT_EASE.0 * pace.shortest.unwrap_or(f64::INFINITY),
+            );
             let late = took / ease.clamp(AT_EASE.1 * promised, AT_EASE.2 * promised);
-            let late = if ending == Ending::Succeeded { late.min(THINNING.1) } else { 3.0 * THINNING.1 };
+            let late = if ending == Ending::Succeeded {
+                late.min(THINNING.1)
+            } else {
+                3.0 * THINNING.1
+            };
             self.seen.pressure.add(now, SECOND, late, ticket.work);
         }
         let all = self.seen.answers.read().unwrap_or(took);
         let mut answer = took * all / pace.lasting.read().unwrap_or(took).max(1.0);
-        upstream.unanswered_since = upstream.unanswered_since.filter(|_| ending == Ending::Silent);
+        upstream.unanswered_since = upstream
+            .unanswered_since
+            .filter(|_| ending == Ending::Silent);
         let mut payoff = 0.0;
         if ending == Ending::Succeeded {
             (upstream.left, upstream.answered) = (None, now);
@@ -681,12 +861,24 @@
             let rest = if ending.proves_not_run() { REST } else { 0.0 };
             upstream.full_until = now + (rest * pace.present.read().unwrap_or(0.0)) as Micros;
             // A fast failure must not make an upstream look quick, nor a lost answer make it look slow.
-            answer = if ending == Ending::Silent { 0.0 } else { answer }.max(FAILURE_LATENCY * all);
+            answer = if ending == Ending::Silent {
+                0.0
+            } else {
+                answer
+            }
+            .max(FAILURE_LATENCY * all);
         }
         let upstream = &mut self.upstreams[u];
         upstream.answers.add(now, heard, answer, ticket.work);
-        upstream.lasting_answers.add(now, LASTING, answer, ticket.work);
-        self.samples.extend(ticket.dispatches[number].scene.take().map(|scene| (scene, payoff)));
+        upstream
+            .lasting_answers
+            .add(now, LASTING, answer, ticket.work);
+        self.samples.extend(
+            ticket.dispatches[number]
+                .scene
+                .take()
+                .map(|scene| (scene, payoff)),
+        );
         if self.samples.len() >= OUTCOMES_AN_UPDATE || now > self.updated + UPDATE_EVERY {
             self.update_weights(now);
         }
@@ -699,7 +891,9 @@
         for (_, payoff) in &samples {
             self.seen.payoffs.add(now, LASTING, *payoff, 1.0);
         }
-        let Some(usual) = self.seen.payoffs.read() else { return };
+        let Some(usual) = self.seen.payoffs.read() else {
+            return;
+        };
         for _ in 0..EPOCHS {
             let step = clipped_step(&self.weights, &samples, usual, CLIP, top);
             for f in 1..FEATURES {
