--- a/crates/policy/src/decide/tests.rs
+++ b/crates/policy/src/decide/tests.rs
@@ -19,7 +19,11 @@
 
 impl Diary {
     pub(crate) fn count(&self, word: &str) -> usize {
-        self.0.borrow().iter().filter(|act| act.starts_with(word)).count()
+        self.0
+            .borrow()
+            .iter()
+            .filter(|act| act.starts_with(word))
+            .count()
     }
     fn note(&self, act: String) {
         self.0.borrow_mut().push(act);
@@ -28,7 +32,10 @@
 
 impl Host for Diary {
     fn dispatch(&mut self, ticket: &str, upstream: &str, expire_at: Micros) {
-        self.note(format!("dispatch {ticket} {upstream} until {}", expire_at - START_AT));
+        self.note(format!(
+            "dispatch {ticket} {upstream} until {}",
+            expire_at - START_AT
+        ));
     }
     fn call_off(&mut self, ticket: &str, dispatch: usize) {
         self.note(format!("call off {ticket} {dispatch}"));
@@ -52,12 +59,21 @@
         self.note(format!("close {upstream}"));
     }
     fn tell(&mut self, balancer: Option<usize>, words: &str) {
-        self.note(format!("tell {} {words}", balancer.map_or("all".to_owned(), |b| b.to_string())));
+        self.note(format!(
+            "tell {} {words}",
+            balancer.map_or("all".to_owned(), |b| b.to_string())
+        ));
     }
 }
 
-const CELL: Effect = Effect::Labelled { group: Group::Cell, window: 2_000 * MS };
-const ALL: Effect = Effect::Labelled { group: Group::All, window: 2_000 * MS };
+const CELL: Effect = Effect::Labelled {
+    group: Group::Cell,
+    window: 2_000 * MS,
+};
+const ALL: Effect = Effect::Labelled {
+    group: Group::All,
+    window: 2_000 * MS,
+};
 
 /// A balancer of two, with so many warm upstreams in two cells.
 pub(crate) fn balancer(effect: Effect, upstreams: usize) -> (Balancer<Diary>, Diary) {
@@ -76,8 +92,18 @@
         longest_come_back: 0,
         turn_gap: 300 * MS,
         dropped_stay_open: false,
-        warming: Warming { starts_at: 0.2, warm_after: 10_000 * MS, multiple: 3.0, span: 2_000 * MS },
-        use_cases: vec![UseCase { promised_time: 400 * MS, effect, earnings: 1.0, in_order: false }],
+        warming: Warming {
+            starts_at: 0.2,
+            warm_after: 10_000 * MS,
+            multiple: 3.0,
+            span: 2_000 * MS,
+        },
+        use_cases: vec![UseCase {
+            promised_time: 400 * MS,
+            effect,
+            earnings: 1.0,
+            in_order: false,
+        }],
         allowances: vec![20.0],
     };
     let mut balancer = Balancer::start(diary.clone(), 7, terms, START_AT);
@@ -105,17 +131,28 @@
 }
 
 pub(crate) fn ticket(upstreams: &[usize], may_have_run: bool) -> Ticket {
-    let sent = |&u| Dispatch { out: false, may_have_run, ..Dispatch::new(u, START_AT, None) };
+    let sent = |&u| Dispatch {
+        out: false,
+        may_have_run,
+        ..Dispatch::new(u, START_AT, None)
+    };
     let (promised, hard_stop) = (START_AT + 400 * MS, START_AT + 5_000 * MS);
     let dispatches = upstreams.iter().map(sent).collect();
-    Ticket { dispatches, ..Ticket::new(Rc::from("t"), 0, promised, hard_stop, 1.0, true) }
+    Ticket {
+        dispatches,
+        ..Ticket::new(Rc::from("t"), 0, promised, hard_stop, 1.0, true)
+    }
 }
 
 #[rstest]
 #[case(&[4.0], 1, &[1.0])]
 #[case(&[1.0, 1.0, 1.0, 1.0], 4, &[0.25, 0.25, 0.25, 0.25])]
 #[case(&[5.0, 3.0, 2.0], 2, &[0.6, 0.4, 0.0])]
-fn projection_keeps_the_first(#[case] priorities: &[f64], #[case] m: usize, #[case] expected: &[f64]) {
+fn projection_keeps_the_first(
+    #[case] priorities: &[f64],
+    #[case] m: usize,
+    #[case] expected: &[f64],
+) {
     for (chance, expected) in project(priorities, m).iter().zip(expected) {
         assert!((chance - expected).abs() < 1e-9);
     }
@@ -136,9 +173,15 @@
 fn slope_is_the_gradient_of_the_chance(#[case] drawn: usize) {
     let (mut balancer, _) = balancer(Effect::Redoable, 0);
     balancer.terms.balancers = 3;
-    let rows: Vec<_> = (0..3).map(|i| std::array::from_fn(|f| 1.0 / (1 + f + 2 * i) as f64)).collect();
+    let rows: Vec<_> = (0..3)
+        .map(|i| std::array::from_fn(|f| 1.0 / (1 + f + 2 * i) as f64))
+        .collect();
     balancer.weights = std::array::from_fn(|f| 1.0 + f as f64 / 10.0);
-    let scene = Scene { rows, drawn, chance: 0.5 };
+    let scene = Scene {
+        rows,
+        drawn,
+        chance: 0.5,
+    };
     let (chance, slope_of) = slope(&balancer.weights, &scene, top(3)).unwrap();
     for (f, along) in slope_of.iter().enumerate() {
         balancer.weights[f] += 1e-6;
@@ -155,7 +198,14 @@
     let (mut balancer, _) = balancer(Effect::Redoable, 0);
     let rows = vec![[1.0; FEATURES], [0.5; FEATURES]];
     balancer.seen.payoffs.add(START_AT, LASTING, 0.0, 1e12);
-    balancer.samples.push((Scene { rows, drawn: 0, chance: 0.5 }, payoff));
+    balancer.samples.push((
+        Scene {
+            rows,
+            drawn: 0,
+            chance: 0.5,
+        },
+        payoff,
+    ));
     balancer.update_weights(START_AT);
     for (weight, start) in balancer.weights.iter().zip(START) {
         assert!(weight * start >= FLOOR * start * start - 1e-9);
@@ -164,7 +214,10 @@
 
 #[rstest]
 fn an_unheard_upstream_counts_as_the_mean() {
-    assert_eq!(relative(&[Some(2.0), None, Some(2.0)], WIDEST), [0.0, 0.0, 0.0]);
+    assert_eq!(
+        relative(&[Some(2.0), None, Some(2.0)], WIDEST),
+        [0.0, 0.0, 0.0]
+    );
 }
 
 #[rstest]
@@ -174,10 +227,17 @@
 #[case::labelled_cell(CELL, true, false)]
 #[case::labelled_unseen(CELL, false, true)]
 #[case::labelled_all(ALL, true, true)]
-fn dismissed_only_where_harmless(#[case] effect: Effect, #[case] ran: bool, #[case] dismissed: bool) {
+fn dismissed_only_where_harmless(
+    #[case] effect: Effect,
+    #[case] ran: bool,
+    #[case] dismissed: bool,
+) {
     let (mut balancer, diary) = balancer(effect, 2);
     balancer.give_up(START_AT, ticket(&[0], ran));
-    assert_eq!((diary.count("dismiss"), diary.count("abandon")), if dismissed { (1, 0) } else { (0, 1) });
+    assert_eq!(
+        (diary.count("dismiss"), diary.count("abandon")),
+        if dismissed { (1, 0) } else { (0, 1) }
+    );
 }
 
 #[rstest]
@@ -190,11 +250,17 @@
 #[case::used_up(Effect::Redoable, &[0, 1, 2], 3, 100, false)]
 #[case::too_late(Effect::Redoable, &[0], 1, 5_000, false)]
 fn no_effect_twice(
-    #[case] effect: Effect, #[case] met: &[usize], #[case] next: usize, #[case] after: Micros,
+    #[case] effect: Effect,
+    #[case] met: &[usize],
+    #[case] next: usize,
+    #[case] after: Micros,
     #[case] open: bool,
 ) {
     let (balancer, _) = balancer(effect, 4);
-    assert_eq!(balancer.permitted(START_AT + after * MS, &ticket(met, true), next), open);
+    assert_eq!(
+        balancer.permitted(START_AT + after * MS, &ticket(met, true), next),
+        open
+    );
 }
 
 #[rstest]
@@ -249,8 +315,14 @@
     balancer.list_ends(START_AT);
     let cold = balancer.by_id["cold"];
     let moments = (0..40).map(|span| START_AT + span * 200 * MS);
-    let without = moments.into_iter().find(|now| balancer.cold_budget(*now, cold).2 == 0.0).unwrap();
-    let small = Ticket { work: 0.2, ..ticket(&[], false) };
+    let without = moments
+        .into_iter()
+        .find(|now| balancer.cold_budget(*now, cold).2 == 0.0)
+        .unwrap();
+    let small = Ticket {
+        work: 0.2,
+        ..ticket(&[], false)
+    };
     assert!(!balancer.permitted(without, &small, cold));
     assert!(balancer.permitted(without, &small, balancer.by_id["u0"]));
 }
@@ -283,7 +355,9 @@
 #[rstest]
 fn a_refusing_upstream_is_left_alone_for_a_while() {
     let (mut balancer, _) = balancer(Effect::Redoable, 1);
-    balancer.paces[0].present.add(START_AT, RECENT, 80_000.0, 1.0);
+    balancer.paces[0]
+        .present
+        .add(START_AT, RECENT, 80_000.0, 1.0);
     let mut sent = ticket(&[0], true);
     sent.dispatches[0].out = true;
     balancer.ended(START_AT, &mut sent, 0, Ending::TurnedAway, 10);
@@ -307,13 +381,23 @@
 fn what_is_silent_is_passed_over_but_for_one_at_a_time() {
     let (mut balancer, _) = balancer(Effect::Irreversible, 4);
     let sent = START_AT - 500 * MS;
-    (balancer.upstreams[0].unanswered_since, balancer.upstreams[0].outs) =
-        (Some(sent), vec![(sent, 1.0); 90]);
+    (
+        balancer.upstreams[0].unanswered_since,
+        balancer.upstreams[0].outs,
+    ) = (Some(sent), vec![(sent, 1.0); 90]);
     balancer.upstreams[0].used = Some(START_AT - 10 * MS);
-    assert!(!balancer.candidates(START_AT, &ticket(&[], false)).contains(&0));
+    assert!(
+        !balancer
+            .candidates(START_AT, &ticket(&[], false))
+            .contains(&0)
+    );
     assert!(balancer.pool_has_room(START_AT));
     balancer.upstreams[0].outs.clear();
-    assert!(balancer.candidates(START_AT + 600 * MS, &ticket(&[], false)).contains(&0));
+    assert!(
+        balancer
+            .candidates(START_AT + 600 * MS, &ticket(&[], false))
+            .contains(&0)
+    );
 }
 
 /// Refused connections, errors and resets at once: each further try would cost a ticket its time.
@@ -324,13 +408,18 @@
 #[case::connection_reset(Ending::Broken, false)]
 fn what_failed_rests_half_a_usual_answer_time(#[case] ending: Ending, #[case] rests: bool) {
     let (mut balancer, _) = balancer(Effect::Redoable, 1);
-    balancer.paces[0].present.add(START_AT, RECENT, 100_000.0, 1.0);
+    balancer.paces[0]
+        .present
+        .add(START_AT, RECENT, 100_000.0, 1.0);
     let mut sent = ticket(&[0], true);
     sent.dispatches[0].out = true;
     balancer.ended(START_AT, &mut sent, 0, ending, 10);
     assert_eq!(balancer.upstreams[0].full_until > START_AT, rests);
     assert_eq!(
-        (balancer.has_room(START_AT + 49 * MS, 0), balancer.has_room(START_AT + 50 * MS, 0)),
+        (
+            balancer.has_room(START_AT + 49 * MS, 0),
+            balancer.has_room(START_AT + 50 * MS, 0)
+        ),
         (!rests, true)
     );
 }
@@ -343,19 +432,27 @@
         balancer.salt = 0;
         balancer.warm = 20;
         balancer.started = START_AT - 20_000 * MS;
-        balancer.seen.served.add(START_AT, LASTING, 1_000.0 * LASTING / SECOND);
+        balancer
+            .seen
+            .served
+            .add(START_AT, LASTING, 1_000.0 * LASTING / SECOND);
         let u = balancer.order[place];
         balancer.upstreams[u].launched = START_AT;
         balancer.cold_budget(START_AT, u).2
     });
-    assert!(budgets[0] > 5.0 * budgets[1] && budgets[1] > 0.0, "{budgets:?}");
+    assert!(
+        budgets[0] > 5.0 * budgets[1] && budgets[1] > 0.0,
+        "{budgets:?}"
+    );
 }
 
 #[rstest]
 fn one_lucky_answer_is_not_the_shortest() {
     let (mut balancer, _) = balancer(Effect::Redoable, 1);
     balancer.upstreams[0].shortest = Some(100_000.0);
-    balancer.upstreams[0].lasting_answers.add(START_AT, LASTING, 100_000.0, 20.0);
+    balancer.upstreams[0]
+        .lasting_answers
+        .add(START_AT, LASTING, 100_000.0, 20.0);
     let mut sent = ticket(&[0], true);
     sent.dispatches[0].out = true;
     balancer.ended(START_AT, &mut sent, 0, Ending::Succeeded, 5_000);
@@ -370,12 +467,15 @@
 #[case::second_was_full(1, Ending::TurnedAway, 3)]
 #[case::second_failed(1, Ending::Failed, 3)]
 fn a_ticket_under_which_two_upstreams_went_down_takes_no_third(
-    #[case] before: usize, #[case] ending: Ending, #[case] dispatches: usize,
+    #[case] before: usize,
+    #[case] ending: Ending,
+    #[case] dispatches: usize,
 ) {
     let (mut balancer, diary) = balancer(Effect::Redoable, 4);
     arrive(&mut balancer, START_AT, "a");
-    (0..before)
-        .for_each(|n| balancer.dispatch_ended(START_AT + 5 * MS, "a", n, false, Ending::Broken, 5 * MS));
+    (0..before).for_each(|n| {
+        balancer.dispatch_ended(START_AT + 5 * MS, "a", n, false, Ending::Broken, 5 * MS)
+    });
     balancer.dispatch_ended(START_AT + 10 * MS, "a", before, false, ending, 5 * MS);
     assert_eq!(
         (diary.count("dispatch"), diary.count("dismiss")),
@@ -404,19 +504,34 @@
 #[case::lost(900, true, 0.0)]
 #[case::may_come_yet(10, false, 1.0)]
 fn what_is_out_for_longer_than_silence_takes_up_no_place(
-    #[case] earlier: u64, #[case] room: bool, #[case] counted: f64,
+    #[case] earlier: u64,
+    #[case] room: bool,
+    #[case] counted: f64,
 ) {
     let (mut balancer, _) = balancer(Effect::Redoable, 1);
     balancer.terms.balancers = 2;
     let now = START_AT + 1_000 * MS;
     balancer.paces[0].present.add(now, RECENT, 25_000.0, 1.0);
     balancer.send(now - earlier * MS, &mut ticket(&[], false), 0, None);
-    assert_eq!((balancer.limit(now, 0), balancer.has_room(now, 0)), (1.0, room));
-    assert_eq!(balancer.upstreams[0].out_since(balancer.unheard_since(now)), (counted, counted));
-    assert_eq!(balancer.candidates(now, &ticket(&[], false)), if room { vec![0] } else { vec![] });
+    assert_eq!(
+        (balancer.limit(now, 0), balancer.has_room(now, 0)),
+        (1.0, room)
+    );
+    assert_eq!(
+        balancer.upstreams[0].out_since(balancer.unheard_since(now)),
+        (counted, counted)
+    );
+    assert_eq!(
+        balancer.candidates(now, &ticket(&[], false)),
+        if room { vec![0] } else { vec![] }
+    );
     // The next one shows whether it is back, alone.
     if balancer.send(now, &mut ticket(&[], false), 0, None) {
-        assert!(balancer.candidates(now + 90 * MS, &ticket(&[], false)).is_empty());
+        assert!(
+            balancer
+                .candidates(now + 90 * MS, &ticket(&[], false))
+                .is_empty()
+        );
     }
     balancer.upstreams[0].release(now - earlier * MS, 1.0);
     assert_eq!(balancer.upstreams[0].outs, [(now, 1.0)]);
@@ -427,7 +542,9 @@
 #[rstest]
 fn a_hung_upstream_takes_one_ticket_in_each_span_of_silence() {
     let (mut balancer, _) = balancer(Effect::Redoable, 1);
-    balancer.paces[0].present.add(START_AT, RECENT, 25_000.0, 1.0);
+    balancer.paces[0]
+        .present
+        .add(START_AT, RECENT, 25_000.0, 1.0);
     let mut sent = 0;
     for at in (0..2_000).map(|ms| START_AT + ms * MS) {
         balancer.paces[0].present.add(at, RECENT, 25_000.0, 1.0);
@@ -462,7 +579,9 @@
     let mut kept = vec![0; upstreams];
     for number in 0..balancers {
         let balancer = one_of_many(number, balancers, upstreams);
-        balancer.order[..balancer.circle().0].iter().for_each(|&u| kept[u] += 1);
+        balancer.order[..balancer.circle().0]
+            .iter()
+            .for_each(|&u| kept[u] += 1);
     }
     let (least, most) = (kept.iter().min().unwrap(), kept.iter().max().unwrap());
     assert!(*least > 0 && most - least <= 4, "{least} to {most}");
@@ -491,13 +610,17 @@
         }
     }
     let falls_at = 3.0 * 0.2 * borne_by_all / 20.0 * span / SECOND;
-    assert!(sent > 0.1 * falls_at && sent < 0.8 * falls_at, "{sent} of {falls_at}");
+    assert!(
+        sent > 0.1 * falls_at && sent < 0.8 * falls_at,
+        "{sent} of {falls_at}"
+    );
 }
 
 /// All asking at once would crowd a roster that does not grow with the fleet.
 #[rstest]
 fn a_large_fleet_spreads_its_asking_for_the_list() {
-    let spreads = [1, 4, 900].map(|balancers| one_of_many(0, balancers, 0).follow_spread().unwrap());
+    let spreads =
+        [1, 4, 900].map(|balancers| one_of_many(0, balancers, 0).follow_spread().unwrap());
     assert_eq!(spreads[0], 0);
     assert!(spreads[1] < 1_000 * MS && spreads[2] > 5_000 * MS && spreads[2] < 8_000 * MS);
 }
@@ -506,7 +629,10 @@
 #[rstest]
 #[case::late(3.0, true)]
 #[case::at_ease(0.3, false)]
-fn a_large_fleet_lets_a_smaller_share_through_under_pressure(#[case] pressure: f64, #[case] thinned: bool) {
+fn a_large_fleet_lets_a_smaller_share_through_under_pressure(
+    #[case] pressure: f64,
+    #[case] thinned: bool,
+) {
     let mut balancer = one_of_many(0, 800, 100);
     balancer.let_through = THROUGH.1;
     for n in 0..40 {
@@ -522,9 +648,13 @@
 fn the_limit_follows_shortest_over_present(#[case] stretch: f64, #[case] limit: f64) {
     let (mut balancer, _) = balancer(Effect::Redoable, 4);
     balancer.started = 0;
-    balancer.upstreams[0].kept.add(START_AT, RECENT, 20.0 * RECENT);
+    balancer.upstreams[0]
+        .kept
+        .add(START_AT, RECENT, 20.0 * RECENT);
     balancer.upstreams[0].shortest = Some(1.0);
-    balancer.upstreams[0].answers.add(START_AT, RECENT, stretch, 1.0);
+    balancer.upstreams[0]
+        .answers
+        .add(START_AT, RECENT, stretch, 1.0);
     assert!((balancer.limit(START_AT, 0) - limit).abs() < 1e-6);
 }
 
@@ -551,7 +681,8 @@
 #[case::its_own(6, 1)]
 #[case::others_share_them(5, 0)]
 fn tickets_are_held_only_where_a_balancer_has_several_upstreams(
-    #[case] upstreams: usize, #[case] held: usize,
+    #[case] upstreams: usize,
+    #[case] held: usize,
 ) {
     assert_eq!(held_or_dismissed(upstreams, 0.0), (held, 1 - held));
 }
@@ -563,7 +694,9 @@
 #[case::no_room(false, true, false)]
 #[case::asked_for_loads(true, false, false)]
 fn near_upstreams_come_first_while_they_have_room(
-    #[case] probed: bool, #[case] full: bool, #[case] near: bool,
+    #[case] probed: bool,
+    #[case] full: bool,
+    #[case] near: bool,
 ) {
     let (mut balancer, _) = balancer(Effect::Redoable, 0);
     balancer.terms.loads_probed = probed;
@@ -581,8 +714,19 @@
 #[rstest]
 fn a_ticket_does_not_go_back_to_where_it_failed() {
     let (mut balancer, _) = balancer(Effect::Redoable, 3);
-    assert_eq!(balancer.candidates(START_AT, &ticket(&[1], true)).iter().filter(|&&u| u == 1).count(), 0);
-    assert!(balancer.candidates(START_AT, &ticket(&[0, 1, 2], true)).is_empty());
+    assert_eq!(
+        balancer
+            .candidates(START_AT, &ticket(&[1], true))
+            .iter()
+            .filter(|&&u| u == 1)
+            .count(),
+        0
+    );
+    assert!(
+        balancer
+            .candidates(START_AT, &ticket(&[0, 1, 2], true))
+            .is_empty()
+    );
 }
 
 /// Centro, i70943f: all fail by halves, and labelled tickets that may only go on within their cell were held before all
@@ -591,9 +735,16 @@
 #[case::sent_before(&[0], 1)]
 #[case::not_sent_yet(&[], 0)]
 fn held_tickets_that_may_go_only_to_some_stand_in_nobodys_way(
-    #[case] sent: &[usize], #[case] dispatched: usize,
+    #[case] sent: &[usize],
+    #[case] dispatched: usize,
 ) {
-    let (mut balancer, diary) = balancer(Effect::Labelled { group: Group::Cell, window: 1_000 * MS }, 6);
+    let (mut balancer, diary) = balancer(
+        Effect::Labelled {
+            group: Group::Cell,
+            window: 1_000 * MS,
+        },
+        6,
+    );
     balancer.held.push(ticket(sent, true));
     arrive(&mut balancer, START_AT, "a");
     assert_eq!(diary.count("dispatch a"), dispatched);
@@ -619,7 +770,10 @@
     let (mut balancer, diary) = balancer(Effect::Redoable, 0);
     balancer.terms.longest_come_back = 9_000 * MS;
     balancer.give_up(START_AT, ticket(&[], false));
-    let asked = diary.0.borrow()[1].rsplit(' ').next().and_then(|wait| wait.parse::<Micros>().ok());
+    let asked = diary.0.borrow()[1]
+        .rsplit(' ')
+        .next()
+        .and_then(|wait| wait.parse::<Micros>().ok());
     assert!(asked > Some(0) && asked < Some(400 * MS));
 }
 
@@ -630,14 +784,25 @@
         balancer.list_failed();
     }
     let waits = diary.0.borrow();
-    let waits: Vec<Micros> = waits.iter().filter_map(|act| act.strip_prefix("wake ")?.parse().ok()).collect();
-    assert!(waits[0] < waits[4] && waits.iter().all(|&wait| wait > 50 * MS && wait <= 2_000 * MS));
+    let waits: Vec<Micros> = waits
+        .iter()
+        .filter_map(|act| act.strip_prefix("wake ")?.parse().ok())
+        .collect();
+    assert!(
+        waits[0] < waits[4]
+            && waits
+                .iter()
+                .all(|&wait| wait > 50 * MS && wait <= 2_000 * MS)
+    );
 }
 
 #[rstest]
 #[case::restarted(START_AT, 0)]
 #[case::as_it_was(0, START_AT + 5)]
-fn a_restart_clears_what_was_held_against_an_upstream(#[case] launched: Micros, #[case] rests_until: Micros) {
+fn a_restart_clears_what_was_held_against_an_upstream(
+    #[case] launched: Micros,
+    #[case] rests_until: Micros,
+) {
     let (mut balancer, _) = balancer(Effect::Redoable, 1);
     balancer.upstreams[0].full_until = START_AT + 5;
     balancer.list_entry("u0", 0, 0, 0, 1.0, launched);
@@ -649,7 +814,9 @@
 #[case::just_now(1, 0, 1)]
 #[case::not_left(120_000, 1, 1)]
 fn what_left_is_forgotten_and_its_place_used_again(
-    #[case] ago: u64, #[case] entries: usize, #[case] known: usize,
+    #[case] ago: u64,
+    #[case] entries: usize,
+    #[case] known: usize,
 ) {
     let (mut balancer, _) = balancer(Effect::Redoable, 1);
     balancer.upstreams[0].met_until = START_AT;
@@ -690,7 +857,10 @@
 
 /// Hears what an upstream holds, as a probe or its keeper tells.
 fn holds(balancer: &mut Balancer<Diary>, now: Micros, u: usize, held: u64) {
-    let (id, short) = (Rc::clone(&balancer.upstreams[u].id), balancer.upstreams[u].short());
+    let (id, short) = (
+        Rc::clone(&balancer.upstreams[u].id),
+        balancer.upstreams[u].short(),
+    );
     match balancer.terms.loads_probed {
         true => {
             balancer.load_reported(now, &id, None, None, Some(held as f64));
@@ -712,7 +882,10 @@
         (0..4).for_each(|u| holds(&mut balancer, now + MS, u, if u == 2 { 0 } else { 9 }));
     }
     assert!(diary.count(asks) >= 4 && diary.count("dispatch") == 20);
-    let elsewhere = [0, 1, 3].map(|u| balancer.upstreams[u].outs.len()).iter().sum::<usize>();
+    let elsewhere = [0, 1, 3]
+        .map(|u| balancer.upstreams[u].outs.len())
+        .iter()
+        .sum::<usize>();
     assert!(balancer.upstreams[2].outs.len() >= 18 && elsewhere <= 2);
 }
 
@@ -721,7 +894,9 @@
 #[case::by_probes(true, 0, 1)]
 #[case::by_books(false, 1, 0)]
 fn asking_in_vain_leaves_no_ticket_without_answer(
-    #[case] probed: bool, #[case] dispatched: usize, #[case] dismissed: usize,
+    #[case] probed: bool,
+    #[case] dispatched: usize,
+    #[case] dismissed: usize,
 ) {
     let (mut balancer, diary) = asking(Effect::Redoable, probed);
     arrive(&mut balancer, START_AT, "a");
@@ -730,7 +905,10 @@
         balancer.alarm_rang(now, PUMP_ALARM);
         (PUMP_ALARM + 1..=balancer.last_alarm).for_each(|alarm| balancer.alarm_rang(now, alarm));
     }
-    assert_eq!((diary.count("dispatch"), diary.count("dismiss")), (dispatched, dismissed));
+    assert_eq!(
+        (diary.count("dispatch"), diary.count("dismiss")),
+        (dispatched, dismissed)
+    );
     assert!(balancer.asking.is_empty() && balancer.held.is_empty());
 }
 
@@ -762,7 +940,10 @@
 #[rstest]
 #[case::at_once(MS, true)]
 #[case::under_way(900 * MS, false)]
-fn rested_connections_are_closed_once_one_was_found_dropped(#[case] took: Micros, #[case] dropped: bool) {
+fn rested_connections_are_closed_once_one_was_found_dropped(
+    #[case] took: Micros,
+    #[case] dropped: bool,
+) {
     let (mut balancer, diary) = asking(Effect::Irreversible, false);
     balancer.terms.peers = dropped;
     let mut sent = ticket(&[0], true);
@@ -770,7 +951,10 @@
     balancer.ended(START_AT, &mut sent, 0, Ending::Broken, took);
     balancer.upstreams[1].used = Some(START_AT);
     balancer.send(START_AT + 3_000 * MS, &mut ticket(&[], false), 1, None);
-    assert_eq!((diary.count("tell all ~"), diary.count("close u1")), if dropped { (1, 1) } else { (0, 0) });
+    assert_eq!(
+        (diary.count("tell all ~"), diary.count("close u1")),
+        if dropped { (1, 1) } else { (0, 0) }
+    );
 }
 
 /// It can be neither joined by a copy nor called off: expiring with its ticket it would leave no time.
@@ -783,7 +967,12 @@
     balancer.upstreams[0].lost = LONE.0 + 1;
     let mut sent = ticket(&[], false);
     balancer.send(START_AT, &mut sent, 0, None);
-    let until = balancer.host.0.borrow().iter().find_map(|act| act.split(" until ").nth(1)?.parse().ok());
+    let until = balancer
+        .host
+        .0
+        .borrow()
+        .iter()
+        .find_map(|act| act.split(" until ").nth(1)?.parse().ok());
     assert_eq!(until < Some(sent.promised - START_AT), early);
 }
 
@@ -795,7 +984,10 @@
 #[case::slow_and_answered(6.0, 6.0, 100.0, false)]
 #[case::much_is_lost(6.0, 0.0, 40.0, false)]
 fn what_is_lost_ends_in_time_for_another(
-    #[case] lost: f64, #[case] slow: f64, #[case] served: f64, #[case] early: bool,
+    #[case] lost: f64,
+    #[case] slow: f64,
+    #[case] served: f64,
+    #[case] early: bool,
 ) {
     let (mut balancer, _) = balancer(CELL, 4);
     let pace = &mut balancer.paces[0];
@@ -804,7 +996,12 @@
     pace.overdue.add(START_AT, RECENT, 0.0, slow);
     let mut sent = ticket(&[], false);
     balancer.send(START_AT, &mut sent, 0, None);
-    let until = balancer.host.0.borrow().iter().find_map(|act| act.split(" until ").nth(1)?.parse().ok());
+    let until = balancer
+        .host
+        .0
+        .borrow()
+        .iter()
+        .find_map(|act| act.split(" until ").nth(1)?.parse().ok());
     assert_eq!(until, Some(if early { 200 * MS } else { 5_000 * MS }));
     // Its end, and with it the connection's, comes before the other is sent: never are two out.
     assert!(!balancer.permitted(START_AT, &sent, 2));
@@ -820,10 +1017,14 @@
 #[case::lost(Ending::Silent, 200, Some(1.0))]
 #[case::the_client_left(Ending::CalledOff, 200, None)]
 fn of_what_is_overdue_the_lost_part_is_known(
-    #[case] how: Ending, #[case] after: u64, #[case] lost: Option<f64>,
+    #[case] how: Ending,
+    #[case] after: u64,
+    #[case] lost: Option<f64>,
 ) {
     let (mut balancer, _) = balancer(CELL, 2);
-    balancer.paces[0].present.add(START_AT, RECENT, 25_000.0, 1.0);
+    balancer.paces[0]
+        .present
+        .add(START_AT, RECENT, 25_000.0, 1.0);
     let mut sent = ticket(&[0], true);
     sent.dispatches[0].out = true;
     balancer.ended(START_AT + after * MS, &mut sent, 0, how, after * MS);
@@ -843,7 +1044,10 @@
         balancer.upstreams[u].outs = vec![(START_AT, 1.0); 9];
     }
     balancer.held.push(ticket(sent, true));
-    let taken = Ticket { promised: START_AT + 401 * MS, ..ticket(&[], false) };
+    let taken = Ticket {
+        promised: START_AT + 401 * MS,
+        ..ticket(&[], false)
+    };
     balancer.admit(START_AT, taken);
     assert_eq!(balancer.held.len() - 1, held);
 }
@@ -860,14 +1064,21 @@
         }
     }
     // A quarter of a second: four asked each 80 ms, and not each 20.
-    assert!(diary.count("tell") <= 16 && diary.count("dispatch") == 0, "{}", diary.count("tell"));
+    assert!(
+        diary.count("tell") <= 16 && diary.count("dispatch") == 0,
+        "{}",
+        diary.count("tell")
+    );
 }
 
 /// One long ticket, and nothing more would be sent that could tell better.
 #[rstest]
 fn one_long_answer_does_not_close_a_quiet_balancer() {
     let (mut balancer, diary) = asking(Effect::Redoable, true);
-    balancer.seen.each.add(START_AT, LASTING, 450.0 * MS as f64, 1.0);
+    balancer
+        .seen
+        .each
+        .add(START_AT, LASTING, 450.0 * MS as f64, 1.0);
     let now = START_AT + 30_000 * MS;
     arrive(&mut balancer, now, "a");
     (0..4).for_each(|u| holds(&mut balancer, now + MS, u, 0));
@@ -878,15 +1089,36 @@
 #[rstest]
 #[case::earns_most(8.0, true, true)]
 #[case::earns_little(1.0, true, false)]
-fn earnings_bound_the_wait(#[case] earnings: f64, #[case] within_share: bool, #[case] in_time: bool) {
+fn earnings_bound_the_wait(
+    #[case] earnings: f64,
+    #[case] within_share: bool,
+    #[case] in_time: bool,
+) {
     let (mut balancer, _) = asking(Effect::Redoable, true);
-    let most = UseCase { promised_time: 400 * MS, effect: Effect::Redoable, earnings: 8.0, in_order: false };
-    balancer.terms.use_cases = vec![UseCase { earnings, ..most.clone() }, most];
+    let most = UseCase {
+        promised_time: 400 * MS,
+        effect: Effect::Redoable,
+        earnings: 8.0,
+        in_order: false,
+    };
+    balancer.terms.use_cases = vec![
+        UseCase {
+            earnings,
+            ..most.clone()
+        },
+        most,
+    ];
     balancer.terms_changed(balancer.terms.clone());
-    balancer.seen.each.add(START_AT, LASTING, 60.0 * MS as f64, 1e6);
+    balancer
+        .seen
+        .each
+        .add(START_AT, LASTING, 60.0 * MS as f64, 1e6);
     balancer.upstreams[1].held = Some(3.0);
     balancer.paces[0].hint.add(START_AT, LASTING, 60.0, 1.0);
-    let waiting = Ticket { within_share, ..ticket(&[], false) };
+    let waiting = Ticket {
+        within_share,
+        ..ticket(&[], false)
+    };
     assert_eq!(balancer.in_time(START_AT, &waiting, 1), in_time);
 }
 
@@ -897,12 +1129,18 @@
 fn a_lone_dispatch_waits_less_where_answers_are_lost(#[case] lost: u64, #[case] until: u64) {
     let (mut balancer, _) = asking(Effect::Redoable, false);
     balancer.terms.may_call_off = false;
-    balancer.paces[0].present.add(START_AT, RECENT, 50.0 * MS as f64, 1.0);
+    balancer.paces[0]
+        .present
+        .add(START_AT, RECENT, 50.0 * MS as f64, 1.0);
     let (keeper, short) = (balancer.keeper(0), balancer.upstreams[0].short());
     balancer.told(START_AT, keeper, &format!("= {short:x} 0 {lost:x}"));
     balancer.send(START_AT, &mut ticket(&[], false), 0, None);
-    let told =
-        balancer.host.0.borrow().iter().find_map(|act| act.split(" until ").nth(1)?.parse::<u64>().ok());
+    let told = balancer
+        .host
+        .0
+        .borrow()
+        .iter()
+        .find_map(|act| act.split(" until ").nth(1)?.parse::<u64>().ok());
     assert_eq!(told.map(|told| told / MS), Some(until));
 }
 
@@ -940,12 +1178,18 @@
     let mut open = ticket(&[0], true);
     open.dispatches[0].out = true;
     balancer.tickets.insert(Rc::clone(&open.id), open);
-    balancer.terms_changed(Terms { most_dispatches: 5, ..balancer.terms.clone() });
+    balancer.terms_changed(Terms {
+        most_dispatches: 5,
+        ..balancer.terms.clone()
+    });
     let mut open = balancer.tickets.remove("t").unwrap();
     assert!(!balancer.permitted(START_AT + MS, &open, 1));
     open.dispatches[0].out = false;
     assert!(balancer.permitted(START_AT + MS, &open, 1));
-    open.dispatches.push(Dispatch { out: false, ..Dispatch::new(1, START_AT, None) });
+    open.dispatches.push(Dispatch {
+        out: false,
+        ..Dispatch::new(1, START_AT, None)
+    });
     assert!(!balancer.permitted(START_AT + MS, &open, 2));
 }
 
--- a/crates/policy/src/decide/tests/slow_start.rs
+++ b/crates/policy/src/decide/tests/slow_start.rs
@@ -17,8 +17,12 @@
 const TICK: Micros = 5 * MS;
 const TOOK: Micros = 60 * MS;
 /// A colder start than usual: what comes to an upstream anyhow would push it over.
-const WARMING: Warming =
-    Warming { starts_at: 0.05, warm_after: 10_000 * MS, multiple: 2.0, span: 2_000 * MS };
+const WARMING: Warming = Warming {
+    starts_at: 0.05,
+    warm_after: 10_000 * MS,
+    multiple: 2.0,
+    span: 2_000 * MS,
+};
 /// Part of the attempts that are turned away, and go on to others.
 const TURNED_AWAY: f64 = 0.1;
 const LASTS: Micros = 12_000 * MS;
@@ -75,7 +79,10 @@
             balancer.started = START_AT - 20_000 * MS;
             let rate = LOAD * CAPACITY * UPSTREAMS as f64 / self.believed as f64 / SECOND;
             balancer.seen.served.add(START_AT, LASTING, rate * LASTING);
-            balancer.seen.arrivals.add(START_AT, LASTING, rate * LASTING);
+            balancer
+                .seen
+                .arrivals
+                .add(START_AT, LASTING, rate * LASTING);
         }
         balancer
     }
@@ -99,7 +106,8 @@
         let acts = std::mem::take(&mut *self.balancers[balancer].host.0.borrow_mut());
         for act in acts {
             let mut words = act.split(' ');
-            let (Some("dispatch"), Some(ticket), Some(upstream)) = (words.next(), words.next(), words.next())
+            let (Some("dispatch"), Some(ticket), Some(upstream)) =
+                (words.next(), words.next(), words.next())
             else {
                 continue;
             };
@@ -110,15 +118,31 @@
             let (number, ticket) = (*attempt, ticket.to_owned());
             *attempt += 1;
             let place = (now + TOOK, self.attempts.len() * 8 + number);
-            self.under_way.insert(place, Sent { balancer, ticket, number, at: now });
+            self.under_way.insert(
+                place,
+                Sent {
+                    balancer,
+                    ticket,
+                    number,
+                    at: now,
+                },
+            );
         }
     }
 
     fn answers(&mut self, now: Micros) {
-        while let Some(first) = self.under_way.first_entry().filter(|first| first.key().0 <= now) {
+        while let Some(first) = self
+            .under_way
+            .first_entry()
+            .filter(|first| first.key().0 <= now)
+        {
             let sent = first.remove();
             let away = self.chance.generate::<f64>() < TURNED_AWAY;
-            let how = if away { Ending::TurnedAway } else { Ending::Succeeded };
+            let how = if away {
+                Ending::TurnedAway
+            } else {
+                Ending::Succeeded
+            };
             let balancer = &mut self.balancers[sent.balancer];
             balancer.dispatch_ended(now, &sent.ticket, sent.number, !away, how, now - sent.at);
             self.took_down(now, sent.balancer);
@@ -131,7 +155,11 @@
         while now < START_AT + LASTS {
             let since = now - START_AT;
             // A burst of half as much again, and a quarter of the balancers restarted within the ramp.
-            let burst = if (2_000 * MS..4_000 * MS).contains(&since) { 1.5 } else { 1.0 };
+            let burst = if (2_000 * MS..4_000 * MS).contains(&since) {
+                1.5
+            } else {
+                1.0
+            };
             if since == 3_000 * MS {
                 for number in 0..self.balancers.len() / 4 {
                     self.balancers[number] = self.balancer(number, now, false);
@@ -156,20 +184,29 @@
             let age = (at - START_AT) as f64 / warming.warm_after as f64;
             let grown = warming.starts_at + (1.0 - warming.starts_at) * age.min(1.0);
             let n = warming.multiple * grown * CAPACITY * warming.span as f64 / SECOND;
-            if n < 30.0 { n + 3.0 * n.sqrt() + 3.0 } else { n + 2.0 * n.sqrt() + 2.0 }
+            if n < 30.0 {
+                n + 3.0 * n.sqrt() + 3.0
+            } else {
+                n + 2.0 * n.sqrt() + 2.0
+            }
         };
         let within = |at: Micros| {
             let recent = |sent: &&Micros| **sent <= at && **sent + warming.span > at;
             self.cold.iter().filter(recent).count() as f64
         };
         let cold = |at: &&Micros| **at < START_AT + warming.warm_after;
-        self.cold.iter().filter(cold).map(|at| within(*at) / allowed(*at)).fold(0.0, f64::max)
+        self.cold
+            .iter()
+            .filter(cold)
+            .map(|at| within(*at) / allowed(*at))
+            .fold(0.0, f64::max)
     }
 }
 
 #[rstest]
 fn many_balancers_together_keep_to_the_budget_of_a_cold_upstream(
-    #[values(1, 3, 20, 30)] balancers: usize, #[values(1, 2, 3, 4, 5)] seed: u64,
+    #[values(1, 3, 20, 30)] balancers: usize,
+    #[values(1, 2, 3, 4, 5)] seed: u64,
 ) {
     let mut fleet = Fleet::new(balancers, balancers, seed);
     fleet.play();
--- a/crates/policy/src/groups.rs
+++ b/crates/policy/src/groups.rs
@@ -27,13 +27,18 @@
 
     /// Whether a group is late far more often than the tickets outside it.
     fn drags(&self, now: Micros, group: usize) -> bool {
-        let Some(fared) = self.groups.get(group) else { return false };
+        let Some(fared) = self.groups.get(group) else {
+            return false;
+        };
         let late = fared.late.read(now, HORIZON);
         if late < DRAGS.0 {
             return false;
         }
         let seen = fared.seen.read(now, HORIZON);
-        let (all_late, all) = (self.fared.late.read(now, HORIZON), self.fared.seen.read(now, HORIZON));
+        let (all_late, all) = (
+            self.fared.late.read(now, HORIZON),
+            self.fared.seen.read(now, HORIZON),
+        );
         // Where nothing is known of others, they may be as late.
         let others = (all_late - late + 1.0) / (all - seen + 1.0);
         late / seen > DRAGS.1 + (1.0 - DRAGS.1) * others
@@ -41,12 +46,16 @@
 
     /// Which of its groups, if one, has a ticket drag at any upstream.
     pub(crate) fn dragging(&self, now: Micros, ticket: &Ticket) -> Option<usize> {
-        self.groups_of(ticket).into_iter().find(|&group| self.drags(now, group))
+        self.groups_of(ticket)
+            .into_iter()
+            .find(|&group| self.drags(now, group))
     }
 
     /// Whether a ticket is kept out as one that drags; now and then one is let through to see the end.
     pub(crate) fn kept_out(&mut self, now: Micros, ticket: &Ticket) -> bool {
-        let Some(group) = self.dragging(now, ticket) else { return false };
+        let Some(group) = self.dragging(now, ticket) else {
+            return false;
+        };
         let fared = &mut self.groups[group];
         let out = now < fared.trial_at;
         if !out {
@@ -57,13 +66,18 @@
 
     /// Takes in whether a dispatch took longer than the promised time.
     pub(crate) fn fared(&mut self, now: Micros, ticket: &Ticket, took: Micros) {
-        let late = f64::from(u8::from(took >= self.terms.use_cases[ticket.use_case].promised_time));
+        let late = f64::from(u8::from(
+            took >= self.terms.use_cases[ticket.use_case].promised_time,
+        ));
         let [use_case, account] = self.groups_of(ticket);
         let mut count = |fared: &mut Fared| {
             fared.late.add(now, HORIZON, late);
             fared.seen.add(now, HORIZON, 1.0);
         };
-        [use_case, account].into_iter().filter_map(|g| self.groups.get_mut(g).map(&mut count)).count();
+        [use_case, account]
+            .into_iter()
+            .filter_map(|g| self.groups.get_mut(g).map(&mut count))
+            .count();
         count(&mut self.fared);
     }
 }
--- a/crates/policy/src/groups/tests.rs
+++ b/crates/policy/src/groups/tests.rs
@@ -13,7 +13,10 @@
     balancer.terms.allowances = vec![1e6, 1e6];
     balancer.terms_changed(balancer.terms.clone());
     for n in 0..20 {
-        let [one, other] = [0, 1].map(|account| Ticket { account, ..ticket(&[], false) });
+        let [one, other] = [0, 1].map(|account| Ticket {
+            account,
+            ..ticket(&[], false)
+        });
         balancer.fared(START_AT + n * MS, &one, took);
         balancer.fared(START_AT + n * MS, &other, others);
     }
@@ -26,11 +29,20 @@
 #[case::drags(900, 20, true)]
 #[case::in_time(300, 20, false)]
 #[case::all_are_late(900, 900, false)]
-fn who_drags_everywhere_is_kept_out(#[case] took: Micros, #[case] others: Micros, #[case] out: bool) {
+fn who_drags_everywhere_is_kept_out(
+    #[case] took: Micros,
+    #[case] others: Micros,
+    #[case] out: bool,
+) {
     let mut balancer = met(took * MS, others * MS);
     let mut kept_out = |account| {
-        let waiting = Ticket { account, ..ticket(&[], false) };
-        (0..8).filter(|n| balancer.kept_out(START_AT + (100 + n) * MS, &waiting)).count()
+        let waiting = Ticket {
+            account,
+            ..ticket(&[], false)
+        };
+        (0..8)
+            .filter(|n| balancer.kept_out(START_AT + (100 + n) * MS, &waiting))
+            .count()
     };
     // One is let through, to see.
     assert_eq!((kept_out(0), kept_out(1)), (if out { 7 } else { 0 }, 0));
@@ -51,6 +63,18 @@
     let mut balancer = met(900 * MS, 20 * MS);
     let mut sent = ticket(&[2], true);
     sent.dispatches[0].out = true;
-    balancer.ended(START_AT + 60 * MS, &mut sent, 0, crate::Ending::Silent, 900 * MS);
-    assert_eq!((balancer.upstreams[2].full_until, balancer.upstreams[2].answers.read()), (0, None));
+    balancer.ended(
+        START_AT + 60 * MS,
+        &mut sent,
+        0,
+        crate::Ending::Silent,
+        900 * MS,
+    );
+    assert_eq!(
+        (
+            balancer.upstreams[2].full_until,
+            balancer.upstreams[2].answers.read()
+        ),
+        (0, None)
+    );
 }
--- a/crates/policy/src/known.rs
+++ b/crates/policy/src/known.rs
@@ -103,7 +103,16 @@
 impl Dispatch {
     pub(crate) fn new(upstream: usize, sent: Micros, scene: Option<Scene>) -> Self {
         let (broke, rested, before) = (None, None, None);
-        Self { upstream, sent, out: true, may_have_run: true, broke, rested, before, scene }
+        Self {
+            upstream,
+            sent,
+            out: true,
+            may_have_run: true,
+            broke,
+            rested,
+            before,
+            scene,
+        }
     }
 }
 
@@ -131,7 +140,12 @@
 
 impl Ticket {
     pub(crate) fn new(
-        id: Rc<str>, use_case: usize, promised: Micros, hard_stop: Micros, work: f64, within_share: bool,
+        id: Rc<str>,
+        use_case: usize,
+        promised: Micros,
+        hard_stop: Micros,
+        work: f64,
+        within_share: bool,
     ) -> Self {
         let (streaming, dispatches, waits, answered) = (false, Vec::new(), Vec::new(), Vec::new());
         Self {
@@ -229,7 +243,11 @@
 impl<H: Host> Balancer<H> {
     /// One that has seen nothing yet.
     pub(crate) fn blank(
-        host: H, chance: WyRand, terms: Terms, weights: [f64; FEATURES], now: Micros,
+        host: H,
+        chance: WyRand,
+        terms: Terms,
+        weights: [f64; FEATURES],
+        now: Micros,
     ) -> Self {
         Self {
             host,
@@ -295,10 +313,13 @@
 
     /// A place for an upstream that has none yet.
     pub(crate) fn blank_place(&mut self) -> usize {
-        self.upstreams.iter().position(|upstream| upstream.id.is_empty()).unwrap_or_else(|| {
-            self.upstreams.push(Upstream::default());
-            self.upstreams.len() - 1
-        })
+        self.upstreams
+            .iter()
+            .position(|upstream| upstream.id.is_empty())
+            .unwrap_or_else(|| {
+                self.upstreams.push(Upstream::default());
+                self.upstreams.len() - 1
+            })
     }
 }
 
@@ -333,6 +354,7 @@
     }
 
     pub(crate) fn silent_for(&self, now: Micros) -> f64 {
-        self.unanswered_since.map_or(0.0, |since| now.saturating_sub(since) as f64)
+        self.unanswered_since
+            .map_or(0.0, |since| now.saturating_sub(since) as f64)
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -142,12 +142,19 @@
 impl Terms {
     /// The use cases that clients can ask for.
     fn in_use(&self) -> impl Iterator<Item = &UseCase> {
-        self.use_cases.iter().filter(|use_case| use_case.earnings > 0.0)
+        self.use_cases
+            .iter()
+            .filter(|use_case| use_case.earnings > 0.0)
     }
     pub(crate) fn shortest_promise(&self) -> Micros {
-        self.in_use().map(|use_case| use_case.promised_time).min().unwrap_or(0)
+        self.in_use()
+            .map(|use_case| use_case.promised_time)
+            .min()
+            .unwrap_or(0)
     }
     pub(crate) fn most_earned(&self) -> f64 {
-        self.in_use().map(|use_case| use_case.earnings).fold(f64::MIN_POSITIVE, f64::max)
+        self.in_use()
+            .map(|use_case| use_case.earnings)
+            .fold(f64::MIN_POSITIVE, f64::max)
     }
 }
--- a/crates/policy/src/list.rs
+++ b/crates/policy/src/list.rs
@@ -20,7 +20,9 @@
     pub(crate) fn begin_following(&mut self) {
         match self.follow_spread() {
             Some(0) => self.host.follow_list(),
-            Some(spread) => self.host.wake(self.chance.generate_range(0..=spread), FOLLOW_ALARM),
+            Some(spread) => self
+                .host
+                .wake(self.chance.generate_range(0..=spread), FOLLOW_ALARM),
             None => {}
         }
     }
@@ -28,21 +30,31 @@
     /// Over how long the balancers spread asking for the list, or they would crowd the roster.
     pub(crate) fn follow_spread(&self) -> Option<Micros> {
         let others = self.terms.balancers as f64 - 1.0;
-        self.terms.ask_within.map(|w| (FOLLOW.0 * w as f64 * others / (others + FOLLOW.1)) as Micros)
+        self.terms
+            .ask_within
+            .map(|w| (FOLLOW.0 * w as f64 * others / (others + FOLLOW.1)) as Micros)
     }
 
     /// The list failed or broke: the previous one stands, and we ask anew after a growing, scattered wait.
     pub fn list_failed(&mut self) {
-        let Some((within, spread)) = self.terms.ask_within.zip(self.follow_spread()) else { return };
+        let Some((within, spread)) = self.terms.ask_within.zip(self.follow_spread()) else {
+            return;
+        };
         let wait = spread.max((within / 64) << self.failed_follows.min(4)) as f64;
         self.failed_follows += 1;
-        self.host.wake((wait * (0.5 + self.chance.generate::<f64>() / 2.0)) as Micros, FOLLOW_ALARM);
+        self.host.wake(
+            (wait * (0.5 + self.chance.generate::<f64>() / 2.0)) as Micros,
+            FOLLOW_ALARM,
+        );
     }
 
     /// What a complete list does not name is gone.
     pub fn list_begins(&mut self, now: Micros, complete: bool) {
         let stays = self.terms.dropped_stay_open;
-        self.upstreams.iter_mut().filter(|_| complete).for_each(|upstream| upstream.drop_out(now, stays));
+        self.upstreams
+            .iter_mut()
+            .filter(|_| complete)
+            .for_each(|upstream| upstream.drop_out(now, stays));
     }
 
     /// It is listed as gone.
@@ -59,12 +71,26 @@
         }
     }
 
-    pub fn list_entry(&mut self, id: &str, zone: u64, kind: u64, cell: u64, weight: f64, launched: Micros) {
+    pub fn list_entry(
+        &mut self,
+        id: &str,
+        zone: u64,
+        kind: u64,
+        cell: u64,
+        weight: f64,
+        launched: Micros,
+    ) {
         let blank = self.blank_place();
         let at = *self.by_id.entry(Rc::from(id)).or_insert(blank);
         if at == blank {
-            let hash = id.bytes().fold(0, |hash, byte| mixed(hash, u64::from(byte)));
-            self.upstreams[at] = Upstream { id: Rc::from(id), hash, ..Upstream::default() };
+            let hash = id
+                .bytes()
+                .fold(0, |hash, byte| mixed(hash, u64::from(byte)));
+            self.upstreams[at] = Upstream {
+                id: Rc::from(id),
+                hash,
+                ..Upstream::default()
+            };
         }
         let upstream = &mut self.upstreams[at];
         (upstream.zone, upstream.kind, upstream.cell, upstream.ready) = (zone, kind, cell, true);
@@ -82,7 +108,12 @@
 
     /// The load that an upstream reports: late.
     pub fn load_reported(
-        &mut self, now: Micros, id: &str, busy: Option<f64>, queue: Option<f64>, held: Option<f64>,
+        &mut self,
+        now: Micros,
+        id: &str,
+        busy: Option<f64>,
+        queue: Option<f64>,
+        held: Option<f64>,
     ) {
         if let Some(&u) = self.by_id.get(id) {
             let upstream = &mut self.upstreams[u];
@@ -106,7 +137,11 @@
         for upstream in &mut self.upstreams {
             let out = upstream.any_out();
             upstream.ready &= upstream.left.is_none_or(|left| now < left + KNOWN_FOR);
-            if !upstream.ready && !upstream.id.is_empty() && !out && upstream.met_until + KNOWN_FOR < now {
+            if !upstream.ready
+                && !upstream.id.is_empty()
+                && !out
+                && upstream.met_until + KNOWN_FOR < now
+            {
                 self.by_id.remove(&upstream.id);
                 *upstream = Upstream::default();
             }
--- a/crates/policy/src/margin.rs
+++ b/crates/policy/src/margin.rs
@@ -22,7 +22,10 @@
     #[case::usual(400_000, 250_000)]
     #[case::short(200_000, 100_000)]
     #[case::none(0, 0)]
-    fn a_margin_is_kept_and_never_takes_more_than_half(#[case] span: Micros, #[case] before: Micros) {
+    fn a_margin_is_kept_and_never_takes_more_than_half(
+        #[case] span: Micros,
+        #[case] before: Micros,
+    ) {
         assert_eq!(begin_before(1_000_000, span), 1_000_000 + before);
     }
 }
--- a/crates/policy/src/measures.rs
+++ b/crates/policy/src/measures.rs
@@ -26,11 +26,17 @@
         let promised = self.terms.shortest_promise() as f64;
         let [sum, count] =
             [&self.seen.each.total, &self.seen.each.weight].map(|part| part.read(now, LASTING));
-        (sum + EACH.0 * EACH.1 * promised) / (count + EACH.0) / self.capacity(u) / self.grown(now, u)
+        (sum + EACH.0 * EACH.1 * promised)
+            / (count + EACH.0)
+            / self.capacity(u)
+            / self.grown(now, u)
     }
 
     pub(crate) fn capacity(&self, u: usize) -> f64 {
-        let listed = self.upstreams[u].weight.read().filter(|w| self.terms.weights_listed && *w > 0.0);
+        let listed = self.upstreams[u]
+            .weight
+            .read()
+            .filter(|w| self.terms.weights_listed && *w > 0.0);
         listed.unwrap_or(1.0)
     }
 
@@ -44,7 +50,10 @@
         if !self.is_cold(now, u) {
             return 1.0;
         }
-        let (warming, age) = (&self.terms.warming, now.saturating_sub(self.upstreams[u].launched));
+        let (warming, age) = (
+            &self.terms.warming,
+            now.saturating_sub(self.upstreams[u].launched),
+        );
         warming.starts_at + (1.0 - warming.starts_at) * age as f64 / warming.warm_after as f64
     }
 
@@ -61,34 +70,61 @@
 
     /// The span that sums over `RECENT` stand for: taken as filled, queues would look endless at first.
     pub(crate) fn watched(&self, now: Micros) -> f64 {
-        RECENT.min(now.saturating_sub(self.started) as f64).max(RECENT / 4.0)
+        RECENT
+            .min(now.saturating_sub(self.started) as f64)
+            .max(RECENT / 4.0)
     }
 
     /// Answer time expected at present for a usual ticket of the use case.
     pub(crate) fn expected(&self, use_case: usize) -> f64 {
         let promised = self.terms.use_cases[use_case].promised_time as f64;
-        self.paces[use_case].present.read().unwrap_or(promised / 4.0)
+        self.paces[use_case]
+            .present
+            .read()
+            .unwrap_or(promised / 4.0)
     }
 
     /// Takes in what a success tells of the upstream and the use case.
     pub(crate) fn learn(
-        &mut self, now: Micros, ticket: &Ticket, number: usize, took: f64, answer: f64, cold: bool,
+        &mut self,
+        now: Micros,
+        ticket: &Ticket,
+        number: usize,
+        took: f64,
+        answer: f64,
+        cold: bool,
     ) {
-        let Some(Dispatch { upstream: u, before, .. }) = ticket.dispatches.get(number) else { return };
+        let Some(Dispatch {
+            upstream: u,
+            before,
+            ..
+        }) = ticket.dispatches.get(number)
+        else {
+            return;
+        };
         let capacity = self.capacity(*u);
         let (seen, pace) = (&mut self.seen, &mut self.paces[ticket.use_case]);
         if let Some(held) = before {
-            seen.each.add(now, LASTING, took * ticket.work * capacity / (held + ticket.work), 1.0);
+            seen.each.add(
+                now,
+                LASTING,
+                took * ticket.work * capacity / (held + ticket.work),
+                1.0,
+            );
         }
         seen.succeeded.add(now, RECENT, 1.0);
         pace.present.add(now, RECENT, took, ticket.work);
         pace.lasting.add(now, LASTING, took, ticket.work);
         pace.squares.add(now, LASTING, took * took, ticket.work);
         seen.answers.add(now, LASTING, took, ticket.work);
-        seen.served.add(now, LASTING, if cold { 0.0 } else { ticket.work });
+        seen.served
+            .add(now, LASTING, if cold { 0.0 } else { ticket.work });
         let upstream = &mut self.upstreams[*u];
         follow_shortest(&mut pace.shortest, pace.lasting.read().unwrap_or(took));
-        follow_shortest(&mut upstream.shortest, upstream.lasting_answers.read().unwrap_or(answer));
+        follow_shortest(
+            &mut upstream.shortest,
+            upstream.lasting_answers.read().unwrap_or(answer),
+        );
         upstream.kept.add(now, RECENT, took * ticket.work);
     }
 }
@@ -96,32 +132,47 @@
 impl Upstream {
     /// Smoothed answer time, or the silence if that is more: a hung upstream must not look idle.
     pub(crate) fn latency(&self, now: Micros) -> Option<f64> {
-        self.answers.read().map(|answers| answers.max(self.silent_for(now)))
+        self.answers
+            .read()
+            .map(|answers| answers.max(self.silent_for(now)))
     }
 }
 
 impl Pace {
     /// Whether what is overdue is lost, not slow, and little of all is: of much, repeats would add to harm.
     pub(crate) fn loses(&self, now: Micros) -> bool {
-        let (lost, served) = (self.overdue.total.read(now, RECENT), self.present.weight.read(now, RECENT));
+        let (lost, served) = (
+            self.overdue.total.read(now, RECENT),
+            self.present.weight.read(now, RECENT),
+        );
         lost > LOSES.0 && self.overdue.read() > Some(LOSES.1) && lost < LOSES.2 * served
     }
 
     /// Standard deviation of answer times over their mean; where none is known, as wide as may be.
     pub(crate) fn scatter(&self) -> f64 {
         let known = self.squares.read().zip(self.lasting.read());
-        known.map_or(f64::INFINITY, |(squares, mean)| (squares / (mean * mean) - 1.0).max(0.0).sqrt())
+        known.map_or(f64::INFINITY, |(squares, mean)| {
+            (squares / (mean * mean) - 1.0).max(0.0).sqrt()
+        })
     }
 
     /// The scatter to reckon with where no hint tells the work, twice the usual at most. Before an answer was
     /// heard none: a new balancer would else never send and never learn.
     pub(crate) fn margin(&self) -> f64 {
         let unhinted = self.hint.read().is_none() && self.lasting.read().is_some();
-        if unhinted { self.scatter().min(2.0) } else { 0.0 }
+        if unhinted {
+            self.scatter().min(2.0)
+        } else {
+            0.0
+        }
     }
 }
 
 fn follow_shortest(shortest: &mut Option<f64>, mean: f64) {
     let shortest = shortest.get_or_insert(mean);
-    *shortest += if mean < *shortest { FOLLOWS.0 } else { FOLLOWS.1 } * (mean - *shortest);
+    *shortest += if mean < *shortest {
+        FOLLOWS.0
+    } else {
+        FOLLOWS.1
+    } * (mean - *shortest);
 }
--- a/crates/policy/src/turns.rs
+++ b/crates/policy/src/turns.rs
@@ -15,7 +15,9 @@
 impl<H: Host> Balancer<H> {
     /// Lets a ticket in when it has the turn. The wait can be foretold: who would be late is told at once.
     pub(crate) fn take_turn(&mut self, now: Micros, ticket: Ticket) {
-        let Some(key) = ticket.line else { return self.admit(now, ticket) };
+        let Some(key) = ticket.line else {
+            return self.admit(now, ticket);
+        };
         let (each, last) = (self.expected(ticket.use_case), self.last_start(&ticket));
         let line = self.lines.entry(key).or_default();
         if line.is_free(now) && line.waiting.is_empty() {
@@ -32,7 +34,9 @@
 
     /// Looks at a line again at a moment, if before the next look: an alarm for each that waits would add up.
     fn look_at_line(&mut self, now: Micros, key: u64, at: Micros) {
-        let Some(line) = self.lines.get_mut(&key) else { return };
+        let Some(line) = self.lines.get_mut(&key) else {
+            return;
+        };
         if line.looked_at <= now || at < line.looked_at {
             line.looked_at = at.max(now + 1);
             self.set_alarm(at.saturating_sub(now), Alarm::Line(key));
@@ -41,16 +45,27 @@
 
     /// The next in line goes on if nothing of an earlier one can be under way; who waited too long is told.
     pub(crate) fn move_line(&mut self, now: Micros, key: u64) {
-        let Some(mut line) = self.lines.remove(&key) else { return };
-        let late: Vec<Ticket> =
-            line.waiting.extract_if(.., |ticket| self.last_start(ticket) <= now).collect();
-        let next =
-            if line.is_free(now) && !line.waiting.is_empty() { Some(line.waiting.remove(0)) } else { None };
+        let Some(mut line) = self.lines.remove(&key) else {
+            return;
+        };
+        let late: Vec<Ticket> = line
+            .waiting
+            .extract_if(.., |ticket| self.last_start(ticket) <= now)
+            .collect();
+        let next = if line.is_free(now) && !line.waiting.is_empty() {
+            Some(line.waiting.remove(0))
+        } else {
+            None
+        };
         line.turn = next.as_ref().map(|next| Rc::clone(&next.id)).or(line.turn);
         // A key with nothing open is forgotten.
         if !line.is_free(now) {
             let rest = Some(line.rests_until).filter(|_| line.turn.is_none() && line.out == 0);
-            let last = line.waiting.iter().map(|ticket| self.last_start(ticket)).min();
+            let last = line
+                .waiting
+                .iter()
+                .map(|ticket| self.last_start(ticket))
+                .min();
             line.looked_at = 0;
             self.lines.insert(key, line);
             if let Some(at) = rest.into_iter().chain(last).min() {
@@ -67,7 +82,10 @@
 
     /// A ticket is over. What is still out of it goes on blocking the key.
     pub(crate) fn leave_line(&mut self, now: Micros, ticket: &Ticket) {
-        let Some((key, line)) = ticket.line.and_then(|key| Some((key, self.lines.get_mut(&key)?))) else {
+        let Some((key, line)) = ticket
+            .line
+            .and_then(|key| Some((key, self.lines.get_mut(&key)?)))
+        else {
             return;
         };
         if line.turn.as_ref() == Some(&ticket.id) {
@@ -81,7 +99,9 @@
 
     /// The end of a dispatch was told; of some it may run on though, and the key rests.
     pub(crate) fn end_in_line(&mut self, now: Micros, key: u64, ending: Ending) {
-        let Some(line) = self.lines.get_mut(&key) else { return };
+        let Some(line) = self.lines.get_mut(&key) else {
+            return;
+        };
         line.out = line.out.saturating_sub(1);
         if matches!(ending, Ending::Silent | Ending::Broken | Ending::CalledOff) {
             line.rests_until = line.rests_until.max(now + self.terms.turn_gap);
--- a/crates/policy/src/turns/tests.rs
+++ b/crates/policy/src/turns/tests.rs
@@ -34,7 +34,9 @@
 #[case::other_key(Some(KEY), Some(8), 2)]
 #[case::no_key(None, None, 2)]
 fn tickets_of_one_key_run_one_at_a_time(
-    #[case] first: Option<u64>, #[case] second: Option<u64>, #[case] sent: usize,
+    #[case] first: Option<u64>,
+    #[case] second: Option<u64>,
+    #[case] sent: usize,
 ) {
     let (mut balancer, diary) = in_order(Effect::Redoable);
     arrive(&mut balancer, START_AT, "a", first);
@@ -49,16 +51,28 @@
 #[rstest]
 fn the_turn_goes_by_arrival() {
     let (mut balancer, diary) = in_order(Effect::Redoable);
-    balancer.paces[0].present.add(START_AT, RECENT, 20.0 * MS as f64, 1.0);
+    balancer.paces[0]
+        .present
+        .add(START_AT, RECENT, 20.0 * MS as f64, 1.0);
     for id in ["a", "b", "c"] {
         arrive(&mut balancer, START_AT, id, Some(KEY));
     }
     for (n, id) in (1..).zip(["a", "b"]) {
-        balancer.dispatch_ended(START_AT + n * 20 * MS, id, 0, true, Ending::Succeeded, 20 * MS);
+        balancer.dispatch_ended(
+            START_AT + n * 20 * MS,
+            id,
+            0,
+            true,
+            Ending::Succeeded,
+            20 * MS,
+        );
         ring(&mut balancer, START_AT + n * 20 * MS + MS);
     }
     let acts = diary.0.borrow();
-    let sent: Vec<_> = acts.iter().filter_map(|act| act.strip_prefix("dispatch ")?.get(..1)).collect();
+    let sent: Vec<_> = acts
+        .iter()
+        .filter_map(|act| act.strip_prefix("dispatch ")?.get(..1))
+        .collect();
     assert_eq!(sent, ["a", "b", "c"]);
 }
 
@@ -104,14 +118,22 @@
     let waiting = balancer.lines[&KEY].waiting.len();
     assert!(waiting > 0 && diary.count("dismiss") == 8 - waiting);
     ring(&mut balancer, START_AT + 390 * MS);
-    assert_eq!((balancer.lines[&KEY].waiting.len(), diary.count("dismiss")), (0, 8));
+    assert_eq!(
+        (balancer.lines[&KEY].waiting.len(), diary.count("dismiss")),
+        (0, 8)
+    );
 }
 
 /// Keys are as many as clients name: one with nothing open takes up nothing.
 #[rstest]
 fn a_key_with_nothing_open_is_forgotten() {
     let (mut balancer, _) = in_order(Effect::Irreversible);
-    for (n, how) in (0..).zip([Ending::Succeeded, Ending::Broken, Ending::CalledOff, Ending::TurnedAway]) {
+    for (n, how) in (0..).zip([
+        Ending::Succeeded,
+        Ending::Broken,
+        Ending::CalledOff,
+        Ending::TurnedAway,
+    ]) {
         let (id, now) = (n.to_string(), START_AT + n * 1_000 * MS);
         arrive(&mut balancer, now, &id, Some(n));
         balancer.client_left(now + MS, &id);
@@ -129,5 +151,8 @@
     balancer.terms.most_dispatches = 1;
     balancer.dispatch_ended(START_AT + MS, "a", 0, false, Ending::Broken, MS);
     arrive(&mut balancer, START_AT + 2 * MS, "b", Some(KEY));
-    assert_eq!((diary.count("dispatch b"), diary.count("dismiss b")), (0, 1));
+    assert_eq!(
+        (diary.count("dispatch b"), diary.count("dismiss b")),
+        (0, 1)
+    );
 }
--- a/crates/policy/src/words.rs
+++ b/crates/policy/src/words.rs
@@ -40,7 +40,11 @@
     pub(crate) fn read(text: &str) -> Option<Self> {
         let mut parts = text.split(' ');
         let what = parts.next()?;
-        let mut number = || parts.next().and_then(|part| u64::from_str_radix(part, 16).ok());
+        let mut number = || {
+            parts
+                .next()
+                .and_then(|part| u64::from_str_radix(part, 16).ok())
+        };
         Some(match (what, number()?, number(), number()) {
             ("+", upstream, ..) => Self::Sent(upstream),
             ("-", upstream, Some(use_case), Some(how)) => {
@@ -72,7 +76,9 @@
     pub(crate) fn text(self) -> String {
         match self {
             Self::Sent(upstream) => format!("+ {upstream:x}"),
-            Self::Ended(upstream, use_case, fate) => format!("- {upstream:x} {use_case:x} {}", fate as u8),
+            Self::Ended(upstream, use_case, fate) => {
+                format!("- {upstream:x} {use_case:x} {}", fate as u8)
+            }
             Self::Asks(upstream) => format!("? {upstream:x}"),
             Self::Holds(upstream, held, lost) => format!("= {upstream:x} {held:x} {lost:x}"),
             Self::Dropped(rested) => format!("~ {rested:x}"),
--- a/crates/proxy/src/fleet/carrier.rs
+++ b/crates/proxy/src/fleet/carrier.rs
@@ -57,15 +57,20 @@
 impl Fleet {
     /// Binds the socket, for the whole life of the process: another process at its address shows that this one ended.
     pub fn open<D: 'static>(
-        handle: &LoopHandle<'static, D>, mut terms: FleetTerms, seed: u64, log: &Logger,
+        handle: &LoopHandle<'static, D>,
+        mut terms: FleetTerms,
+        seed: u64,
+        log: &Logger,
     ) -> Result<Rc<RefCell<Self>>, String> {
         let bound = UdpSocket::bind(terms.listen).and_then(|socket| {
             socket.set_nonblocking(true)?;
             Ok(Rc::new(socket))
         });
-        let socket =
-            bound.map_err(|problem| format!("cannot hear the fleet at {}: {problem}", terms.listen))?;
-        let born = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let socket = bound
+            .map_err(|problem| format!("cannot hear the fleet at {}: {problem}", terms.listen))?;
+        let born = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         terms.part.born = born.as_micros() as u64;
         // Processes of one file would else draw alike, and a restarted one as before.
         let seed = seed ^ terms.part.born ^ u64::from(std::process::id()).rotate_left(32);
@@ -76,9 +81,19 @@
         info!(log, "in the fleet"; "fleet" => &terms.part.fleet, "member" => &terms.part.name,
             "address" => %terms.part.address, "seeds" => terms.part.seeds.len());
         let rosters = Rosters::new(terms.rosters.clone(), &terms.part.zone);
-        let fleet =
-            Rc::new(RefCell::new(Self { accord, terms, rosters, socket, log: log.clone(), unsent: 0 }));
-        let source = Generic::new(Rc::clone(&fleet.borrow().socket), Interest::READ, Mode::Level);
+        let fleet = Rc::new(RefCell::new(Self {
+            accord,
+            terms,
+            rosters,
+            socket,
+            log: log.clone(),
+            unsent: 0,
+        }));
+        let source = Generic::new(
+            Rc::clone(&fleet.borrow().socket),
+            Interest::READ,
+            Mode::Level,
+        );
         let carried = Rc::clone(&fleet);
         let token = handle.insert_source(source, move |_, _, _| {
             carried.borrow_mut().came();
@@ -104,7 +119,10 @@
 
     /// How long the loop may wait for it.
     pub fn wait(&self) -> Micros {
-        self.accord.next_due().min(self.rosters.next_due()).saturating_sub(now())
+        self.accord
+            .next_due()
+            .min(self.rosters.next_due())
+            .saturating_sub(now())
     }
 
     /// Does what is due.
@@ -132,7 +150,9 @@
     /// For how long discovery need not be asked, as another tells what it says.
     pub fn fed_for(&self) -> Option<Micros> {
         let now = now();
-        self.rosters.fed_until(now).map(|until| until.saturating_sub(now))
+        self.rosters
+            .fed_until(now)
+            .map(|until| until.saturating_sub(now))
     }
 
     /// This process serves no more.
@@ -154,7 +174,8 @@
         self.accord.renew(&new.part, new.key.clone());
         match &new.duties {
             Some((duty_terms, duties)) => {
-                self.accord.take_duties(now(), duty_terms.clone(), duties.clone());
+                self.accord
+                    .take_duties(now(), duty_terms.clone(), duties.clone());
             }
             None => self.accord.leave_duties(now()),
         }
@@ -163,7 +184,11 @@
             self.rosters = Rosters::new(new.rosters.clone(), &self.terms.part.zone);
             self.terms.rosters = new.rosters;
         }
-        otherwise.into_iter().filter(|field| field.1).map(|field| field.0).collect()
+        otherwise
+            .into_iter()
+            .filter(|field| field.1)
+            .map(|field| field.0)
+            .collect()
     }
 
     fn carry(&mut self) {
@@ -194,14 +219,20 @@
         self.rosters.held(now, &self.accord);
         for event in events {
             match event {
-                DutyEvent::Acted { from, duty, term, body } if self.rosters.is_roster(*duty) => {
+                DutyEvent::Acted {
+                    from,
+                    duty,
+                    term,
+                    body,
+                } if self.rosters.is_roster(*duty) => {
                     let wants = self.rosters.told(now, *duty, *term, body);
                     if let Some(body) = wants.and_then(|wants| wants.bytes()) {
                         self.accord.say_of(now, *duty, from, body);
                     }
                 }
                 DutyEvent::Said { from, duty, body } => {
-                    self.rosters.wanted(now, &mut self.accord, *duty, from, body);
+                    self.rosters
+                        .wanted(now, &mut self.accord, *duty, from, body);
                 }
                 _ => {}
             }
@@ -225,7 +256,12 @@
             DutyEvent::Taken { duty, term, .. } => {
                 info!(log, "duty taken"; "duty" => &**duty, "term" => term_text(*term), "at_us" => now());
             }
-            DutyEvent::Lost { duty, term, until, why } => {
+            DutyEvent::Lost {
+                duty,
+                term,
+                until,
+                why,
+            } => {
                 info!(log, "duty lost"; "duty" => &**duty, "term" => term_text(*term),
                     "until_us" => until, "why" => why.word());
             }
@@ -241,7 +277,10 @@
 
     fn tell(&self, event: &Event) {
         let log = &self.log;
-        let counts = (self.accord.table.present().count() + 1, self.accord.table.may_be_serving() + 1);
+        let counts = (
+            self.accord.table.present().count() + 1,
+            self.accord.table.may_be_serving() + 1,
+        );
         let member = |word: &'static str, name: &Rc<str>| {
             info!(log, "{}", word; "member" => &**name, "present" => counts.0, "may_serve" => counts.1);
         };
--- a/crates/proxy/src/fleet/carrier/tests.rs
+++ b/crates/proxy/src/fleet/carrier/tests.rs
@@ -10,16 +10,24 @@
 const LONG: Duration = Duration::from_secs(20);
 
 fn open(
-    event_loop: &EventLoop<'static, ()>, name: &str, seeds: Vec<std::net::SocketAddr>,
+    event_loop: &EventLoop<'static, ()>,
+    name: &str,
+    seeds: Vec<std::net::SocketAddr>,
 ) -> Rc<RefCell<Fleet>> {
     open_with(event_loop, name, seeds, false)
 }
 
 /// With a roster of zone a where wanted, on which b0 alone votes.
 fn open_with(
-    event_loop: &EventLoop<'static, ()>, name: &str, seeds: Vec<std::net::SocketAddr>, roster: bool,
+    event_loop: &EventLoop<'static, ()>,
+    name: &str,
+    seeds: Vec<std::net::SocketAddr>,
+    roster: bool,
 ) -> Rc<RefCell<Fleet>> {
-    let free = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let free = UdpSocket::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     let part = Part {
         fleet: "f".into(),
         name: name.into(),
@@ -34,19 +42,38 @@
     };
     let key = Key::new(b"0123456789abcdef").unwrap();
     let duty = Duty::new("roster/a", Some("a".into()));
-    let duty_terms = DutyTerms { voters: vec!["b0".into()], lease: LEASE_USUAL };
-    let rosters = roster.then(|| (duty.id, Rc::from("a"))).into_iter().collect();
+    let duty_terms = DutyTerms {
+        voters: vec!["b0".into()],
+        lease: LEASE_USUAL,
+    };
+    let rosters = roster
+        .then(|| (duty.id, Rc::from("a")))
+        .into_iter()
+        .collect();
     let duties = roster.then(|| (duty_terms, vec![duty]));
-    let terms = FleetTerms { listen: free, part, key, duties, rosters, via: Default::default() };
+    let terms = FleetTerms {
+        listen: free,
+        part,
+        key,
+        duties,
+        rosters,
+        via: Default::default(),
+    };
     let log = Logger::root(slog::Discard, slog::o!());
     Fleet::open(&event_loop.handle(), terms, 1, &log).unwrap()
 }
 
-fn until(event_loop: &mut EventLoop<'static, ()>, all: &[Rc<RefCell<Fleet>>], seen: impl Fn() -> bool) {
+fn until(
+    event_loop: &mut EventLoop<'static, ()>,
+    all: &[Rc<RefCell<Fleet>>],
+    seen: impl Fn() -> bool,
+) {
     let began = Instant::now();
     while !seen() {
         assert!(began.elapsed() < LONG, "it never came");
-        event_loop.dispatch(Some(Duration::from_millis(5)), &mut ()).unwrap();
+        event_loop
+            .dispatch(Some(Duration::from_millis(5)), &mut ())
+            .unwrap();
         all.iter().for_each(|fleet| fleet.borrow_mut().turn());
     }
 }
@@ -64,10 +91,20 @@
     let knows = |one: &Rc<RefCell<Fleet>>| one.borrow().accord.table.present().count() == 1;
     until(&mut event_loop, &all, || knows(&first) && knows(&second));
     let page = first.borrow().page();
-    assert!(page.contains("\"member\":\"b0\"") && page.contains("\"name\":\"b1\""), "{page}");
+    assert!(
+        page.contains("\"member\":\"b0\"") && page.contains("\"name\":\"b1\""),
+        "{page}"
+    );
     second.borrow_mut().leave();
-    until(&mut event_loop, &all[..1], || first.borrow().accord.table.may_be_serving() == 0);
-    assert!(first.borrow().page().contains("\"proven_gone\":\"said_so\""));
+    until(&mut event_loop, &all[..1], || {
+        first.borrow().accord.table.may_be_serving() == 0
+    });
+    assert!(
+        first
+            .borrow()
+            .page()
+            .contains("\"proven_gone\":\"said_so\"")
+    );
     assert!(first.borrow().page().contains("\"hash\":50"));
 }
 
@@ -81,25 +118,38 @@
     let all = [Rc::clone(&first), Rc::clone(&second)];
     let tells = |one: &Rc<RefCell<Fleet>>| one.borrow().rosters.tells();
     until(&mut event_loop, &all, || tells(&first) || tells(&second));
-    let (holder, reader) = if tells(&first) { (&first, &second) } else { (&second, &first) };
+    let (holder, reader) = if tells(&first) {
+        (&first, &second)
+    } else {
+        (&second, &first)
+    };
     assert!(holder.borrow_mut().rosters.takes_over() && !reader.borrow_mut().rosters.takes_over());
-    let entry =
-        |n: usize| serde_json::json!({"uid": format!("s{n}"), "state": "active", "note": "x".repeat(90)});
+    let entry = |n: usize| serde_json::json!({"uid": format!("s{n}"), "state": "active", "note": "x".repeat(90)});
     let whole = serde_json::json!({"rev": 4, "all": true, "targets": (0..40).map(entry).collect::<Vec<_>>()});
     let change = serde_json::json!({"rev": 5, "all": false, "targets": [entry(77)]});
     holder.borrow_mut().listed(Some(&whole));
     holder.borrow_mut().listed(Some(&change));
     let taken = RefCell::new(Vec::new());
     until(&mut event_loop, &all, || {
-        taken.borrow_mut().extend(reader.borrow_mut().rosters.take_pages());
+        taken
+            .borrow_mut()
+            .extend(reader.borrow_mut().rosters.take_pages());
         taken.borrow().len() == 2 && reader.borrow().fed_for().is_some()
     });
-    let lists: Vec<serde_json::Value> =
-        taken.borrow().iter().map(|page| serde_json::from_slice(page).unwrap()).collect();
+    let lists: Vec<serde_json::Value> = taken
+        .borrow()
+        .iter()
+        .map(|page| serde_json::from_slice(page).unwrap())
+        .collect();
     let named = |list: &serde_json::Value| list["targets"].as_array().unwrap().len();
-    assert_eq!((lists[0]["rev"].as_u64(), named(&lists[0]), named(&lists[1])), (Some(4), 40, 1));
+    assert_eq!(
+        (lists[0]["rev"].as_u64(), named(&lists[0]), named(&lists[1])),
+        (Some(4), 40, 1)
+    );
     assert!(holder.borrow().fed_for().is_none());
     // Its discovery fails it: nobody is told any more that the list is fresh, and each asks for itself.
     holder.borrow_mut().listed(None);
-    until(&mut event_loop, &all, || reader.borrow().fed_for().is_none());
+    until(&mut event_loop, &all, || {
+        reader.borrow().fed_for().is_none()
+    });
 }
--- a/crates/proxy/src/fleet/operator.rs
+++ b/crates/proxy/src/fleet/operator.rs
@@ -90,17 +90,30 @@
 }
 
 impl Reader<'_> {
-    fn wrong<T>(&self, at: Range<usize>, field: &str, reason: impl std::fmt::Display) -> Result<T, String> {
-        let line = self.text.bytes().take(at.start).filter(|byte| *byte == b'\n').count() + 1;
+    fn wrong<T>(
+        &self,
+        at: Range<usize>,
+        field: &str,
+        reason: impl std::fmt::Display,
+    ) -> Result<T, String> {
+        let line = self
+            .text
+            .bytes()
+            .take(at.start)
+            .filter(|byte| *byte == b'\n')
+            .count()
+            + 1;
         Err(format!("{}:{line}: {field}: {reason}", self.file))
     }
 
     fn address(&self, value: &Spanned<String>, field: &str) -> Result<SocketAddr, String> {
         match value.get_ref().parse::<SocketAddr>() {
             Ok(address) if address.is_ipv4() => Ok(address),
-            _ => {
-                self.wrong(value.span(), field, format!("'{}' is no IPv4 address and port", value.get_ref()))
-            }
+            _ => self.wrong(
+                value.span(),
+                field,
+                format!("'{}' is no IPv4 address and port", value.get_ref()),
+            ),
         }
     }
 
@@ -120,32 +133,54 @@
             false => self.wrong(
                 value.span(),
                 field,
-                format!("'{}' is no name of 1 to {NAME_MOST} letters, digits and signs", text.escape_debug()),
+                format!(
+                    "'{}' is no name of 1 to {NAME_MOST} letters, digits and signs",
+                    text.escape_debug()
+                ),
             ),
         }
     }
 
-    fn span(&self, value: &Option<Spanned<String>>, field: &str, usual: Micros) -> Result<Micros, String> {
+    fn span(
+        &self,
+        value: &Option<Spanned<String>>,
+        field: &str,
+        usual: Micros,
+    ) -> Result<Micros, String> {
         let Some(value) = value else { return Ok(usual) };
         let span = humantime::parse_duration(value.get_ref()).ok();
         let span = span.and_then(|span| Micros::try_from(span.as_micros()).ok());
         match span.filter(|span| (SPANS.0..=SPANS.1).contains(span)) {
             Some(span) => Ok(span),
-            None => {
-                self.wrong(value.span(), field, format!("'{}' is no span from 5ms to 60s", value.get_ref()))
-            }
+            None => self.wrong(
+                value.span(),
+                field,
+                format!("'{}' is no span from 5ms to 60s", value.get_ref()),
+            ),
         }
     }
 
     /// A process that the operators know to have ended: its name and its life, as /fleet shows them.
     fn struck(&self, value: &Spanned<String>) -> Result<(Rc<str>, Life), String> {
         let field = "fleet.struck";
-        let Some((name, life)) = value.get_ref().split_once(' ').filter(|(name, _)| is_name(name)) else {
-            return self.wrong(value.span(), field, "wants a name and a life, as /fleet shows them");
+        let Some((name, life)) = value
+            .get_ref()
+            .split_once(' ')
+            .filter(|(name, _)| is_name(name))
+        else {
+            return self.wrong(
+                value.span(),
+                field,
+                "wants a name and a life, as /fleet shows them",
+            );
         };
         match life.parse() {
             Ok(life) => Ok((name.into(), life)),
-            Err(problem) => self.wrong(value.span(), field, format!("'{}' {problem}", life.escape_debug())),
+            Err(problem) => self.wrong(
+                value.span(),
+                field,
+                format!("'{}' {problem}", life.escape_debug()),
+            ),
         }
     }
 
@@ -154,17 +189,27 @@
         for value in table.voters.get_ref() {
             let voter: Rc<str> = self.word(value, "duties.voters")?.into();
             if voters.contains(&voter) {
-                return self.wrong(value.span(), "duties.voters", format!("names {voter} twice"));
+                return self.wrong(
+                    value.span(),
+                    "duties.voters",
+                    format!("names {voter} twice"),
+                );
             }
             voters.push(voter);
         }
         if voters.len().is_multiple_of(2) || voters.len() > VOTERS_MOST {
-            let reason =
-                format!("names {} members: 1, 3, 5 or {VOTERS_MOST} can have a majority", voters.len());
+            let reason = format!(
+                "names {} members: 1, 3, 5 or {VOTERS_MOST} can have a majority",
+                voters.len()
+            );
             return self.wrong(table.voters.span(), "duties.voters", reason);
         }
         let lease = self.span(&table.lease, "duties.lease", LEASE_USUAL)?;
-        if let Some(value) = table.lease.as_ref().filter(|_| !(LEASE_LEAST..=LEASE_MOST).contains(&lease)) {
+        if let Some(value) = table
+            .lease
+            .as_ref()
+            .filter(|_| !(LEASE_LEAST..=LEASE_MOST).contains(&lease))
+        {
             let reason = format!("'{}' is no span from 200ms to 2s", value.get_ref());
             return self.wrong(value.span(), "duties.lease", reason);
         }
@@ -172,7 +217,10 @@
         for value in &table.own {
             let duty = Duty::new(&self.word(value, "duties.own")?, None);
             if duties.iter().any(|known| known.id == duty.id) || duties.len() >= DUTIES_MOST {
-                let reason = format!("names '{}' twice, or more than {DUTIES_MOST} duties", duty.name);
+                let reason = format!(
+                    "names '{}' twice, or more than {DUTIES_MOST} duties",
+                    duty.name
+                );
                 return self.wrong(value.span(), "duties.own", reason);
             }
             duties.push(duty);
@@ -196,7 +244,9 @@
             Ok(file) => file,
             Err(problem) => {
                 let at = problem.span().unwrap_or(0..0);
-                let line = self.text[..at.start.min(self.text.len())].rfind('\n').map_or(0, |end| end + 1);
+                let line = self.text[..at.start.min(self.text.len())]
+                    .rfind('\n')
+                    .map_or(0, |end| end + 1);
                 let line = self.text[line..].lines().next().unwrap_or("");
                 let field = line.split('=').next().unwrap_or("").trim().to_owned();
                 return self.wrong(at, &field, problem.message().replace('\n', " "));
@@ -216,16 +266,23 @@
             let reason = format!("names {} of {SEEDS_MOST} at most", table.seeds.len());
             return self.wrong(table.seeds[SEEDS_MOST].span(), "fleet.seeds", reason);
         }
-        let seeds: Result<_, _> =
-            table.seeds.iter().map(|seed| self.reachable(seed, "fleet.seeds")).collect();
+        let seeds: Result<_, _> = table
+            .seeds
+            .iter()
+            .map(|seed| self.reachable(seed, "fleet.seeds"))
+            .collect();
         if table.struck.len() > STRUCK_MOST {
             let reason = format!("names {} of {STRUCK_MOST} at most", table.struck.len());
             return self.wrong(table.struck[STRUCK_MOST].span(), "fleet.struck", reason);
         }
-        let struck: Result<BTreeSet<_>, _> = table.struck.iter().map(|one| self.struck(one)).collect();
+        let struck: Result<BTreeSet<_>, _> =
+            table.struck.iter().map(|one| self.struck(one)).collect();
         let mut via = BTreeMap::new();
         for (told, used) in &table.via {
-            via.insert(self.address(told, "fleet.via")?, self.reachable(used, "fleet.via")?);
+            via.insert(
+                self.address(told, "fleet.via")?,
+                self.reachable(used, "fleet.via")?,
+            );
         }
         let named = |value: &Option<Spanned<String>>, field: &str, usual: &str| match value {
             Some(value) => self.word(value, field),
@@ -239,7 +296,11 @@
             seeds: seeds?,
             born: 0,
             probe_every: self.span(&table.probe_every, "fleet.probe_every", Part::PROBE_EVERY)?,
-            answer_within: self.span(&table.answer_within, "fleet.answer_within", Part::ANSWER_WITHIN)?,
+            answer_within: self.span(
+                &table.answer_within,
+                "fleet.answer_within",
+                Part::ANSWER_WITHIN,
+            )?,
             doubt_least: self.span(&table.doubt_least, "fleet.doubt_least", Part::DOUBT_LEAST)?,
             struck: struck?,
         };
@@ -249,7 +310,11 @@
             let reason = "must be at most half of fleet.probe_every: there are two tries in it";
             return self.wrong(at, "fleet.answer_within", reason);
         }
-        let duties = file.duties.as_ref().map(|table| self.duties(table.get_ref())).transpose()?;
+        let duties = file
+            .duties
+            .as_ref()
+            .map(|table| self.duties(table.get_ref()))
+            .transpose()?;
         let (duties, rosters) = match duties {
             Some((terms, duties, rosters)) => (Some((terms, duties)), rosters),
             None => (None, Zones::new()),
@@ -258,14 +323,30 @@
         let key = std::fs::read(path).map_err(|problem| problem.to_string());
         let key = key.and_then(|bytes| Key::new(&bytes).map_err(|problem| problem.to_string()));
         match key {
-            Ok(key) => Ok(FleetTerms { listen, part, key, duties, rosters, via }),
-            Err(problem) => self.wrong(table.key_file.span(), "fleet.key_file", format!("{path}: {problem}")),
+            Ok(key) => Ok(FleetTerms {
+                listen,
+                part,
+                key,
+                duties,
+                rosters,
+                via,
+            }),
+            Err(problem) => self.wrong(
+                table.key_file.span(),
+                "fleet.key_file",
+                format!("{path}: {problem}"),
+            ),
         }
     }
 }
 
 /// Reads the operator file. `name` and `zone` stand where it names none.
 pub fn read(path: &str, name: &str, zone: &str) -> Result<FleetTerms, String> {
-    let text = std::fs::read_to_string(path).map_err(|problem| format!("cannot read {path}: {problem}"))?;
-    Reader { file: path, text: &text }.terms(name, zone)
+    let text = std::fs::read_to_string(path)
+        .map_err(|problem| format!("cannot read {path}: {problem}"))?;
+    Reader {
+        file: path,
+        text: &text,
+    }
+    .terms(name, zone)
 }
--- a/crates/proxy/src/fleet/operator/tests.rs
+++ b/crates/proxy/src/fleet/operator/tests.rs
@@ -7,13 +7,17 @@
 
 impl KeyFile {
     fn new(test: &str) -> Self {
-        let path = std::env::temp_dir().join(format!("pinefront-key-{}-{test}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("pinefront-key-{}-{test}", std::process::id()));
         std::fs::write(&path, "0123456789abcdef\n").unwrap();
         Self(path)
     }
 
     fn text(&self, more: &str) -> String {
-        format!("[fleet]\nname = 'f'\nkey_file = '{}'\n{more}", self.0.display())
+        format!(
+            "[fleet]\nname = 'f'\nkey_file = '{}'\n{more}",
+            self.0.display()
+        )
     }
 }
 
@@ -24,7 +28,11 @@
 }
 
 fn terms(text: &str) -> Result<FleetTerms, String> {
-    Reader { file: "o.toml", text }.terms("b1", "a")
+    Reader {
+        file: "o.toml",
+        text,
+    }
+    .terms("b1", "a")
 }
 
 #[test]
@@ -32,7 +40,10 @@
     let key = KeyFile::new("usual");
     let terms = terms(&key.text("listen = '127.0.0.1:7400'\nseeds = ['127.0.0.1:7401']")).unwrap();
     let part = &terms.part;
-    assert_eq!((part.name.as_str(), part.zone.as_str(), part.address), ("b1", "a", terms.listen));
+    assert_eq!(
+        (part.name.as_str(), part.zone.as_str(), part.address),
+        ("b1", "a", terms.listen)
+    );
     assert_eq!((part.probe_every, part.seeds.len()), (Part::PROBE_EVERY, 1));
 }
 
@@ -48,12 +59,18 @@
     "listen = '127.0.0.1:1'\nseeds = ['127.0.0.1:2', '127.0.0.1:0']",
     "o.toml:5: fleet.seeds: nobody"
 )]
-#[case::span("listen = '127.0.0.1:1'\nprobe_every = '2'", "o.toml:5: fleet.probe_every: '2' is no span")]
+#[case::span(
+    "listen = '127.0.0.1:1'\nprobe_every = '2'",
+    "o.toml:5: fleet.probe_every: '2' is no span"
+)]
 #[case::spans(
     "listen = '127.0.0.1:1'\nanswer_within = '300ms'",
     "o.toml:5: fleet.answer_within: must be at most half"
 )]
-#[case::member("listen = '127.0.0.1:1'\nmember = 'a b'", "o.toml:5: fleet.member: 'a b' is no name")]
+#[case::member(
+    "listen = '127.0.0.1:1'\nmember = 'a b'",
+    "o.toml:5: fleet.member: 'a b' is no name"
+)]
 #[case::struck_without_life(
     "listen = '127.0.0.1:1'\nstruck = ['b1']",
     "o.toml:5: fleet.struck: wants a name and a life"
@@ -89,5 +106,10 @@
 #[test]
 fn a_key_that_is_not_there_or_too_short_is_named() {
     let text = "[fleet]\nname = 'f'\nkey_file = '/nowhere/key'\nlisten = '127.0.0.1:1'";
-    assert!(terms(text).err().unwrap().starts_with("o.toml:3: fleet.key_file: /nowhere/key: "));
+    assert!(
+        terms(text)
+            .err()
+            .unwrap()
+            .starts_with("o.toml:3: fleet.key_file: /nowhere/key: ")
+    );
 }
--- a/crates/proxy/src/fleet/page.rs
+++ b/crates/proxy/src/fleet/page.rs
@@ -53,7 +53,9 @@
             true => Some(&*self.terms.part.name),
             false => {
                 let mut members = table.members.iter();
-                members.find(|member| member.record.life.chance == life).map(|member| &*member.record.name)
+                members
+                    .find(|member| member.record.life.chance == life)
+                    .map(|member| &*member.record.name)
             }
         };
         let one = |name: &str| {
@@ -86,13 +88,18 @@
 
     /// `GET /duty/NAME`: 200 where it is held here, 409 where not, 404 where no file names it.
     pub fn duty_page(&self, name: &str) -> (u16, String) {
-        let Some(state) = self.duty(name) else { return (404, "no such duty\n".into()) };
+        let Some(state) = self.duty(name) else {
+            return (404, "no such duty\n".into());
+        };
         let page = match state.held {
             Some((term, _, left)) => {
                 json!({"duty": name, "held": true, "term": term_text(term), "left_ms": left / 1_000})
             }
             None => json!({"duty": name, "held": false, "term": state.known.map(term_text)}),
         };
-        (if state.held.is_some() { 200 } else { 409 }, page.to_string() + "\n")
+        (
+            if state.held.is_some() { 200 } else { 409 },
+            page.to_string() + "\n",
+        )
     }
 }
--- a/crates/proxy/src/fleet/roster.rs
+++ b/crates/proxy/src/fleet/roster.rs
@@ -30,8 +30,18 @@
 impl Rosters {
     /// `zones` are those that have a roster, by duty; `zone` is this balancer's.
     pub fn new(zones: BTreeMap<DutyId, Rc<str>>, zone: &str) -> Self {
-        let own = zones.iter().find(|(_, name)| ***name == *zone).map(|(id, _)| *id);
-        Self { zones, own, editor: None, reader: Reader::default(), pages: Vec::new(), wants_list: false }
+        let own = zones
+            .iter()
+            .find(|(_, name)| ***name == *zone)
+            .map(|(id, _)| *id);
+        Self {
+            zones,
+            own,
+            editor: None,
+            reader: Reader::default(),
+            pages: Vec::new(),
+            wants_list: false,
+        }
     }
 
     pub fn is_roster(&self, duty: DutyId) -> bool {
@@ -63,8 +73,11 @@
 
     /// What is held has changed.
     pub fn held(&mut self, now: Micros, accord: &Accord) {
-        let held =
-            |duty: &DutyId| accord.duties().is_some_and(|duties| duties.holds(now, *duty, 0).is_some());
+        let held = |duty: &DutyId| {
+            accord
+                .duties()
+                .is_some_and(|duties| duties.holds(now, *duty, 0).is_some())
+        };
         match (self.zones.keys().any(held), self.editor.is_some()) {
             (true, false) => (self.editor, self.wants_list) = (Some(Editor::default()), true),
             (false, true) => self.editor = None,
@@ -75,8 +88,13 @@
     /// Tells all members of the zones that this one holds.
     fn tell(&self, now: Micros, accord: &mut Accord, said: &[RosterSaid]) {
         for (duty, zone) in &self.zones {
-            let members = accord.table.present().filter(|member| *member.record.zone == **zone);
-            let members: Vec<_> = members.map(|member| Rc::clone(&member.record.name)).collect();
+            let members = accord
+                .table
+                .present()
+                .filter(|member| *member.record.zone == **zone);
+            let members: Vec<_> = members
+                .map(|member| Rc::clone(&member.record.name))
+                .collect();
             let bodies: Vec<_> = said.iter().filter_map(RosterSaid::bytes).collect();
             for name in &members {
                 for body in &bodies {
@@ -91,11 +109,21 @@
     pub fn listed(&mut self, now: Micros, accord: &mut Accord, list: &Value) {
         let version = list["rev"].as_u64().unwrap_or(0);
         self.reader.own_list(version);
-        let Some(editor) = &mut self.editor else { return };
-        let entries = list["targets"].as_array().into_iter().flatten().filter_map(|entry| {
-            let id = entry["uid"].as_str()?.to_owned();
-            Some(Entry { id, left: entry["state"] == "left", text: entry.to_string() })
-        });
+        let Some(editor) = &mut self.editor else {
+            return;
+        };
+        let entries = list["targets"]
+            .as_array()
+            .into_iter()
+            .flatten()
+            .filter_map(|entry| {
+                let id = entry["uid"].as_str()?.to_owned();
+                Some(Entry {
+                    id,
+                    left: entry["state"] == "left",
+                    text: entry.to_string(),
+                })
+            });
         let entries: Vec<Entry> = entries.collect();
         let said = editor.said(version, list["all"] == Value::Bool(true), &entries);
         self.tell(now, accord, &said);
@@ -103,7 +131,9 @@
 
     /// A call of discovery failed.
     pub fn failed(&mut self) {
-        self.editor.iter_mut().for_each(|editor| editor.follows(false));
+        self.editor
+            .iter_mut()
+            .for_each(|editor| editor.follows(false));
     }
 
     /// Sends a beat where one is due.
@@ -118,7 +148,13 @@
     }
 
     /// The holder of a zone's roster says something. What it is to be asked for.
-    pub fn told(&mut self, now: Micros, duty: DutyId, term: Term, body: &[u8]) -> Option<RosterWants> {
+    pub fn told(
+        &mut self,
+        now: Micros,
+        duty: DutyId,
+        term: Term,
+        body: &[u8],
+    ) -> Option<RosterWants> {
         if self.own != Some(duty) || self.editor.is_some() {
             return None;
         }
@@ -128,7 +164,14 @@
     }
 
     /// A reader wants something of the list.
-    pub fn wanted(&self, now: Micros, accord: &mut Accord, duty: DutyId, from: &Rc<str>, body: &[u8]) {
+    pub fn wanted(
+        &self,
+        now: Micros,
+        accord: &mut Accord,
+        duty: DutyId,
+        from: &Rc<str>,
+        body: &[u8],
+    ) {
         let said = self.editor.as_ref().zip(RosterWants::read(body));
         for said in said.iter().flat_map(|(editor, wants)| editor.wanted(wants)) {
             if let Some(body) = said.bytes() {
--- a/crates/proxy/src/fleet/show.rs
+++ b/crates/proxy/src/fleet/show.rs
@@ -25,7 +25,9 @@
     let text = asked().map_err(|problem| format!("cannot ask {at}: {problem}"))?;
     match text.split_once("\r\n\r\n") {
         Some((head, body)) if head.starts_with("HTTP/1.1 200 ") => Ok(body.to_owned()),
-        _ => Err(format!("{at} is in no fleet: was it started with --operator?")),
+        _ => Err(format!(
+            "{at} is in no fleet: was it started with --operator?"
+        )),
     }
 }
 
@@ -53,9 +55,17 @@
         "member", "zone", "address", "state", "for s", "heard s", "standing"
     ));
     for member in page["members"].as_array().into_iter().flatten() {
-        let seconds = |value: &Value| value.as_f64().map_or("never".into(), |ms| format!("{:.1}", ms / 1e3));
-        let standing = member["standing"].as_object().and_then(|standing| standing.iter().next());
-        let standing = standing.map_or(String::new(), |(what, why)| format!("{what}: {}", text(why)));
+        let seconds = |value: &Value| {
+            value
+                .as_f64()
+                .map_or("never".into(), |ms| format!("{:.1}", ms / 1e3))
+        };
+        let standing = member["standing"]
+            .as_object()
+            .and_then(|standing| standing.iter().next());
+        let standing = standing.map_or(String::new(), |(what, why)| {
+            format!("{what}: {}", text(why))
+        });
         lines.push(format!(
             "{:<20} {:<10} {:<22} {:<9} {:>9} {:>9}  {}",
             text(&member["name"]),
@@ -70,7 +80,10 @@
     let duties = page["duties"]["all"].as_array().into_iter().flatten();
     for (place, duty) in duties.enumerate() {
         if place == 0 {
-            lines.push(format!("{:<30} {:<20} {:>9}  {}", "duty", "last holder", "left ms", "term"));
+            lines.push(format!(
+                "{:<30} {:<20} {:>9}  {}",
+                "duty", "last holder", "left ms", "term"
+            ));
         }
         lines.push(format!(
             "{:<30} {:<20} {:>9}  {}",
@@ -84,8 +97,14 @@
         lines.push("no majority of voters answers: duties rest".into());
     }
     let dropped = page["dropped"].as_object().into_iter().flatten();
-    let dropped: Vec<_> = dropped.map(|(cause, count)| format!("{cause} {count}")).collect();
-    let dropped = if dropped.is_empty() { "none".into() } else { dropped.join(", ") };
+    let dropped: Vec<_> = dropped
+        .map(|(cause, count)| format!("{cause} {count}"))
+        .collect();
+    let dropped = if dropped.is_empty() {
+        "none".into()
+    } else {
+        dropped.join(", ")
+    };
     lines.push(format!(
         "sent {} ({} bytes), taken {}, dropped: {dropped}",
         text(&page["sent"]),
@@ -97,14 +116,16 @@
 
 /// Prints the view of the balancer that clients reach at an address, once or again and again.
 pub fn show(at: &str, watch: bool, json: bool) -> Result<(), String> {
-    let at: SocketAddr = at.parse().map_err(|_| format!("'{at}' is no address and port"))?;
+    let at: SocketAddr = at
+        .parse()
+        .map_err(|_| format!("'{at}' is no address and port"))?;
     loop {
         let body = ask(at)?;
         if json {
             print!("{body}");
         } else {
-            let page: Value =
-                serde_json::from_str(&body).map_err(|problem| format!("{at} answered no JSON: {problem}"))?;
+            let page: Value = serde_json::from_str(&body)
+                .map_err(|problem| format!("{at} answered no JSON: {problem}"))?;
             println!("{}", table(&page));
         }
         if !watch {
--- a/crates/proxy/src/life/log.rs
+++ b/crates/proxy/src/life/log.rs
@@ -44,7 +44,9 @@
     /// Writes what the pipe takes. Tells how many lines were dropped since it was last asked, and whether there
     /// is room again.
     pub fn flush(&self) -> (u64, bool) {
-        let Ok(mut kept) = self.0.lock() else { return (0, false) };
+        let Ok(mut kept) = self.0.lock() else {
+            return (0, false);
+        };
         let mut out = std::io::stderr();
         while !kept.lines.is_empty() && takes_more() {
             let part = kept.lines.len().min(WRITE_AT_ONCE);
@@ -83,9 +85,16 @@
     type Err = Never;
 
     fn log(&self, record: &Record, fields: &OwnedKVList) -> Result<(), Never> {
-        let mut line = Line(format!("{} {}", record.level().as_short_str(), record.msg()));
+        let mut line = Line(format!(
+            "{} {}",
+            record.level().as_short_str(),
+            record.msg()
+        ));
         // A line that cannot be worded whole is kept as far as it goes.
-        let _ = record.kv().serialize(record, &mut line).and_then(|()| fields.serialize(record, &mut line));
+        let _ = record
+            .kv()
+            .serialize(record, &mut line)
+            .and_then(|()| fields.serialize(record, &mut line));
         line.0.push('\n');
         self.keep(&line.0);
         Ok(())
--- a/crates/proxy/src/life/log/tests.rs
+++ b/crates/proxy/src/life/log/tests.rs
@@ -10,7 +10,10 @@
 fn what_comes_from_outside_stays_in_its_field() {
     let pipe = Pipe::default();
     info!(pipe.logger(slog::Level::Info), "ended"; "upstream" => "a b\nINFO x", "reason" => "silent");
-    assert_eq!(lines(&pipe), "INFO ended reason=silent upstream=\"a b\\nINFO x\"\n");
+    assert_eq!(
+        lines(&pipe),
+        "INFO ended reason=silent upstream=\"a b\\nINFO x\"\n"
+    );
 }
 
 #[test]
--- a/crates/proxy/src/life/place.rs
+++ b/crates/proxy/src/life/place.rs
@@ -68,7 +68,10 @@
 impl Place {
     /// An account that no term names is numbered beyond them.
     pub fn account(&self, name: &str) -> usize {
-        self.accounts.iter().position(|known| known == name).unwrap_or(self.accounts.len())
+        self.accounts
+            .iter()
+            .position(|known| known == name)
+            .unwrap_or(self.accounts.len())
     }
 
     pub fn zone(&mut self, name: &str) -> u64 {
@@ -86,7 +89,11 @@
             ("listen", self.listen != new.listen),
             ("seed", self.seed != new.seed),
         ];
-        otherwise.into_iter().filter(|field| field.1).map(|field| field.0).collect()
+        otherwise
+            .into_iter()
+            .filter(|field| field.1)
+            .map(|field| field.0)
+            .collect()
     }
 
     /// Takes new settings in a running program: what was told once keeps its number. Use cases that are the same as
@@ -100,7 +107,11 @@
         let mut open = vec![String::new(); known.len()];
         for (use_case, (name, effect)) in table.iter_mut().zip(&known) {
             // Tickets of it may be open. Told otherwise now, its repeats keep to both.
-            let now = new.use_cases.iter().zip(&terms.use_cases).find(|(now, _)| *now == name);
+            let now = new
+                .use_cases
+                .iter()
+                .zip(&terms.use_cases)
+                .find(|(now, _)| *now == name);
             use_case.effect = now.map_or(*effect, |(_, now)| stricter(*effect, now.effect));
             use_case.earnings = 0.0;
         }
@@ -122,7 +133,10 @@
         new.effects = table.iter().map(|use_case| use_case.effect).collect();
         (terms.use_cases, new.use_cases, new.known_use_cases) = (table, open, known);
         let own_zone = new.zones.get(terms.zone as usize).cloned();
-        (new.zones, new.kinds) = (std::mem::take(&mut self.zones), std::mem::take(&mut self.kinds));
+        (new.zones, new.kinds) = (
+            std::mem::take(&mut self.zones),
+            std::mem::take(&mut self.kinds),
+        );
         if let Some(zone) = own_zone {
             terms.zone = new.zone(&zone);
         }
@@ -137,46 +151,70 @@
         let caps = part(settings, "caps")?;
         let limits = optional(told, "limits", Some)?.unwrap_or(&Value::Null);
         let memory = optional(limits, "memory_mb", Value::as_u64)?;
-        let open = optional(limits, "sockets", Value::as_u64)?.unwrap_or(most_open).min(most_open);
+        let open = optional(limits, "sockets", Value::as_u64)?
+            .unwrap_or(most_open)
+            .min(most_open);
         if open < FEWEST {
-            return Err(format!("field 'sockets' is {open}, and {FEWEST} are the fewest to serve with"));
+            return Err(format!(
+                "field 'sockets' is {open}, and {FEWEST} are the fewest to serve with"
+            ));
         }
         let room = (open - KEPT_BACK) as usize;
         let clients_most = (room as f64 * CLIENTS_PART) as usize;
         let seed = text(told, "seed")?;
         let names = |object: &Value, name: &str| -> Decoded<Vec<String>> {
-            list(object, name)?.iter().map(|entry| text(entry, "name").map(str::to_owned)).collect()
+            list(object, name)?
+                .iter()
+                .map(|entry| text(entry, "name").map(str::to_owned))
+                .collect()
         };
         let words = |name: &str| -> Decoded<Vec<String>> {
             let word = |entry: &Value| entry.as_str().map(str::to_owned);
             let wrong = || format!("field '{name}' holds what is no text");
-            list(settings, name)?.iter().map(|entry| word(entry).ok_or_else(wrong)).collect()
+            list(settings, name)?
+                .iter()
+                .map(|entry| word(entry).ok_or_else(wrong))
+                .collect()
         };
         let source = text(part(settings, "report")?, "source")?;
         if source == "on_probe" && !terms.loads_probed {
             return Err(
-                "in 'settings': 'report.source' is 'on_probe', and 'caps.probes' is not allowed".into()
+                "in 'settings': 'report.source' is 'on_probe', and 'caps.probes' is not allowed"
+                    .into(),
             );
         }
         let zones = words("dcs")?;
         if terms.zone as usize >= zones.len() {
-            return Err(format!("in 'settings': field 'zone' is {} of {}", terms.zone, zones.len()));
+            return Err(format!(
+                "in 'settings': field 'zone' is {} of {}",
+                terms.zone,
+                zones.len()
+            ));
         }
-        let effects: Vec<Effect> = terms.use_cases.iter().map(|use_case| use_case.effect).collect();
+        let effects: Vec<Effect> = terms
+            .use_cases
+            .iter()
+            .map(|use_case| use_case.effect)
+            .collect();
         // All of the grace is left to what holds a process up, so it is checked and not kept.
         whole(part(settings, "rules")?, "drainGraceUs")?;
         let place = Self {
             name: named(told, variables, "name")?,
             listen: address(told, variables, "listen")?,
             discovery: address(told, variables, "discovery")?,
-            seed: u64::from_str_radix(seed, 16).map_err(|_| "field 'seed' is no hexadecimal number")?,
+            seed: u64::from_str_radix(seed, 16)
+                .map_err(|_| "field 'seed' is no hexadecimal number")?,
             clients_most,
             crowd: (open / CROWD_PART) as usize,
             links_most: room - clients_most,
-            messages_most: memory
-                .map_or(usize::MAX, |mb| (mb.saturating_mul(MEBIBYTE) / MESSAGES_PART) as usize),
+            messages_most: memory.map_or(usize::MAX, |mb| {
+                (mb.saturating_mul(MEBIBYTE) / MESSAGES_PART) as usize
+            }),
             use_cases: names(settings, "useCases")?,
-            known_use_cases: names(settings, "useCases")?.into_iter().zip(effects.clone()).collect(),
+            known_use_cases: names(settings, "useCases")?
+                .into_iter()
+                .zip(effects.clone())
+                .collect(),
             effects,
             accounts: match optional(settings, "accounts", Value::as_array)? {
                 Some(_) => names(settings, "accounts")?,
@@ -202,7 +240,13 @@
 fn stricter(one: Effect, other: Effect) -> Effect {
     match (one, other) {
         (Effect::Redoable, other) | (other, Effect::Redoable) => other,
-        (Effect::Labelled { group, window }, Effect::Labelled { group: others, window: other }) => {
+        (
+            Effect::Labelled { group, window },
+            Effect::Labelled {
+                group: others,
+                window: other,
+            },
+        ) => {
             let window = window.min(other);
             match (group, others) {
                 (Group::All, group) | (group, Group::All) => Effect::Labelled { group, window },
@@ -221,7 +265,9 @@
         None if terms.loads_probed => {
             Err("field 'probe_path' is missing, and loads are told to probes only".into())
         }
-        Some(path) if !path.starts_with('/') || !path.bytes().all(|byte| byte.is_ascii_graphic()) => {
+        Some(path)
+            if !path.starts_with('/') || !path.bytes().all(|byte| byte.is_ascii_graphic()) =>
+        {
             Err(format!("field 'probe_path' is '{path}', no path"))
         }
         path => Ok(path.map(str::to_owned)),
@@ -240,21 +286,31 @@
         return Err("field 'peers' names an address twice".into());
     }
     if named.len() != terms.balancers {
-        return Err(format!("field 'peers' names {} balancers of {}", named.len(), terms.balancers));
+        return Err(format!(
+            "field 'peers' names {} balancers of {}",
+            named.len(),
+            terms.balancers
+        ));
     }
     let address = |value: &Value| value.as_str().and_then(|address| address.parse().ok());
     let wrong = |value| format!("field 'peers' holds {value}, no address and port");
-    named.iter().map(|value| address(value).ok_or_else(|| wrong(value))).collect()
+    named
+        .iter()
+        .map(|value| address(value).ok_or_else(|| wrong(value)))
+        .collect()
 }
 
 fn numbered(names: &mut Vec<String>, name: &str) -> u64 {
-    let at = names.iter().position(|known| known == name).unwrap_or_else(|| {
-        if names.len() >= NAMES_MOST {
-            return NAMES_MOST;
-        }
-        names.push(name.to_owned());
-        names.len() - 1
-    });
+    let at = names
+        .iter()
+        .position(|known| known == name)
+        .unwrap_or_else(|| {
+            if names.len() >= NAMES_MOST {
+                return NAMES_MOST;
+            }
+            names.push(name.to_owned());
+            names.len() - 1
+        });
     at as u64
 }
 
@@ -268,14 +324,18 @@
 
 fn address(told: &Value, variables: &Variables, name: &str) -> Decoded<SocketAddr> {
     let value = named(told, variables, name)?;
-    value.parse().map_err(|_| format!("field '{name}' is '{value}', no address and port"))
+    value
+        .parse()
+        .map_err(|_| format!("field '{name}' is '{value}', no address and port"))
 }
 
 /// The variables that speak to a balancer.
 pub fn variables() -> Variables {
-    let ours = |(name, value): (String, String)| Some((name.strip_prefix("BALANCER_")?.to_owned(), value));
+    let ours =
+        |(name, value): (String, String)| Some((name.strip_prefix("BALANCER_")?.to_owned(), value));
     // A variable that is no text is none of ours.
-    let texts = std::env::vars_os().filter_map(|(n, v)| Some((n.into_string().ok()?, v.into_string().ok()?)));
+    let texts = std::env::vars_os()
+        .filter_map(|(n, v)| Some((n.into_string().ok()?, v.into_string().ok()?)));
     texts.filter_map(ours).collect()
 }
 
@@ -289,7 +349,10 @@
 
 impl From<String> for Unread {
     fn from(problem: String) -> Self {
-        Self { passes: false, problem }
+        Self {
+            passes: false,
+            problem,
+        }
     }
 }
 
@@ -313,10 +376,12 @@
         passes: passes(&problem),
         problem: format!("cannot read {path}: {problem}"),
     })?;
-    let told: Value =
-        serde_json::from_slice(&bytes).map_err(|problem| format!("{path} is not JSON: {problem}"))?;
-    let most_open = rustix::process::getrlimit(rustix::process::Resource::Nofile).current.unwrap_or(u64::MAX);
-    let (place, terms) =
-        Place::decode(&told, variables, most_open).map_err(|problem| format!("in {path}: {problem}"))?;
+    let told: Value = serde_json::from_slice(&bytes)
+        .map_err(|problem| format!("{path} is not JSON: {problem}"))?;
+    let most_open = rustix::process::getrlimit(rustix::process::Resource::Nofile)
+        .current
+        .unwrap_or(u64::MAX);
+    let (place, terms) = Place::decode(&told, variables, most_open)
+        .map_err(|problem| format!("in {path}: {problem}"))?;
     Ok((told, place, terms))
 }
--- a/crates/proxy/src/life/place/tests.rs
+++ b/crates/proxy/src/life/place/tests.rs
@@ -20,7 +20,10 @@
 fn a_bad_field_is_named(#[case] place: &str, #[case] value: Value, #[case] expected: &str) {
     let mut told = told("127.0.0.1:1", "127.0.0.1:2");
     *told.pointer_mut(place).unwrap() = value;
-    assert_eq!(decoded(&told, &Variables::new(), 1024).err().as_deref(), Some(expected));
+    assert_eq!(
+        decoded(&told, &Variables::new(), 1024).err().as_deref(),
+        Some(expected)
+    );
 }
 
 #[rstest]
@@ -35,34 +38,68 @@
 #[case("/settings/zone", json!(2), "in 'settings': field 'zone' is 2 of 2")]
 #[case("/settings/report/source", json!("odd"), "in 'settings': field 'source' holds unknown 'odd'")]
 #[case("/settings/useCases/0/earnings", json!(0), "in 'settings': field 'earnings' is 0, not above 0")]
-fn a_bad_field_of_the_new_ones_is_named(#[case] place: &str, #[case] value: Value, #[case] expected: &str) {
+fn a_bad_field_of_the_new_ones_is_named(
+    #[case] place: &str,
+    #[case] value: Value,
+    #[case] expected: &str,
+) {
     let mut told = told("127.0.0.1:1", "127.0.0.1:2");
-    moved(&mut told, &["127.0.0.1:7".parse().unwrap(), "127.0.0.1:8".parse().unwrap()]);
+    moved(
+        &mut told,
+        &[
+            "127.0.0.1:7".parse().unwrap(),
+            "127.0.0.1:8".parse().unwrap(),
+        ],
+    );
     *told.pointer_mut(place).unwrap() = value;
-    assert_eq!(decoded(&told, &Variables::new(), 1024).err().as_deref(), Some(expected));
+    assert_eq!(
+        decoded(&told, &Variables::new(), 1024).err().as_deref(),
+        Some(expected)
+    );
 }
 
 /// What settat is told says nothing of these.
 #[test]
 fn what_is_new_is_off_where_nothing_is_said_of_it() {
-    let (place, terms) = Place::decode(&told("127.0.0.1:1", "127.0.0.1:2"), &Variables::new(), 1024).unwrap();
+    let (place, terms) =
+        Place::decode(&told("127.0.0.1:1", "127.0.0.1:2"), &Variables::new(), 1024).unwrap();
     assert!(!terms.loads_probed && !terms.loads_untold && !terms.peers);
     assert!(place.peers.is_empty() && place.probe_path.is_none());
-    assert!(terms.use_cases.iter().all(|use_case| use_case.earnings == 1.0));
+    assert!(
+        terms
+            .use_cases
+            .iter()
+            .all(|use_case| use_case.earnings == 1.0)
+    );
 }
 
 #[test]
 fn variables_go_before_the_file() {
-    let variables = Variables::from([("LISTEN".into(), "127.0.0.1:9".into()), ("NAME".into(), "n9".into())]);
+    let variables = Variables::from([
+        ("LISTEN".into(), "127.0.0.1:9".into()),
+        ("NAME".into(), "n9".into()),
+    ]);
     let place = decoded(&told("127.0.0.1:1", "127.0.0.1:2"), &variables, 1024).unwrap();
-    assert_eq!((place.name.as_str(), place.listen.port(), place.discovery.port()), ("n9", 9, 2));
+    assert_eq!(
+        (
+            place.name.as_str(),
+            place.listen.port(),
+            place.discovery.port()
+        ),
+        ("n9", 9, 2)
+    );
 }
 
 #[rstest]
 #[case::told(4096, 1024)]
 #[case::by_the_system(256, 256)]
 fn descriptors_are_shared_out_below_the_lower_limit(#[case] system: u64, #[case] least: usize) {
-    let place = decoded(&told("127.0.0.1:1", "127.0.0.1:2"), &Variables::new(), system).unwrap();
+    let place = decoded(
+        &told("127.0.0.1:1", "127.0.0.1:2"),
+        &Variables::new(),
+        system,
+    )
+    .unwrap();
     assert!(place.clients_most + place.links_most + KEPT_BACK as usize <= least);
     assert!(place.links_most > least / 4);
 }
@@ -73,7 +110,12 @@
 fn messages_take_a_part_of_the_memory(#[case] memory: Value, #[case] most: usize) {
     let mut told = told("127.0.0.1:1", "127.0.0.1:2");
     told["limits"]["memory_mb"] = memory;
-    assert_eq!(decoded(&told, &Variables::new(), 1024).unwrap().messages_most, most);
+    assert_eq!(
+        decoded(&told, &Variables::new(), 1024)
+            .unwrap()
+            .messages_most,
+        most
+    );
 }
 
 const fn labelled(group: Group, window: Micros) -> Effect {
@@ -83,9 +125,21 @@
 #[rstest]
 #[case::redoable(Effect::Redoable, labelled(Group::Cell, 5), labelled(Group::Cell, 5))]
 #[case::irreversible(labelled(Group::All, 5), Effect::Irreversible, Effect::Irreversible)]
-#[case::shorter_window(labelled(Group::Cell, 5), labelled(Group::Cell, 3), labelled(Group::Cell, 3))]
-#[case::smaller_group(labelled(Group::All, 5), labelled(Group::Zone, 9), labelled(Group::Zone, 5))]
-#[case::groups_apart(labelled(Group::Zone, 5), labelled(Group::Cell, 5), Effect::Irreversible)]
+#[case::shorter_window(
+    labelled(Group::Cell, 5),
+    labelled(Group::Cell, 3),
+    labelled(Group::Cell, 3)
+)]
+#[case::smaller_group(
+    labelled(Group::All, 5),
+    labelled(Group::Zone, 9),
+    labelled(Group::Zone, 5)
+)]
+#[case::groups_apart(
+    labelled(Group::Zone, 5),
+    labelled(Group::Cell, 5),
+    Effect::Irreversible
+)]
 fn repeats_keep_to_the_stricter(#[case] one: Effect, #[case] other: Effect, #[case] both: Effect) {
     assert_eq!((stricter(one, other), stricter(other, one)), (both, both));
 }
@@ -100,12 +154,21 @@
     changed["settings"]["useCases"][1]["effect"] = json!("unsafe");
     let (new, new_terms) = decode(&changed);
     let after = place.renew(new, new_terms, &terms).unwrap();
-    let effects: Vec<_> =
-        after.use_cases.iter().map(|use_case| (use_case.effect, use_case.earnings)).collect();
-    assert_eq!(effects[1..], [(Effect::Irreversible, 0.0), (Effect::Irreversible, 1.0)]);
+    let effects: Vec<_> = after
+        .use_cases
+        .iter()
+        .map(|use_case| (use_case.effect, use_case.earnings))
+        .collect();
+    assert_eq!(
+        effects[1..],
+        [(Effect::Irreversible, 0.0), (Effect::Irreversible, 1.0)]
+    );
     assert_eq!(place.use_cases, ["pay", "", "look"]);
     let (old, old_terms) = decode(&told);
     let back = place.renew(old, old_terms, &after).unwrap();
-    assert_eq!((back.use_cases[1].effect, back.use_cases.len()), (Effect::Redoable, 3));
+    assert_eq!(
+        (back.use_cases[1].effect, back.use_cases.len()),
+        (Effect::Redoable, 3)
+    );
     assert_eq!(place.use_cases, ["pay", "look", ""]);
 }
--- a/crates/proxy/src/life/reread.rs
+++ b/crates/proxy/src/life/reread.rs
@@ -31,7 +31,9 @@
     /// Reads the operator file anew, where there is one. What can't be read changes nothing.
     pub fn reread_operator(&mut self, path: Option<&str>) {
         let desk = self.desk.borrow();
-        let Some((path, fleet)) = path.zip(desk.fleet.as_ref()) else { return };
+        let Some((path, fleet)) = path.zip(desk.fleet.as_ref()) else {
+            return;
+        };
         match fleet_terms(path, &desk.place, self.balancer.terms()) {
             Ok(terms) => {
                 let kept = fleet.borrow_mut().renew(terms);
@@ -105,11 +107,18 @@
 
 impl Desk {
     fn reread_later(&mut self, path: Option<&str>, passes: bool) {
-        let tries = self.reread_again.as_ref().map_or(0, |again| again.tries + 1);
-        let again = Again { path: path.map(str::to_owned), tries };
+        let tries = self
+            .reread_again
+            .as_ref()
+            .map_or(0, |again| again.tries + 1);
+        let again = Again {
+            path: path.map(str::to_owned),
+            tries,
+        };
         self.reread_again = Some(again).filter(|_| passes && tries < TRIES);
         if self.reread_again.is_some() {
-            self.deadlines.hang(self.clock.now() + TRIES_APART, Due::Reread);
+            self.deadlines
+                .hang(self.clock.now() + TRIES_APART, Due::Reread);
         }
     }
 }
--- a/crates/proxy/src/life/reread/tests.rs
+++ b/crates/proxy/src/life/reread/tests.rs
@@ -39,11 +39,18 @@
         stand.heard(&old, "\r\n\r\n");
         let new = listener();
         let address = new.local_addr().unwrap().to_string();
-        let path = file(&format!("round-{round}"), &told("127.0.0.1:0", &address).to_string());
+        let path = file(
+            &format!("round-{round}"),
+            &told("127.0.0.1:0", &address).to_string(),
+        );
         stand.node.reread(Some(&path), &variables());
         std::fs::remove_file(path).unwrap();
         let call = stand.accepted(&new);
-        assert!(stand.heard(&call, "\r\n\r\n").starts_with("GET /registry/instances HTTP/1.1\r\n"));
+        assert!(
+            stand
+                .heard(&call, "\r\n\r\n")
+                .starts_with("GET /registry/instances HTTP/1.1\r\n")
+        );
         let list = json!({"rev": 1, "all": true,
             "targets": [entry("s1", upstream.local_addr().unwrap(), "active")]});
         say(&call, &answer(&list));
@@ -54,7 +61,10 @@
         stand.discovery = new;
         drop(call);
     }
-    assert!(stand.node.desk.borrow().tickets.contains_key(ticket), "a ticket under way is untouched");
+    assert!(
+        stand.node.desk.borrow().tickets.contains_key(ticket),
+        "a ticket under way is untouched"
+    );
     say(&link, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
     stand.heard(&client, "ok");
 }
@@ -67,18 +77,25 @@
     let mut stand = Stand::new();
     let asked = stand.discovery.try_clone().unwrap();
     let call = stand.accepted(&asked);
-    let path = text.map_or("/nowhere/at/all".to_owned(), |text| file(&format!("bad-{}", text.len()), &text));
+    let path = text.map_or("/nowhere/at/all".to_owned(), |text| {
+        file(&format!("bad-{}", text.len()), &text)
+    });
     let before = stand.node.desk.borrow().place.discovery;
     stand.node.reread(Some(&path), &variables());
     _ = std::fs::remove_file(path);
     stand.heard(&call, "\r\n\r\n");
     let desk = stand.node.desk.borrow();
-    assert_eq!((desk.place.discovery, desk.counters.rereads_failed), (before, 1));
+    assert_eq!(
+        (desk.place.discovery, desk.counters.rereads_failed),
+        (before, 1)
+    );
 }
 
 /// A request for a use case of the fleet of another build.
 fn swap(id: &str) -> String {
-    message(id, "body").replace("/pay/", "/swap/").replace("X-Lane: pay", "X-Lane: swap")
+    message(id, "body")
+        .replace("/pay/", "/swap/")
+        .replace("X-Lane: pay", "X-Lane: swap")
 }
 
 /// Asks as a client that opens a connection for it, and hears the status.
@@ -95,7 +112,10 @@
 fn settings_change_while_a_ticket_is_under_way_and_back_again() {
     let mut stand = Stand::new();
     let other = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
-    let own = std::net::UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let own = std::net::UdpSocket::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     let peers = [own, other.local_addr().unwrap()];
     let address = stand.discovery.local_addr().unwrap().to_string();
     let [old, mut new] = [0, 1].map(|_| told("127.0.0.1:0", &address));
@@ -105,9 +125,10 @@
     let link = stand.accepted(&upstream);
     stand.heard(&link, "body");
     for round in 0..3 {
-        for (told, taken, gone) in
-            [(&new, swap("n"), message("o", "b")), (&old, message("o", "b"), swap("n"))]
-        {
+        for (told, taken, gone) in [
+            (&new, swap("n"), message("o", "b")),
+            (&old, message("o", "b"), swap("n")),
+        ] {
             let path = file(&format!("switch-{round}"), &told.to_string());
             stand.node.reread(Some(&path), &variables());
             std::fs::remove_file(path).unwrap();
@@ -120,10 +141,21 @@
         }
     }
     let desk = stand.node.desk.borrow();
-    assert_eq!((desk.counters.settings_changed, desk.counters.rereads_failed), (6, 0));
-    let known: Vec<_> = desk.place.known_use_cases.iter().map(|known| known.0.as_str()).collect();
+    assert_eq!(
+        (desk.counters.settings_changed, desk.counters.rereads_failed),
+        (6, 0)
+    );
+    let known: Vec<_> = desk
+        .place
+        .known_use_cases
+        .iter()
+        .map(|known| known.0.as_str())
+        .collect();
     assert_eq!(known, ["pay", "look", "swap", "status"]);
-    assert!(desk.tickets.contains_key(ticket), "a ticket under way is untouched");
+    assert!(
+        desk.tickets.contains_key(ticket),
+        "a ticket under way is untouched"
+    );
     drop(desk);
     say(&link, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
     stand.heard(&client, "ok");
@@ -140,14 +172,26 @@
     let mut stand = Stand::new();
     let address = stand.discovery.local_addr().unwrap().to_string();
     let mut new = told("127.0.0.1:0", &address);
-    moved(&mut new, &["127.0.0.1:0".parse().unwrap(), "127.0.0.1:9".parse().unwrap()]);
+    moved(
+        &mut new,
+        &[
+            "127.0.0.1:0".parse().unwrap(),
+            "127.0.0.1:9".parse().unwrap(),
+        ],
+    );
     spoil(&mut new);
-    let path = file(&format!("spoilt-{}", new.to_string().len()), &new.to_string());
+    let path = file(
+        &format!("spoilt-{}", new.to_string().len()),
+        &new.to_string(),
+    );
     let before = stand.node.balancer.terms().clone();
     stand.node.reread(Some(&path), &variables());
     std::fs::remove_file(path).unwrap();
     let desk = stand.node.desk.borrow();
-    assert_eq!((desk.counters.rereads_failed, desk.ear.is_none()), (1, true));
+    assert_eq!(
+        (desk.counters.rereads_failed, desk.ear.is_none()),
+        (1, true)
+    );
     assert_eq!(
         (stand.node.balancer.terms(), &*desk.place.use_cases),
         (&before, &["pay".to_owned(), "look".to_owned()][..])
@@ -166,7 +210,9 @@
             return None;
         }
         let line = head[from..].to_ascii_lowercase();
-        length = line.strip_prefix("content-length: ").map_or(length, |text| text.trim().parse().unwrap());
+        length = line
+            .strip_prefix("content-length: ")
+            .map_or(length, |text| text.trim().parse().unwrap());
     }
     let mut body = vec![0; length];
     stream.read_exact(&mut body).ok()?;
@@ -183,7 +229,11 @@
             std::thread::spawn(move || {
                 let mut reader = BufReader::new(stream.try_clone().unwrap());
                 while let Some((head, _)) = whole(&mut reader) {
-                    if let Some(id) = head.split("X-Txn: ").nth(1).and_then(|rest| rest.split('\r').next()) {
+                    if let Some(id) = head
+                        .split("X-Txn: ")
+                        .nth(1)
+                        .and_then(|rest| rest.split('\r').next())
+                    {
                         *runs.lock().unwrap().entry(id.to_owned()).or_default() += 1;
                         if id.ends_with('5') {
                             std::thread::sleep(Duration::from_millis(20));
@@ -208,14 +258,17 @@
         for n in 0..TICKETS {
             let (lane, method) = [("pay", "POST"), ("swap", "POST"), ("status", "GET")][n % 3];
             let id = format!("{lane}-{name}-{n}");
-            let body =
-                if method == "POST" { "Idempotency-Key: k\r\nContent-Length: 1\r\n\r\nx" } else { "\r\n" };
+            let body = if method == "POST" {
+                "Idempotency-Key: k\r\nContent-Length: 1\r\n\r\nx"
+            } else {
+                "\r\n"
+            };
             let text = format!(
                 "{method} /{lane}/1 HTTP/1.1\r\nHost: a\r\nX-Txn: {id}\r\nX-Remaining-Ms: 2000\r\n{body}"
             );
             let answer = loop {
-                let stream =
-                    open.get_or_insert_with(|| BufReader::new(TcpStream::connect(balancer).unwrap()));
+                let stream = open
+                    .get_or_insert_with(|| BufReader::new(TcpStream::connect(balancer).unwrap()));
                 _ = stream.get_ref().write_all(text.as_bytes());
                 match whole(stream) {
                     Some((head, _)) => {
@@ -247,7 +300,10 @@
     let at = upstreams(&runs);
     stand.list(&["s1", "s2", "s3", "s4", "s5", "s6"].map(|id| entry(id, at, "active")));
     let other = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
-    let own = std::net::UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let own = std::net::UdpSocket::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     let address = stand.discovery.local_addr().unwrap().to_string();
     let [old, mut new] = [0, 1].map(|_| told("127.0.0.1:0", &address));
     moved(&mut new, &[own, other.local_addr().unwrap()]);
@@ -268,13 +324,21 @@
         let ran = runs.get(id).copied().unwrap_or(0);
         match answer.as_str() {
             "200" => assert!(ran >= 1, "{id}"),
-            "503" | "404" => assert!(ran == 0 || id.starts_with("status"), "{id} {answer} ran {ran} times"),
+            "503" | "404" => assert!(
+                ran == 0 || id.starts_with("status"),
+                "{id} {answer} ran {ran} times"
+            ),
             "502" => {}
             other => panic!("{id} was answered {other}"),
         }
         assert!(ran <= 1 || !id.starts_with("swap"), "{id} ran {ran} times");
     }
-    let served = |lane: &str| answered.iter().filter(|(id, a)| id.starts_with(lane) && a == "200").count();
+    let served = |lane: &str| {
+        answered
+            .iter()
+            .filter(|(id, a)| id.starts_with(lane) && a == "200")
+            .count()
+    };
     assert!(served("pay") > 0 && served("swap") > 0 && served("status") > 0);
     let desk = stand.node.desk.borrow();
     assert_eq!((desk.counters.settings_changed, desk.tickets.len()), (5, 0));
@@ -290,8 +354,14 @@
     stand.heard(&link, "body");
     stand.node.signalled(Signal::SIGTERM);
     let other = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
-    let own = std::net::UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let mut new = told("127.0.0.1:0", &stand.discovery.local_addr().unwrap().to_string());
+    let own = std::net::UdpSocket::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
+    let mut new = told(
+        "127.0.0.1:0",
+        &stand.discovery.local_addr().unwrap().to_string(),
+    );
     moved(&mut new, &[own, other.local_addr().unwrap()]);
     let path = file(&format!("stop-{}", own.port()), &new.to_string());
     stand.node.reread(Some(&path), &variables());
@@ -322,8 +392,15 @@
         std::fs::write(&path, format!("{fleet}{text}")).unwrap();
         stand.node.reread_operator(Some(&path));
         let desk = stand.node.desk.borrow();
-        let duties = |fleet: &Fleet| fleet.accord.duties().map_or(0, |duties| duties.wanted().count());
-        desk.fleet.as_ref().map_or(0, |fleet| duties(&fleet.borrow()))
+        let duties = |fleet: &Fleet| {
+            fleet
+                .accord
+                .duties()
+                .map_or(0, |duties| duties.wanted().count())
+        };
+        desk.fleet
+            .as_ref()
+            .map_or(0, |fleet| duties(&fleet.borrow()))
     };
     let two = "[duties]\nvoters = ['b1']\nown = ['x', 'y']\n";
     let told = [
@@ -337,7 +414,9 @@
     for (text, count) in told {
         assert_eq!(duties(text), count, "{text}");
     }
-    [key, path].into_iter().for_each(|path| std::fs::remove_file(path).unwrap());
+    [key, path]
+        .into_iter()
+        .for_each(|path| std::fs::remove_file(path).unwrap());
 }
 
 /// The system may be out of files for the moment in which the signal comes (ENFILE): what the file moves counts all the
@@ -354,7 +433,11 @@
     std::fs::remove_file(&path).unwrap();
     assert!(stand.node.desk.borrow().reread_again.is_none());
     // What is wrong with the file itself is not tried again, and nothing is for ever.
-    stand.node.desk.borrow_mut().reread_later(Some(&path), false);
+    stand
+        .node
+        .desk
+        .borrow_mut()
+        .reread_later(Some(&path), false);
     assert!(stand.node.desk.borrow().reread_again.is_none());
     for _ in 0..=TRIES {
         stand.node.desk.borrow_mut().reread_later(Some(&path), true);
--- a/crates/proxy/src/life/serve.rs
+++ b/crates/proxy/src/life/serve.rs
@@ -50,7 +50,9 @@
                 Due::NextMessage(slot) => self.client_ready(slot),
                 Due::Link(slot) => self.link_due(slot),
                 Due::LinkTurn(slot) => self.link_ready(slot),
-                Due::Unsent(ticket, number, ending) => self.dispatch_over(ticket, number, ending, now),
+                Due::Unsent(ticket, number, ending) => {
+                    self.dispatch_over(ticket, number, ending, now)
+                }
                 Due::Unprobed(upstream) => self.probe_over(upstream, false),
                 Due::Discovery => self.discovery_due(),
                 Due::Accept => self.desk.borrow_mut().accept_again(),
@@ -62,14 +64,25 @@
 }
 
 /// Serves until told to stop and done.
-pub fn serve(event_loop: &mut EventLoop<'static, Node>, node: &mut Node, pipe: &Pipe) -> Result<(), String> {
+pub fn serve(
+    event_loop: &mut EventLoop<'static, Node>,
+    node: &mut Node,
+    pipe: &Pipe,
+) -> Result<(), String> {
     let (mut untold, mut failures) = (0, 0);
     while !node.over {
         let wait = {
             let mut desk = node.desk.borrow_mut();
             let now = desk.now();
-            let wait = desk.deadlines.next().map_or(TURN_MOST, |at| at.saturating_sub(now)).min(TURN_MOST);
-            let wait = desk.fleet.as_ref().map_or(wait, |fleet| fleet.borrow().wait().min(wait));
+            let wait = desk
+                .deadlines
+                .next()
+                .map_or(TURN_MOST, |at| at.saturating_sub(now))
+                .min(TURN_MOST);
+            let wait = desk
+                .fleet
+                .as_ref()
+                .map_or(wait, |fleet| fleet.borrow().wait().min(wait));
             desk.turn.begin(now, now + wait);
             wait
         };
@@ -83,7 +96,11 @@
         }
         let began = node.desk.borrow().now();
         node.deadlines();
-        node.desk.borrow().fleet.iter().for_each(|fleet| fleet.borrow_mut().turn());
+        node.desk
+            .borrow()
+            .fleet
+            .iter()
+            .for_each(|fleet| fleet.borrow_mut().turn());
         node.take_roster();
         let mut desk = node.desk.borrow_mut();
         let took = desk.now().saturating_sub(began);
--- a/crates/proxy/src/life/start.rs
+++ b/crates/proxy/src/life/start.rs
@@ -41,7 +41,9 @@
 /// Whether another try may do: the process before us has not let go of the address yet, or the system is short of
 /// something for the moment.
 pub fn passes(problem: &std::io::Error) -> bool {
-    let Some(code) = Errno::from_io_error(problem) else { return false };
+    let Some(code) = Errno::from_io_error(problem) else {
+        return false;
+    };
     matches!(
         code,
         Errno::ADDRINUSE
@@ -59,7 +61,10 @@
 }
 
 /// Tries again what fails for a moment only: a start that gives up at once is a crash to whoever started it.
-fn patiently<T, E>(passes: impl Fn(&E) -> bool, mut attempt: impl FnMut() -> Result<T, E>) -> Result<T, E> {
+fn patiently<T, E>(
+    passes: impl Fn(&E) -> bool,
+    mut attempt: impl FnMut() -> Result<T, E>,
+) -> Result<T, E> {
     let mut tries = TRIES;
     loop {
         match attempt() {
@@ -73,7 +78,11 @@
 }
 
 fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
-    let socket = Socket::new(Domain::for_address(address), Type::STREAM.nonblocking(), Some(Protocol::TCP))?;
+    let socket = Socket::new(
+        Domain::for_address(address),
+        Type::STREAM.nonblocking(),
+        Some(Protocol::TCP),
+    )?;
     // A restarted balancer takes its address back while old connections fade.
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
@@ -83,7 +92,11 @@
 
 /// Opens the listener and makes the node. The module's first calls come only after all stands.
 pub fn open(
-    handle: LoopHandle<'static, Node>, pipe: &Pipe, told: &Value, place: Place, terms: Terms,
+    handle: LoopHandle<'static, Node>,
+    pipe: &Pipe,
+    told: &Value,
+    place: Place,
+    terms: Terms,
 ) -> Decoded<Node> {
     let log = pipe.logger(slog::Level::Info);
     let listener = patiently(passes, || listen(place.listen))
@@ -100,8 +113,8 @@
         "links_most" => place.links_most);
     let (clock, seed) = (Clock::start(), place.seed);
     let own = place.peers.get(place.own_number).copied();
-    let ear =
-        Ear::moved(None, &handle, own).map_err(|problem| format!("cannot hear at {own:?}: {problem}"))?;
+    let ear = Ear::moved(None, &handle, own)
+        .map_err(|problem| format!("cannot hear at {own:?}: {problem}"))?;
     let now = clock.now();
     let desk = Rc::new(RefCell::new(Desk {
         clock,
@@ -128,7 +141,11 @@
         turn: Turn::default(),
     }));
     let balancer = Balancer::start(Hands(Rc::clone(&desk)), seed, terms, now);
-    let node = Node { balancer, desk, over: false };
+    let node = Node {
+        balancer,
+        desk,
+        over: false,
+    };
     if let Some(known) = optional(told, "known", Some)? {
         let mut desk = node.desk.borrow_mut();
         // An old list that cannot be read is no reason not to serve: discovery has a new one.
@@ -142,30 +159,45 @@
 
 /// What the operator file says of the fleet. Where it names no member or zone, they are those of the configuration.
 pub fn fleet_terms(file: &str, place: &Place, terms: &Terms) -> Decoded<FleetTerms> {
-    let zone = place.zones.get(terms.zone as usize).map_or("", String::as_str);
+    let zone = place
+        .zones
+        .get(terms.zone as usize)
+        .map_or("", String::as_str);
     operator::read(file, &place.name, zone)
 }
 
 /// Runs the balancer until it is told to stop.
 pub fn run(path: Option<&str>, operator: Option<&str>) -> Decoded<()> {
-    let mut event_loop: EventLoop<Node> = patiently(passes, || EventLoop::try_new().map_err(Into::into))
-        .map_err(|problem| format!("cannot make the event loop: {problem}"))?;
+    let mut event_loop: EventLoop<Node> =
+        patiently(passes, || EventLoop::try_new().map_err(Into::into))
+            .map_err(|problem| format!("cannot make the event loop: {problem}"))?;
     // First of all: a signal that comes during the start waits, and does not end the process.
-    let watched = [Signal::SIGTERM, Signal::SIGINT, Signal::SIGUSR1, Signal::SIGHUP];
+    let watched = [
+        Signal::SIGTERM,
+        Signal::SIGINT,
+        Signal::SIGUSR1,
+        Signal::SIGHUP,
+    ];
     let signals = patiently(passes, || Signals::new(&watched).map_err(Into::into))
         .map_err(|problem| format!("cannot watch signals: {problem}"))?;
-    let (told, place, terms) = patiently(|unread: &Unread| unread.passes, || read(path, &variables()))?;
-    let fleet_terms = operator.map(|file| fleet_terms(file, &place, &terms)).transpose()?;
+    let (told, place, terms) =
+        patiently(|unread: &Unread| unread.passes, || read(path, &variables()))?;
+    let fleet_terms = operator
+        .map(|file| fleet_terms(file, &place, &terms))
+        .transpose()?;
     let handle = event_loop.handle();
     let (file, operator) = (path.map(str::to_owned), operator.map(str::to_owned));
     handle
-        .insert_source(signals, move |event, &mut (), node: &mut Node| match event.signal() {
-            Signal::SIGHUP => {
-                node.reread(file.as_deref(), &variables());
-                node.reread_operator(operator.as_deref());
-            }
-            signal => node.signalled(signal),
-        })
+        .insert_source(
+            signals,
+            move |event, &mut (), node: &mut Node| match event.signal() {
+                Signal::SIGHUP => {
+                    node.reread(file.as_deref(), &variables());
+                    node.reread_operator(operator.as_deref());
+                }
+                signal => node.signalled(signal),
+            },
+        )
         .map_err(|problem| format!("cannot watch signals: {problem}"))?;
     let pipe = Pipe::default();
     let mut node = open(handle.clone(), &pipe, &told, place, terms)?;
@@ -177,7 +209,11 @@
     let served = serve(&mut event_loop, &mut node, &pipe);
     node.desk.borrow_mut().end_all();
     // Nothing is sent to upstreams from here on: only now may others count us out.
-    node.desk.borrow().fleet.iter().for_each(|fleet| fleet.borrow_mut().leave());
+    node.desk
+        .borrow()
+        .fleet
+        .iter()
+        .for_each(|fleet| fleet.borrow_mut().leave());
     node.desk.borrow().tell_counters();
     pipe.flush();
     served
--- a/crates/proxy/src/life/start/tests.rs
+++ b/crates/proxy/src/life/start/tests.rs
@@ -16,7 +16,11 @@
     let mut tries = 0;
     let done = patiently(passes, || -> io::Result<u32> {
         tries += 1;
-        if tries < 3 { Err(code.into()) } else { Ok(tries) }
+        if tries < 3 {
+            Err(code.into())
+        } else {
+            Ok(tries)
+        }
     });
     assert_eq!(done.ok(), again.then_some(3));
 }
--- a/crates/proxy/src/life/stop.rs
+++ b/crates/proxy/src/life/stop.rs
@@ -68,7 +68,8 @@
             desk.turn_off_unfinished();
         }
         // Those whose end is under way have little time left, and close by themselves.
-        let waits = |client: &Client| client.is_owed() || client.lingers || !client.inbox.kept().is_empty();
+        let waits =
+            |client: &Client| client.is_owed() || client.lingers || !client.inbox.kept().is_empty();
         let waiting = desk.clients.values().any(waits);
         let unanswered = desk.tickets.values().any(|ticket| ticket.client.is_some());
         let done = since >= SERVE_ON && !waiting && desk.listener.is_none();
@@ -93,9 +94,13 @@
     /// Ends what is still open when the program ends.
     pub fn end_all(&mut self) {
         let clients: Vec<_> = self.clients.keys().collect();
-        clients.into_iter().for_each(|slot| self.end_client(slot, reasons::STOPPED));
+        clients
+            .into_iter()
+            .for_each(|slot| self.end_client(slot, reasons::STOPPED));
         let links: Vec<_> = self.links.keys().collect();
-        links.into_iter().for_each(|slot| self.end_link(slot, reasons::STOPPED));
+        links
+            .into_iter()
+            .for_each(|slot| self.end_link(slot, reasons::STOPPED));
         self.end_all_discovery(reasons::STOPPED);
     }
 }
--- a/crates/proxy/src/life/stop/tests.rs
+++ b/crates/proxy/src/life/stop/tests.rs
@@ -36,12 +36,19 @@
 #[case::accepting(0, true, false)]
 #[case::no_longer(ACCEPT_ON, false, false)]
 #[case::done(SERVE_ON, false, true)]
-fn a_stop_goes_on_accepting_for_a_while(#[case] since: Micros, #[case] listens: bool, #[case] over: bool) {
+fn a_stop_goes_on_accepting_for_a_while(
+    #[case] since: Micros,
+    #[case] listens: bool,
+    #[case] over: bool,
+) {
     let mut stand = Stand::new();
     let began = stand.node.desk.borrow().now() - since;
     stand.node.desk.borrow_mut().stopping = Some(began);
     stand.node.stop_on();
-    assert_eq!((stand.node.desk.borrow().listener.is_some(), stand.node.over), (listens, over));
+    assert_eq!(
+        (stand.node.desk.borrow().listener.is_some(), stand.node.over),
+        (listens, over)
+    );
 }
 
 #[test]
@@ -107,7 +114,10 @@
     } else {
         stand.node.desk.borrow_mut().stopping = Some(began - REST_WITHIN);
         let heard = stand.heard(&client, "\r\n\r\n");
-        assert!(heard.starts_with("HTTP/1.1 503 ") && heard.contains("Connection: close"), "{heard}");
+        assert!(
+            heard.starts_with("HTTP/1.1 503 ") && heard.contains("Connection: close"),
+            "{heard}"
+        );
     }
     stand.ends(&client);
     drop(client);
--- a/crates/proxy/src/memory/buffers.rs
+++ b/crates/proxy/src/memory/buffers.rs
@@ -32,7 +32,10 @@
 /// What a descriptor is ready for, of what is wanted or gone wrong, without waiting.
 pub fn ready(of: &impl AsFd, wanted: PollFlags) -> PollFlags {
     let mut fds = [PollFd::new(of, wanted)];
-    let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
+    let at_once = Timespec {
+        tv_sec: 0,
+        tv_nsec: 0,
+    };
     match poll(&mut fds, Some(&at_once)) {
         Ok(_) => fds[0].revents(),
         Err(_) => PollFlags::empty(),
@@ -51,7 +54,8 @@
             let kept = self.bytes.len();
             self.bytes.resize(kept + READ_AT_ONCE.min(most - kept), 0);
             let read = stream.read(&mut self.bytes[kept..]);
-            self.bytes.truncate(kept + read.as_ref().map_or(0, |count| *count));
+            self.bytes
+                .truncate(kept + read.as_ref().map_or(0, |count| *count));
             match read {
                 Ok(0) => return Inflow::Ended,
                 Ok(_) => {}
@@ -101,8 +105,12 @@
     /// Writes what the socket takes.
     pub fn drain(&mut self, mut stream: &TcpStream) -> io::Result<()> {
         while !self.slices.is_empty() {
-            let batch: Vec<IoSlice> =
-                self.slices.iter().take(WRITE_AT_ONCE).map(|slice| IoSlice::new(slice)).collect();
+            let batch: Vec<IoSlice> = self
+                .slices
+                .iter()
+                .take(WRITE_AT_ONCE)
+                .map(|slice| IoSlice::new(slice))
+                .collect();
             match stream.write_vectored(&batch) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
                 Ok(written) => self.written(written),
--- a/crates/proxy/src/memory/buffers/tests.rs
+++ b/crates/proxy/src/memory/buffers/tests.rs
@@ -17,10 +17,12 @@
     theirs.write_all(&[7; 5000]).unwrap();
     drop(theirs);
     let mut inbox = Inbox::default();
-    let first = std::iter::repeat_with(|| inbox.fill(&ours, 4500)).find(|inflow| *inflow != Inflow::Dry);
+    let first =
+        std::iter::repeat_with(|| inbox.fill(&ours, 4500)).find(|inflow| *inflow != Inflow::Dry);
     assert_eq!((first, inbox.kept().len()), (Some(Inflow::Full), 4500));
     assert_eq!(inbox.take(4500).len(), 4500);
-    let last = std::iter::repeat_with(|| inbox.fill(&ours, 4500)).find(|inflow| *inflow != Inflow::Dry);
+    let last =
+        std::iter::repeat_with(|| inbox.fill(&ours, 4500)).find(|inflow| *inflow != Inflow::Dry);
     assert_eq!((last, inbox.kept().len()), (Some(Inflow::Ended), 500));
 }
 
--- a/crates/proxy/src/memory/clock.rs
+++ b/crates/proxy/src/memory/clock.rs
@@ -18,8 +18,13 @@
 
 impl Clock {
     pub fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self { started: Instant::now(), paired: unix.as_micros() as Micros }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Self {
+            started: Instant::now(),
+            paired: unix.as_micros() as Micros,
+        }
     }
 
     pub fn now(&self) -> Micros {
@@ -39,7 +44,11 @@
 impl Turn {
     /// The next turn waits from `now` to `until`.
     pub fn begin(&mut self, now: Micros, until: Micros) {
-        self.busy = if self.until == 0 { 0 } else { now.saturating_sub(self.until) };
+        self.busy = if self.until == 0 {
+            0
+        } else {
+            now.saturating_sub(self.until)
+        };
         self.until = until;
     }
 
--- a/crates/proxy/src/memory/deadlines/tests.rs
+++ b/crates/proxy/src/memory/deadlines/tests.rs
@@ -3,8 +3,8 @@
 #[test]
 fn what_falls_due_comes_by_time_and_then_by_order() {
     let mut deadlines = Deadlines::default();
-    let places =
-        [(20, 1), (10, 2), (10, 3), (10, 4)].map(|(at, alarm)| deadlines.hang(at, Due::Alarm(alarm)));
+    let places = [(20, 1), (10, 2), (10, 3), (10, 4)]
+        .map(|(at, alarm)| deadlines.hang(at, Due::Alarm(alarm)));
     deadlines.take_down(places[2]);
     let mark = deadlines.mark();
     let due: Vec<_> = std::iter::from_fn(|| deadlines.due(20, mark)).collect();
@@ -16,7 +16,10 @@
     let mut deadlines = Deadlines::default();
     let mark = deadlines.mark();
     deadlines.hang(10, Due::Accept);
-    assert_eq!((deadlines.due(10, mark), deadlines.next()), (None, Some(10)));
+    assert_eq!(
+        (deadlines.due(10, mark), deadlines.next()),
+        (None, Some(10))
+    );
 }
 
 #[test]
--- a/crates/proxy/src/memory/desk.rs
+++ b/crates/proxy/src/memory/desk.rs
@@ -34,7 +34,9 @@
 impl Wired {
     /// Gives a socket its place in the loop: `ready` is called whenever it may be read from or written to.
     pub fn new(
-        handle: &LoopHandle<'static, Node>, stream: TcpStream, ready: impl Fn(&mut Node) + 'static,
+        handle: &LoopHandle<'static, Node>,
+        stream: TcpStream,
+        ready: impl Fn(&mut Node) + 'static,
     ) -> io::Result<Self> {
         let stream = Rc::new(stream);
         let source = Generic::new(Rc::clone(&stream), Interest::BOTH, Mode::Edge);
@@ -42,7 +44,10 @@
             ready(node);
             Ok(PostAction::Continue)
         });
-        Ok(Self { stream, token: token.map_err(|problem| io::Error::other(problem.error))? })
+        Ok(Self {
+            stream,
+            token: token.map_err(|problem| io::Error::other(problem.error))?,
+        })
     }
 }
 
@@ -197,8 +202,17 @@
 
     /// Bytes of clients' messages that are kept, in inboxes and in tickets.
     pub fn kept(&self) -> usize {
-        let unread: usize = self.clients.values().map(|client| client.inbox.kept().len()).sum();
-        unread + self.tickets.values().map(|ticket| ticket.length).sum::<usize>()
+        let unread: usize = self
+            .clients
+            .values()
+            .map(|client| client.inbox.kept().len())
+            .sum();
+        unread
+            + self
+                .tickets
+                .values()
+                .map(|ticket| ticket.length)
+                .sum::<usize>()
     }
 
     /// Takes the client from a ticket: from here on nobody waits for its answer.
@@ -214,7 +228,11 @@
 
     /// Takes down that an attempt is over. Its request's id, and whether somebody still waits for the answer.
     pub fn over(
-        &mut self, slot: TicketSlot, number: usize, ending: Ending, sent: Micros,
+        &mut self,
+        slot: TicketSlot,
+        number: usize,
+        ending: Ending,
+        sent: Micros,
     ) -> Option<(Rc<str>, bool)> {
         let ticket = self.tickets.get_mut(slot)?;
         if let Some(link) = ticket.dispatches.get_mut(number) {
@@ -230,7 +248,9 @@
 
     /// Forgets a ticket that nobody waits for and that has nothing out.
     pub fn tidy(&mut self, slot: TicketSlot) {
-        let over = |ticket: &Ticket| ticket.client.is_none() && ticket.dispatches.iter().all(Option::is_none);
+        let over = |ticket: &Ticket| {
+            ticket.client.is_none() && ticket.dispatches.iter().all(Option::is_none)
+        };
         if self.tickets.get(slot).is_some_and(over)
             && let Some(ticket) = self.tickets.remove(slot)
         {
--- a/crates/proxy/src/stand.rs
+++ b/crates/proxy/src/stand.rs
@@ -45,7 +45,10 @@
 /// Discovery's answer with a list.
 pub fn answer(list: &Value) -> String {
     let text = list.to_string();
-    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len())
+    format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
+        text.len()
+    )
 }
 
 /// A whole request for the labelled use case.
@@ -79,8 +82,21 @@
         let node = open(event_loop.handle(), &Pipe::default(), &told, place, terms).unwrap();
         // However slow a test is, it counts as in time.
         node.desk.borrow_mut().turn.until = Micros::MAX;
-        let address = node.desk.borrow().listener.as_ref().unwrap().0.local_addr().unwrap();
-        Self { event_loop, node, discovery, address }
+        let address = node
+            .desk
+            .borrow()
+            .listener
+            .as_ref()
+            .unwrap()
+            .0
+            .local_addr()
+            .unwrap();
+        Self {
+            event_loop,
+            node,
+            discovery,
+            address,
+        }
     }
 
     /// An upstream of the test's own, named in the list.
@@ -100,7 +116,9 @@
     }
 
     pub fn list(&mut self, entries: &[Value]) {
-        self.node.take_list(&json!({"rev": 1, "all": false, "targets": entries})).unwrap();
+        self.node
+            .take_list(&json!({"rev": 1, "all": false, "targets": entries}))
+            .unwrap();
     }
 
     /// Turns until there is what must come.
@@ -110,8 +128,14 @@
             if let Some(found) = look(&mut self.node) {
                 return found;
             }
-            assert!(began.elapsed() < LONG, "it never came; {}", node_state(&self.node));
-            self.event_loop.dispatch(Some(Duration::from_millis(1)), &mut self.node).unwrap();
+            assert!(
+                began.elapsed() < LONG,
+                "it never came; {}",
+                node_state(&self.node)
+            );
+            self.event_loop
+                .dispatch(Some(Duration::from_millis(1)), &mut self.node)
+                .unwrap();
             self.node.deadlines();
         }
     }
@@ -120,7 +144,13 @@
         let known: Vec<_> = self.node.desk.borrow().clients.keys().collect();
         let stream = TcpStream::connect(self.address).unwrap();
         stream.set_nonblocking(true).unwrap();
-        let slot = self.until(|node| node.desk.borrow().clients.keys().find(|slot| !known.contains(slot)));
+        let slot = self.until(|node| {
+            node.desk
+                .borrow()
+                .clients
+                .keys()
+                .find(|slot| !known.contains(slot))
+        });
         (stream, slot)
     }
 
@@ -160,7 +190,12 @@
     }
 
     /// A ticket whose client waits, unknown to the module, and its first dispatch.
-    pub fn dispatched(&mut self, id: &str, upstream: &str, wait: Micros) -> (TcpStream, TicketSlot) {
+    pub fn dispatched(
+        &mut self,
+        id: &str,
+        upstream: &str,
+        wait: Micros,
+    ) -> (TcpStream, TicketSlot) {
         let (stream, slot) = self.client();
         let text = bytes::Bytes::from(message(id, "body"));
         let mut fields = [httparse::EMPTY_HEADER; 16];
@@ -168,7 +203,10 @@
         let length = head.parse(&text).unwrap().unwrap();
         let body = std::iter::once(length..text.len()).collect::<Vec<_>>();
         let effect = self.node.desk.borrow().place.effects[0];
-        self.node.desk.borrow_mut().open(slot, id, effect, &text, &head, &body);
+        self.node
+            .desk
+            .borrow_mut()
+            .open(slot, id, effect, &text, &head, &body);
         let ticket = self.node.desk.borrow().by_id[id];
         self.again(id, upstream, wait);
         (stream, ticket)
@@ -210,5 +248,8 @@
 /// What a test that failed wants to know.
 fn node_state(node: &Node) -> String {
     let text = node.desk.borrow().counters.to_string();
-    text.lines().filter(|line| !line.ends_with(" 0")).collect::<Vec<_>>().join(", ")
+    text.lines()
+        .filter(|line| !line.ends_with(" 0"))
+        .collect::<Vec<_>>()
+        .join(", ")
 }
--- a/crates/proxy/src/wire/accepting.rs
+++ b/crates/proxy/src/wire/accepting.rs
@@ -39,7 +39,9 @@
 
 /// As accept(2) lists them: what is wrong on the network is told of the connection that was to be accepted.
 fn accept_failure(problem: &std::io::Error) -> AcceptFailure {
-    let Some(code) = Errno::from_io_error(problem) else { return AcceptFailure::System };
+    let Some(code) = Errno::from_io_error(problem) else {
+        return AcceptFailure::System;
+    };
     match code {
         Errno::AGAIN => AcceptFailure::Nobody,
         Errno::INTR
@@ -65,7 +67,11 @@
         let (mut made_room, mut accepted) = (false, false);
         for _ in 0..ACCEPT_AT_ONCE {
             let mut desk = self.desk.borrow_mut();
-            let Some(listener) = desk.listener.as_ref().map(|(listener, _)| Rc::clone(listener)) else {
+            let Some(listener) = desk
+                .listener
+                .as_ref()
+                .map(|(listener, _)| Rc::clone(listener))
+            else {
                 return false;
             };
             if desk.clients.len() >= desk.place.clients_most {
@@ -156,25 +162,48 @@
     /// Closes the client's connection that has kept us waiting for longest, between tickets or with part of a request.
     fn end_resting_client(&mut self) -> bool {
         // What lies unread in the socket may be a whole request, and then it is taken.
-        let unread = |client: &Client| client.wired.stream.peek(&mut [0]).is_ok_and(|count| count > 0);
+        let unread = |client: &Client| {
+            client
+                .wired
+                .stream
+                .peek(&mut [0])
+                .is_ok_and(|count| count > 0)
+        };
         let now = self.clock.now();
         // Whoever opened a connection or began a request just now is about to go on with it.
         let begun = |client: &Client| client.answered == 0 || !client.inbox.kept().is_empty();
-        let last = |client: &Client| (begun(client) && now < client.since + ABOUT_TO_SEND, client.since);
+        let last = |client: &Client| {
+            (
+                begun(client) && now < client.since + ABOUT_TO_SEND,
+                client.since,
+            )
+        };
         let rests = |client: &Client| !client.is_owed() && !client.holds_unseen();
-        let mut waiting: Vec<_> = self.clients.iter().filter(|(_, client)| rests(client)).collect();
+        let mut waiting: Vec<_> = self
+            .clients
+            .iter()
+            .filter(|(_, client)| rests(client))
+            .collect();
         waiting.sort_by_key(|(_, client)| last(client));
-        let first = waiting.into_iter().find(|(_, client)| !unread(client)).map(|(slot, _)| slot);
-        first.inspect(|slot| self.end_client(*slot, reasons::MADE_ROOM)).is_some()
+        let first = waiting
+            .into_iter()
+            .find(|(_, client)| !unread(client))
+            .map(|(slot, _)| slot);
+        first
+            .inspect(|slot| self.end_client(*slot, reasons::MADE_ROOM))
+            .is_some()
     }
 
     fn rest_accepting(&mut self) {
-        let Some((_, token)) = self.listener.as_ref().filter(|_| !self.accept_rests) else { return };
+        let Some((_, token)) = self.listener.as_ref().filter(|_| !self.accept_rests) else {
+            return;
+        };
         if let Err(problem) = self.handle.disable(token) {
             warn!(self.log, "cannot rest accepting"; "problem" => %problem);
         }
         self.accept_rests = true;
-        self.deadlines.hang(self.clock.now() + ACCEPT_REST, Due::Accept);
+        self.deadlines
+            .hang(self.clock.now() + ACCEPT_REST, Due::Accept);
     }
 
     pub fn accept_again(&mut self) {
@@ -188,7 +217,9 @@
 
     /// Whether somebody waits to be accepted.
     pub fn backlog_waits(&self) -> bool {
-        self.listener.as_ref().is_some_and(|(listener, _)| one_waits(listener))
+        self.listener
+            .as_ref()
+            .is_some_and(|(listener, _)| one_waits(listener))
     }
 
     pub fn close_listener(&mut self) {
--- a/crates/proxy/src/wire/accepting/tests.rs
+++ b/crates/proxy/src/wire/accepting/tests.rs
@@ -14,7 +14,9 @@
 fn stands(stand: &mut Stand, (answered, sent, waited): Standing) -> (TcpStream, ClientSlot) {
     let (stream, slot) = stand.client();
     say(&stream, sent);
-    stand.until(|node| (node.desk.borrow().clients[slot].inbox.kept().len() == sent.len()).then_some(()));
+    stand.until(|node| {
+        (node.desk.borrow().clients[slot].inbox.kept().len() == sent.len()).then_some(())
+    });
     let mut desk = stand.node.desk.borrow_mut();
     let now = desk.now();
     let client = &mut desk.clients[slot];
@@ -44,7 +46,13 @@
     let mut stand = Stand::new();
     let (client, slot) = stand.client();
     say(&client, "POST /p");
-    let unread = |node: &Node| node.desk.borrow().clients[slot].wired.stream.peek(&mut [0]).is_ok();
+    let unread = |node: &Node| {
+        node.desk.borrow().clients[slot]
+            .wired
+            .stream
+            .peek(&mut [0])
+            .is_ok()
+    };
     while !unread(&stand.node) {}
     assert!(!stand.node.desk.borrow_mut().make_room());
 }
@@ -71,7 +79,10 @@
     assert_eq!(stand.node.desk.borrow().clients.len(), 0);
     stand.node.desk.borrow_mut().place.clients_most = 1;
     stand.until(|node| (node.desk.borrow().clients.len() == 1).then_some(()));
-    stand.event_loop.dispatch(Some(Duration::ZERO), &mut stand.node).unwrap();
+    stand
+        .event_loop
+        .dispatch(Some(Duration::ZERO), &mut stand.node)
+        .unwrap();
     drop(waiting);
 }
 
@@ -139,6 +150,9 @@
 #[case::files_of_all(Errno::NFILE, AcceptFailure::System)]
 #[case::buffers(Errno::NOBUFS, AcceptFailure::System)]
 #[case::memory(Errno::NOMEM, AcceptFailure::System)]
-fn only_the_limit_of_our_own_ends_connections_of_ours(#[case] code: Errno, #[case] wanted: AcceptFailure) {
+fn only_the_limit_of_our_own_ends_connections_of_ours(
+    #[case] code: Errno,
+    #[case] wanted: AcceptFailure,
+) {
     assert_eq!(accept_failure(&code.into()), wanted);
 }
--- a/crates/proxy/src/wire/answers.rs
+++ b/crates/proxy/src/wire/answers.rs
@@ -21,15 +21,28 @@
 
 impl Node {
     pub fn take_answer(
-        &mut self, slot: LinkSlot, head: usize, body: &[Range<usize>], end: usize, whole: bool,
+        &mut self,
+        slot: LinkSlot,
+        head: usize,
+        body: &[Range<usize>],
+        end: usize,
+        whole: bool,
     ) {
         let mut borrowed = self.desk.borrow_mut();
         let desk = &mut *borrowed;
         let now = desk.now();
-        let Some(link) = desk.links.get_mut(slot) else { return };
-        let Some(errand) = link.errand.take() else { return };
+        let Some(link) = desk.links.get_mut(slot) else {
+            return;
+        };
+        let Some(errand) = link.errand.take() else {
+            return;
+        };
         let (probed, place) = (errand.is_probe(), link.upstream);
-        let Some(upstream) = desk.upstreams.get(place).map(|upstream| Rc::clone(&upstream.id)) else {
+        let Some(upstream) = desk
+            .upstreams
+            .get(place)
+            .map(|upstream| Rc::clone(&upstream.id))
+        else {
             return;
         };
         let message = link.inbox.take(end);
@@ -66,13 +79,17 @@
         if last && told.as_ref().is_some_and(|(_, waits)| *waits) {
             let own = |name: &str| heads::goes_on(name) && !name.eq_ignore_ascii_case("x-pressure");
             let lines = heads::lines(&message, response.headers, own);
-            let body = body.iter().map(|range| message.slice(range.clone())).collect();
+            let body = body
+                .iter()
+                .map(|range| message.slice(range.clone()))
+                .collect();
             desk.counters.tickets_succeeded += 1;
             desk.answer(errand.ticket, 200, lines, body);
         }
         drop(borrowed);
         if let Some((busy, queue, held)) = load {
-            self.balancer.load_reported(now, &upstream, busy, queue, held);
+            self.balancer
+                .load_reported(now, &upstream, busy, queue, held);
         }
         if probed {
             return self.probe_over(place, last);
@@ -80,7 +97,8 @@
         if let Some((id, _)) = told {
             self.desk.borrow().tell_attempt(&id, errand.number, ending);
             let took = now.saturating_sub(errand.sent);
-            self.balancer.dispatch_ended(now, &id, errand.number, last, ending, took);
+            self.balancer
+                .dispatch_ended(now, &id, errand.number, last, ending, took);
         }
     }
 }
@@ -123,7 +141,9 @@
 /// What an upstream tells of its load: how busy it is, and its queue or else what it holds. A report that can't be
 /// read tells nothing, not that there is no load.
 fn load(fields: &[Header]) -> Option<Load> {
-    heads::texts(fields, "x-pressure").map(figures).find(|told| *told != (None, None, None))
+    heads::texts(fields, "x-pressure")
+        .map(figures)
+        .find(|told| *told != (None, None, None))
 }
 
 /// How busy an upstream is, its queue, and what it holds in all.
@@ -132,8 +152,14 @@
 pub fn figures(text: &str) -> Load {
     let (mut busy, mut queue, mut held) = (None, None, None);
     for part in text.strip_prefix("TEXT").unwrap_or(text).split(',') {
-        let Some((name, value)) = part.split_once('=') else { continue };
-        let value = value.trim().parse().ok().filter(|value: &f64| value.is_finite());
+        let Some((name, value)) = part.split_once('=') else {
+            continue;
+        };
+        let value = value
+            .trim()
+            .parse()
+            .ok()
+            .filter(|value: &f64| value.is_finite());
         match name.trim() {
             "util" | "busy" => busy = value,
             "queue" | "q" => queue = value,
--- a/crates/proxy/src/wire/answers/tests.rs
+++ b/crates/proxy/src/wire/answers/tests.rs
@@ -16,7 +16,13 @@
 #[case::none(&[], None)]
 #[case::what_cannot_be_read_tells_nothing(&["%%%"], None)]
 #[case::behind_what_cannot_be_read(&["{", "TEXT util=0.5"], Some((Some(0.5), None, None)))]
-fn the_report_that_can_be_read_counts(#[case] texts: &[&'static str], #[case] expected: Option<Load>) {
-    let field = |text: &&'static str| Header { name: "X-Pressure", value: text.as_bytes() };
+fn the_report_that_can_be_read_counts(
+    #[case] texts: &[&'static str],
+    #[case] expected: Option<Load>,
+) {
+    let field = |text: &&'static str| Header {
+        name: "X-Pressure",
+        value: text.as_bytes(),
+    };
     assert_eq!(load(&texts.iter().map(field).collect::<Vec<_>>()), expected);
 }
--- a/crates/proxy/src/wire/clients.rs
+++ b/crates/proxy/src/wire/clients.rs
@@ -56,7 +56,14 @@
         let mut desk = self.desk.borrow_mut();
         let ticket = desk.clients.get(slot).and_then(|client| client.ticket);
         let left = ticket.and_then(|ticket| desk.release(ticket));
-        desk.end_client(slot, if left.is_some() { reasons::CLIENT_LEFT } else { reason });
+        desk.end_client(
+            slot,
+            if left.is_some() {
+                reasons::CLIENT_LEFT
+            } else {
+                reason
+            },
+        );
         if let Some((id, _)) = left {
             desk.counters.tickets_left += 1;
             info!(desk.log, "client left its request"; "request" => &*id);
@@ -69,7 +76,9 @@
     /// A client's deadline came: too slow, idle for too long, or the next ticket is to be looked at.
     pub fn client_due(&mut self, slot: ClientSlot) {
         let mut desk = self.desk.borrow_mut();
-        let Some(client) = desk.clients.get_mut(slot) else { return };
+        let Some(client) = desk.clients.get_mut(slot) else {
+            return;
+        };
         client.due = None;
         if client.lingers {
             let reason = client_reason(client);
@@ -107,7 +116,9 @@
 
 impl Desk {
     fn look(&mut self, slot: ClientSlot) -> Look {
-        let Some(client) = self.clients.get_mut(slot) else { return Look::Nothing };
+        let Some(client) = self.clients.get_mut(slot) else {
+            return Look::Nothing;
+        };
         if client.outbox.drain(&client.wired.stream).is_err() {
             return Look::Gone(reasons::CLIENT_RESET);
         }
@@ -131,7 +142,8 @@
             return match inflow {
                 Inflow::Dry => Look::Nothing,
                 Inflow::Full => {
-                    self.deadlines.hang(self.clock.now(), Due::NextMessage(slot));
+                    self.deadlines
+                        .hang(self.clock.now(), Due::NextMessage(slot));
                     Look::Nothing
                 }
                 Inflow::Ended | Inflow::Broken => Look::Gone(client_reason(client)),
@@ -164,7 +176,8 @@
         let now = self.clock.now();
         if let Some(client) = self.clients.get_mut(slot) {
             client.since = now;
-            self.deadlines.move_to(&mut client.due, now + how_long, Due::Client(slot));
+            self.deadlines
+                .move_to(&mut client.due, now + how_long, Due::Client(slot));
         }
     }
 
@@ -177,14 +190,19 @@
     /// Part of a request is here. Its sender may stop for so long, and take so long in all, however it trickles in.
     pub fn wait_for_rest(&mut self, slot: ClientSlot) {
         let now = self.clock.now();
-        let Some(client) = self.clients.get_mut(slot) else { return };
+        let Some(client) = self.clients.get_mut(slot) else {
+            return;
+        };
         let length = client.inbox.kept().len();
         let began = client.partial.map_or(now, |partial| partial.began);
         let before = client.partial.replace(Partial { length, began });
         // A connection that has brought no ticket yet gains no time by trickling.
         let goes_on = |before: Partial| before.length < length && client.tickets > 0;
         if before.is_none_or(goes_on) {
-            self.wait_for_more(slot, STOPS_FOR.min((began + SLOW_AFTER).saturating_sub(now)));
+            self.wait_for_more(
+                slot,
+                STOPS_FOR.min((began + SLOW_AFTER).saturating_sub(now)),
+            );
         }
     }
 
@@ -193,16 +211,34 @@
         let now = self.clock.now();
         if let Some(client) = self.clients.get_mut(slot) {
             client.since = now;
-            let by = if client.tickets == 0 { client.opened + STOPS_FOR } else { now + how_long };
-            self.deadlines.move_to(&mut client.due, by, Due::Client(slot));
+            let by = if client.tickets == 0 {
+                client.opened + STOPS_FOR
+            } else {
+                now + how_long
+            };
+            self.deadlines
+                .move_to(&mut client.due, by, Due::Client(slot));
         }
     }
 
     /// The final answer to a ticket.
-    pub fn answer(&mut self, ticket: TicketSlot, status: u16, fields: Vec<Bytes>, body: Vec<Bytes>) {
-        let Some((_, slot)) = self.release(ticket) else { return };
+    pub fn answer(
+        &mut self,
+        ticket: TicketSlot,
+        status: u16,
+        fields: Vec<Bytes>,
+        body: Vec<Bytes>,
+    ) {
+        let Some((_, slot)) = self.release(ticket) else {
+            return;
+        };
         // Many clients ask once and keep their connection: where there is a crowd, none is kept.
-        let crowd = self.clients.values().filter(|client| client.tickets > 0).count() > self.place.crowd;
+        let crowd = self
+            .clients
+            .values()
+            .filter(|client| client.tickets > 0)
+            .count()
+            > self.place.crowd;
         let closes = |client: &&mut Client| crowd && client.inbox.kept().is_empty();
         if let Some(client) = self.clients.get_mut(slot).filter(closes) {
             client.ending.get_or_insert(reasons::CROWD);
@@ -210,19 +246,40 @@
         self.write_answer(slot, status, fields, body);
     }
 
-    pub fn write_answer(&mut self, slot: ClientSlot, status: u16, fields: Vec<Bytes>, body: Vec<Bytes>) {
-        let Some(client) = self.clients.get_mut(slot) else { return };
+    pub fn write_answer(
+        &mut self,
+        slot: ClientSlot,
+        status: u16,
+        fields: Vec<Bytes>,
+        body: Vec<Bytes>,
+    ) {
+        let Some(client) = self.clients.get_mut(slot) else {
+            return;
+        };
         // What was read ahead is answered before we close.
         let closes = self.closing && client.inbox.kept().is_empty();
         if client.last || closes {
-            let reason = if closes { reasons::STOPPED } else { reasons::CLIENT_LAST };
+            let reason = if closes {
+                reasons::STOPPED
+            } else {
+                reasons::CLIENT_LAST
+            };
             client.ending.get_or_insert(reason);
         }
-        let close = if client.ending.is_some() { "Connection: close\r\n" } else { "" };
+        let close = if client.ending.is_some() {
+            "Connection: close\r\n"
+        } else {
+            ""
+        };
         let length: usize = body.iter().map(Bytes::len).sum();
-        let head = format!("HTTP/1.1 {status} {}\r\nContent-Length: {length}\r\n{close}", phrase(status));
+        let head = format!(
+            "HTTP/1.1 {status} {}\r\nContent-Length: {length}\r\n{close}",
+            phrase(status)
+        );
         client.outbox.push(Bytes::from(head));
-        fields.into_iter().for_each(|slice| client.outbox.push(slice));
+        fields
+            .into_iter()
+            .for_each(|slice| client.outbox.push(slice));
         client.outbox.push(Bytes::from_static(b"\r\n"));
         body.into_iter().for_each(|slice| client.outbox.push(slice));
         client.answered += 1;
@@ -237,7 +294,9 @@
 
     /// After writing: ends the connection if that is due, or sees to what the client already sent.
     fn settle(&mut self, slot: ClientSlot) {
-        let Some(client) = self.clients.get_mut(slot) else { return };
+        let Some(client) = self.clients.get_mut(slot) else {
+            return;
+        };
         if client.is_owed() || client.lingers {
             return;
         }
@@ -245,7 +304,8 @@
             self.finish(slot, reason);
         } else if !client.inbox.kept().is_empty() {
             // The next request lies here already: on a later turn, as we may be inside a call of the module.
-            self.deadlines.hang(self.clock.now(), Due::NextMessage(slot));
+            self.deadlines
+                .hang(self.clock.now(), Due::NextMessage(slot));
         }
     }
 
@@ -269,9 +329,14 @@
 
     /// Answers requests of which part never came, as the stop waits for them no longer.
     pub fn turn_off_unfinished(&mut self) {
-        let unfinished = |client: &Client| !client.is_owed() && !client.lingers && client.partial.is_some();
-        let slots: Vec<_> =
-            self.clients.iter().filter(|(_, client)| unfinished(client)).map(|(slot, _)| slot).collect();
+        let unfinished =
+            |client: &Client| !client.is_owed() && !client.lingers && client.partial.is_some();
+        let slots: Vec<_> = self
+            .clients
+            .iter()
+            .filter(|(_, client)| unfinished(client))
+            .map(|(slot, _)| slot)
+            .collect();
         for slot in slots {
             self.turn_off(slot, 503, reasons::STOPPED);
         }
@@ -295,8 +360,14 @@
     /// read away and not acted on, then it is closed. A close over unread bytes would be a reset, and take the last
     /// answer with it; a request that crosses ours is the client's to send again elsewhere.
     fn finish(&mut self, slot: ClientSlot, reason: &'static str) {
-        let how_long = if self.closing { LINGER_STOPPING } else { LINGER };
-        let Some(client) = self.clients.get_mut(slot) else { return };
+        let how_long = if self.closing {
+            LINGER_STOPPING
+        } else {
+            LINGER
+        };
+        let Some(client) = self.clients.get_mut(slot) else {
+            return;
+        };
         client.ending.get_or_insert(reason);
         client.lingers = true;
         client.inbox.forget();
@@ -308,7 +379,9 @@
     }
 
     pub fn end_client(&mut self, slot: ClientSlot, reason: &'static str) {
-        let Some(mut client) = self.clients.remove(slot) else { return };
+        let Some(mut client) = self.clients.remove(slot) else {
+            return;
+        };
         self.deadlines.clear(&mut client.due);
         self.handle.remove(client.wired.token);
         self.counters.clients_ended += 1;
--- a/crates/proxy/src/wire/discovery/lists.rs
+++ b/crates/proxy/src/wire/discovery/lists.rs
@@ -22,7 +22,9 @@
 impl Node {
     /// Takes the list that we were started with, as the ground for what changed since or where there is no other.
     pub fn take_known(&mut self) {
-        let Some(held) = self.desk.borrow_mut().discovery.held.take() else { return };
+        let Some(held) = self.desk.borrow_mut().discovery.held.take() else {
+            return;
+        };
         let taken = self.take_entries(&held);
         let mut desk = self.desk.borrow_mut();
         match taken {
@@ -51,7 +53,9 @@
         let entries = list(told, "targets")?;
         let is_whole = flag(told, "all")?;
         if is_whole {
-            self.desk.borrow_mut().all_gone(now, self.balancer.terms().dropped_stay_open);
+            self.desk
+                .borrow_mut()
+                .all_gone(now, self.balancer.terms().dropped_stay_open);
         }
         self.balancer.list_begins(now, is_whole);
         let starts = self.desk.borrow_mut().start_times(now, entries);
@@ -68,7 +72,11 @@
         let mut desk = self.desk.borrow_mut();
         desk.drop_left();
         desk.discovery.listed_at = now;
-        Ok(Told { version, is_whole, has_entries: !entries.is_empty() })
+        Ok(Told {
+            version,
+            is_whole,
+            has_entries: !entries.is_empty(),
+        })
     }
 
     fn take_entry(&mut self, now: Micros, entry: &Value, starts: StartTimes) -> Decoded<()> {
@@ -86,7 +94,8 @@
                 desk.serves(id, address);
                 let launched = desk.started(id, stated, starts);
                 drop(desk);
-                self.balancer.list_entry(id, zone, kind, group, weight, launched);
+                self.balancer
+                    .list_entry(id, zone, kind, group, weight, launched);
             }
             "leaving" => self.take_away(now, id),
             "left" => self.take_left(now, id),
@@ -151,12 +160,17 @@
         let source = match (discovery.taken, discovery.known) {
             // A watch is answered as soon as there is news.
             (true, _) if discovery.schedule.is_watching() => Source::Later { since: now },
-            (true, _) => Source::Later { since: discovery.listed_at },
+            (true, _) => Source::Later {
+                since: discovery.listed_at,
+            },
             (false, true) => Source::AfterKnown,
             (false, false) => Source::First,
         };
         let is_new = |id: &str, stated: Micros| {
-            let known = self.by_name.get(id).and_then(|slot| self.upstreams.get(*slot)?.started);
+            let known = self
+                .by_name
+                .get(id)
+                .and_then(|slot| self.upstreams.get(*slot)?.started);
             known.is_none_or(|known| known.0 != stated)
         };
         let newcomer = |entry: &Value| {
@@ -172,7 +186,9 @@
     /// When the process of an upstream started; of one that is known it is not asked again, whatever clocks did since.
     fn started(&mut self, id: &str, stated: Micros, starts: StartTimes) -> Micros {
         let slot = self.upstream(id);
-        let Some(upstream) = self.upstreams.get_mut(slot) else { return 0 };
+        let Some(upstream) = self.upstreams.get_mut(slot) else {
+            return 0;
+        };
         match upstream.started {
             Some((known, at)) if known == stated => at,
             _ => {
@@ -214,9 +230,15 @@
 
     fn serves(&mut self, id: &str, address: SocketAddr) {
         let slot = self.upstream(id);
-        let Some(upstream) = self.upstreams.get_mut(slot) else { return };
+        let Some(upstream) = self.upstreams.get_mut(slot) else {
+            return;
+        };
         (upstream.drains, upstream.left) = (None, None);
-        if upstream.address.replace(address).is_some_and(|before| before != address) {
+        if upstream
+            .address
+            .replace(address)
+            .is_some_and(|before| before != address)
+        {
             self.drop_idle_links(slot, reasons::MOVED);
         }
     }
@@ -226,15 +248,24 @@
     fn drop_left(&mut self) {
         let long_ago = self.now().saturating_sub(KEPT_FOR);
         let over = |upstream: &Upstream| upstream.left.is_some_and(|left| left < long_ago);
-        let left = self.upstreams.iter().filter(|(_, up)| up.drains.is_some() || over(up));
+        let left = self
+            .upstreams
+            .iter()
+            .filter(|(_, up)| up.drains.is_some() || over(up));
         let left: Vec<_> = left.map(|(slot, _)| slot).collect();
         left.into_iter().for_each(|slot| self.drop_upstream(slot));
     }
 
     /// The same for one that drains.
     fn drop_drained(&mut self, id: &str) {
-        let Some(&slot) = self.by_name.get(id) else { return };
-        if self.upstreams.get(slot).is_some_and(|upstream| upstream.drains.is_some()) {
+        let Some(&slot) = self.by_name.get(id) else {
+            return;
+        };
+        if self
+            .upstreams
+            .get(slot)
+            .is_some_and(|upstream| upstream.drains.is_some())
+        {
             self.drop_upstream(slot);
         }
     }
@@ -251,5 +282,7 @@
 
 /// The start of an upstream's process as the list states it, in microseconds of Unix time.
 fn stated_start(entry: &Value) -> Decoded<Micros> {
-    Ok(optional(entry, "boot_ms", Value::as_u64)?.unwrap_or(0).saturating_mul(1000))
+    Ok(optional(entry, "boot_ms", Value::as_u64)?
+        .unwrap_or(0)
+        .saturating_mul(1000))
 }
--- a/crates/proxy/src/wire/discovery/mod.rs
+++ b/crates/proxy/src/wire/discovery/mod.rs
@@ -14,7 +14,9 @@
 use crate::memory::deadlines::{Due, Place};
 use crate::memory::desk::{Desk, Wired};
 use crate::wire::discovery::partial::PartialList;
-use crate::wire::discovery::schedule::{Action, ConnectionId, Failure, Query, Schedule, Settings, Told};
+use crate::wire::discovery::schedule::{
+    Action, ConnectionId, Failure, Query, Schedule, Settings, Told,
+};
 use crate::wire::heads::{self, FIELDS_MOST, HEAD_MOST};
 use crate::wire::upstreams::connect;
 
@@ -99,12 +101,17 @@
     }
 
     fn connection(&mut self, id: ConnectionId) -> Option<&mut Connection> {
-        self.connections.iter_mut().find(|connection| connection.id == id)
+        self.connections
+            .iter_mut()
+            .find(|connection| connection.id == id)
     }
 
     /// When something is to be done next.
     fn deadline(&self) -> Option<Micros> {
-        let looks = self.connections.iter().filter_map(|connection| connection.look_at);
+        let looks = self
+            .connections
+            .iter()
+            .filter_map(|connection| connection.look_at);
         looks.chain(self.schedule.deadline()).min()
     }
 }
@@ -118,7 +125,9 @@
             let now = desk.now();
             let due = |connection: &&mut Connection| connection.look_at.is_some_and(|at| at <= now);
             let connections = desk.discovery.connections.iter_mut().filter(due);
-            connections.map(|connection| (connection.look_at = None, connection.id).1).collect()
+            connections
+                .map(|connection| (connection.look_at = None, connection.id).1)
+                .collect()
         };
         for connection in parts {
             self.take_part(connection);
@@ -151,7 +160,9 @@
                         self.call_failed(id, Failure::Unreached);
                     }
                 }
-                Some(Action::Reuse(id, query)) => self.desk.borrow_mut().call_discovery(id, query, true),
+                Some(Action::Reuse(id, query)) => {
+                    self.desk.borrow_mut().call_discovery(id, query, true)
+                }
             }
         }
         if self.desk.borrow().discovery.schedule.is_unheard() {
@@ -171,7 +182,9 @@
                 let mut desk = self.desk.borrow_mut();
                 let (now, settings) = (desk.now(), desk.discovery_settings());
                 desk.discovery.taken = true;
-                desk.discovery.schedule.answered(id, now, told, lasts, settings);
+                desk.discovery
+                    .schedule
+                    .answered(id, now, told, lasts, settings);
             }
             Err(problem) => {
                 warn!(self.desk.borrow().log, "list not understood"; "problem" => problem);
@@ -183,21 +196,43 @@
     /// Takes the list that a call was answered with, unless what is here is newer.
     fn take_told(&mut self, id: ConnectionId, list: &Value) -> Decoded<Told> {
         let (version, is_whole) = (whole(list, "rev")?, flag(list, "all")?);
-        if !self.desk.borrow().discovery.schedule.accepts(id, Some(version), is_whole) {
+        if !self
+            .desk
+            .borrow()
+            .discovery
+            .schedule
+            .accepts(id, Some(version), is_whole)
+        {
             info!(self.desk.borrow().log, "list passed over"; "version" => version, "call" => id.0);
-            return Ok(Told { version, is_whole, has_entries: false });
+            return Ok(Told {
+                version,
+                is_whole,
+                has_entries: false,
+            });
         }
         let told = self.take_list(list)?;
-        self.desk.borrow().fleet.iter().for_each(|fleet| fleet.borrow_mut().listed(Some(list)));
+        self.desk
+            .borrow()
+            .fleet
+            .iter()
+            .for_each(|fleet| fleet.borrow_mut().listed(Some(list)));
         Ok(told)
     }
 
     /// Takes what is here of an answer that is not whole.
     fn take_part(&mut self, id: ConnectionId) {
         let found = self.desk.borrow_mut().part_of_list(id);
-        let Some((partial, of_changes)) = found else { return };
+        let Some((partial, of_changes)) = found else {
+            return;
+        };
         let is_whole = partial.is_whole.unwrap_or(!of_changes);
-        if self.desk.borrow().discovery.schedule.accepts(id, partial.version, is_whole) {
+        if self
+            .desk
+            .borrow()
+            .discovery
+            .schedule
+            .accepts(id, partial.version, is_whole)
+        {
             self.take_known();
             self.take_partial(&partial, of_changes);
         }
@@ -214,7 +249,9 @@
         if desk.discovery.schedule.failed(id, now, failure, settings) {
             desk.counters.lists_failed += 1;
             desk.counters.lists_refused += u64::from(matches!(failure, Failure::Refused { .. }));
-            desk.fleet.iter().for_each(|fleet| fleet.borrow_mut().listed(None));
+            desk.fleet
+                .iter()
+                .for_each(|fleet| fleet.borrow_mut().listed(None));
         }
     }
 
@@ -224,7 +261,9 @@
         let mut desk = self.desk.borrow_mut();
         let (now, settings) = (desk.now(), desk.discovery_settings());
         desk.end_discovery(id, reasons::DISCOVERY_CLOSED);
-        desk.discovery.schedule.failed(id, now, Failure::Ended, settings);
+        desk.discovery
+            .schedule
+            .failed(id, now, Failure::Ended, settings);
     }
 
     /// Closes a connection whose call is not awaited any more. What discovery has written to it by now counts as told, so
@@ -238,12 +277,21 @@
                 None => {}
             }
         }
-        self.desk.borrow_mut().end_discovery(id, reasons::DISCOVERY_REPLACED);
+        self.desk
+            .borrow_mut()
+            .end_discovery(id, reasons::DISCOVERY_REPLACED);
     }
 
     fn take_last_list(&mut self, list: &Value) {
-        let (Ok(version), Ok(is_whole)) = (whole(list, "rev"), flag(list, "all")) else { return };
-        if self.desk.borrow().discovery.schedule.is_newer(version, is_whole)
+        let (Ok(version), Ok(is_whole)) = (whole(list, "rev"), flag(list, "all")) else {
+            return;
+        };
+        if self
+            .desk
+            .borrow()
+            .discovery
+            .schedule
+            .is_newer(version, is_whole)
             && let Ok(told) = self.take_list(list)
         {
             self.desk.borrow_mut().discovery.schedule.overheard(told);
@@ -251,7 +299,13 @@
     }
 
     fn take_last_part(&mut self, partial: &PartialList) {
-        let is_newer = |version| self.desk.borrow().discovery.schedule.is_newer(version, false);
+        let is_newer = |version| {
+            self.desk
+                .borrow()
+                .discovery
+                .schedule
+                .is_newer(version, false)
+        };
         if partial.version.is_some_and(is_newer) {
             self.take_partial(partial, false);
         }
@@ -260,7 +314,9 @@
     /// Takes what another balancer of the zone tells of the list, and asks for the whole of it where this one has just
     /// begun to tell the others.
     pub fn take_roster(&mut self) {
-        let Some(fleet) = self.desk.borrow().fleet.clone() else { return };
+        let Some(fleet) = self.desk.borrow().fleet.clone() else {
+            return;
+        };
         let (pages, takes_over) = {
             let rosters = &mut fleet.borrow_mut().rosters;
             (rosters.take_pages(), rosters.takes_over())
@@ -310,23 +366,32 @@
     }
 
     fn discovery_settings(&self) -> Settings {
-        Settings { ask_within: self.place.ask_within, balancers: self.place.balancers }
+        Settings {
+            ask_within: self.place.ask_within,
+            balancers: self.place.balancers,
+        }
     }
 
     fn hang_discovery(&mut self) {
         let discovery = &mut self.discovery;
         match discovery.deadline() {
             Some(at) if discovery.due.is_some_and(|due| due.0 == at) => {}
-            Some(at) => self.deadlines.move_to(&mut discovery.due, at, Due::Discovery),
+            Some(at) => self
+                .deadlines
+                .move_to(&mut discovery.due, at, Due::Discovery),
             None => self.deadlines.clear(&mut discovery.due),
         }
     }
 
     fn next_discovery_action(&mut self) -> Option<Action> {
         let (now, settings) = (self.now(), self.discovery_settings());
-        let fed_for = self.fleet.as_ref().and_then(|fleet| fleet.borrow().fed_for());
+        let fed_for = self
+            .fleet
+            .as_ref()
+            .and_then(|fleet| fleet.borrow().fed_for());
         let schedule = &mut self.discovery.schedule;
-        if let Some(fed_for) = fed_for.filter(|_| self.discovery.taken && schedule.is_call_due(now)) {
+        if let Some(fed_for) = fed_for.filter(|_| self.discovery.taken && schedule.is_call_due(now))
+        {
             // Another asks for all, and says what it hears. All who stop hearing it do so at once, and ask scattered.
             schedule.rest(now + fed_for, FED_SCATTER);
         }
@@ -337,7 +402,14 @@
         let stream = connect(self.place.discovery)?;
         let wired = Wired::new(&self.handle, stream, move |node| node.discovery_ready(id))?;
         let (inbox, outbox) = (Inbox::default(), Outbox::default());
-        let connection = Connection { id, wired, inbox, outbox, is_connected: false, look_at: None };
+        let connection = Connection {
+            id,
+            wired,
+            inbox,
+            outbox,
+            is_connected: false,
+            look_at: None,
+        };
         self.discovery.connections.push(connection);
         self.call_discovery(id, query, false);
         Ok(())
@@ -347,13 +419,21 @@
         let path = match query {
             Query::WholeList => "/registry/instances".to_owned(),
             Query::Changes { since, wait } => {
-                format!("/registry/instances?since={since}&timeout_ms={}", wait / 1000)
+                format!(
+                    "/registry/instances?since={since}&timeout_ms={}",
+                    wait / 1000
+                )
             }
         };
         self.counters.lists_asked += 1;
         info!(self.log, "list asked"; "path" => &path, "reused" => is_reused, "call" => id.0);
-        let call = format!("GET {path} HTTP/1.1\r\nHost: {}\r\n\r\n", self.place.discovery);
-        let Some(connection) = self.discovery.connection(id) else { return };
+        let call = format!(
+            "GET {path} HTTP/1.1\r\nHost: {}\r\n\r\n",
+            self.place.discovery
+        );
+        let Some(connection) = self.discovery.connection(id) else {
+            return;
+        };
         connection.outbox.push(Bytes::from(call));
         if is_reused {
             // What fails here is read from the connection, on a later turn.
@@ -365,7 +445,11 @@
     fn look_at_discovery(&mut self, id: ConnectionId) -> Found {
         let now = self.now();
         let Self { discovery, .. } = self;
-        let Some(connection) = discovery.connections.iter_mut().find(|connection| connection.id == id) else {
+        let Some(connection) = discovery
+            .connections
+            .iter_mut()
+            .find(|connection| connection.id == id)
+        else {
             return Found::Nothing;
         };
         let stream = &connection.wired.stream;
@@ -377,7 +461,8 @@
         let written = connection.outbox.drain(stream);
         let inflow = connection.inbox.fill(stream, LIST_MOST);
         // A connection under way is not writable yet, which is no failure.
-        let unwritten = written.is_err_and(|problem| problem.kind() != std::io::ErrorKind::NotConnected);
+        let unwritten =
+            written.is_err_and(|problem| problem.kind() != std::io::ErrorKind::NotConnected);
         let ended = inflow != Inflow::Dry;
         if !connection.is_connected {
             return if broke || ended || unwritten {
@@ -388,13 +473,21 @@
         }
         if !discovery.schedule.is_called(id) {
             let unasked = ended || broke || !connection.inbox.kept().is_empty();
-            return if unasked { Found::Unasked } else { Found::Nothing };
+            return if unasked {
+                Found::Unasked
+            } else {
+                Found::Nothing
+            };
         }
         match whole_list(connection.inbox.kept(), inflow == Inflow::Ended) {
             Ok(Some((bodies, end, lasts))) => {
                 connection.look_at = None;
                 let message = connection.inbox.take(end);
-                let text = bodies.iter().flat_map(|range| &message[range.clone()]).copied().collect();
+                let text = bodies
+                    .iter()
+                    .flat_map(|range| &message[range.clone()])
+                    .copied()
+                    .collect();
                 Found::Answer(text, lasts && !ended)
             }
             Ok(None) if ended || broke || unwritten => match connection.inbox.kept().is_empty() {
@@ -425,7 +518,11 @@
         let inflow = connection.inbox.fill(&connection.wired.stream, LIST_MOST);
         let kept = connection.inbox.kept();
         let text = match whole_list(kept, inflow == Inflow::Ended) {
-            Ok(Some((bodies, ..))) => bodies.iter().flat_map(|range| &kept[range.clone()]).copied().collect(),
+            Ok(Some((bodies, ..))) => bodies
+                .iter()
+                .flat_map(|range| &kept[range.clone()])
+                .copied()
+                .collect(),
             _ => body_so_far(kept)?,
         };
         Some(serde_json::from_slice(&text).map_err(|_| PartialList::read(&text)))
@@ -433,15 +530,25 @@
 
     fn tell_failed_call(&mut self, id: ConnectionId, failure: Failure) {
         let now = self.now();
-        let Some((waited, was_replaced)) = self.discovery.schedule.call_age(id, now) else { return };
-        let bytes = self.discovery.connection(id).map_or(0, |connection| connection.inbox.kept().len());
+        let Some((waited, was_replaced)) = self.discovery.schedule.call_age(id, now) else {
+            return;
+        };
+        let bytes = self
+            .discovery
+            .connection(id)
+            .map_or(0, |connection| connection.inbox.kept().len());
         info!(self.log, "list call failed"; "reason" => reason_of(failure), "call" => id.0,
             "waited_ms" => waited / 1000, "replaced" => was_replaced, "bytes" => bytes);
     }
 
     fn end_discovery(&mut self, id: ConnectionId, reason: &'static str) {
         let connections = &mut self.discovery.connections;
-        let Some(place) = connections.iter().position(|connection| connection.id == id) else { return };
+        let Some(place) = connections
+            .iter()
+            .position(|connection| connection.id == id)
+        else {
+            return;
+        };
         let connection = connections.swap_remove(place);
         self.handle.remove(connection.wired.token);
         info!(self.log, "discovery ended"; "reason" => reason, "call" => id.0);
@@ -449,7 +556,12 @@
 
     /// All connections to discovery end.
     pub fn end_all_discovery(&mut self, reason: &'static str) {
-        while let Some(id) = self.discovery.connections.first().map(|connection| connection.id) {
+        while let Some(id) = self
+            .discovery
+            .connections
+            .first()
+            .map(|connection| connection.id)
+        {
             self.end_discovery(id, reason);
         }
     }
@@ -477,7 +589,9 @@
         _ => return Err(Failure::Malformed),
     };
     if response.code != Some(200) {
-        return Err(Failure::Refused { retry_after: retry_after(&response) });
+        return Err(Failure::Refused {
+            retry_after: retry_after(&response),
+        });
     }
     let framing = heads::framing(response.headers).map_err(|_| Failure::Malformed)?;
     let lasts = heads::lasts(&response, framing);
@@ -490,7 +604,9 @@
 
 /// The seconds after which discovery wants to be called again.
 fn retry_after(response: &Response) -> Option<Micros> {
-    let seconds: f64 = heads::field(response.headers, "retry-after")?.parse().ok()?;
+    let seconds: f64 = heads::field(response.headers, "retry-after")?
+        .parse()
+        .ok()?;
     (seconds >= 0.0 && seconds.is_finite()).then_some((seconds * 1e6) as Micros)
 }
 
@@ -498,11 +614,19 @@
 fn body_so_far(kept: &[u8]) -> Option<Vec<u8>> {
     let mut fields = [httparse::EMPTY_HEADER; FIELDS_MOST];
     let mut response = Response::new(&mut fields);
-    let Ok(Status::Complete(head)) = response.parse(kept) else { return None };
+    let Ok(Status::Complete(head)) = response.parse(kept) else {
+        return None;
+    };
     if response.code != Some(200) {
         return None;
     }
     let framing = heads::framing(response.headers).ok()?;
     let ranges = heads::body_so_far(kept, head, framing);
-    Some(ranges.iter().flat_map(|range| &kept[range.clone()]).copied().collect())
+    Some(
+        ranges
+            .iter()
+            .flat_map(|range| &kept[range.clone()])
+            .copied()
+            .collect(),
+    )
 }
--- a/crates/proxy/src/wire/discovery/partial.rs
+++ b/crates/proxy/src/wire/discovery/partial.rs
@@ -31,8 +31,11 @@
         let mut list = Self::default();
         let mut open = Open::default();
         // An error is the end of what can be read.
-        let read = ListSeed { list: &mut list, open: &mut open }
-            .deserialize(&mut serde_json::Deserializer::from_slice(text));
+        let read = ListSeed {
+            list: &mut list,
+            open: &mut open,
+        }
+        .deserialize(&mut serde_json::Deserializer::from_slice(text));
         if read.is_err() {
             list.entries.extend(open.take());
         }
