--- a/crates/proxy/src/wire/discovery/partial/tests.rs
+++ b/crates/proxy/src/wire/discovery/partial/tests.rs
@@ -8,14 +8,20 @@
 ]}"#;
 
 fn entry(id: &str, state: Option<&str>) -> PartialEntry {
-    PartialEntry { id: id.into(), state: state.map(Into::into) }
+    PartialEntry {
+        id: id.into(),
+        state: state.map(Into::into),
+    }
 }
 
 #[test]
 fn a_whole_list_is_read_whole() {
     let list = PartialList::read(LIST.as_bytes());
     assert_eq!((list.version, list.is_whole), (Some(43), Some(false)));
-    assert_eq!(list.entries, [entry("s-1", Some("leaving")), entry("s-2", Some("left"))]);
+    assert_eq!(
+        list.entries,
+        [entry("s-1", Some("leaving")), entry("s-2", Some("left"))]
+    );
 }
 
 /// Wherever it is cut, what came before is read, and nothing that was not there.
@@ -28,7 +34,10 @@
         most = list.entries.len();
         for (read, wanted) in list.entries.iter().zip(&whole.entries) {
             assert_eq!(read.id, wanted.id, "at {length}");
-            assert!(read.state.is_none() || read.state == wanted.state, "at {length}");
+            assert!(
+                read.state.is_none() || read.state == wanted.state,
+                "at {length}"
+            );
         }
     }
 }
--- a/crates/proxy/src/wire/discovery/schedule.rs
+++ b/crates/proxy/src/wire/discovery/schedule.rs
@@ -142,7 +142,11 @@
 impl Settings {
     fn watch_wait(self) -> Micros {
         let apart = self.balancers as u64 * RUN_OUT_APART;
-        let part = |within: Micros| ((within as f64 * WATCH_PART) as Micros).max(apart).min(WATCH_MOST);
+        let part = |within: Micros| {
+            ((within as f64 * WATCH_PART) as Micros)
+                .max(apart)
+                .min(WATCH_MOST)
+        };
         self.ask_within.map_or(WATCH_MOST, part)
     }
 
@@ -189,7 +193,9 @@
     fn heard_until(&self) -> Micros {
         match (self.stage, self.query) {
             (Stage::Connecting, _) => self.sent + CONNECT_MOST,
-            (Stage::Sent, Query::Changes { wait, .. }) if self.is_watch => self.sent + wait + TURN_MOST,
+            (Stage::Sent, Query::Changes { wait, .. }) if self.is_watch => {
+                self.sent + wait + TURN_MOST
+            }
             (Stage::Sent, _) => self.sent + TURN_MOST,
         }
     }
@@ -271,7 +277,11 @@
     /// moment ask scattered, as discovery works through calls in turn. Where lists are pushed, what discovery has counts
     /// as told from the first moment.
     pub fn begin(&mut self, now: Micros, settings: Settings) {
-        let most = if settings.ask_within.is_some() { FIRST_MOST } else { 0 };
+        let most = if settings.ask_within.is_some() {
+            FIRST_MOST
+        } else {
+            0
+        };
         let others = settings.balancers.saturating_sub(FIRST_AT_ONCE) as u64;
         let scatter = (others * FIRST_APART).min(most);
         self.next = Some(now + self.chance.generate_range(0..=scatter));
@@ -313,7 +323,8 @@
 
     /// Whether a watch is out, which is answered as soon as there is news.
     pub fn is_watching(&self) -> bool {
-        self.awaited.is_some_and(|call| call.is_watch && call.stage == Stage::Sent)
+        self.awaited
+            .is_some_and(|call| call.is_watch && call.stage == Stage::Sent)
     }
 
     /// Whether discovery could not be asked since its last answer.
@@ -340,7 +351,9 @@
     /// How long the call on a connection has been out, and whether another was made in its place.
     pub fn call_age(&self, connection: ConnectionId, now: Micros) -> Option<(Micros, bool)> {
         let call = self.calls().find(|call| call.connection == connection)?;
-        let awaited = self.awaited.is_some_and(|awaited| awaited.connection == connection);
+        let awaited = self
+            .awaited
+            .is_some_and(|awaited| awaited.connection == connection);
         Some((now.saturating_sub(call.sent), !awaited))
     }
 
@@ -353,7 +366,10 @@
         if !self.closing.is_empty() {
             return Some(0);
         }
-        let call = self.awaited.as_ref().map_or(self.next, |call| Some(self.replace_at(call)));
+        let call = self
+            .awaited
+            .as_ref()
+            .map_or(self.next, |call| Some(self.replace_at(call)));
         let heard = self.heard.iter().map(Call::heard_until);
         let verify = self.verify_at.filter(|_| self.may_verify());
         heard.chain(call).chain(verify).min()
@@ -366,7 +382,10 @@
             let call = self.heard.remove(expired);
             self.close(&call);
         }
-        if self.awaited.is_some_and(|call| now >= self.replace_at(&call)) {
+        if self
+            .awaited
+            .is_some_and(|call| now >= self.replace_at(&call))
+        {
             self.unheard |= !self.is_watching();
             self.replace_awaited();
             // What changed counts as told from here on: a scattered wait as after a failed call comes too late.
@@ -387,13 +406,20 @@
     /// When the awaited call is replaced. While another waits in discovery's queue, a further one would only wait
     /// behind it.
     fn replace_at(&self, call: &Call) -> Micros {
-        let queued = self.heard.iter().filter(|heard| heard.is_queued() && call.is_queued());
-        queued.map(Call::heard_until).fold(call.overdue_at(), Micros::max)
+        let queued = self
+            .heard
+            .iter()
+            .filter(|heard| heard.is_queued() && call.is_queued());
+        queued
+            .map(Call::heard_until)
+            .fold(call.overdue_at(), Micros::max)
     }
 
     /// The awaited call, if any, is only heard from now on.
     fn replace_awaited(&mut self) {
-        let Some(call) = self.awaited.take() else { return };
+        let Some(call) = self.awaited.take() else {
+            return;
+        };
         if self.heard.len() >= HEARD_MOST {
             let oldest = self.heard.remove(0);
             self.close(&oldest);
@@ -402,21 +428,31 @@
     }
 
     fn close(&mut self, call: &Call) {
-        let is_owed = call.stage == Stage::Sent && (call.discovery == self.discovery || !self.has_answered);
+        let is_owed =
+            call.stage == Stage::Sent && (call.discovery == self.discovery || !self.has_answered);
         self.closing.push((call.connection, is_owed));
     }
 
     fn close_idle(&mut self) {
-        self.closing.extend(self.idle.take().map(|connection| (connection, false)));
+        self.closing
+            .extend(self.idle.take().map(|connection| (connection, false)));
     }
 
     fn call(&mut self, now: Micros, settings: Settings) -> Action {
         let continues = self.idle.is_some()
-            || self.watch_answered.is_some_and(|answered| now <= answered + GOES_ON_WITHIN);
+            || self
+                .watch_answered
+                .is_some_and(|answered| now <= answered + GOES_ON_WITHIN);
         let query = match self.version {
             None => Query::WholeList,
-            Some(since) if continues => Query::Changes { since, wait: self.next_wait(settings) },
-            Some(since) => Query::Changes { since, wait: FIRST_WAIT },
+            Some(since) if continues => Query::Changes {
+                since,
+                wait: self.next_wait(settings),
+            },
+            Some(since) => Query::Changes {
+                since,
+                wait: FIRST_WAIT,
+            },
         };
         let is_watch = continues && query != Query::WholeList;
         self.watched |= is_watch;
@@ -435,10 +471,22 @@
     }
 
     fn await_call(
-        &mut self, now: Micros, connection: ConnectionId, query: Query, is_watch: bool, stage: Stage,
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        query: Query,
+        is_watch: bool,
+        stage: Stage,
     ) {
         let discovery = self.discovery;
-        self.awaited = Some(Call { connection, query, stage, sent: now, is_watch, discovery });
+        self.awaited = Some(Call {
+            connection,
+            query,
+            stage,
+            sent: now,
+            is_watch,
+            discovery,
+        });
     }
 
     fn new_connection(&mut self) -> ConnectionId {
@@ -482,7 +530,12 @@
     pub fn connected(&mut self, connection: ConnectionId) {
         let calls = self.awaited.iter_mut().chain(&mut self.heard);
         let connecting = calls.filter(|call| call.stage == Stage::Connecting);
-        let Some(call) = connecting.into_iter().find(|call| call.connection == connection) else { return };
+        let Some(call) = connecting
+            .into_iter()
+            .find(|call| call.connection == connection)
+        else {
+            return;
+        };
         call.stage = Stage::Sent;
         let is_check = call.query == Query::WholeList && self.is_watching();
         if !is_check {
@@ -495,14 +548,20 @@
         let is_connecting = |call: &mut Call| call.stage == Stage::Connecting;
         let awaited = self.awaited.take_if(is_connecting);
         let heard = self.heard.extract_if(.., is_connecting);
-        let unsent = awaited.into_iter().chain(heard).map(|call| (call.connection, false));
+        let unsent = awaited
+            .into_iter()
+            .chain(heard)
+            .map(|call| (call.connection, false));
         self.closing.extend(unsent);
     }
 
     /// A call that came about late is awaited where no other is.
     fn await_again(&mut self, connection: ConnectionId) {
         if self.awaited.is_none()
-            && let Some(place) = self.heard.iter().position(|call| call.connection == connection)
+            && let Some(place) = self
+                .heard
+                .iter()
+                .position(|call| call.connection == connection)
         {
             self.awaited = Some(self.heard.remove(place));
         }
@@ -510,23 +569,30 @@
 
     /// Whether what an answer tells is newer than what is here.
     pub fn accepts(&self, connection: ConnectionId, version: Option<u64>, is_whole: bool) -> bool {
-        let Some(call) = self.calls().find(|call| call.connection == connection) else { return false };
+        let Some(call) = self.calls().find(|call| call.connection == connection) else {
+            return false;
+        };
         if call.discovery != self.discovery {
             return !self.has_answered;
         }
-        let awaited = self.awaited.is_some_and(|awaited| awaited.connection == connection);
+        let awaited = self
+            .awaited
+            .is_some_and(|awaited| awaited.connection == connection);
         match (version, self.version) {
             _ if awaited => true,
             (Some(told), Some(_)) => self.is_newer(told, is_whole),
             // Its changes follow on what is here, or nothing does.
-            (None, here) => matches!(call.query, Query::Changes { since, .. } if here == Some(since)),
+            (None, here) => {
+                matches!(call.query, Query::Changes { since, .. } if here == Some(since))
+            }
             (_, None) => true,
         }
     }
 
     /// Whether a version is newer than what is here.
     pub fn is_newer(&self, version: u64, is_whole: bool) -> bool {
-        self.version.is_none_or(|here| version > here || (is_whole && version == here))
+        self.version
+            .is_none_or(|here| version > here || (is_whole && version == here))
     }
 
     /// A list was read from a connection that is being closed.
@@ -538,19 +604,29 @@
     /// The call on a connection has its answer, which was taken if it was accepted. The connection may carry the next
     /// call where it lasts.
     pub fn answered(
-        &mut self, connection: ConnectionId, now: Micros, told: Told, lasts: bool, settings: Settings,
+        &mut self,
+        connection: ConnectionId,
+        now: Micros,
+        told: Told,
+        lasts: bool,
+        settings: Settings,
     ) {
         let accepted = self.accepts(connection, Some(told.version), told.is_whole);
-        let Some((call, was_awaited)) = self.take_call(connection) else { return };
+        let Some((call, was_awaited)) = self.take_call(connection) else {
+            return;
+        };
         if call.discovery != self.discovery {
             // The one before; its count is not the new one's.
             return self.closing.push((connection, false));
         }
         (self.failures, self.unheard, self.answer_lost) = (0, false, None);
         (self.has_answered, self.heard_at) = (true, Some(now));
-        let former: Vec<Call> =
-            self.heard.extract_if(.., |heard| heard.discovery != self.discovery).collect();
-        self.closing.extend(former.iter().map(|call| (call.connection, false)));
+        let former: Vec<Call> = self
+            .heard
+            .extract_if(.., |heard| heard.discovery != self.discovery)
+            .collect();
+        self.closing
+            .extend(former.iter().map(|call| (call.connection, false)));
         if accepted {
             self.listed(now, told, was_awaited, settings);
         }
@@ -590,13 +666,19 @@
     /// The call on a connection brings no list, and the connection is closed. The list that is here stands, and
     /// discovery is called again. Whether it was the call that was awaited.
     pub fn failed(
-        &mut self, connection: ConnectionId, now: Micros, failure: Failure, settings: Settings,
+        &mut self,
+        connection: ConnectionId,
+        now: Micros,
+        failure: Failure,
+        settings: Settings,
     ) -> bool {
         if self.idle == Some(connection) {
             self.idle = None;
             return false;
         }
-        let Some((call, was_awaited)) = self.take_call(connection) else { return false };
+        let Some((call, was_awaited)) = self.take_call(connection) else {
+            return false;
+        };
         if !was_awaited {
             return false;
         }
@@ -613,13 +695,20 @@
         if let Some(call) = self.awaited.take_if(|call| call.connection == connection) {
             return Some((call, true));
         }
-        let place = self.heard.iter().position(|call| call.connection == connection)?;
+        let place = self
+            .heard
+            .iter()
+            .position(|call| call.connection == connection)?;
         Some((self.heard.remove(place), false))
     }
 
     fn retry_wait(&mut self, now: Micros, failure: Failure, settings: Settings) -> Micros {
         let is_broken = matches!(failure, Failure::Cut | Failure::Ended);
-        if is_broken && self.answer_lost.is_some_and(|at| now <= at + LOST_ANSWER_FOR) {
+        if is_broken
+            && self
+                .answer_lost
+                .is_some_and(|at| now <= at + LOST_ANSWER_FOR)
+        {
             let apart = settings.balancers as u64 * LOST_ANSWER_EACH;
             let apart = apart.clamp(LOST_ANSWER_APART.0, LOST_ANSWER_APART.1);
             let least = if self.failures == 0 { 0 } else { apart / 2 };
@@ -628,7 +717,11 @@
         let is_old = self.heard_at.is_some_and(|at| now >= at + LIST_OLD);
         let queued = self.heard.iter().any(Call::is_queued);
         let most = settings.retry_most() / if is_old && !queued { 2 } else { 1 };
-        let grown = if queued { most } else { (RETRY.0 << self.failures.min(4)).min(most) };
+        let grown = if queued {
+            most
+        } else {
+            (RETRY.0 << self.failures.min(4)).min(most)
+        };
         let asked = match failure {
             Failure::Refused { retry_after } => retry_after.unwrap_or(0).min(settings.retry_most()),
             _ => 0,
--- a/crates/proxy/src/wire/discovery/schedule/tests.rs
+++ b/crates/proxy/src/wire/discovery/schedule/tests.rs
@@ -28,15 +28,26 @@
 }
 
 fn settings(balancers: usize) -> Settings {
-    Settings { ask_within: Some(WITHIN), balancers }
+    Settings {
+        ask_within: Some(WITHIN),
+        balancers,
+    }
 }
 
 fn changes(version: u64, has_entries: bool) -> Told {
-    Told { version, is_whole: false, has_entries }
+    Told {
+        version,
+        is_whole: false,
+        has_entries,
+    }
 }
 
 fn whole_list(version: u64) -> Told {
-    Told { version, is_whole: true, has_entries: true }
+    Told {
+        version,
+        is_whole: true,
+        has_entries: true,
+    }
 }
 
 /// What becomes of calls at discovery.
@@ -160,13 +171,19 @@
             self.turns = self.some(100 * MS, 12 * SECOND);
             if self.way == Way::Refused {
                 let ended: Vec<ConnectionId> = self.lines.iter().map(|line| line.id).collect();
-                ended.into_iter().for_each(|id| self.fail(id, Failure::Ended));
+                ended
+                    .into_iter()
+                    .for_each(|id| self.fail(id, Failure::Ended));
             }
         }
         if self.now >= self.silence {
             self.silence = self.some(0, 25 * SECOND);
             for place in 0..self.lines.len() {
-                if self.lines[place].call.as_ref().is_some_and(|call| call.wait() > FIRST_WAIT) {
+                if self.lines[place]
+                    .call
+                    .as_ref()
+                    .is_some_and(|call| call.wait() > FIRST_WAIT)
+                {
                     self.lose(place);
                 }
             }
@@ -178,7 +195,9 @@
         line.lost = true;
         if let Some(call) = line.call.as_ref().filter(|call| call.wait() > FIRST_WAIT) {
             // What it misses counts as told two seconds after its wait.
-            self.excused = self.excused.max(call.turn.unwrap_or(call.sent) + call.wait() + 2 * SECOND);
+            self.excused = self
+                .excused
+                .max(call.turn.unwrap_or(call.sent) + call.wait() + 2 * SECOND);
         }
     }
 
@@ -195,7 +214,9 @@
     /// What comes of the connection at that place: when its call is admitted, and when it has its turn then.
     fn serve(&mut self, place: usize, admit: &mut impl FnMut(&mut Self, bool) -> Option<Micros>) {
         let line = &self.lines[place];
-        let (id, Some(call)) = (line.id, &line.call) else { return };
+        let (id, Some(call)) = (line.id, &line.call) else {
+            return;
+        };
         if line.lost || self.now < call.sent + if line.connected { TICK } else { self.late } {
             return;
         }
@@ -217,7 +238,10 @@
                 Way::Open => {}
             }
             return match admit(self, goes_on) {
-                Some(turn) => self.lines[place].call.iter_mut().for_each(|call| call.turn = Some(turn)),
+                Some(turn) => self.lines[place]
+                    .call
+                    .iter_mut()
+                    .for_each(|call| call.turn = Some(turn)),
                 None => self.fail(id, Failure::Refused { retry_after: None }),
             };
         }
@@ -226,7 +250,9 @@
 
     fn answer(&mut self, place: usize) {
         let line = &self.lines[place];
-        let (id, Some(call)) = (line.id, &line.call) else { return };
+        let (id, Some(call)) = (line.id, &line.call) else {
+            return;
+        };
         let (since, turn) = (call.since(), call.turn.unwrap_or(Micros::MAX));
         let news = since.is_none_or(|since| since < self.version);
         if self.now < turn || !(news || self.now >= turn + call.wait()) {
@@ -242,12 +268,17 @@
             self.excused = self.excused.max(self.now + TURN + SECOND);
             return self.fail(id, Failure::Cut);
         }
-        let told = Told { version: self.version, is_whole: since.is_none(), has_entries: news };
+        let told = Told {
+            version: self.version,
+            is_whole: since.is_none(),
+            has_entries: news,
+        };
         if self.schedule.accepts(id, Some(told.version), told.is_whole) {
             (self.here, self.stale) = (Some(self.version), None);
         }
         self.lines[place].call = None;
-        self.schedule.answered(id, self.now, told, true, self.settings);
+        self.schedule
+            .answered(id, self.now, told, true, self.settings);
     }
 
     /// As `Node::carry_out_schedule` does it.
@@ -259,20 +290,32 @@
                     continue;
                 }
                 Action::Open(id, query) => {
-                    self.lines.push(Line { id, connected: false, lost: false, call: None });
+                    self.lines.push(Line {
+                        id,
+                        connected: false,
+                        lost: false,
+                        call: None,
+                    });
                     (id, query)
                 }
                 Action::Reuse(id, query) => (id, query),
             };
             self.calls += 1;
-            let call = Arrival { query, sent: self.now, turn: None };
+            let call = Arrival {
+                query,
+                sent: self.now,
+                turn: None,
+            };
             self.longest = self.longest.max(call.wait());
             if let Some(line) = self.lines.iter_mut().find(|line| line.id == id) {
                 line.call = Some(call);
             }
         }
         self.most_lines = self.most_lines.max(self.lines.len());
-        assert!(self.schedule.deadline().is_none_or(|at| at > self.now), "nothing is left undone");
+        assert!(
+            self.schedule.deadline().is_none_or(|at| at > self.now),
+            "nothing is left undone"
+        );
     }
 
     fn serve_all(&mut self, admit: &mut impl FnMut(&mut Self, bool) -> Option<Micros>) {
@@ -289,7 +332,11 @@
         while self.now < until {
             self.world();
             self.serve_all(&mut |world, goes_on| {
-                let waits = if goes_on { 0 } else { world.chance.generate_range(0..=TURN) };
+                let waits = if goes_on {
+                    0
+                } else {
+                    world.chance.generate_range(0..=TURN)
+                };
                 Some(world.now + waits)
             });
             self.step();
@@ -321,7 +368,12 @@
     }
 
     /// Plays a fleet until then.
-    fn serve(&mut self, fleet: &mut [World], until: Micros, mut each: impl FnMut(Micros, &mut World)) {
+    fn serve(
+        &mut self,
+        fleet: &mut [World],
+        until: Micros,
+        mut each: impl FnMut(Micros, &mut World),
+    ) {
         let mut now = 0;
         while now < until {
             for world in fleet.iter_mut() {
@@ -336,15 +388,20 @@
 }
 
 fn fleet(seed: u64, balancers: usize) -> Vec<World> {
-    let mut fleet: Vec<World> =
-        (0..balancers).map(|n| World::new(seed * 1000 + n as u64, balancers)).collect();
-    fleet.iter_mut().for_each(|world| world.schedule.begin(0, settings(balancers)));
+    let mut fleet: Vec<World> = (0..balancers)
+        .map(|n| World::new(seed * 1000 + n as u64, balancers))
+        .collect();
+    fleet
+        .iter_mut()
+        .for_each(|world| world.schedule.begin(0, settings(balancers)));
     fleet
 }
 
 /// Six seconds after discovery had it and took calls, or two after the wait of a watch that fell silent.
 fn in_bound(world: &World, seed: u64) {
-    let Some((stale, open)) = world.stale.zip(world.open_since) else { return };
+    let Some((stale, open)) = world.stale.zip(world.open_since) else {
+        return;
+    };
     let by = (stale.max(open) + 6 * SECOND).max(world.excused);
     assert!(
         world.now <= by,
@@ -365,7 +422,11 @@
         (world.turns, world.silence, world.change, world.cuts) = (SECOND, SECOND, SECOND, cuts);
         world.run(200 * SECOND, |world| in_bound(world, seed));
         assert!(world.longest <= WATCH_MOST, "seed {seed}");
-        assert!(world.most_lines <= 2 + HEARD_MOST, "seed {seed}: {} connections", world.most_lines);
+        assert!(
+            world.most_lines <= 2 + HEARD_MOST,
+            "seed {seed}: {} connections",
+            world.most_lines
+        );
     }
 }
 
@@ -392,7 +453,10 @@
 #[case::alone(1, 600 / 7)]
 #[case::handful(6, 600 / 7)]
 #[case::large(300, 600 / 19)]
-fn a_calm_day_has_no_more_calls_than_watches_that_run_out(#[case] balancers: usize, #[case] most: usize) {
+fn a_calm_day_has_no_more_calls_than_watches_that_run_out(
+    #[case] balancers: usize,
+    #[case] most: usize,
+) {
     let mut world = World::new(7, balancers);
     world.run(600 * SECOND, |_| {});
     // Beside them: the first call, one for the whole list, and the shorter watch after each.
@@ -407,7 +471,12 @@
         let mut fleet = fleet(seed, 32);
         fleet.iter_mut().for_each(|world| world.version = 1);
         // What stands in the queue is worked through, whether its caller is still there or not.
-        let mut queue = Queue { work: 220 * MS, longest: 3 * SECOND, free: 3 * SECOND, refused: 0 };
+        let mut queue = Queue {
+            work: 220 * MS,
+            longest: 3 * SECOND,
+            free: 3 * SECOND,
+            refused: 0,
+        };
         queue.serve(&mut fleet, 12 * SECOND, |_, _| {});
         let deaf = fleet.iter().filter(|world| world.here != Some(1)).count();
         assert_eq!(deaf, 0, "seed {seed}: balancers that heard no list");
@@ -419,7 +488,12 @@
 fn a_fleet_whose_watches_end_together_hears_again_within_its_turns() {
     for seed in 0..20 {
         let mut fleet = fleet(seed, 32);
-        let mut queue = Queue { work: 220 * MS, longest: 3 * SECOND, free: 0, refused: 0 };
+        let mut queue = Queue {
+            work: 220 * MS,
+            longest: 3 * SECOND,
+            free: 0,
+            refused: 0,
+        };
         let lost_at = 20 * SECOND;
         // One turn each, and half a second beside that between a free place in the queue and the next call.
         let heard_by = lost_at + 32 * 220 * MS + 3 * SECOND;
@@ -427,12 +501,22 @@
             if now == lost_at {
                 (world.version, world.stale) = (1, Some(now));
                 let ended: Vec<ConnectionId> = world.lines.iter().map(|line| line.id).collect();
-                ended.into_iter().for_each(|id| world.fail(id, Failure::Ended));
+                ended
+                    .into_iter()
+                    .for_each(|id| world.fail(id, Failure::Ended));
             }
         });
         let deaf = fleet.iter().filter(|world| world.stale.is_some()).count();
-        assert_eq!(deaf, 0, "seed {seed}: balancers that did not hear; {} calls refused", queue.refused);
-        assert!(queue.refused <= 14 * 32, "seed {seed}: {} calls refused", queue.refused);
+        assert_eq!(
+            deaf, 0,
+            "seed {seed}: balancers that did not hear; {} calls refused",
+            queue.refused
+        );
+        assert!(
+            queue.refused <= 14 * 32,
+            "seed {seed}: {} calls refused",
+            queue.refused
+        );
     }
 }
 
@@ -447,7 +531,12 @@
     const BALANCERS: usize = 32;
     let changes = [1_770, 4_430, 12_390, 13_280, 14_160, 15_050].map(|at| at * MS);
     let mut fleet = fleet(seed, BALANCERS);
-    let mut queue = Queue { work: 285 * MS, longest: 2 * SECOND, free: 0, refused: 0 };
+    let mut queue = Queue {
+        work: 285 * MS,
+        longest: 2 * SECOND,
+        free: 0,
+        refused: 0,
+    };
     queue.serve(&mut fleet, 25 * SECOND, |now, world| {
         let version = changes.iter().filter(|at| **at <= now).count() as u64;
         if version > world.version {
@@ -455,9 +544,17 @@
             world.stale.get_or_insert(now);
         }
         // The last that counts is what went at 12.39 s.
-        assert!(now < 18_390 * MS || world.here >= Some(3), "at {now}: {:?}", world.here);
+        assert!(
+            now < 18_390 * MS || world.here >= Some(3),
+            "at {now}: {:?}",
+            world.here
+        );
     });
-    assert!(queue.refused <= 3 * BALANCERS, "{} turned away", queue.refused);
+    assert!(
+        queue.refused <= 3 * BALANCERS,
+        "{} turned away",
+        queue.refused
+    );
 }
 
 #[rstest]
@@ -466,12 +563,23 @@
 #[case::asked_anew_in_time(Some(10_000_000), 6, 7_500_000)]
 #[case::longer_in_a_large_fleet(Some(10_000_000), 32, 16_000_000)]
 fn a_watch_waits_by_the_time_for_asking_and_the_fleet(
-    #[case] ask_within: Option<Micros>, #[case] balancers: usize, #[case] wait: Micros,
+    #[case] ask_within: Option<Micros>,
+    #[case] balancers: usize,
+    #[case] wait: Micros,
 ) {
-    assert_eq!(Settings { ask_within, balancers }.watch_wait(), wait);
+    assert_eq!(
+        Settings {
+            ask_within,
+            balancers
+        }
+        .watch_wait(),
+        wait
+    );
     // Where the fleet does not ask for more, the next call comes before discovery counts us as told.
     let large = |within: Micros| balancers as u64 * RUN_OUT_APART > within;
-    assert!(ask_within.is_none_or(|within| large(within) || wait + LATE + CONNECT_WITHIN <= within));
+    assert!(
+        ask_within.is_none_or(|within| large(within) || wait + LATE + CONNECT_WITHIN <= within)
+    );
 }
 
 /// A schedule whose first call is out, and the connection.
@@ -493,7 +601,13 @@
     schedule.knows(41);
     schedule.follow(0);
     let (id, query) = called(&mut schedule, 0, 1);
-    assert_eq!(query, Query::Changes { since: 41, wait: FIRST_WAIT });
+    assert_eq!(
+        query,
+        Query::Changes {
+            since: 41,
+            wait: FIRST_WAIT
+        }
+    );
     schedule.answered(id, SECOND, changes(42, true), true, settings(1));
     let (id, query) = called(&mut schedule, SECOND, 1);
     assert!(matches!(query, Query::Changes { since: 42, wait } if wait > FIRST_WAIT));
@@ -505,7 +619,10 @@
             Some(Action::Open(id, Query::WholeList)) => break id,
             Some(Action::Reuse(watch, Query::Changes { since: 42, .. })) => assert_eq!(watch, id),
             Some(other) => panic!("{other:?}"),
-            None if schedule.awaited.is_some_and(|call| now >= call.overdue_at() - LATE) => {
+            None if schedule
+                .awaited
+                .is_some_and(|call| now >= call.overdue_at() - LATE) =>
+            {
                 schedule.answered(id, now, changes(42, false), true, settings(1));
             }
             None => assert!(now < 30 * SECOND, "it was never checked"),
@@ -515,7 +632,10 @@
     assert!(schedule.is_watching(), "the watch goes on");
     schedule.answered(check, now, whole_list(42), true, settings(1));
     assert!(schedule.is_watching());
-    assert_eq!(schedule.poll(now, settings(1)), Some(Action::Close(check, false)));
+    assert_eq!(
+        schedule.poll(now, settings(1)),
+        Some(Action::Close(check, false))
+    );
 }
 
 /// One that counts otherwise is seen by a version that goes back.
@@ -545,7 +665,9 @@
     let mut world = World::new(1, 1);
     (world.version, world.stale) = (1, Some(0));
     while world.now < takes_ms * MS + SECOND {
-        world.serve_all(&mut |world, goes_on| Some(world.now + if goes_on { 0 } else { takes_ms * MS }));
+        world.serve_all(&mut |world, goes_on| {
+            Some(world.now + if goes_on { 0 } else { takes_ms * MS })
+        });
         world.step();
         world.now += TICK;
     }
@@ -578,15 +700,39 @@
     let (watch, _) = called(&mut schedule, ASK_APART, 1);
     let overdue = schedule.deadline().unwrap();
     let (other, query) = called(&mut schedule, overdue, 1);
-    assert_eq!((watch == other, query), (false, Query::Changes { since: 41, wait: FIRST_WAIT }));
+    assert_eq!(
+        (watch == other, query),
+        (
+            false,
+            Query::Changes {
+                since: 41,
+                wait: FIRST_WAIT
+            }
+        )
+    );
     assert!(schedule.accepts(watch, Some(42), false));
-    schedule.answered(watch, overdue + SECOND, changes(42, true), true, settings(1));
+    schedule.answered(
+        watch,
+        overdue + SECOND,
+        changes(42, true),
+        true,
+        settings(1),
+    );
     assert_eq!(called(&mut schedule, overdue + SECOND, 1).0, watch);
     // What the other call brings is older by now, and passed over.
     assert!(!schedule.accepts(other, Some(42), false));
-    schedule.answered(other, overdue + 2 * SECOND, changes(42, true), true, settings(1));
+    schedule.answered(
+        other,
+        overdue + 2 * SECOND,
+        changes(42, true),
+        true,
+        settings(1),
+    );
     assert!(schedule.is_watching());
-    assert_eq!(schedule.poll(overdue + 2 * SECOND, settings(1)), Some(Action::Close(other, false)));
+    assert_eq!(
+        schedule.poll(overdue + 2 * SECOND, settings(1)),
+        Some(Action::Close(other, false))
+    );
 }
 
 /// What the former discovery tells counts until the new one has told its list, and no longer.
@@ -604,7 +750,10 @@
     assert!(schedule.accepts(former, Some(42), false));
     schedule.answered(new, 2 * SECOND, whole_list(3), true, settings(1));
     assert!(!schedule.accepts(former, Some(42), false));
-    assert_eq!(schedule.poll(2 * SECOND, settings(1)), Some(Action::Close(former, false)));
+    assert_eq!(
+        schedule.poll(2 * SECOND, settings(1)),
+        Some(Action::Close(former, false))
+    );
 }
 
 /// What was lost with an answer counts as told: the next call follows while the watch can go on.
@@ -669,14 +818,27 @@
         for (turn, news) in [true, false, false].into_iter().enumerate() {
             now += ASK_APART;
             let (id, query) = called(&mut schedule, now, 300);
-            let Query::Changes { wait, .. } = query else { panic!("{query:?}") };
+            let Query::Changes { wait, .. } = query else {
+                panic!("{query:?}")
+            };
             waits[turn].push(wait);
             schedule.answered(id, now, changes(1, news), true, settings(300));
         }
     }
-    let ends = |turn: usize| (*waits[turn].iter().min().unwrap(), *waits[turn].iter().max().unwrap());
+    let ends = |turn: usize| {
+        (
+            *waits[turn].iter().min().unwrap(),
+            *waits[turn].iter().max().unwrap(),
+        )
+    };
     let (first, second, third) = (ends(0), ends(1), ends(2));
-    assert!(first.0 < 3 * SECOND && first.1 > 11 * SECOND && first.1 <= 12 * SECOND, "{first:?}");
-    assert!(second.0 >= 10 * SECOND && second.0 < 11 * SECOND && second.1 > 19 * SECOND, "{second:?}");
+    assert!(
+        first.0 < 3 * SECOND && first.1 > 11 * SECOND && first.1 <= 12 * SECOND,
+        "{first:?}"
+    );
+    assert!(
+        second.0 >= 10 * SECOND && second.0 < 11 * SECOND && second.1 > 19 * SECOND,
+        "{second:?}"
+    );
     assert_eq!(third, (WATCH_MOST, WATCH_MOST));
 }
--- a/crates/proxy/src/wire/discovery/tests.rs
+++ b/crates/proxy/src/wire/discovery/tests.rs
@@ -17,11 +17,15 @@
     let mut stand = Stand::new();
     let call = call(&mut stand);
     let address = listener().local_addr().unwrap();
-    say(&call, &answer(&json!({"rev": 41, "all": true, "targets": [entry("s1", address, "active")]})));
+    say(
+        &call,
+        &answer(&json!({"rev": 41, "all": true, "targets": [entry("s1", address, "active")]})),
+    );
     let watch = stand.heard(&call, "\r\n\r\n");
     let wait = watch.strip_prefix("GET /registry/instances?since=41&timeout_ms=");
-    let wait: u64 =
-        wait.and_then(|rest| rest.split(' ').next()?.parse().ok()).unwrap_or_else(|| panic!("{watch}"));
+    let wait: u64 = wait
+        .and_then(|rest| rest.split(' ').next()?.parse().ok())
+        .unwrap_or_else(|| panic!("{watch}"));
     // All that were started now would otherwise ask again at one moment.
     assert!((750..=4_500).contains(&wait), "{watch}");
     let desk = stand.node.desk.borrow();
@@ -44,18 +48,34 @@
     drop(first);
     call(&mut stand);
     let desk = stand.node.desk.borrow();
-    assert_eq!((desk.counters.lists_failed, desk.upstreams[desk.by_name["s1"]].drains), (1, None));
+    assert_eq!(
+        (
+            desk.counters.lists_failed,
+            desk.upstreams[desk.by_name["s1"]].drains
+        ),
+        (1, None)
+    );
 }
 
 #[test]
 fn a_discovery_that_closes_between_calls_is_asked_on() {
     let mut stand = Stand::new();
     let first = call(&mut stand);
-    say(&first, &answer(&json!({"rev": 41, "all": true, "targets": []})));
+    say(
+        &first,
+        &answer(&json!({"rev": 41, "all": true, "targets": []})),
+    );
     // The next call is not made at once: the close comes before it.
     stand.until(|node| node.desk.borrow().discovery.taken.then_some(()));
     drop(first);
-    stand.until(|node| node.desk.borrow().discovery.connections.is_empty().then_some(()));
+    stand.until(|node| {
+        node.desk
+            .borrow()
+            .discovery
+            .connections
+            .is_empty()
+            .then_some(())
+    });
     let discovery = stand.discovery.try_clone().unwrap();
     let next = stand.accepted(&discovery);
     assert!(stand.heard(&next, "\r\n\r\n").contains("since=41"));
@@ -66,7 +86,13 @@
 fn a_call_without_an_answer_is_given_up_and_made_again() {
     let mut stand = Stand::new();
     let silent = call(&mut stand);
-    stand.node.desk.borrow_mut().discovery.schedule.made_before(60_000_000);
+    stand
+        .node
+        .desk
+        .borrow_mut()
+        .discovery
+        .schedule
+        .made_before(60_000_000);
     stand.node.discovery_due();
     stand.ends(&silent);
     call(&mut stand);
@@ -77,10 +103,19 @@
 fn a_watch_that_fell_silent_is_opened_anew_at_once() {
     let mut stand = Stand::new();
     let first = call(&mut stand);
-    say(&first, &answer(&json!({"rev": 41, "all": true, "targets": []})));
+    say(
+        &first,
+        &answer(&json!({"rev": 41, "all": true, "targets": []})),
+    );
     assert!(stand.heard(&first, "\r\n\r\n").contains("since=41&"));
     let began = stand.node.desk.borrow().now();
-    stand.node.desk.borrow_mut().discovery.schedule.made_before(60_000_000);
+    stand
+        .node
+        .desk
+        .borrow_mut()
+        .discovery
+        .schedule
+        .made_before(60_000_000);
     stand.node.discovery_due();
     stand.ends(&first);
     let discovery = stand.discovery.try_clone().unwrap();
@@ -88,7 +123,13 @@
     assert!(stand.heard(&next, "\r\n\r\n").contains("since=41&"));
     let desk = stand.node.desk.borrow();
     // Far less than the module waits after a failed call (a quarter of the span at least, where ten ask).
-    assert_eq!((desk.counters.lists_failed, desk.discovery.schedule.asked() - began < 200_000), (0, true));
+    assert_eq!(
+        (
+            desk.counters.lists_failed,
+            desk.discovery.schedule.asked() - began < 200_000
+        ),
+        (0, true)
+    );
 }
 
 #[test]
@@ -96,7 +137,10 @@
     let mut stand = Stand::new();
     let (_first, second) = (stand.upstream("s1"), stand.upstream("s2"));
     let entries = [entry("s2", second.local_addr().unwrap(), "active")];
-    stand.node.take_list(&json!({"rev": 2, "all": true, "targets": entries})).unwrap();
+    stand
+        .node
+        .take_list(&json!({"rev": 2, "all": true, "targets": entries}))
+        .unwrap();
     let desk = stand.node.desk.borrow();
     let drains = |id: &str| !desk.by_name.contains_key(id);
     assert_eq!((drains("s1"), drains("s2")), (true, false));
@@ -125,11 +169,18 @@
     let mut discovery = Discovery::new(1);
     assert!(!discovery.stands(), "without any list");
     discovery.known = true;
-    let settings = Settings { ask_within: None, balancers: 1 };
+    let settings = Settings {
+        ask_within: None,
+        balancers: 1,
+    };
     discovery.schedule.follow(0);
-    let Some(Action::Open(call, _)) = discovery.schedule.poll(0, settings) else { panic!("no call") };
+    let Some(Action::Open(call, _)) = discovery.schedule.poll(0, settings) else {
+        panic!("no call")
+    };
     assert!(!discovery.stands(), "while discovery is asked");
-    discovery.schedule.failed(call, 1_000, Failure::Unreached, settings);
+    discovery
+        .schedule
+        .failed(call, 1_000, Failure::Unreached, settings);
     assert!(discovery.stands(), "discovery could not be asked");
 }
 
@@ -166,13 +217,25 @@
     let mut stand = Stand::new();
     let first = call(&mut stand);
     let gone = listener().local_addr().unwrap();
-    say(&first, &answer(&json!({"rev": 41, "all": true, "targets": [entry("s1", gone, "active")]})));
+    say(
+        &first,
+        &answer(&json!({"rev": 41, "all": true, "targets": [entry("s1", gone, "active")]})),
+    );
     assert!(stand.heard(&first, "\r\n\r\n").contains("since=41&"));
-    stand.node.desk.borrow_mut().discovery.schedule.made_before(3_000_000);
+    stand
+        .node
+        .desk
+        .borrow_mut()
+        .discovery
+        .schedule
+        .made_before(3_000_000);
     let _client = stand.dispatched("t1", "s1", 60_000_000);
     stand.until(|node| (node.desk.borrow().counters.dispatches_unreachable > 0).then_some(()));
     let asked = stand.node.desk.borrow().counters.lists_asked;
-    say(&first, &answer(&json!({"rev": 42, "all": false, "targets": [entry("s1", gone, "leaving")]})));
+    say(
+        &first,
+        &answer(&json!({"rev": 42, "all": false, "targets": [entry("s1", gone, "leaving")]})),
+    );
     stand.until(|node| (!node.desk.borrow().by_name.contains_key("s1")).then_some(()));
     // The watch goes on where it was, and no other call was made.
     assert!(stand.heard(&first, "\r\n\r\n").contains("since=42&"));
@@ -195,11 +258,18 @@
         stand.heard(&asks, "ready\n")[..12].to_owned()
     };
     let call = call(&mut stand);
-    assert!(began.elapsed() < std::time::Duration::from_secs(3), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() < std::time::Duration::from_secs(3),
+        "{:?}",
+        began.elapsed()
+    );
     // Discovery may take a while to answer, being asked by many.
     std::thread::sleep(std::time::Duration::from_millis(300));
     assert_eq!(status(&mut stand), "HTTP/1.1 503");
-    say(&call, &answer(&json!({"rev": 2, "all": false, "targets": []})));
+    say(
+        &call,
+        &answer(&json!({"rev": 2, "all": false, "targets": []})),
+    );
     stand.until(|node| node.desk.borrow().discovery.taken.then_some(()));
     assert_eq!(status(&mut stand), "HTTP/1.1 200");
 }
@@ -225,7 +295,10 @@
     assert!(stand.heard(&early, "\r\n\r\n").starts_with("HTTP/1.1 503 "));
     let call = call(&mut stand);
     if told {
-        say(&call, &answer(&json!({"rev": 8, "all": false, "targets": []})));
+        say(
+            &call,
+            &answer(&json!({"rev": 8, "all": false, "targets": []})),
+        );
     }
     drop(call);
     stand.until(|node| node.desk.borrow().discovery.stands().then_some(()));
@@ -255,8 +328,17 @@
     let mut stand = Stand::new();
     let watch = watch_of(&mut stand, &["s1"]);
     let gone = listener().local_addr().unwrap();
-    say(&watch, &answer(&json!({"rev": 42, "all": false, "targets": [entry("s1", gone, "leaving")]})));
-    stand.node.desk.borrow_mut().discovery.schedule.made_before(60_000_000);
+    say(
+        &watch,
+        &answer(&json!({"rev": 42, "all": false, "targets": [entry("s1", gone, "leaving")]})),
+    );
+    stand
+        .node
+        .desk
+        .borrow_mut()
+        .discovery
+        .schedule
+        .made_before(60_000_000);
     stand.node.discovery_due();
     let _silent = stand.accepted_discovery();
     stand.until(|node| (!node.desk.borrow().by_name.contains_key("s1")).then_some(()));
@@ -266,8 +348,14 @@
 fn watch_of(stand: &mut Stand, servers: &[&str]) -> std::net::TcpStream {
     let first = call(stand);
     let address = listener().local_addr().unwrap();
-    let entries: Vec<Value> = servers.iter().map(|id| entry(id, address, "active")).collect();
-    say(&first, &answer(&json!({"rev": 41, "all": true, "targets": entries})));
+    let entries: Vec<Value> = servers
+        .iter()
+        .map(|id| entry(id, address, "active"))
+        .collect();
+    say(
+        &first,
+        &answer(&json!({"rev": 41, "all": true, "targets": entries})),
+    );
     assert!(stand.heard(&first, "\r\n\r\n").contains("since=41&"));
     first
 }
--- a/crates/proxy/src/wire/heads.rs
+++ b/crates/proxy/src/wire/heads.rs
@@ -44,19 +44,26 @@
 
 /// A field's value without blanks around it, where it is text.
 pub fn field<'a>(fields: &[Header<'a>], name: &str) -> Option<&'a str> {
-    let named = fields.iter().find(|field| field.name.eq_ignore_ascii_case(name))?;
+    let named = fields
+        .iter()
+        .find(|field| field.name.eq_ignore_ascii_case(name))?;
     std::str::from_utf8(named.value).ok().map(str::trim)
 }
 
 /// A field that may stand only once: of two, nobody can tell which is meant.
 pub fn only_field<'a>(fields: &[Header<'a>], name: &str) -> Option<&'a str> {
-    let count = fields.iter().filter(|field| field.name.eq_ignore_ascii_case(name)).count();
+    let count = fields
+        .iter()
+        .filter(|field| field.name.eq_ignore_ascii_case(name))
+        .count();
     field(fields, name).filter(|_| count == 1)
 }
 
 /// The values of all fields of that name, where they are text.
 pub fn texts<'a>(fields: &[Header<'a>], name: &str) -> impl Iterator<Item = &'a str> {
-    let named = fields.iter().filter(move |field| field.name.eq_ignore_ascii_case(name));
+    let named = fields
+        .iter()
+        .filter(move |field| field.name.eq_ignore_ascii_case(name));
     named.filter_map(|field| std::str::from_utf8(field.value).ok())
 }
 
@@ -72,16 +79,22 @@
     for field in fields {
         let text = std::str::from_utf8(field.value).map(str::trim);
         let next = if field.name.eq_ignore_ascii_case("content-length") {
-            let digits = text.ok().filter(|t| !t.is_empty() && t.bytes().all(|b| b.is_ascii_digit()));
+            let digits = text
+                .ok()
+                .filter(|t| !t.is_empty() && t.bytes().all(|b| b.is_ascii_digit()));
             // A length beyond any number is too long, not unreadable.
             digits.map(|digits| Framing::Length(digits.parse().unwrap_or(usize::MAX)))
         } else if field.name.eq_ignore_ascii_case("transfer-encoding") {
-            text.ok().filter(|text| text.eq_ignore_ascii_case("chunked")).map(|_| Framing::Chunked)
+            text.ok()
+                .filter(|text| text.eq_ignore_ascii_case("chunked"))
+                .map(|_| Framing::Chunked)
         } else {
             continue;
         };
         match next {
-            Some(next) if found == Framing::Unsaid || (found == next && next != Framing::Chunked) => {
+            Some(next)
+                if found == Framing::Unsaid || (found == next && next != Framing::Chunked) =>
+            {
                 found = next;
             }
             _ => return Err(Conflicting),
@@ -92,7 +105,9 @@
 
 /// Whether every line of a head ends as it must: others may take a bare line feed for part of a line.
 pub fn lines_end(head: &[u8]) -> bool {
-    head.iter().enumerate().all(|(place, byte)| *byte != b'\n' || (place > 0 && head[place - 1] == b'\r'))
+    head.iter()
+        .enumerate()
+        .all(|(place, byte)| *byte != b'\n' || (place > 0 && head[place - 1] == b'\r'))
 }
 
 /// The body that starts at `from`; `ended` tells that nothing more will come.
@@ -100,9 +115,14 @@
     match framing {
         Framing::Length(length) if length > most => Body::TooLong,
         Framing::Length(length) if bytes.len() < from + length => Body::Partial,
-        Framing::Length(length) => Body::Whole(std::iter::once(from..from + length).collect(), from + length),
+        Framing::Length(length) => Body::Whole(
+            std::iter::once(from..from + length).collect(),
+            from + length,
+        ),
         Framing::Unsaid if bytes.len() - from > most => Body::TooLong,
-        Framing::Unsaid if ended => Body::Whole(std::iter::once(from..bytes.len()).collect(), bytes.len()),
+        Framing::Unsaid if ended => {
+            Body::Whole(std::iter::once(from..bytes.len()).collect(), bytes.len())
+        }
         Framing::Unsaid => Body::Partial,
         Framing::Chunked => chunks(bytes, from, most),
     }
@@ -171,7 +191,9 @@
 
 /// Whether an answer leaves its connection fit for another.
 pub fn lasts(answer: &Response, framing: Framing) -> bool {
-    answer.version == Some(1) && framing != Framing::Unsaid && !lists(answer.headers, "connection", "close")
+    answer.version == Some(1)
+        && framing != Framing::Unsaid
+        && !lists(answer.headers, "connection", "close")
 }
 
 /// Fields that speak of one connection only, or that the sender words anew.
--- a/crates/proxy/src/wire/heads/tests.rs
+++ b/crates/proxy/src/wire/heads/tests.rs
@@ -4,7 +4,10 @@
 use super::*;
 
 fn named<'a>(name: &'a str, value: &'a str) -> Header<'a> {
-    Header { name, value: value.as_bytes() }
+    Header {
+        name,
+        value: value.as_bytes(),
+    }
 }
 
 #[rstest]
@@ -22,9 +25,13 @@
 #[case::unknown_coding(&[("Transfer-Encoding", "gzip, chunked")], Err(Conflicting))]
 #[case::beyond_numbers(&[("Content-Length", "99999999999999999999999")], Ok(Framing::Length(usize::MAX)))]
 fn a_message_has_one_framing_or_is_conflicting(
-    #[case] fields: &[(&str, &str)], #[case] expected: Result<Framing, Conflicting>,
+    #[case] fields: &[(&str, &str)],
+    #[case] expected: Result<Framing, Conflicting>,
 ) {
-    let fields: Vec<_> = fields.iter().map(|(name, value)| named(name, value)).collect();
+    let fields: Vec<_> = fields
+        .iter()
+        .map(|(name, value)| named(name, value))
+        .collect();
     assert_eq!(framing(&fields), expected);
 }
 
@@ -45,7 +52,10 @@
 #[case::wrong_end("ab3\r\nxyzab", Framing::Chunked, false, Body::Nonsense)]
 #[case::no_size("abzz\r\n", Framing::Chunked, false, Body::Nonsense)]
 fn a_body_is_found_by_its_framing(
-    #[case] bytes: &str, #[case] framing: Framing, #[case] ended: bool, #[case] expected: Body,
+    #[case] bytes: &str,
+    #[case] framing: Framing,
+    #[case] ended: bool,
+    #[case] expected: Body,
 ) {
     assert_eq!(body(bytes.as_bytes(), 2, framing, ended, 10), expected);
 }
@@ -55,18 +65,28 @@
 #[case("keep-alive, Close", true)]
 #[case("closer", false)]
 fn a_word_is_found_in_a_list(#[case] value: &str, #[case] expected: bool) {
-    assert_eq!(lists(&[named("Connection", value)], "connection", "close"), expected);
+    assert_eq!(
+        lists(&[named("Connection", value)], "connection", "close"),
+        expected
+    );
 }
 
 #[test]
 fn a_field_said_twice_is_none() {
     let twice = [named("X-Txn", "a"), named("x-txn", "b")];
-    assert_eq!((only_field(&twice, "x-txn"), only_field(&twice[1..], "x-txn")), (None, Some("b")));
+    assert_eq!(
+        (
+            only_field(&twice, "x-txn"),
+            only_field(&twice[1..], "x-txn")
+        ),
+        (None, Some("b"))
+    );
 }
 
 #[test]
 fn fields_go_on_as_slices_of_their_buffer() {
-    let message = Bytes::from_static(b"GET / HTTP/1.1\r\nA:  b c \r\nConnection: close\r\nX: y\r\n\r\n");
+    let message =
+        Bytes::from_static(b"GET / HTTP/1.1\r\nA:  b c \r\nConnection: close\r\nX: y\r\n\r\n");
     let mut fields = [EMPTY_HEADER; 8];
     let mut request = httparse::Request::new(&mut fields);
     request.parse(&message).unwrap();
--- a/crates/proxy/src/wire/peers.rs
+++ b/crates/proxy/src/wire/peers.rs
@@ -36,7 +36,11 @@
             node.words_came();
             Ok(PostAction::Continue)
         });
-        Ok(Self { socket, address, token: token.map_err(|problem| io::Error::other(problem.error))? })
+        Ok(Self {
+            socket,
+            address,
+            token: token.map_err(|problem| io::Error::other(problem.error))?,
+        })
     }
 
     pub fn close(self, handle: &LoopHandle<'static, Node>) {
@@ -45,7 +49,9 @@
 
     /// A new ear for an address, where this one does not stand there already.
     pub fn moved(
-        ear: Option<&Self>, handle: &LoopHandle<'static, Node>, address: Option<SocketAddr>,
+        ear: Option<&Self>,
+        handle: &LoopHandle<'static, Node>,
+        address: Option<SocketAddr>,
     ) -> io::Result<Option<Self>> {
         match (ear, address) {
             (Some(ear), Some(address)) if ear.address == address => Ok(None),
@@ -62,13 +68,16 @@
             let mut desk = self.desk.borrow_mut();
             let now = desk.now();
             // A report of an earlier send that nobody took comes as an error here; the next turn goes on.
-            let Some(Ok((length, from))) = desk.ear.as_ref().map(|ear| ear.socket.recv_from(&mut word))
+            let Some(Ok((length, from))) =
+                desk.ear.as_ref().map(|ear| ear.socket.recv_from(&mut word))
             else {
                 return;
             };
             let author = desk.place.peers.iter().position(|peer| *peer == from);
-            let told =
-                author.zip(word.get(..length.min(WORD_MOST)).and_then(|word| str::from_utf8(word).ok()));
+            let told = author.zip(
+                word.get(..length.min(WORD_MOST))
+                    .and_then(|word| str::from_utf8(word).ok()),
+            );
             match told.filter(|_| length <= WORD_MOST) {
                 Some((author, text)) => {
                     desk.counters.words_heard += 1;
@@ -87,7 +96,9 @@
         let Some(ear) = &self.ear else { return };
         let own = self.place.own_number;
         let all = self.place.peers.iter().enumerate();
-        for (_, peer) in all.filter(|(n, _)| *n != own && balancer.is_none_or(|balancer| balancer == *n)) {
+        for (_, peer) in
+            all.filter(|(n, _)| *n != own && balancer.is_none_or(|balancer| balancer == *n))
+        {
             match ear.socket.send_to(word.as_bytes(), peer) {
                 Ok(_) => self.counters.words_told += 1,
                 Err(_) => self.counters.words_untold += 1,
--- a/crates/proxy/src/wire/peers/tests.rs
+++ b/crates/proxy/src/wire/peers/tests.rs
@@ -12,7 +12,10 @@
     let other = UdpSocket::bind("127.0.0.1:0").unwrap();
     other.set_nonblocking(true).unwrap();
     // Free a moment ago: nobody else here asks for ports by their number.
-    let own = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let own = UdpSocket::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     let stand = Stand::with(|told| moved(told, &[own, other.local_addr().unwrap()]));
     (stand, other, own)
 }
@@ -42,11 +45,16 @@
 #[case::too_long(true, &"x".repeat(300), 0, 1)]
 #[case::no_sense(true, "~ ~ ~", 1, 0)]
 fn only_balancers_are_heard(
-    #[case] known: bool, #[case] word: &str, #[case] heard: u64, #[case] passed: u64,
+    #[case] known: bool,
+    #[case] word: &str,
+    #[case] heard: u64,
+    #[case] passed: u64,
 ) {
     let (mut stand, other, own) = two();
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
-    if known { &other } else { &stranger }.send_to(word.as_bytes(), own).unwrap();
+    if known { &other } else { &stranger }
+        .send_to(word.as_bytes(), own)
+        .unwrap();
     let counted = stand.until(|node| {
         let counters = &node.desk.borrow().counters;
         let counted = (counters.words_heard, counters.words_passed_over);
@@ -57,13 +65,19 @@
 
 /// The module asks before it places a ticket: the probe goes out, its answer comes in, and then the ticket goes.
 #[rstest]
-#[case::told("HTTP/1.1 200 OK\r\nX-Pressure: TEXT inflight=0, queue=0\r\nContent-Length: 0\r\n\r\n", 1)]
+#[case::told(
+    "HTTP/1.1 200 OK\r\nX-Pressure: TEXT inflight=0, queue=0\r\nContent-Length: 0\r\n\r\n",
+    1
+)]
 #[case::broken("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", 0)]
 fn a_ticket_waits_for_the_probe(#[case] answer: &str, #[case] answered: u64) {
     let (mut stand, _other, _) = two();
     let upstream = stand.upstream("s1");
     let (client, _) = stand.client();
-    say(&client, "GET /status/1 HTTP/1.1\r\nHost: app\r\nX-Txn: t1\r\nX-Remaining-Ms: 20000\r\n\r\n");
+    say(
+        &client,
+        "GET /status/1 HTTP/1.1\r\nHost: app\r\nX-Txn: t1\r\nX-Remaining-Ms: 20000\r\n\r\n",
+    );
     let link = stand.accepted(&upstream);
     let asked = stand.heard(&link, "\r\n\r\n");
     assert!(asked.starts_with("GET /load HTTP/1.1\r\n") && !asked.contains("X-Txn"));
@@ -73,13 +87,21 @@
         assert_eq!(stand.node.desk.borrow().counters.loads_told, 1);
         // The connection rests after an answer, so the ticket comes on another.
         let link = stand.accepted(&upstream);
-        assert!(stand.heard(&link, "\r\n\r\n").starts_with("GET /status/1 HTTP/1.1\r\n"));
+        assert!(
+            stand
+                .heard(&link, "\r\n\r\n")
+                .starts_with("GET /status/1 HTTP/1.1\r\n")
+        );
     } else {
         // A ticket asks once: with nobody left to go to it is told to come back, and not left to wait.
         stand.until(|node| (node.desk.borrow().counters.tickets_dismissed == 1).then_some(()));
         let desk = stand.node.desk.borrow();
         assert_eq!(
-            (desk.counters.probes, desk.counters.probes_answered, desk.counters.dispatches),
+            (
+                desk.counters.probes,
+                desk.counters.probes_answered,
+                desk.counters.dispatches
+            ),
             (1, 0, 0)
         );
     }
@@ -94,5 +116,12 @@
     Hands(stand.node.desk.clone()).probe("s1");
     stand.until(|node| node.desk.borrow().links.is_empty().then_some(()));
     let desk = stand.node.desk.borrow();
-    assert_eq!((desk.counters.probes, desk.counters.probes_answered, desk.counters.dispatches), (1, 0, 0));
+    assert_eq!(
+        (
+            desk.counters.probes,
+            desk.counters.probes_answered,
+            desk.counters.dispatches
+        ),
+        (1, 0, 0)
+    );
 }
--- a/crates/proxy/src/wire/sending.rs
+++ b/crates/proxy/src/wire/sending.rs
@@ -96,22 +96,47 @@
             .iter()
             .enumerate()
             .any(|(number, out)| number != errand.number && out.is_some());
-        if others_out { Err(Refusal::SecondOut) } else { Ok(()) }
+        if others_out {
+            Err(Refusal::SecondOut)
+        } else {
+            Ok(())
+        }
     }
 
     /// A client may have left without our having read it: where the decision is not of this very moment, its
     /// connection is asked.
-    fn client_waits_still(&self, request: &Ticket, errand: &Errand, now: Micros) -> Result<(), Refusal> {
-        let client = request.client.and_then(|slot| self.clients.get(slot)).ok_or(Refusal::ClientLeft)?;
+    fn client_waits_still(
+        &self,
+        request: &Ticket,
+        errand: &Errand,
+        now: Micros,
+    ) -> Result<(), Refusal> {
+        let client = request
+            .client
+            .and_then(|slot| self.clients.get(slot))
+            .ok_or(Refusal::ClientLeft)?;
         let old = errand.number > 0 || errand.sent < now || now > self.turn.until;
-        if old && hung_up(&client.wired.stream) { Err(Refusal::ClientLeft) } else { Ok(()) }
+        if old && hung_up(&client.wired.stream) {
+            Err(Refusal::ClientLeft)
+        } else {
+            Ok(())
+        }
     }
 
     fn push_attempt(&mut self, slot: LinkSlot, now: Micros) {
-        let Some(link) = self.links.get_mut(slot) else { return };
-        let Some(errand) = link.errand.as_ref() else { return };
-        let Some(request) = self.tickets.get(errand.ticket) else { return };
-        request.head.iter().for_each(|slice| link.outbox.push(slice.clone()));
+        let Some(link) = self.links.get_mut(slot) else {
+            return;
+        };
+        let Some(errand) = link.errand.as_ref() else {
+            return;
+        };
+        let Some(request) = self.tickets.get(errand.ticket) else {
+            return;
+        };
+        request
+            .head
+            .iter()
+            .for_each(|slice| link.outbox.push(slice.clone()));
         let length: usize = request.body.iter().map(Bytes::len).sum();
         let mut added = format!("X-Remaining-Ms: {}\r\n", told_ms(errand.expire_at - now));
         if !request.has_host {
@@ -121,7 +146,10 @@
             added += &format!("Content-Length: {length}\r\n");
         }
         link.outbox.push(Bytes::from(added + "\r\n"));
-        request.body.iter().for_each(|slice| link.outbox.push(slice.clone()));
+        request
+            .body
+            .iter()
+            .for_each(|slice| link.outbox.push(slice.clone()));
     }
 
     fn tell_refusal(&mut self, slot: LinkSlot, refusal: Refusal) {
@@ -147,11 +175,15 @@
 
 /// Whether a request may be sent once more, as far as earlier attempts go.
 fn may_repeat(request: &Ticket, now: Micros) -> Result<(), Refusal> {
-    let Some(first) = request.may_have_run_since else { return Ok(()) };
+    let Some(first) = request.may_have_run_since else {
+        return Ok(());
+    };
     match request.effect {
         Effect::Redoable => Ok(()),
         Effect::Irreversible => Err(Refusal::MayHaveRun),
-        Effect::Labelled { window, .. } if now >= begin_before(first, window) => Err(Refusal::WindowOver),
+        Effect::Labelled { window, .. } if now >= begin_before(first, window) => {
+            Err(Refusal::WindowOver)
+        }
         Effect::Labelled { .. } => Ok(()),
     }
 }
--- a/crates/proxy/src/wire/sending/tests.rs
+++ b/crates/proxy/src/wire/sending/tests.rs
@@ -29,7 +29,10 @@
 
 fn ran(desk: &mut Desk, ticket: TicketSlot, effect: Effect, ago: Micros) {
     let since = desk.now() - ago;
-    (desk.tickets[ticket].effect, desk.tickets[ticket].may_have_run_since) = (effect, Some(since));
+    (
+        desk.tickets[ticket].effect,
+        desk.tickets[ticket].may_have_run_since,
+    ) = (effect, Some(since));
 }
 
 #[test]
@@ -46,7 +49,10 @@
     assert_eq!(asked(|desk, slot, _| drained(desk, slot, ago)), (wanted, 0));
 }
 
-const KEYED: Effect = Effect::Labelled { group: pinefront_policy::Group::All, window: 1_000_000 };
+const KEYED: Effect = Effect::Labelled {
+    group: pinefront_policy::Group::All,
+    window: 1_000_000,
+};
 
 #[rstest]
 #[case::safe(Effect::Redoable, LONG, (Ok(()), 0))]
@@ -54,9 +60,14 @@
 #[case::keyed_within_the_margin(KEYED, 900_000, (Err(Refusal::WindowOver), 0))]
 #[case::unsafe_never(Effect::Irreversible, 0, (Err(Refusal::MayHaveRun), 1))]
 fn what_may_have_run_is_repeated_only_as_its_effect_allows(
-    #[case] effect: Effect, #[case] ago: Micros, #[case] wanted: (Result<(), Refusal>, u64),
+    #[case] effect: Effect,
+    #[case] ago: Micros,
+    #[case] wanted: (Result<(), Refusal>, u64),
 ) {
-    assert_eq!(asked(|desk, _, ticket| ran(desk, ticket, effect, ago)), wanted);
+    assert_eq!(
+        asked(|desk, _, ticket| ran(desk, ticket, effect, ago)),
+        wanted
+    );
 }
 
 #[test]
@@ -69,7 +80,9 @@
 
 #[test]
 fn nothing_is_sent_when_its_time_is_over_or_its_upstream_has_moved() {
-    let over = |desk: &mut Desk, slot: LinkSlot, _| desk.links[slot].errand.as_mut().unwrap().expire_at = 0;
+    let over = |desk: &mut Desk, slot: LinkSlot, _| {
+        desk.links[slot].errand.as_mut().unwrap().expire_at = 0
+    };
     assert_eq!(asked(over), (Err(Refusal::TimeOver), 0));
     let moved = |desk: &mut Desk, slot: LinkSlot, _| {
         let upstream = desk.links[slot].upstream;
@@ -89,7 +102,11 @@
     let mut desk = stand.node.desk.borrow_mut();
     let slot = desk.links.keys().next().unwrap();
     let began = std::time::Instant::now();
-    while !desk.clients.values().any(|client| hung_up(&client.wired.stream)) {
+    while !desk
+        .clients
+        .values()
+        .any(|client| hung_up(&client.wired.stream))
+    {
         assert!(began.elapsed().as_secs() < 20);
     }
     desk.links[slot].errand.as_mut().unwrap().sent -= 1;
--- a/crates/proxy/src/wire/starts.rs
+++ b/crates/proxy/src/wire/starts.rs
@@ -43,7 +43,11 @@
             Source::AfterKnown => 0,
             Source::Later { since } => since.saturating_sub(TOLD_LATE),
         };
-        Self { behind, earliest, now }
+        Self {
+            behind,
+            earliest,
+            now,
+        }
     }
 
     pub fn behind(&self) -> Micros {
@@ -54,7 +58,9 @@
     pub fn started(&self, stated: Micros) -> Micros {
         match stated {
             0 => 0,
-            stated => stated.saturating_sub(self.behind).clamp(self.earliest.min(self.now), self.now),
+            stated => stated
+                .saturating_sub(self.behind)
+                .clamp(self.earliest.min(self.now), self.now),
         }
     }
 }
--- a/crates/proxy/src/wire/starts/tests.rs
+++ b/crates/proxy/src/wire/starts/tests.rs
@@ -18,7 +18,10 @@
 #[case::right_after_a_restart(Source::AfterKnown, 0, 30 * SECOND, 30 * SECOND)]
 #[case::ahead_after_a_restart(Source::AfterKnown, HOUR as i64, 3 * SECOND, 0)]
 fn the_age_of_a_newcomer_is_bounded_by_what_needs_no_clock(
-    #[case] source: Source, #[case] wrong: i64, #[case] age: Micros, #[case] believed: Micros,
+    #[case] source: Source,
+    #[case] wrong: i64,
+    #[case] age: Micros,
+    #[case] believed: Micros,
 ) {
     let stated = (NOW as i64 - wrong) as u64 - age;
     let times = StartTimes::new(NOW, 0, source, &[stated]);
@@ -31,7 +34,13 @@
 fn a_clock_that_is_behind_is_set_by_the_newest() {
     let stated = [NOW + HOUR - 20 * SECOND, NOW + HOUR];
     let times = StartTimes::new(NOW, 0, Source::First, &stated);
-    assert_eq!((times.behind(), stated.map(|stated| NOW - times.started(stated))), (HOUR, [20 * SECOND, 0]));
+    assert_eq!(
+        (
+            times.behind(),
+            stated.map(|stated| NOW - times.started(stated))
+        ),
+        (HOUR, [20 * SECOND, 0])
+    );
     // What was learned stays.
     let later = StartTimes::new(NOW, times.behind(), Source::First, &[]);
     assert_eq!(NOW - later.started(NOW + HOUR - 5 * SECOND), 5 * SECOND);
--- a/crates/proxy/src/wire/tickets.rs
+++ b/crates/proxy/src/wire/tickets.rs
@@ -14,7 +14,9 @@
 use crate::memory::desk::{Client, Desk, Ticket};
 use crate::memory::slots::ClientSlot;
 use crate::wire::clients::READ_AHEAD;
-use crate::wire::heads::{self, BODY_MOST, Body, Conflicting, FIELDS_MOST, Framing, HEAD_MOST, MESSAGE_MOST};
+use crate::wire::heads::{
+    self, BODY_MOST, Body, Conflicting, FIELDS_MOST, Framing, HEAD_MOST, MESSAGE_MOST,
+};
 
 #[cfg(test)]
 mod tests;
@@ -40,13 +42,17 @@
             // Nothing of it was sent on. Small messages go on being taken: they are bounded by their number.
             return desk.turn_off(slot, 503, reasons::NO_ROOM);
         }
-        let Some(client) = desk.clients.get_mut(slot) else { return };
+        let Some(client) = desk.clients.get_mut(slot) else {
+            return;
+        };
         let (head, body, end) = match whole_message(client.inbox.kept()) {
             Ok(Some(found)) => found,
             Ok(None) => {
                 if !client.continued && expects_word(client.inbox.kept()) {
                     client.continued = true;
-                    client.outbox.push(Bytes::from_static(b"HTTP/1.1 100 Continue\r\n\r\n"));
+                    client
+                        .outbox
+                        .push(Bytes::from_static(b"HTTP/1.1 100 Continue\r\n\r\n"));
                     // A broken connection shows itself when it is next read.
                     let _ = client.outbox.drain(&client.wired.stream);
                 }
@@ -60,7 +66,8 @@
         (client.continued, client.partial) = (false, None);
         let mut fields = [httparse::EMPTY_HEADER; FIELDS_MOST];
         let mut asked = Request::new(&mut fields);
-        let (Ok(_), Some(method), Some(target)) = (asked.parse(&message[..head]), asked.method, asked.path)
+        let (Ok(_), Some(method), Some(target)) =
+            (asked.parse(&message[..head]), asked.method, asked.path)
         else {
             // Cannot be: it was parsed a moment ago.
             return desk.turn_off(slot, 400, reasons::MALFORMED);
@@ -76,7 +83,11 @@
         let Some(use_case) = use_case(&desk.place, fields, path) else {
             return desk.reject(slot, 404);
         };
-        let wanted = if desk.place.effects[use_case] == Effect::Redoable { "GET" } else { "POST" };
+        let wanted = if desk.place.effects[use_case] == Effect::Redoable {
+            "GET"
+        } else {
+            "POST"
+        };
         if method != wanted {
             return desk.reject(slot, 405);
         }
@@ -94,33 +105,53 @@
         }
         let now = desk.now();
         // What a new connection brings is read a turn after it was accepted, and may have lain as long as that waited.
-        let waited = desk.clients.get(slot).filter(|client| now < client.opened + AT_ONCE);
-        let late = desk.turn.late(now).max(waited.map_or(0, |client| client.waited));
+        let waited = desk
+            .clients
+            .get(slot)
+            .filter(|client| now < client.opened + AT_ONCE);
+        let late = desk
+            .turn
+            .late(now)
+            .max(waited.map_or(0, |client| client.waited));
         let spent = WAY_BACK.min(wait / WAY_BACK_PART) + late;
         let hard_stop = (now + wait).saturating_sub(spent).max(now);
-        let account =
-            heads::field(fields, "x-org").map_or(desk.place.accounts.len(), |name| desk.place.account(name));
+        let account = heads::field(fields, "x-org")
+            .map_or(desk.place.accounts.len(), |name| desk.place.account(name));
         let hint = heads::field(fields, "x-estimate").and_then(|hint| hint.parse().ok());
         let key = heads::field(fields, "x-entity").map(key_number);
         let effect = desk.place.effects[use_case];
         let ticket = desk.open(slot, id, effect, &message, &asked, &body);
         drop(borrowed);
-        self.balancer.ticket_arrived(now, &ticket, use_case, account, hard_stop, hint, key);
+        self.balancer
+            .ticket_arrived(now, &ticket, use_case, account, hard_stop, hint, key);
     }
 }
 
 impl Desk {
     pub fn open(
-        &mut self, slot: ClientSlot, id: &str, effect: Effect, message: &Bytes, asked: &Request,
+        &mut self,
+        slot: ClientSlot,
+        id: &str,
+        effect: Effect,
+        message: &Bytes,
+        asked: &Request,
         body: &[Range<usize>],
     ) -> Rc<str> {
-        let part = |text: Option<&str>| message.slice(heads::place(message, text.unwrap_or("").as_bytes()));
-        let (space, version) = (Bytes::from_static(b" "), Bytes::from_static(b" HTTP/1.1\r\n"));
+        let part = |text: Option<&str>| {
+            message.slice(heads::place(message, text.unwrap_or("").as_bytes()))
+        };
+        let (space, version) = (
+            Bytes::from_static(b" "),
+            Bytes::from_static(b" HTTP/1.1\r\n"),
+        );
         let mut head = vec![part(asked.method), space, part(asked.path), version];
         head.extend(heads::lines(message, asked.headers, |name| {
             heads::goes_on(name) && !name.eq_ignore_ascii_case("x-remaining-ms")
         }));
-        let body = body.iter().map(|range| message.slice(range.clone())).collect();
+        let body = body
+            .iter()
+            .map(|range| message.slice(range.clone()))
+            .collect();
         let id: Rc<str> = Rc::from(id);
         let ticket = Ticket {
             id: Rc::clone(&id),
@@ -214,7 +245,9 @@
 /// The path of a target, which may name a host before it and a query behind it.
 fn path(target: &str) -> &str {
     let path = match target.split_once("://") {
-        Some((_, rest)) if !target.starts_with('/') => &rest[rest.find('/').unwrap_or(rest.len())..],
+        Some((_, rest)) if !target.starts_with('/') => {
+            &rest[rest.find('/').unwrap_or(rest.len())..]
+        }
         _ => target,
     };
     path.split('?').next().unwrap_or(path)
@@ -225,13 +258,17 @@
     let named = path.strip_prefix('/')?.split('/').next()?;
     match heads::field(fields, "x-lane") {
         Some(lane) if lane != named => None,
-        _ => place.use_cases.iter().position(|name| name == named && !name.is_empty()),
+        _ => place
+            .use_cases
+            .iter()
+            .position(|name| name == named && !name.is_empty()),
     }
 }
 
 fn ticket_id<'a>(fields: &[Header<'a>]) -> Option<&'a str> {
     let id = heads::only_field(fields, "x-txn")?;
-    (!id.is_empty() && id.len() <= ID_MOST && id.bytes().all(|byte| byte.is_ascii_graphic())).then_some(id)
+    (!id.is_empty() && id.len() <= ID_MOST && id.bytes().all(|byte| byte.is_ascii_graphic()))
+        .then_some(id)
 }
 
 /// A key as a number, alike at all balancers whatever its length. Keys that meet in one only wait for each other.
--- a/crates/proxy/src/wire/tickets/tests.rs
+++ b/crates/proxy/src/wire/tickets/tests.rs
@@ -15,11 +15,17 @@
 #[case::chunks_of_old(with("\r\nContent-Length: 4", "\r\nTransfer-Encoding: chunked").replace("1.1", "1.0"), 400)]
 #[case::odd_chunks(with("\r\n\r\n", "\r\ntransfer-encoding: \t chUnked\r\n\r\n"), 400)]
 #[case::spaced_chunks(with("\r\n\r\n", "\r\nTransfer-Encoding : chunked\r\n\r\n"), 400)]
-#[case::bare_line_feed(with("Host: app\r\n", "Host: app\nTransfer-Encoding: chunked\r\n"), 400)]
+#[case::bare_line_feed(
+    with("Host: app\r\n", "Host: app\nTransfer-Encoding: chunked\r\n"),
+    400
+)]
 #[case::bare_line_feed_before_the_body(with("\r\n\r\n", "\r\n\n"), 400)]
 #[case::bare_return(with("Host: app", "Host: a\rpp"), 400)]
 #[case::folded(with("Host: app", "Host: app\r\n app"), 400)]
-#[case::two_labels(with("Idempotency-Key: k", "Idempotency-Key: k\r\nIdempotency-Key: l"), 400)]
+#[case::two_labels(
+    with("Idempotency-Key: k", "Idempotency-Key: k\r\nIdempotency-Key: l"),
+    400
+)]
 #[case::no_id(with("X-Txn: t1\r\n", ""), 400)]
 #[case::empty_id(with("X-Txn: t1", "X-Txn:"), 400)]
 #[case::two_ids(with("X-Txn: t1", "X-Txn: t1\r\nX-Txn: t2"), 400)]
@@ -61,7 +67,10 @@
 #[case("4.5", None)]
 #[case("+4", None)]
 fn a_client_waits_for_whole_milliseconds(#[case] text: &str, #[case] expected: Option<Micros>) {
-    let fields = [Header { name: "X-Remaining-Ms", value: text.as_bytes() }];
+    let fields = [Header {
+        name: "X-Remaining-Ms",
+        value: text.as_bytes(),
+    }];
     assert_eq!(remaining(&fields), expected);
 }
 
@@ -78,7 +87,10 @@
 }
 
 fn of_key(id: &str, key: &str) -> String {
-    message(id, "body").replace("X-Remaining-Ms: 900", &format!("X-Remaining-Ms: 60000\r\nX-Entity: {key}"))
+    message(id, "body").replace(
+        "X-Remaining-Ms: 900",
+        &format!("X-Remaining-Ms: 60000\r\nX-Entity: {key}"),
+    )
 }
 
 /// The next ticket comes on a connection of its own.
@@ -120,8 +132,16 @@
     assert!(heard.contains("X-Txn: t2\r\n"), "{heard}");
     assert_eq!(again, usize::from(end != Some(DONE)));
     say(&link, DONE);
-    assert!(stand.heard(&clients[0], "\r\n\r\n").starts_with("HTTP/1.1 200 "));
-    assert!(stand.heard(&clients[1], "\r\n\r\n").starts_with("HTTP/1.1 200 "));
+    assert!(
+        stand
+            .heard(&clients[0], "\r\n\r\n")
+            .starts_with("HTTP/1.1 200 ")
+    );
+    assert!(
+        stand
+            .heard(&clients[1], "\r\n\r\n")
+            .starts_with("HTTP/1.1 200 ")
+    );
 }
 
 /// A drain moves later tickets elsewhere, but does not let them overtake what still runs where it drains.
@@ -147,7 +167,9 @@
     let second = stand.accepted(&fresh);
     assert!(stand.heard(&second, "body").contains("X-Txn: t2\r\n"));
     say(&second, DONE);
-    clients.iter().for_each(|client| assert!(stand.heard(client, "\r\n\r\n").starts_with("HTTP/1.1 200 ")));
+    clients
+        .iter()
+        .for_each(|client| assert!(stand.heard(client, "\r\n\r\n").starts_with("HTTP/1.1 200 ")));
 }
 
 /// deploy/sites/harrow-permits.toml, calm+brink, seed 1: with a class named `stats` 1,840 requests were answered with the
@@ -168,7 +190,11 @@
         ),
     );
     let link = stand.accepted(&upstream);
-    assert!(stand.heard(&link, "\r\n\r\n").starts_with(&format!("GET {path} HTTP/1.1\r\n")));
+    assert!(
+        stand
+            .heard(&link, "\r\n\r\n")
+            .starts_with(&format!("GET {path} HTTP/1.1\r\n"))
+    );
     say(&link, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
     assert!(stand.heard(&client, "ok").starts_with("HTTP/1.1 200 "));
     // Without an id the page stays a page.
@@ -197,6 +223,10 @@
     stand.node.desk.borrow_mut().turn.until = Micros::MAX;
     let link = stand.accepted(&upstream);
     let sent = stand.heard(&link, "body");
-    let told = sent.split("X-Remaining-Ms: ").nth(1).and_then(|rest| rest.split('\r').next()).unwrap();
+    let told = sent
+        .split("X-Remaining-Ms: ")
+        .nth(1)
+        .and_then(|rest| rest.split('\r').next())
+        .unwrap();
     assert!(told.parse::<u64>().unwrap() <= 500, "{sent}");
 }
--- a/crates/proxy/src/wire/upstreams.rs
+++ b/crates/proxy/src/wire/upstreams.rs
@@ -39,7 +39,11 @@
 
 /// Ends that cast doubt on an upstream's other connections: a machine that vanished leaves them all silent,
 /// and back again it resets each under a ticket. A new one tells at once whether it is there.
-const TELLS_OF_OTHERS: [&str; 3] = [reasons::SILENT, reasons::CONNECT_TIMEOUT, reasons::LINK_BROKEN];
+const TELLS_OF_OTHERS: [&str; 3] = [
+    reasons::SILENT,
+    reasons::CONNECT_TIMEOUT,
+    reasons::LINK_BROKEN,
+];
 
 /// What a look at a connection to an upstream found.
 pub enum Look {
@@ -66,7 +70,9 @@
     pub fn link_due(&mut self, slot: LinkSlot) {
         let mut desk = self.desk.borrow_mut();
         let now = desk.now();
-        let Some(link) = desk.links.get_mut(slot) else { return };
+        let Some(link) = desk.links.get_mut(slot) else {
+            return;
+        };
         link.due = None;
         let over = match &link.errand {
             None => (Ending::NeverSent, reasons::LINK_IDLE),
@@ -91,7 +97,11 @@
         let errand = desk.links.get_mut(slot).and_then(|link| link.errand.take());
         desk.end_link(slot, reason);
         drop(desk);
-        if let Some(upstream) = errand.as_ref().filter(|errand| errand.is_probe()).and(upstream) {
+        if let Some(upstream) = errand
+            .as_ref()
+            .filter(|errand| errand.is_probe())
+            .and(upstream)
+        {
             self.probe_over(upstream, false);
         } else if let Some(errand) = errand {
             self.dispatch_over(errand.ticket, errand.number, ending, errand.sent);
@@ -102,14 +112,26 @@
     pub fn probe_over(&mut self, upstream: UpstreamSlot, answered: bool) {
         let mut desk = self.desk.borrow_mut();
         let now = desk.now();
-        let Some(id) = desk.upstreams.get(upstream).map(|upstream| Rc::clone(&upstream.id)) else { return };
+        let Some(id) = desk
+            .upstreams
+            .get(upstream)
+            .map(|upstream| Rc::clone(&upstream.id))
+        else {
+            return;
+        };
         desk.counters.probes_answered += u64::from(answered);
         drop(desk);
         self.balancer.probed(now, &id, answered);
     }
 
     /// Tells the module how a dispatch ended, unless its ticket has its final answer.
-    pub fn dispatch_over(&mut self, ticket: TicketSlot, number: usize, ending: Ending, sent: Micros) {
+    pub fn dispatch_over(
+        &mut self,
+        ticket: TicketSlot,
+        number: usize,
+        ending: Ending,
+        sent: Micros,
+    ) {
         let mut desk = self.desk.borrow_mut();
         let now = desk.now();
         desk.count_ending(ending);
@@ -118,7 +140,8 @@
         // Also where nobody waits: the key of a request in order is free only when its attempt has ended.
         if let Some((id, _)) = told {
             self.desk.borrow().tell_attempt(&id, number, ending);
-            self.balancer.dispatch_ended(now, &id, number, false, ending, now.saturating_sub(sent));
+            self.balancer
+                .dispatch_ended(now, &id, number, false, ending, now.saturating_sub(sent));
         }
     }
 }
@@ -127,7 +150,9 @@
     /// The connection to an upstream that was used last, of those that have rested, or a new one.
     pub fn link_to(&mut self, upstream: UpstreamSlot) -> Result<LinkSlot, Ending> {
         while let Some(slot) = self.take_rested(upstream) {
-            let Some(link) = self.links.get(slot) else { continue };
+            let Some(link) = self.links.get(slot) else {
+                continue;
+            };
             match link.wired.stream.peek(&mut [0]) {
                 Err(problem) if problem.kind() == ErrorKind::WouldBlock => return Ok(slot),
                 // It closed, or says something unasked: a request written to it would be lost, or have that for its
@@ -144,26 +169,32 @@
             self.tell_shortage();
             return Err(Ending::NeverSent);
         }
-        let address = self.upstreams.get(upstream).and_then(|upstream| upstream.address);
-        let connected = address.ok_or(ErrorKind::NotFound.into()).and_then(|address| {
-            let stream = connect(address)?;
-            self.links.try_insert_with_key(|slot| {
-                let wired = Wired::new(&self.handle, stream, move |node| node.link_ready(slot))?;
-                let (inbox, outbox) = (Inbox::default(), Outbox::default());
-                Ok(Link {
-                    wired,
-                    upstream,
-                    address,
-                    connected: false,
-                    inbox,
-                    outbox,
-                    errand: None,
-                    carried: 0,
-                    answered: 0,
-                    due: None,
+        let address = self
+            .upstreams
+            .get(upstream)
+            .and_then(|upstream| upstream.address);
+        let connected = address
+            .ok_or(ErrorKind::NotFound.into())
+            .and_then(|address| {
+                let stream = connect(address)?;
+                self.links.try_insert_with_key(|slot| {
+                    let wired =
+                        Wired::new(&self.handle, stream, move |node| node.link_ready(slot))?;
+                    let (inbox, outbox) = (Inbox::default(), Outbox::default());
+                    Ok(Link {
+                        wired,
+                        upstream,
+                        address,
+                        connected: false,
+                        inbox,
+                        outbox,
+                        errand: None,
+                        carried: 0,
+                        answered: 0,
+                        due: None,
+                    })
                 })
-            })
-        });
+            });
         connected.inspect(|_| self.counters.links_opened += 1).map_err(|problem: io::Error| {
             warn!(self.log, "cannot connect"; "reason" => reasons::NOT_WIRED, "problem" => %problem);
             match theirs(&problem) {
@@ -178,14 +209,20 @@
     fn take_rested(&mut self, upstream: UpstreamSlot) -> Option<LinkSlot> {
         let now = self.now();
         let idle = &mut self.upstreams.get_mut(upstream)?.idle;
-        let rested = |slot: &LinkSlot| self.links.get(*slot).is_none_or(|link| link.answered + REST <= now);
+        let rested = |slot: &LinkSlot| {
+            self.links
+                .get(*slot)
+                .is_none_or(|link| link.answered + REST <= now)
+        };
         let place = idle.iter().rposition(rested)?;
         Some(idle.remove(place))
     }
 
     fn look_at_link(&mut self, slot: LinkSlot) -> Look {
         let now = self.now();
-        let Some(link) = self.links.get_mut(slot) else { return Look::Nothing };
+        let Some(link) = self.links.get_mut(slot) else {
+            return Look::Nothing;
+        };
         if !link.connected {
             if !matches!(link.wired.stream.take_error(), Ok(None)) {
                 return Look::Over(Ending::Unreachable, reasons::CONNECT_FAILED);
@@ -195,17 +232,23 @@
             }
             link.connected = true;
             if let Some(errand) = &link.errand {
-                self.deadlines.move_to(&mut link.due, errand.expire_at, Due::Link(slot));
+                self.deadlines
+                    .move_to(&mut link.due, errand.expire_at, Due::Link(slot));
                 if !errand.is_probe()
                     && let Err(refusal) = self.word_attempt(slot, now)
                 {
-                    let ending =
-                        if refusal == Refusal::Drained { Ending::Unreachable } else { Ending::NeverSent };
+                    let ending = if refusal == Refusal::Drained {
+                        Ending::Unreachable
+                    } else {
+                        Ending::NeverSent
+                    };
                     return Look::Over(ending, refusal.code());
                 }
             }
         }
-        let Some(link) = self.links.get_mut(slot) else { return Look::Nothing };
+        let Some(link) = self.links.get_mut(slot) else {
+            return Look::Nothing;
+        };
         let written = link.outbox.drain(&link.wired.stream);
         let inflow = link.inbox.fill(&link.wired.stream, MESSAGE_MOST);
         if link.errand.is_none() {
@@ -226,8 +269,12 @@
                 Look::Over(Ending::Broken, reasons::LINK_BROKEN)
             }
             // Its last byte never left: proven not run.
-            Some(Look::Nothing) | None if broken => Look::Over(Ending::Unreachable, reasons::NOT_WRITTEN),
-            Some(Look::Answer(head, body, end, whole)) => Look::Answer(head, body, end, whole && !broken),
+            Some(Look::Nothing) | None if broken => {
+                Look::Over(Ending::Unreachable, reasons::NOT_WRITTEN)
+            }
+            Some(Look::Answer(head, body, end, whole)) => {
+                Look::Answer(head, body, end, whole && !broken)
+            }
             Some(look) => look,
             None => Look::Over(Ending::Failed, reasons::NONSENSE),
         }
@@ -235,7 +282,8 @@
 
     pub fn link_waits(&mut self, slot: LinkSlot, until: Micros) {
         if let Some(link) = self.links.get_mut(slot) {
-            self.deadlines.move_to(&mut link.due, until, Due::Link(slot));
+            self.deadlines
+                .move_to(&mut link.due, until, Due::Link(slot));
         }
     }
 
@@ -243,7 +291,9 @@
     /// rests, and then the next request would have it for its answer.
     pub fn said_unasked(&mut self, upstream: UpstreamSlot) {
         let until = self.now() + UNASKED_FOR;
-        let Some(upstream) = self.upstreams.get_mut(upstream) else { return };
+        let Some(upstream) = self.upstreams.get_mut(upstream) else {
+            return;
+        };
         upstream.unasked_until = until;
         warn!(self.log, "upstream said something unasked"; "upstream" => &*upstream.id);
     }
@@ -252,7 +302,9 @@
     pub fn shelve(&mut self, slot: LinkSlot) {
         let now = self.now();
         let until = now + (self.place.idle as f64 * IDLE_PART) as Micros;
-        let Some(link) = self.links.get_mut(slot) else { return };
+        let Some(link) = self.links.get_mut(slot) else {
+            return;
+        };
         link.answered = now;
         match self.upstreams.get_mut(link.upstream) {
             Some(upstream)
@@ -281,29 +333,44 @@
 
     /// Whether nothing came on a connection for as long as a new one may take to come about.
     fn long_silent(&self, link: &Link) -> bool {
-        let waited = link.errand.as_ref().map_or(0, |errand| self.now().saturating_sub(errand.sent));
+        let waited = link
+            .errand
+            .as_ref()
+            .map_or(0, |errand| self.now().saturating_sub(errand.sent));
         waited > self.place.connect_timeout && link.inbox.kept().is_empty()
     }
 
     /// Closes the idle connection whose time runs out first, to make room.
     pub fn drop_idle_link(&mut self) -> bool {
-        let idle = self.links.iter().filter(|(_, link)| link.errand.is_none() && link.connected);
+        let idle = self
+            .links
+            .iter()
+            .filter(|(_, link)| link.errand.is_none() && link.connected);
         let first = idle.min_by_key(|(_, link)| link.due).map(|(slot, _)| slot);
-        first.inspect(|slot| self.end_link(*slot, reasons::MADE_ROOM)).is_some()
+        first
+            .inspect(|slot| self.end_link(*slot, reasons::MADE_ROOM))
+            .is_some()
     }
 
     /// Closes all idle connections to an upstream.
     pub fn drop_idle_links(&mut self, upstream: UpstreamSlot, reason: &'static str) {
-        let idle = self.upstreams.get_mut(upstream).map(|upstream| std::mem::take(&mut upstream.idle));
-        idle.into_iter().flatten().for_each(|slot| self.end_link(slot, reason));
+        let idle = self
+            .upstreams
+            .get_mut(upstream)
+            .map(|upstream| std::mem::take(&mut upstream.idle));
+        idle.into_iter()
+            .flatten()
+            .for_each(|slot| self.end_link(slot, reason));
     }
 
     pub fn end_link(&mut self, slot: LinkSlot, reason: &'static str) {
-        let Some(mut link) = self.links.remove(slot) else { return };
+        let Some(mut link) = self.links.remove(slot) else {
+            return;
+        };
         self.deadlines.clear(&mut link.due);
         self.handle.remove(link.wired.token);
-        let doubtful =
-            TELLS_OF_OTHERS.contains(&reason) || (reason == reasons::CALLED_OFF && self.long_silent(&link));
+        let doubtful = TELLS_OF_OTHERS.contains(&reason)
+            || (reason == reasons::CALLED_OFF && self.long_silent(&link));
         self.counters.links_ended += 1;
         if let Some(upstream) = self.upstreams.get_mut(link.upstream) {
             upstream.idle.retain(|idle| *idle != slot);
@@ -339,14 +406,26 @@
 
 /// Whether a connection failed at the other end or on the way, not for want of our own.
 fn theirs(problem: &io::Error) -> bool {
-    use ErrorKind::{ConnectionRefused, ConnectionReset, HostUnreachable, NetworkUnreachable, TimedOut};
-    [ConnectionRefused, ConnectionReset, HostUnreachable, NetworkUnreachable, TimedOut]
-        .contains(&problem.kind())
+    use ErrorKind::{
+        ConnectionRefused, ConnectionReset, HostUnreachable, NetworkUnreachable, TimedOut,
+    };
+    [
+        ConnectionRefused,
+        ConnectionReset,
+        HostUnreachable,
+        NetworkUnreachable,
+        TimedOut,
+    ]
+    .contains(&problem.kind())
 }
 
 /// Begins to connect, without waiting.
 pub fn connect(address: SocketAddr) -> io::Result<TcpStream> {
-    let socket = Socket::new(Domain::for_address(address), Type::STREAM.nonblocking(), Some(Protocol::TCP))?;
+    let socket = Socket::new(
+        Domain::for_address(address),
+        Type::STREAM.nonblocking(),
+        Some(Protocol::TCP),
+    )?;
     socket.set_tcp_nodelay(true)?;
     match socket.connect(&address.into()) {
         // What goes wrong from here on shows itself on the socket. Anything else, EAGAIN too, has begun nothing.
--- a/crates/proxy/src/wire/upstreams/tests.rs
+++ b/crates/proxy/src/wire/upstreams/tests.rs
@@ -14,32 +14,63 @@
 /// Counts of endings by name, but for those that are none.
 fn endings(stand: &Stand) -> String {
     let text = stand.node.desk.borrow().counters.to_string();
-    let ended = text.lines().filter_map(|line| line.strip_prefix("dispatches_"));
-    ended.filter(|line| !line.ends_with(" 0")).collect::<Vec<_>>().join(", ")
+    let ended = text
+        .lines()
+        .filter_map(|line| line.strip_prefix("dispatches_"));
+    ended
+        .filter(|line| !line.ends_with(" 0"))
+        .collect::<Vec<_>>()
+        .join(", ")
 }
 
 /// Turns until a dispatch has ended.
 fn ended(stand: &mut Stand) -> String {
     stand.until(|node| {
         let text = node.desk.borrow().counters.to_string();
-        text.lines().any(|line| line.starts_with("dispatches_") && !line.ends_with(" 0")).then_some(())
+        text.lines()
+            .any(|line| line.starts_with("dispatches_") && !line.ends_with(" 0"))
+            .then_some(())
     });
     endings(stand)
 }
 
 #[rstest]
-#[case::turned_away("503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n", "turned_away 1", 1)]
-#[case::late("504 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n", "turned_away 1", 1)]
+#[case::turned_away(
+    "503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n",
+    "turned_away 1",
+    1
+)]
+#[case::late(
+    "504 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n",
+    "turned_away 1",
+    1
+)]
 #[case::not_said_unseen("503 No\r\nContent-Length: 0\r\n\r\n", "failed 1", 1)]
 #[case::error("500 No\r\nContent-Length: 2\r\n\r\nno", "failed 1", 1)]
-#[case::turned_away_error("500 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n", "failed 1", 1)]
-#[case::closing("500 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", "failed 1", 0)]
-#[case::word_before("100 Continue\r\n\r\nHTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", "failed 1", 1)]
+#[case::turned_away_error(
+    "500 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n",
+    "failed 1",
+    1
+)]
+#[case::closing(
+    "500 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
+    "failed 1",
+    0
+)]
+#[case::word_before(
+    "100 Continue\r\n\r\nHTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
+    "failed 1",
+    1
+)]
 #[case::words_without_end(&"100 Continue\r\n\r\nHTTP/1.1 ".repeat(20), "failed 1", 0)]
 #[case::more_than_asked("500 No\r\nContent-Length: 0\r\n\r\nmore", "failed 1", 0)]
 #[case::nonsense("two hundred\r\n\r\n", "failed 1", 0)]
 #[case::switching("101 Other\r\n\r\n", "failed 1", 0)]
-#[case::two_lengths("200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab", "failed 1", 0)]
+#[case::two_lengths(
+    "200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab",
+    "failed 1",
+    0
+)]
 #[case::too_long("200 OK\r\nContent-Length: 65537\r\n\r\n", "failed 1", 0)]
 #[case::bad_chunk("200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", "failed 1", 0)]
 #[case::served("200 OK\r\nContent-Length: 2\r\n\r\nok", "succeeded 1", 1)]
@@ -57,14 +88,23 @@
     say(&link, &format!("HTTP/1.1 {answer}"));
     assert_eq!(ended(&mut stand), ending);
     let desk = stand.node.desk.borrow();
-    assert_eq!((desk.links.len(), desk.upstreams[desk.by_name["s1"]].idle.len()), (idle, idle));
+    assert_eq!(
+        (
+            desk.links.len(),
+            desk.upstreams[desk.by_name["s1"]].idle.len()
+        ),
+        (idle, idle)
+    );
 }
 
 #[rstest]
 #[case::nothing("", "broken 1")]
 #[case::half_a_body("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nab", "broken 1")]
 #[case::turned_away_to_the_end("HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\n\r\nno", "turned_away 1")]
-fn a_connection_that_ends_after_the_last_byte_may_have_run(#[case] answer: &str, #[case] ending: &str) {
+fn a_connection_that_ends_after_the_last_byte_may_have_run(
+    #[case] answer: &str,
+    #[case] ending: &str,
+) {
     let mut stand = Stand::new();
     let upstream = stand.upstream("s1");
     let _client = stand.dispatched("t1", "s1", LONG);
@@ -90,7 +130,9 @@
 #[case::not_written(true, false, "unreachable 1")]
 #[case::written(true, true, "silent 1")]
 fn what_time_ran_out_on_is_proven_not_run_only_while_unwritten(
-    #[case] connected: bool, #[case] written: bool, #[case] ending: &str,
+    #[case] connected: bool,
+    #[case] written: bool,
+    #[case] ending: &str,
 ) {
     let mut stand = Stand::new();
     let _upstream = stand.upstream("s1");
@@ -100,7 +142,13 @@
         let mut desk = stand.node.desk.borrow_mut();
         // The bytes are worded when the connection has come up.
         let now = desk.now();
-        assert_eq!((desk.word_attempt(slot, now), desk.links[slot].outbox.is_empty()), (Ok(()), false));
+        assert_eq!(
+            (
+                desk.word_attempt(slot, now),
+                desk.links[slot].outbox.is_empty()
+            ),
+            (Ok(()), false)
+        );
         let link = &mut desk.links[slot];
         link.connected = connected;
         if written {
@@ -116,7 +164,10 @@
 fn the_connection_used_last_is_used_next() {
     let mut stand = Stand::new();
     let upstream = stand.upstream("s1");
-    let _clients = [stand.dispatched("t1", "s1", LONG), stand.dispatched("t2", "s1", LONG)];
+    let _clients = [
+        stand.dispatched("t1", "s1", LONG),
+        stand.dispatched("t2", "s1", LONG),
+    ];
     let (first, second) = (stand.accepted(&upstream), stand.accepted(&upstream));
     for link in [&second, &first] {
         stand.heard(link, "body");
@@ -125,7 +176,13 @@
         stand.until(|node| (node.desk.borrow().counters.dispatches_failed > before).then_some(()));
     }
     // Both have rested.
-    stand.node.desk.borrow_mut().links.values_mut().for_each(|link| link.answered = 0);
+    stand
+        .node
+        .desk
+        .borrow_mut()
+        .links
+        .values_mut()
+        .for_each(|link| link.answered = 0);
     let _third = stand.dispatched("t3", "s1", LONG);
     stand.heard(&first, "body");
     assert_eq!(stand.node.desk.borrow().counters.links_reused, 1);
@@ -148,7 +205,12 @@
     let link = idle(&mut stand, &upstream);
     let slot = stand.node.desk.borrow().links.keys().next().unwrap();
     drop(link);
-    while stand.node.desk.borrow().links[slot].wired.stream.peek(&mut [0]).is_err() {}
+    while stand.node.desk.borrow().links[slot]
+        .wired
+        .stream
+        .peek(&mut [0])
+        .is_err()
+    {}
     let _client = stand.dispatched("t1", "s1", LONG);
     let fresh = stand.accepted(&upstream);
     stand.heard(&fresh, "body");
@@ -165,7 +227,11 @@
         let (slot, kept) = desk.links.iter().next().unwrap();
         (slot, kept.due.unwrap().0, desk.now())
     };
-    assert!((now + 10_000_000..now + 14_000_000).contains(&due), "{}", due - now);
+    assert!(
+        (now + 10_000_000..now + 14_000_000).contains(&due),
+        "{}",
+        due - now
+    );
     stand.node.link_due(slot);
     stand.ends(&link);
 }
@@ -184,11 +250,16 @@
 #[case::called_off_late(LONG, |stand: &mut Stand, _| Hands(stand.node.desk.clone()).call_off("t2", 0), 0)]
 #[case::called_off_early(0, |stand: &mut Stand, _| Hands(stand.node.desk.clone()).call_off("t2", 0), 1)]
 fn doubt_about_one_connection_ends_the_idle_ones(
-    #[case] waited: Micros, #[case] act: fn(&mut Stand, LinkSlot), #[case] left: usize,
+    #[case] waited: Micros,
+    #[case] act: fn(&mut Stand, LinkSlot),
+    #[case] left: usize,
 ) {
     let mut stand = Stand::new();
     let upstream = stand.upstream("s1");
-    let (_first, _second) = (stand.dispatched("t1", "s1", LONG), stand.dispatched("t2", "s1", LONG));
+    let (_first, _second) = (
+        stand.dispatched("t1", "s1", LONG),
+        stand.dispatched("t2", "s1", LONG),
+    );
     let links = [stand.accepted(&upstream), stand.accepted(&upstream)];
     for link in &links {
         stand.heard(link, "body");
@@ -213,7 +284,10 @@
 #[case(ErrorKind::ConnectionRefused, true)]
 #[case(ErrorKind::AddrNotAvailable, false)]
 #[case(ErrorKind::NotFound, false)]
-fn want_of_our_own_is_not_held_against_an_upstream(#[case] kind: ErrorKind, #[case] expected: bool) {
+fn want_of_our_own_is_not_held_against_an_upstream(
+    #[case] kind: ErrorKind,
+    #[case] expected: bool,
+) {
     assert_eq!(theirs(&kind.into()), expected);
 }
 
@@ -267,7 +341,10 @@
     Hands(stand.node.desk.clone()).call_off("t1", 0);
     stand.ends(&link);
     let desk = stand.node.desk.borrow();
-    assert_eq!((desk.links.len(), desk.tickets[ticket].dispatches.len()), (0, 1));
+    assert_eq!(
+        (desk.links.len(), desk.tickets[ticket].dispatches.len()),
+        (0, 1)
+    );
     assert_eq!(desk.deadlines.next().map(|_| desk.links.len()), Some(0));
 }
 
@@ -278,7 +355,10 @@
     let link = idle(&mut stand, &upstream);
     let other = stand.upstream("s2");
     stand.node.desk.borrow_mut().place.links_most = 1;
-    let _clients = [stand.dispatched("t1", "s2", LONG), stand.dispatched("t2", "s1", LONG)];
+    let _clients = [
+        stand.dispatched("t1", "s2", LONG),
+        stand.dispatched("t2", "s1", LONG),
+    ];
     stand.ends(&link);
     let fresh = stand.accepted(&other);
     stand.heard(&fresh, "body");
@@ -304,7 +384,11 @@
         let mut desk = stand.node.desk.borrow_mut();
         let slot = desk.links.keys().next().unwrap();
         // However slow a test is, the answer came just now.
-        desk.links[slot].answered = if since == 0 { Micros::MAX - REST } else { desk.now() - since };
+        desk.links[slot].answered = if since == 0 {
+            Micros::MAX - REST
+        } else {
+            desk.now() - since
+        };
         let upstream = desk.by_name["s1"];
         desk.link_to(upstream).unwrap();
     }
@@ -328,16 +412,26 @@
 }
 
 /// A ticket of a client of its own: the connection on which it reached an upstream, or nothing where it was dismissed.
-fn reaches(stand: &mut Stand, upstream: &TcpListener, links: &mut Vec<TcpStream>, id: &str) -> Option<usize> {
+fn reaches(
+    stand: &mut Stand,
+    upstream: &TcpListener,
+    links: &mut Vec<TcpStream>,
+    id: &str,
+) -> Option<usize> {
     let (client, _) = stand.client();
-    say(&client, &message(id, "body").replace("Remaining-Ms: 900", "Remaining-Ms: 60000"));
+    say(
+        &client,
+        &message(id, "body").replace("Remaining-Ms: 900", "Remaining-Ms: 60000"),
+    );
     let took = stand.until(|_| {
         if let Ok((link, _)) = upstream.accept() {
             link.set_nonblocking(true).unwrap();
             links.push(link);
         }
         let mut part = [0; 4096];
-        let sent = links.iter_mut().position(|link| link.read(&mut part).is_ok_and(|count| count > 0));
+        let sent = links
+            .iter_mut()
+            .position(|link| link.read(&mut part).is_ok_and(|count| count > 0));
         let dismissed = (&client).read(&mut part).is_ok_and(|count| count > 0);
         (sent.is_some() || dismissed).then_some(sent)
     });
@@ -352,15 +446,22 @@
 fn an_upstream_that_lost_an_answer_is_sent_another_ticket() {
     let mut stand = Stand::with(|told| {
         told["settings"]["fleetSize"] = 2.into();
-        told["settings"]["useCases"].as_array_mut().unwrap().truncate(1);
+        told["settings"]["useCases"]
+            .as_array_mut()
+            .unwrap()
+            .truncate(1);
     });
     let (upstream, mut links) = (stand.upstream("s1"), Vec::new());
     let mut ids = (0..).map(|number| format!("t{number}"));
     let mut next = |stand: &mut Stand, links: &mut Vec<TcpStream>| {
-        ids.find_map(|id| reaches(stand, &upstream, links, &id)).unwrap()
+        ids.find_map(|id| reaches(stand, &upstream, links, &id))
+            .unwrap()
     };
     let answered = next(&mut stand, &mut links);
-    say(&links[answered], "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+    say(
+        &links[answered],
+        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
+    );
     ended(&mut stand);
     let _lost = next(&mut stand, &mut links);
     let _after_it = next(&mut stand, &mut links);
@@ -383,7 +484,11 @@
     }
     let link = stand.accepted(&upstream);
     let heard = stand.heard(&link, "body");
-    let told = heard.split("X-Remaining-Ms: ").nth(1).and_then(|rest| rest.split('\r').next()).unwrap();
+    let told = heard
+        .split("X-Remaining-Ms: ")
+        .nth(1)
+        .and_then(|rest| rest.split('\r').next())
+        .unwrap();
     assert!((1..=300).contains(&told.parse::<u64>().unwrap()), "{heard}");
 }
 
@@ -422,9 +527,16 @@
     stand.heard(&link, "body");
     say(&link, "HTTP/1.1 200 OK\r\n\r\nserv");
     stand.until(|node| {
-        node.desk.borrow().links.values().any(|link| !link.inbox.kept().is_empty()).then_some(())
+        node.desk
+            .borrow()
+            .links
+            .values()
+            .any(|link| !link.inbox.kept().is_empty())
+            .then_some(())
     });
-    socket2::SockRef::from(&link).set_linger(Some(std::time::Duration::ZERO)).unwrap();
+    socket2::SockRef::from(&link)
+        .set_linger(Some(std::time::Duration::ZERO))
+        .unwrap();
     drop(link);
     assert_eq!(ended(&mut stand), "broken 1");
 }
@@ -440,7 +552,11 @@
     say(&link, "HTTP/1.1 200 OK\r\n\r\nserved");
     drop(link);
     assert_eq!(ended(&mut stand), "succeeded 1");
-    assert!(stand.heard(&client, "served").starts_with("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n"));
+    assert!(
+        stand
+            .heard(&client, "served")
+            .starts_with("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n")
+    );
 }
 
 /// A connection to where an upstream was before carries nothing more once the list names another address.
@@ -454,7 +570,13 @@
     let after = stand.upstream("s1");
     say(&link, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
     assert_eq!(ended(&mut stand), "failed 1");
-    stand.node.desk.borrow_mut().links.values_mut().for_each(|link| link.answered = 0);
+    stand
+        .node
+        .desk
+        .borrow_mut()
+        .links
+        .values_mut()
+        .for_each(|link| link.answered = 0);
     let _second = stand.dispatched("t2", "s1", LONG);
     assert_eq!(stand.node.desk.borrow().counters.links_reused, 0);
     let link = stand.accepted(&after);
@@ -464,7 +586,8 @@
 /// The window of repeats may end between the decision and the bytes, as a connection comes up late.
 #[test]
 fn a_keyed_request_that_may_have_run_is_not_written_behind_its_window() {
-    let mut stand = Stand::with(|told| told["settings"]["useCases"][0]["dedupWindowUs"] = 200_000.into());
+    let mut stand =
+        Stand::with(|told| told["settings"]["useCases"][0]["dedupWindowUs"] = 200_000.into());
     let upstream = stand.upstream("s1");
     let (_client, _) = stand.dispatched("t1", "s1", LONG);
     let link = stand.accepted(&upstream);
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -4,7 +4,11 @@
 
 pub type Decoded<T> = Result<T, String>;
 
-pub fn field<'a, T>(object: &'a Value, name: &str, read: impl Fn(&'a Value) -> Option<T>) -> Decoded<T> {
+pub fn field<'a, T>(
+    object: &'a Value,
+    name: &str,
+    read: impl Fn(&'a Value) -> Option<T>,
+) -> Decoded<T> {
     match object.get(name) {
         None => Err(format!("field '{name}' is missing")),
         Some(value) => read(value).ok_or_else(|| format!("field '{name}' has the wrong type")),
@@ -12,7 +16,9 @@
 }
 
 pub fn optional<'a, T>(
-    object: &'a Value, name: &str, read: impl Fn(&'a Value) -> Option<T>,
+    object: &'a Value,
+    name: &str,
+    read: impl Fn(&'a Value) -> Option<T>,
 ) -> Decoded<Option<T>> {
     match object.get(name) {
         None | Some(Value::Null) => Ok(None),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -30,7 +30,12 @@
         return Err(format!("field 'earnings' is {earnings}, not above 0"));
     }
     let in_order = flag(class, "inOrder")?;
-    Ok(UseCase { promised_time: whole(class, "promisedTimeUs")?, effect, earnings, in_order })
+    Ok(UseCase {
+        promised_time: whole(class, "promisedTimeUs")?,
+        effect,
+        earnings,
+        in_order,
+    })
 }
 
 /// What the deployment lays down, from the object that the settings are.
@@ -42,7 +47,9 @@
         return Err("field 'fleetSize' is 0".into());
     }
     if own_number >= balancers {
-        return Err(format!("field 'me' is {own_number} in a fleet of {balancers}"));
+        return Err(format!(
+            "field 'me' is {own_number} in a fleet of {balancers}"
+        ));
     }
     let source = match optional(conf, "report", Some)? {
         Some(report) => text(report, "source")?,
@@ -71,7 +78,9 @@
         },
         turn_gap: match optional(rules, "turnGapUs", Value::as_u64)?.unwrap_or(0) {
             gap if gap > TURN_GAP_MOST => {
-                return Err(format!("field 'turnGapUs' is {gap}, and {TURN_GAP_MOST} is the longest"));
+                return Err(format!(
+                    "field 'turnGapUs' is {gap}, and {TURN_GAP_MOST} is the longest"
+                ));
             }
             gap => gap,
         },
@@ -82,12 +91,16 @@
             multiple: number(rules, "tipMultiple")?,
             span: whole(rules, "fallUs")?,
         },
-        use_cases: list(conf, "useCases")?.iter().map(use_case).collect::<Decoded<_>>()?,
+        use_cases: list(conf, "useCases")?
+            .iter()
+            .map(use_case)
+            .collect::<Decoded<_>>()?,
         allowances: match accounts {
             None => Vec::new(),
-            Some(accounts) => {
-                accounts.iter().map(|account| number(account, "allowancePerS")).collect::<Decoded<_>>()?
-            }
+            Some(accounts) => accounts
+                .iter()
+                .map(|account| number(account, "allowancePerS"))
+                .collect::<Decoded<_>>()?,
         },
     })
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -25,7 +25,11 @@
     fn order(&self, name: &str, fields: std::fmt::Arguments) {
         let mut reply = self.reply.borrow_mut();
         let comma = if reply.ends_with('}') { "," } else { "" };
-        let written = write!(reply, "{comma}{{\"t\":\"{name}\",\"i\":{}{fields}}}", self.instance);
+        let written = write!(
+            reply,
+            "{comma}{{\"t\":\"{name}\",\"i\":{}{fields}}}",
+            self.instance
+        );
         debug_assert!(written.is_ok());
     }
 }
@@ -45,18 +49,27 @@
     }
     fn call_off(&mut self, ticket: &str, dispatch: usize) {
         let ticket = quoted(ticket);
-        self.order("CallOff", format_args!(",\"req\":{ticket},\"trial\":{dispatch}"));
+        self.order(
+            "CallOff",
+            format_args!(",\"req\":{ticket},\"trial\":{dispatch}"),
+        );
     }
     fn dismiss(&mut self, ticket: &str, come_back_after: Micros) {
         let ticket = quoted(ticket);
-        self.order("PushBack", format_args!(",\"req\":{ticket},\"waitUs\":{come_back_after}"));
+        self.order(
+            "PushBack",
+            format_args!(",\"req\":{ticket},\"waitUs\":{come_back_after}"),
+        );
     }
     fn abandon(&mut self, ticket: &str) {
         let ticket = quoted(ticket);
         self.order("Fail", format_args!(",\"req\":{ticket}"));
     }
     fn wake(&mut self, after: Micros, alarm: u64) {
-        self.order("SetAlarm", format_args!(",\"fromNowUs\":{after},\"keyBack\":{alarm}"));
+        self.order(
+            "SetAlarm",
+            format_args!(",\"fromNowUs\":{after},\"keyBack\":{alarm}"),
+        );
     }
     fn follow_list(&mut self) {
         self.order("Follow", format_args!(",\"on\":true"));
@@ -68,8 +81,14 @@
         self.order("Close", format_args!(",\"upstream\":{}", quoted(upstream)));
     }
     fn tell(&mut self, balancer: Option<usize>, words: &str) {
-        let (target, words) = (balancer.map_or(Value::from("all"), Value::from), quoted(words));
-        self.order("Publish", format_args!(",\"target\":{target},\"contents\":{words}"));
+        let (target, words) = (
+            balancer.map_or(Value::from("all"), Value::from),
+            quoted(words),
+        );
+        self.order(
+            "Publish",
+            format_args!(",\"target\":{target},\"contents\":{words}"),
+        );
     }
 }
 
@@ -181,17 +200,31 @@
 
 fn take_load(balancer: &mut Balancer<Wire>, now: Micros, event: &Event) -> Decoded<()> {
     if let Some(load) = &event.server_stats {
-        balancer.load_reported(now, need(event.upstream, "upstream")?, load.busy, load.q, load.rif);
+        balancer.load_reported(
+            now,
+            need(event.upstream, "upstream")?,
+            load.busy,
+            load.q,
+            load.rif,
+        );
     }
     Ok(())
 }
 
 type Instances = HashMap<u64, Balancer<Wire>>;
 
-fn take(instances: &mut Instances, reply: &Rc<RefCell<String>>, now: Micros, event: &Event) -> Decoded<()> {
+fn take(
+    instances: &mut Instances,
+    reply: &Rc<RefCell<String>>,
+    now: Micros,
+    event: &Event,
+) -> Decoded<()> {
     let (name, instance) = (event.t, event.i);
     if name == "Enlist" {
-        let host = Wire { instance, reply: Rc::clone(reply) };
+        let host = Wire {
+            instance,
+            reply: Rc::clone(reply),
+        };
         let terms = terms(need(event.conf.as_ref(), "conf")?)?;
         let seed = need(event.nonce64, "nonce64")?;
         instances.insert(instance, Balancer::start(host, seed, terms, now));
@@ -211,7 +244,9 @@
             need(event.qos, "qos")?,
             event.client_group.unwrap_or(0),
             need(event.deadline_us, "deadlineUs")?,
-            event.hint_us.filter(|_| event.state_bits.unwrap_or(0) & 1 == 1),
+            event
+                .hint_us
+                .filter(|_| event.state_bits.unwrap_or(0) & 1 == 1),
             event.target_key,
         ),
         "Ended" => {
--- a/crates/testbed/src/accord/clockwork.rs
+++ b/crates/testbed/src/accord/clockwork.rs
@@ -131,13 +131,17 @@
             starts: 0,
         })
         .collect();
-    let Ok(key) = Key::new(b"a key for the virtual clock") else { return Played::default() };
+    let Ok(key) = Key::new(b"a key for the virtual clock") else {
+        return Played::default();
+    };
     let judge = Judge::new(members, &scenario);
     let mut run = Run {
         now: 0,
         order: 0,
         queue: BTreeMap::new(),
-        at_address: (0..members).map(|member| (address(member), member)).collect(),
+        at_address: (0..members)
+            .map(|member| (address(member), member))
+            .collect(),
         processes,
         scenario,
         chance,
@@ -145,7 +149,9 @@
         seed,
         planted,
         judge,
-        duties: (0..wish.duties).map(|number| Duty::new(&format!("duty-{number}"), None)).collect(),
+        duties: (0..wish.duties)
+            .map(|number| Duty::new(&format!("duty-{number}"), None))
+            .collect(),
         tenures: Tenures::default(),
         listened: VecDeque::new(),
         played: Played::default(),
@@ -183,7 +189,10 @@
         self.played.member_seconds = self.played.seconds * members;
         (self.played.sent, self.played.sent_bytes) = self.sent();
         let late = &mut self.played.late;
-        *late = (self.played.sent.saturating_sub(late.0), self.played.sent_bytes.saturating_sub(late.1));
+        *late = (
+            self.played.sent.saturating_sub(late.0),
+            self.played.sent_bytes.saturating_sub(late.1),
+        );
         self.played.broken = std::mem::take(&mut self.judge.broken);
         self.played.detected_ms = std::mem::take(&mut self.judge.detected_ms);
         self.played.one_view_ms = self.judge.one_view_ms;
@@ -192,8 +201,13 @@
 
     /// Datagrams and bytes that those sent that run now.
     fn sent(&self) -> (u64, u64) {
-        let tallies = self.processes.iter().filter_map(|process| Some(process.accord.as_ref()?.tally()));
-        tallies.fold((0, 0), |sum, tally| (sum.0 + tally.sent, sum.1 + tally.sent_bytes))
+        let tallies = self
+            .processes
+            .iter()
+            .filter_map(|process| Some(process.accord.as_ref()?.tally()));
+        tallies.fold((0, 0), |sum, tally| {
+            (sum.0 + tally.sent, sum.1 + tally.sent_bytes)
+        })
     }
 
     fn happens(&mut self, what: What) {
@@ -201,7 +215,9 @@
             What::Late => self.played.late = self.sent(),
             What::Deed(deed) => self.deed(deed),
             What::Comes { to, bytes } => {
-                let Some(&member) = self.at_address.get(&to) else { return };
+                let Some(&member) = self.at_address.get(&to) else {
+                    return;
+                };
                 let process = &mut self.processes[member];
                 if process.address != to || process.accord.is_none() {
                     return;
@@ -261,7 +277,10 @@
             Deed::GoOn(member) => {
                 let process = &mut self.processes[member];
                 process.stopped = false;
-                let (local, waiting) = (process.local(self.now), std::mem::take(&mut process.waiting));
+                let (local, waiting) = (
+                    process.local(self.now),
+                    std::mem::take(&mut process.waiting),
+                );
                 // Which comes first, what fell due or what lies in the socket, is the carrier's affair.
                 if self.chance.happens(0.5)
                     && let Some(accord) = self.processes[member].accord.as_mut()
@@ -291,7 +310,8 @@
         process.address = address(place);
         process.stopped = false;
         process.waiting.clear();
-        let mut chance = Chance::split(self.seed, "process", member as u64 * 1_000 + process.starts);
+        let mut chance =
+            Chance::split(self.seed, "process", member as u64 * 1_000 + process.starts);
         // Clocks of machines differ by seconds, and one may have been set back before a restart.
         let born = 1_000 * SECOND + now + chance.span(4 * SECOND);
         #[cfg_attr(not(any(test, feature = "planted")), allow(unused_mut))]
@@ -318,12 +338,16 @@
         }
         if !self.duties.is_empty() {
             let voters = (0..VOTERS).map(|voter| name(voter).into()).collect();
-            let terms = DutyTerms { voters, lease: LEASE_USUAL };
+            let terms = DutyTerms {
+                voters,
+                lease: LEASE_USUAL,
+            };
             accord.take_duties(process.local(now), terms, self.duties.clone());
         }
         process.life = Some(accord.life());
         process.accord = Some(accord);
-        self.at_address.insert(self.processes[member].address, member);
+        self.at_address
+            .insert(self.processes[member].address, member);
         let process = &self.processes[member];
         self.judge.starts(now, member, process.life);
         self.after(member, false);
@@ -334,7 +358,9 @@
         self.send(member);
         self.duty_events(member);
         let process = &mut self.processes[member];
-        let Some(accord) = process.accord.as_mut() else { return };
+        let Some(accord) = process.accord.as_mut() else {
+            return;
+        };
         let (events, next) = (accord.take_events(), accord.next_due());
         let next = process.global(next).max(self.now + 1);
         process.turn += 1;
@@ -346,21 +372,31 @@
     /// Takes down what a process says of its duties, by the true clock.
     fn duty_events(&mut self, member: usize) {
         let (now, process) = (self.now, &mut self.processes[member]);
-        let Some(accord) = process.accord.as_mut() else { return };
+        let Some(accord) = process.accord.as_mut() else {
+            return;
+        };
         let events = accord.take_duty_events();
         let id = member as u64 * 1_000 + process.starts;
         for event in events {
             match event {
                 DutyEvent::Taken { duty, term, .. } => {
-                    self.tenures.begins(now, member, &duty, (term.number, term.life));
+                    self.tenures
+                        .begins(now, member, &duty, (term.number, term.life));
                 }
-                DutyEvent::Lost { duty, term, until, why } => {
+                DutyEvent::Lost {
+                    duty,
+                    term,
+                    until,
+                    why,
+                } => {
                     let how = if why == Why::LetGo { "let go" } else { "lost" };
                     let until = process.global(until);
-                    self.tenures.ends(until, member, &duty, (term.number, term.life), how);
+                    self.tenures
+                        .ends(until, member, &duty, (term.number, term.life), how);
                 }
                 DutyEvent::Acted { duty, term, .. } => {
-                    self.tenures.acted(id, &format!("{duty:?}"), (term.number, term.life));
+                    self.tenures
+                        .acted(id, &format!("{duty:?}"), (term.number, term.life));
                 }
                 _ => {}
             }
@@ -373,7 +409,8 @@
             let duties = process.accord.as_ref().and_then(Accord::duties);
             for (duty, term, until) in duties.into_iter().flat_map(|duties| duties.open()) {
                 let until = process.global(until);
-                self.tenures.ends(until, member, &duty.name, (term.number, term.life), "open");
+                self.tenures
+                    .ends(until, member, &duty.name, (term.number, term.life), "open");
             }
         }
         let ends = self.scenario.ends;
@@ -387,18 +424,27 @@
 
     fn told(&mut self, member: usize, events: &[Event], woke: bool) {
         if !events.is_empty() {
-            self.judge.told(self.now, member, events, woke, &self.processes);
+            self.judge
+                .told(self.now, member, events, woke, &self.processes);
         }
     }
 
     fn send(&mut self, member: usize) {
-        let Some(accord) = self.processes[member].accord.as_mut() else { return };
+        let Some(accord) = self.processes[member].accord.as_mut() else {
+            return;
+        };
         for (to, mut bytes) in accord.take_datagrams() {
             for byte in &bytes {
-                self.played.trace = (self.played.trace ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
+                self.played.trace =
+                    (self.played.trace ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
             }
-            let Some(&other) = self.at_address.get(&to) else { continue };
-            let carried = self.scenario.ways.carry(member, other, self.now, &mut self.chance);
+            let Some(&other) = self.at_address.get(&to) else {
+                continue;
+            };
+            let carried = self
+                .scenario
+                .ways
+                .carry(member, other, self.now, &mut self.chance);
             let stolen = self.chance.happens(self.scenario.replayed);
             if stolen {
                 self.listened.push_back((to, bytes.clone()));
@@ -412,7 +458,13 @@
             }
             carried.spoil(&mut bytes);
             for delay in carried.copies {
-                self.hang(self.now + delay, What::Comes { to, bytes: bytes.clone() });
+                self.hang(
+                    self.now + delay,
+                    What::Comes {
+                        to,
+                        bytes: bytes.clone(),
+                    },
+                );
             }
         }
     }
--- a/crates/testbed/src/accord/judge.rs
+++ b/crates/testbed/src/accord/judge.rs
@@ -53,7 +53,8 @@
     }
 
     fn breaks(&mut self, now: Micros, what: String) {
-        self.broken.push(format!("{:.3} s: {what}", now as f64 / SECOND as f64));
+        self.broken
+            .push(format!("{:.3} s: {what}", now as f64 / SECOND as f64));
     }
 
     pub fn starts(&mut self, now: Micros, member: usize, life: Option<Life>) {
@@ -78,27 +79,45 @@
     }
 
     /// What a process said of others.
-    pub fn told(&mut self, now: Micros, member: usize, events: &[Event], woke: bool, processes: &[Process]) {
-        let Some(accord) = processes[member].accord.as_ref() else { return };
+    pub fn told(
+        &mut self,
+        now: Micros,
+        member: usize,
+        events: &[Event],
+        woke: bool,
+        processes: &[Process],
+    ) {
+        let Some(accord) = processes[member].accord.as_ref() else {
+            return;
+        };
         for event in events {
             match event {
                 Event::Doubted(other) => {
-                    let Some(known) = accord.table.named(other) else { continue };
+                    let Some(known) = accord.table.named(other) else {
+                        continue;
+                    };
                     let (life, incarnation) = (known.record.life, known.record.incarnation);
                     let new = self.doubted.insert((life, incarnation));
-                    let stopped = self.presence.owner(&life).is_some_and(|owner| processes[owner].stopped);
+                    let stopped = self
+                        .presence
+                        .owner(&life)
+                        .is_some_and(|owner| processes[owner].stopped);
                     if new && self.presence.serves(&life) && !stopped {
                         self.wrong_doubts += 1;
                         if self.kind == Kind::Pair {
                             self.breaks(
                                 now,
-                                format!("b{member} doubts {other}, which all others reach and say so"),
+                                format!(
+                                    "b{member} doubts {other}, which all others reach and say so"
+                                ),
                             );
                         }
                     }
                 }
                 Event::Gone(other) => {
-                    let Some(known) = accord.table.named(other) else { continue };
+                    let Some(known) = accord.table.named(other) else {
+                        continue;
+                    };
                     let (life, incarnation) = (known.record.life, known.record.incarnation);
                     if let Some(died) = self.presence.notices(member, &life) {
                         self.detected_ms.push((now - died) as f64 / 1_000.0);
@@ -122,7 +141,9 @@
     /// All views against the truth, at one moment.
     pub fn look(&mut self, now: Micros, processes: &[Process]) {
         for (member, process) in processes.iter().enumerate() {
-            let Some(accord) = process.accord.as_ref() else { continue };
+            let Some(accord) = process.accord.as_ref() else {
+                continue;
+            };
             let own = accord.table.own.incarnation;
             if own < self.incarnation[member] {
                 self.breaks(now, format!("the incarnation of b{member} fell"));
@@ -133,12 +154,22 @@
             }
             for other in &accord.table.members {
                 let record = &other.record;
-                if record.state == State::Gone && !self.doubted.contains(&(record.life, record.incarnation)) {
-                    let what = format!("b{member} holds {} for gone, which nobody doubted", record.name);
+                if record.state == State::Gone
+                    && !self.doubted.contains(&(record.life, record.incarnation))
+                {
+                    let what = format!(
+                        "b{member} holds {} for gone, which nobody doubted",
+                        record.name
+                    );
                     return self.breaks(now, what);
                 }
             }
-            let wrong = self.presence.view(member, [now, now], &held(accord), accord.table.may_be_serving());
+            let wrong = self.presence.view(
+                member,
+                [now, now],
+                &held(accord),
+                accord.table.may_be_serving(),
+            );
             if let Some(wrong) = wrong.into_iter().next() {
                 return self.breaks(now, wrong);
             }
@@ -154,13 +185,17 @@
     /// Where a view differs from the truth.
     fn apart(&self, processes: &[Process]) -> Option<String> {
         for (member, process) in processes.iter().enumerate() {
-            let Some(accord) = process.accord.as_ref().filter(|_| !process.stopped) else { continue };
+            let Some(accord) = process.accord.as_ref().filter(|_| !process.stopped) else {
+                continue;
+            };
             for (other, life, serving, left) in self.presence.latest() {
                 if other == member {
                     continue;
                 }
                 let known = accord.table.named(&name(other));
-                let state = known.filter(|known| known.record.life == *life).map(|known| known.record.state);
+                let state = known
+                    .filter(|known| known.record.life == *life)
+                    .map(|known| known.record.state);
                 let wrong = match state {
                     Some(State::Present) => !serving,
                     Some(State::Left) => !left,
@@ -183,9 +218,14 @@
             return;
         }
         if let Some(apart) = self.apart(processes) {
-            self.breaks(now, format!("no one view after all faults were over: {apart}"));
+            self.breaks(
+                now,
+                format!("no one view after all faults were over: {apart}"),
+            );
         }
-        self.one_view_ms = self.agreed_since.map(|since| (since - self.over) as f64 / 1_000.0);
+        self.one_view_ms = self
+            .agreed_since
+            .map(|since| (since - self.over) as f64 / 1_000.0);
     }
 }
 
@@ -194,11 +234,21 @@
     let table = &accord.table;
     let lives = table.members.iter().flat_map(|member| {
         let earlier = member.earlier.iter().map(|earlier| earlier.life);
-        [member.record.life].into_iter().chain(earlier).map(|life| (&member.record.name, life))
+        [member.record.life]
+            .into_iter()
+            .chain(earlier)
+            .map(|life| (&member.record.name, life))
     });
     let said = |standing| match standing {
         Standing::MayServe(_) => Said::MayServe,
         Standing::ProvenGone(_) => Said::ProvenGone,
     };
-    lives.filter_map(|(name, life)| Some(Held { life, said: said(table.standing(name, life)?) })).collect()
+    lives
+        .filter_map(|(name, life)| {
+            Some(Held {
+                life,
+                said: said(table.standing(name, life)?),
+            })
+        })
+        .collect()
 }
--- a/crates/testbed/src/accord/mod.rs
+++ b/crates/testbed/src/accord/mod.rs
@@ -66,7 +66,11 @@
 
 pub fn spread(mut values: Vec<f64>) -> Spread {
     values.sort_by(f64::total_cmp);
-    let at = |part: f64| values.get(((values.len() as f64 - 1.0) * part).round() as usize).copied();
+    let at = |part: f64| {
+        values
+            .get(((values.len() as f64 - 1.0) * part).round() as usize)
+            .copied()
+    };
     Spread {
         count: values.len(),
         p50: at(0.5).unwrap_or(0.0),
@@ -91,7 +95,10 @@
 }
 
 fn planted_name(planted: Planted) -> &'static str {
-    Planted::ALL.iter().find(|(_, fault)| *fault == planted).map_or("", |(name, _)| name)
+    Planted::ALL
+        .iter()
+        .find(|(_, fault)| *fault == planted)
+        .map_or("", |(name, _)| name)
 }
 
 /// Plays all seeds on all cores.
@@ -105,7 +112,9 @@
             scope.spawn(|| {
                 loop {
                     let seed = next.fetch_add(1, Ordering::Relaxed);
-                    if seed >= wish.seeds.end || over.load(Ordering::Relaxed) || ended.load(Ordering::Relaxed)
+                    if seed >= wish.seeds.end
+                        || over.load(Ordering::Relaxed)
+                        || ended.load(Ordering::Relaxed)
                     {
                         return;
                     }
@@ -124,8 +133,9 @@
 }
 
 fn gather(wish: &Wish, all: &[(u64, clockwork::Played)]) -> Found {
-    let total =
-        |of: &dyn Fn(&clockwork::Played) -> f64| all.iter().map(|(_, played)| of(played)).sum::<f64>();
+    let total = |of: &dyn Fn(&clockwork::Played) -> f64| {
+        all.iter().map(|(_, played)| of(played)).sum::<f64>()
+    };
     let seconds = total(&|played| played.seconds).max(1e-9);
     let member_seconds = total(&|played| played.member_seconds).max(1e-9);
     let late = all.len().max(1) as f64 * wish.members as f64 * clockwork::LATE as f64 / 1e6;
@@ -143,17 +153,30 @@
             let planted = planted.map_or(String::new(), |name| format!(" --plant {name}"));
             let kind = wish.kind.and_then(|kind| kind.to_possible_value());
             let kind = kind.map_or(String::new(), |kind| format!(" --kind {}", kind.get_name()));
-            let loss = wish.loss.map_or(String::new(), |loss| format!(" --loss {loss}"));
-            let duties = if wish.duties > 0 { format!(" --duties {}", wish.duties) } else { String::new() };
+            let loss = wish
+                .loss
+                .map_or(String::new(), |loss| format!(" --loss {loss}"));
+            let duties = if wish.duties > 0 {
+                format!(" --duties {}", wish.duties)
+            } else {
+                String::new()
+            };
             let replay = format!(
                 "pinefront-testbed accord --seeds {seed}..{} --members {}{kind}{loss}{duties}{planted}",
                 seed + 1,
                 wish.members
             );
-            broken.push(Broken { seed: *seed, what: what.clone(), replay });
+            broken.push(Broken {
+                seed: *seed,
+                what: what.clone(),
+                replay,
+            });
         }
     }
-    let broken_count = all.iter().filter(|(_, played)| !played.broken.is_empty()).count() as u64;
+    let broken_count = all
+        .iter()
+        .filter(|(_, played)| !played.broken.is_empty())
+        .count() as u64;
     broken.truncate(BROKEN_KEPT);
     Found {
         seeds: all.len() as u64,
@@ -167,11 +190,18 @@
         bytes_a_second_late: total(&|played| played.late.1 as f64) / late,
         detected_ms: list(&|played| played.detected_ms.clone()),
         one_view_ms: list(&|played| played.one_view_ms.into_iter().collect()),
-        without_holder_ms: without.into_iter().map(|(how, list)| (how, spread(list))).collect(),
+        without_holder_ms: without
+            .into_iter()
+            .map(|(how, list)| (how, spread(list)))
+            .collect(),
         duty_changes_an_hour: total(&|played| played.duties.changes as f64)
             / (wish.duties.max(1) as f64 * seconds)
             * 3600.0,
-        duty_changes_most_a_minute: all.iter().map(|one| one.1.duties.most_a_minute).max().unwrap_or(0),
+        duty_changes_most_a_minute: all
+            .iter()
+            .map(|one| one.1.duties.most_a_minute)
+            .max()
+            .unwrap_or(0),
         terms_fallen: all.iter().map(|one| one.1.duties.fallen.len()).sum(),
         duties_vacant: all.iter().map(|one| one.1.vacant).sum(),
         wrong_doubts_an_hour: total(&|played| played.wrong_doubts as f64) / seconds * 3600.0,
--- a/crates/testbed/src/accord/scenario.rs
+++ b/crates/testbed/src/accord/scenario.rs
@@ -74,7 +74,10 @@
         let kind = kind.unwrap_or_else(|| kinds[chance.below(kinds.len())]);
         let mut scenario = Self {
             kind,
-            ways: Ways { troubles: Vec::new(), usual: [500, 3_000] },
+            ways: Ways {
+                troubles: Vec::new(),
+                usual: [500, 3_000],
+            },
             deeds: Vec::new(),
             replayed: 0.0,
             ends: 0,
@@ -86,25 +89,58 @@
         }
         scenario.faults(&mut chance, members);
         if let Some(loss) = loss {
-            scenario.ways.troubles.retain(|trouble| trouble.kind != Fault::LinkLossy);
+            scenario
+                .ways
+                .troubles
+                .retain(|trouble| trouble.kind != Fault::LinkLossy);
             scenario.on_all(Fault::LinkLossy, members, loss, 0);
         }
         scenario.deeds.sort_by_key(|(at, _)| *at);
-        let last = scenario.deeds.last().map_or(0, |(at, _)| *at).max(scenario.ways.over());
+        let last = scenario
+            .deeds
+            .last()
+            .map_or(0, |(at, _)| *at)
+            .max(scenario.ways.over());
         scenario.ends = last.max(FAULTS_FROM) + if kind == Kind::Calm { CALM } else { SETTLES };
         scenario
     }
 
-    fn trouble(&mut self, kind: Fault, from: Micros, to: Micros, side: Vec<usize>, factor: f64, by: Micros) {
+    fn trouble(
+        &mut self,
+        kind: Fault,
+        from: Micros,
+        to: Micros,
+        side: Vec<usize>,
+        factor: f64,
+        by: Micros,
+    ) {
         let (against, one_way) = (None, false);
-        self.ways.troubles.push(Trouble { kind, from, to, side, against, one_way, factor, by });
+        self.ways.troubles.push(Trouble {
+            kind,
+            from,
+            to,
+            side,
+            against,
+            one_way,
+            factor,
+            by,
+        });
     }
 
     /// A trouble on every way until faults are over.
     fn on_all(&mut self, kind: Fault, members: usize, factor: f64, by: Micros) {
         let side: Vec<usize> = (0..members).collect();
         let (from, to, against, one_way) = (0, FAULTS_TO, Some(side.clone()), false);
-        self.ways.troubles.push(Trouble { kind, from, to, side, against, one_way, factor, by });
+        self.ways.troubles.push(Trouble {
+            kind,
+            from,
+            to,
+            side,
+            against,
+            one_way,
+            factor,
+            by,
+        });
     }
 
     fn faults(&mut self, chance: &mut Chance, members: usize) {
@@ -149,8 +185,10 @@
             Kind::Sleep => {
                 // The one sleeps while it doubts the other, which goes on and says so meanwhile.
                 let pair = chance.some_of(2, members);
-                let (falls, lasts) =
-                    (from + 900_000 + chance.span(SECOND), 3 * SECOND + chance.span(12 * SECOND));
+                let (falls, lasts) = (
+                    from + 900_000 + chance.span(SECOND),
+                    3 * SECOND + chance.span(12 * SECOND),
+                );
                 self.deeds.push((from, Deed::Stop(pair[1])));
                 self.deeds.push((falls + 200_000, Deed::GoOn(pair[1])));
                 self.deeds.push((falls, Deed::Stop(pair[0])));
@@ -160,12 +198,20 @@
             Kind::Death => self.deeds.push((from, Deed::Kill(chance.below(members)))),
             Kind::Halves => {
                 let half = chance.some_of(members / 2, members);
-                self.trouble(Fault::LinkCut, from, from + 20 * SECOND, half.clone(), 0.0, 0);
+                self.trouble(
+                    Fault::LinkCut,
+                    from,
+                    from + 20 * SECOND,
+                    half.clone(),
+                    0.0,
+                    0,
+                );
                 if chance.happens(0.5) {
                     // Deaths on both sides meanwhile.
                     let other = (0..members).find(|member| !half.contains(member));
                     self.deeds.push((from + 8 * SECOND, Deed::Kill(half[0])));
-                    self.deeds.extend(other.map(|other| (from + 9 * SECOND, Deed::Kill(other))));
+                    self.deeds
+                        .extend(other.map(|other| (from + 9 * SECOND, Deed::Kill(other))));
                 }
             }
             Kind::Flaps => {
@@ -230,7 +276,8 @@
             6 if free => {
                 // Back with an address that nobody had.
                 self.deeds.push((from, Deed::Kill(member)));
-                self.deeds.push((from + lasts, Deed::StartAt(member, members + member)));
+                self.deeds
+                    .push((from + lasts, Deed::StartAt(member, members + member)));
             }
             7 if free => self.deeds.push((from, Deed::Leave(member))),
             _ => {
--- a/crates/testbed/src/accord/tests.rs
+++ b/crates/testbed/src/accord/tests.rs
@@ -7,13 +7,27 @@
 use super::*;
 
 fn wish(seeds: std::ops::Range<u64>, planted: Option<Planted>) -> Wish {
-    Wish { seeds, members: 8, planted, kind: None, loss: None, duties: 0, first_only: planted.is_some() }
+    Wish {
+        seeds,
+        members: 8,
+        planted,
+        kind: None,
+        loss: None,
+        duties: 0,
+        first_only: planted.is_some(),
+    }
 }
 
 #[test]
 fn no_promise_is_broken() {
     let found = play(&wish(0..12, None), &AtomicBool::new(false));
-    assert_eq!((found.seeds, found.broken.first().map(|broken| broken.what.clone())), (12, None));
+    assert_eq!(
+        (
+            found.seeds,
+            found.broken.first().map(|broken| broken.what.clone())
+        ),
+        (12, None)
+    );
 }
 
 /// Four of the eight; all eight: `cargo run --release -p pinefront-testbed --features planted -- accord --plant NAME`.
@@ -24,12 +38,21 @@
 #[case::sleep(Planted::SleepUnnoticed)]
 fn a_planted_fault_is_found(#[case] planted: Planted) {
     let found = play(&wish(0..400, Some(planted)), &AtomicBool::new(false));
-    assert!(!found.broken.is_empty(), "none of {} seeds found it", found.seeds);
+    assert!(
+        !found.broken.is_empty(),
+        "none of {} seeds found it",
+        found.seeds
+    );
 }
 
 #[test]
 fn one_seed_is_one_run() {
-    let wish = Wish { members: 10, kind: Some(Kind::Any), duties: 20, ..wish(0..1, None) };
+    let wish = Wish {
+        members: 10,
+        kind: Some(Kind::Any),
+        duties: 20,
+        ..wish(0..1, None)
+    };
     let trace = || clockwork::play(7, &wish).trace;
     assert_eq!(trace(), trace());
 }
@@ -37,7 +60,21 @@
 /// No two hold one duty and no act of an older term is taken, whatever fails; and every duty has a holder at the end.
 #[test]
 fn duties_are_held_by_one_at_most() {
-    let found = play(&Wish { members: 10, duties: 30, ..wish(0..24, None) }, &AtomicBool::new(false));
+    let found = play(
+        &Wish {
+            members: 10,
+            duties: 30,
+            ..wish(0..24, None)
+        },
+        &AtomicBool::new(false),
+    );
     assert_eq!(found.broken.first().map(|broken| broken.what.clone()), None);
-    assert!(found.without_holder_ms.values().map(|spread| spread.count).sum::<usize>() > 100);
+    assert!(
+        found
+            .without_holder_ms
+            .values()
+            .map(|spread| spread.count)
+            .sum::<usize>()
+            > 100
+    );
 }
--- a/crates/testbed/src/balancers.rs
+++ b/crates/testbed/src/balancers.rs
@@ -63,8 +63,13 @@
         "useCases": day.use_cases.iter().map(|class| use_case(class.get_ref())).collect::<Vec<_>>(),
     });
     if !day.tenants.is_empty() {
-        let tenant = |tenant: &Tenant| json!({"name": tenant.name, "allowancePerS": tenant.allowance});
-        told["accounts"] = day.tenants.iter().map(|entry| tenant(entry.get_ref())).collect();
+        let tenant =
+            |tenant: &Tenant| json!({"name": tenant.name, "allowancePerS": tenant.allowance});
+        told["accounts"] = day
+            .tenants
+            .iter()
+            .map(|entry| tenant(entry.get_ref()))
+            .collect();
     }
     told
 }
@@ -105,7 +110,12 @@
 
 impl Balancer {
     pub fn new(
-        day: &Day, seed: u64, number: usize, binary: &Path, folder: &Path, discovery: [SocketAddr; 2],
+        day: &Day,
+        seed: u64,
+        number: usize,
+        binary: &Path,
+        folder: &Path,
+        discovery: [SocketAddr; 2],
         operator: Option<PathBuf>,
     ) -> io::Result<Self> {
         // Nobody else takes the port meanwhile unless the machine is short of them; then the start says so.
@@ -141,7 +151,11 @@
         self.discovery.reverse();
         self.told["discovery"] = self.discovery[0].to_string().into();
         std::fs::write(&self.config, self.told.to_string())?;
-        if let Some(pid) = self.child.as_ref().and_then(|child| Pid::from_raw(child.id() as i32)) {
+        if let Some(pid) = self
+            .child
+            .as_ref()
+            .and_then(|child| Pid::from_raw(child.id() as i32))
+        {
             // One that has ended already needs no signal.
             let _ = kill_process(pid, Signal::HUP);
         }
@@ -157,13 +171,19 @@
     pub fn start(&mut self) -> io::Result<()> {
         let mut command = Command::new(&self.binary);
         if let Some(system) = &self.system {
-            command.env("LD_PRELOAD", &system.library).env(system::CONTROL, &system.control);
+            command
+                .env("LD_PRELOAD", &system.library)
+                .env(system::CONTROL, &system.control);
         }
         let mut child = command
             .arg("serve")
             .arg("--config")
             .arg(&self.config)
-            .args(self.operator.iter().flat_map(|file| ["--operator".into(), file.clone()]))
+            .args(
+                self.operator
+                    .iter()
+                    .flat_map(|file| ["--operator".into(), file.clone()]),
+            )
             .env_remove("BALANCER_NAME")
             .env_remove("BALANCER_LISTEN")
             .env_remove("BALANCER_DISCOVERY")
@@ -174,10 +194,17 @@
             .stderr(Stdio::piped())
             .spawn()
             .map_err(|problem| {
-                io::Error::new(problem.kind(), format!("{}: {problem}", self.binary.display()))
+                io::Error::new(
+                    problem.kind(),
+                    format!("{}: {problem}", self.binary.display()),
+                )
             })?;
         if let Some(stderr) = child.stderr.take() {
-            let (lines, duty_lines, number) = (Arc::clone(&self.lines), self.duty_lines.clone(), self.number);
+            let (lines, duty_lines, number) = (
+                Arc::clone(&self.lines),
+                self.duty_lines.clone(),
+                self.number,
+            );
             let violations = Arc::clone(&self.violations);
             // Ends with the process.
             std::thread::spawn(move || {
@@ -198,18 +225,30 @@
     }
 
     fn last(&self) -> String {
-        locked(&self.lines).iter().rev().take(5).rev().cloned().collect::<Vec<_>>().join(" | ")
+        locked(&self.lines)
+            .iter()
+            .rev()
+            .take(5)
+            .rev()
+            .cloned()
+            .collect::<Vec<_>>()
+            .join(" | ")
     }
 
     /// Looks whether its process has ended by itself.
     pub fn has_died(&mut self) -> bool {
-        let Some(child) = &mut self.child else { return false };
+        let Some(child) = &mut self.child else {
+            return false;
+        };
         match child.try_wait() {
             Ok(Some(status)) => {
                 self.child = None;
                 if !self.told_to_end {
-                    let said =
-                        format!("balancer {} ended by itself ({status}): {}", self.number, self.last());
+                    let said = format!(
+                        "balancer {} ended by itself ({status}): {}",
+                        self.number,
+                        self.last()
+                    );
                     self.deaths.push(said);
                 }
                 true
@@ -225,7 +264,11 @@
     fn signal(&mut self, signal: Signal) {
         self.used = self.used();
         self.told_to_end = true;
-        if let Some(pid) = self.child.as_ref().and_then(|child| Pid::from_raw(child.id() as i32)) {
+        if let Some(pid) = self
+            .child
+            .as_ref()
+            .and_then(|child| Pid::from_raw(child.id() as i32))
+        {
             // One that has ended already needs no signal.
             let _ = kill_process(pid, signal);
         }
@@ -246,7 +289,11 @@
     /// Stops it where it stands, or lets it go on.
     pub fn stop(&self, stops: bool) {
         let signal = if stops { Signal::STOP } else { Signal::CONT };
-        if let Some(pid) = self.child.as_ref().and_then(|child| Pid::from_raw(child.id() as i32)) {
+        if let Some(pid) = self
+            .child
+            .as_ref()
+            .and_then(|child| Pid::from_raw(child.id() as i32))
+        {
             // One that has ended already needs no signal.
             let _ = kill_process(pid, signal);
         }
@@ -267,7 +314,10 @@
     pub fn used(&self) -> Used {
         let running = self.child.as_ref().filter(|_| !self.told_to_end);
         let now = running.map(|child| used(child.id())).unwrap_or_default();
-        Used { cpu_us: self.used.cpu_us + now.cpu_us, memory_kb: self.used.memory_kb.max(now.memory_kb) }
+        Used {
+            cpu_us: self.used.cpu_us + now.cpu_us,
+            memory_kb: self.used.memory_kb.max(now.memory_kb),
+        }
     }
 }
 
@@ -284,7 +334,9 @@
     loop {
         let (listen, last) = {
             let mut balancers = locked(balancers);
-            let Some(balancer) = balancers.get_mut(number) else { return Err("no such balancer".into()) };
+            let Some(balancer) = balancers.get_mut(number) else {
+                return Err("no such balancer".into());
+            };
             if balancer.has_died() {
                 return Err(balancer.deaths.last().cloned().unwrap_or_default());
             }
@@ -294,7 +346,9 @@
             return Ok(());
         }
         if Instant::now() > until {
-            return Err(format!("balancer {number} was not ready within {READY_WITHIN:?}: {last}"));
+            return Err(format!(
+                "balancer {number} was not ready within {READY_WITHIN:?}: {last}"
+            ));
         }
         tokio::time::sleep(LOOKS_APART).await;
     }
@@ -326,6 +380,8 @@
 
 /// The balancer that was built with this program, where none is named.
 pub fn own_binary() -> PathBuf {
-    let beside = std::env::current_exe().ok().and_then(|path| Some(path.parent()?.join("pinefront")));
+    let beside = std::env::current_exe()
+        .ok()
+        .and_then(|path| Some(path.parent()?.join("pinefront")));
     beside.unwrap_or_else(|| "pinefront".into())
 }
--- a/crates/testbed/src/baseline.rs
+++ b/crates/testbed/src/baseline.rs
@@ -34,7 +34,12 @@
 }
 
 impl Policy {
-    pub const ALL: [Self; 4] = [Self::Random, Self::RoundRobin, Self::LeastInFlight, Self::TwoChoices];
+    pub const ALL: [Self; 4] = [
+        Self::Random,
+        Self::RoundRobin,
+        Self::LeastInFlight,
+        Self::TwoChoices,
+    ];
 
     pub fn name(self) -> &'static str {
         match self {
@@ -76,7 +81,10 @@
             // From another one each time, or ties would all fall to the first.
             Policy::LeastInFlight => {
                 let first = turn();
-                (0..count).map(|step| (first + step) % count).min_by_key(busy).unwrap_or(first)
+                (0..count)
+                    .map(|step| (first + step) % count)
+                    .min_by_key(busy)
+                    .unwrap_or(first)
             }
             Policy::TwoChoices => [drawn(), drawn()].into_iter().min_by_key(busy).unwrap_or(0),
         };
@@ -87,14 +95,27 @@
     fn read_list(&self, world: &World, balancer: usize) {
         let now = world.now();
         let (_, entries) = world.with_registry(|registry| registry.list(now));
-        let active: Vec<_> =
-            entries.iter().filter(|entry| entry.state == State::Active).map(|e| e.server).collect();
+        let active: Vec<_> = entries
+            .iter()
+            .filter(|entry| entry.state == State::Active)
+            .map(|e| e.server)
+            .collect();
         let mut upstreams = locked(&self.upstreams);
         upstreams.retain(|upstream| {
             let stays = active.contains(&upstream.number)
-                && world.stand(upstream.number).and_then(|stand| stand.address()) == Some(upstream.address);
+                && world
+                    .stand(upstream.number)
+                    .and_then(|stand| stand.address())
+                    == Some(upstream.address);
             if !stays {
-                world.note(now, Seen::Told { balancer, server: upstream.number, drains: true });
+                world.note(
+                    now,
+                    Seen::Told {
+                        balancer,
+                        server: upstream.number,
+                        drains: true,
+                    },
+                );
             }
             stays
         });
@@ -102,8 +123,17 @@
             if upstreams.iter().any(|upstream| upstream.number == number) {
                 continue;
             }
-            let Some(address) = world.stand(number).and_then(|stand| stand.address()) else { continue };
-            world.note(now, Seen::Told { balancer, server: number, drains: false });
+            let Some(address) = world.stand(number).and_then(|stand| stand.address()) else {
+                continue;
+            };
+            world.note(
+                now,
+                Seen::Told {
+                    balancer,
+                    server: number,
+                    drains: false,
+                },
+            );
             upstreams.push(Arc::new(Upstream {
                 number,
                 address,
@@ -146,11 +176,20 @@
     let mut kept = Vec::new();
     while let Some(asked) = http::next_request(&mut stream, &mut kept).await {
         let message: Vec<u8> = kept.drain(..asked.end).collect();
-        let wait = Duration::from_millis(asked.remaining_ms.unwrap_or(1000)).saturating_sub(WAY_BACK);
+        let wait =
+            Duration::from_millis(asked.remaining_ms.unwrap_or(1000)).saturating_sub(WAY_BACK);
         let found = timeout(wait, dispatch(&plain, &message)).await;
         let written = match found {
             Ok(Some(answer)) => stream.write_all(&answer).await,
-            Ok(None) => http::answer(&mut stream, "503 Service Unavailable", "", "nobody takes it\n").await,
+            Ok(None) => {
+                http::answer(
+                    &mut stream,
+                    "503 Service Unavailable",
+                    "",
+                    "nobody takes it\n",
+                )
+                .await
+            }
             Err(_) => http::answer(&mut stream, "502 Bad Gateway", "", "no answer in time\n").await,
         };
         if written.is_err() {
--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -42,7 +42,8 @@
 /// A histogram of times in microseconds, to three digits.
 pub fn histogram() -> Histogram<u64> {
     // The bounds are constants that the library takes; whatever is played makes one.
-    Histogram::new_with_bounds(1, LONGEST_US, 3).unwrap_or_else(|_| unreachable!("bounds are constants"))
+    Histogram::new_with_bounds(1, LONGEST_US, 3)
+        .unwrap_or_else(|_| unreachable!("bounds are constants"))
 }
 
 /// How tries ended.
@@ -152,10 +153,14 @@
 
 /// A worker: a thread of its own with a runtime of its own, so that stand-ins at work delay no ticket.
 pub fn worker(load: &Arc<Load>, mut due: mpsc::Receiver<Ticket>) -> io::Result<()> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     let set = LocalSet::new();
     set.block_on(&runtime, async {
-        let pools: Pools = Rc::new(RefCell::new(load.front.addresses.iter().map(|_| Vec::new()).collect()));
+        let pools: Pools = Rc::new(RefCell::new(
+            load.front.addresses.iter().map(|_| Vec::new()).collect(),
+        ));
         while let Some(ticket) = due.recv().await {
             tokio::task::spawn_local(client(Arc::clone(load), Rc::clone(&pools), ticket));
         }
@@ -203,7 +208,9 @@
             End::Lost | End::Unreached => None,
         };
         let number = load.next_number.fetch_add(1, Ordering::Relaxed);
-        let Some(again) = traffic::again(&world.day, &ticket, number, now, come_back) else { return };
+        let Some(again) = traffic::again(&world.day, &ticket, number, now, come_back) else {
+            return;
+        };
         ticket = again;
         tokio::time::sleep_until(world.clock.at(ticket.due).into()).await;
     }
@@ -225,25 +232,45 @@
             None => break,
         }
     }
-    let connected = timeout(CONNECT_WITHIN, TcpStream::connect(load.front.addresses[balancer])).await;
-    let Ok(Ok(stream)) = connected else { return End::Unreached };
+    let connected = timeout(
+        CONNECT_WITHIN,
+        TcpStream::connect(load.front.addresses[balancer]),
+    )
+    .await;
+    let Ok(Ok(stream)) = connected else {
+        return End::Unreached;
+    };
     // Without it a ticket may wait for the answer to the last.
     let _ = stream.set_nodelay(true);
-    exchange(load, pools, balancer, ticket, &text, stream, false).await.unwrap_or(End::Lost)
+    exchange(load, pools, balancer, ticket, &text, stream, false)
+        .await
+        .unwrap_or(End::Lost)
 }
 
 fn request(world: &World, ticket: &Ticket) -> Vec<u8> {
     let class = world.day.use_cases[ticket.use_case].get_ref();
     let name = &class.name;
-    let tenant = world.day.tenants.get(ticket.tenant).map_or("lab", |tenant| &tenant.get_ref().name);
+    let tenant = world
+        .day
+        .tenants
+        .get(ticket.tenant)
+        .map_or("lab", |tenant| &tenant.get_ref().name);
     let (method, rest) = match class.effect {
         Effect::Redoable => ("GET", String::new()),
-        Effect::Labelled => {
-            ("POST", format!("Idempotency-Key: {:016x}\r\nContent-Length: 0\r\n", ticket.label))
-        }
+        Effect::Labelled => (
+            "POST",
+            format!(
+                "Idempotency-Key: {:016x}\r\nContent-Length: 0\r\n",
+                ticket.label
+            ),
+        ),
         Effect::Irreversible => ("POST", "Content-Length: 0\r\n".to_owned()),
     };
-    let resent = if ticket.tries > 1 { "X-Resent: 1\r\n" } else { "" };
+    let resent = if ticket.tries > 1 {
+        "X-Resent: 1\r\n"
+    } else {
+        ""
+    };
     format!(
         "{method} /{name}/{} HTTP/1.1\r\nHost: lab\r\nX-Txn: {:016x}\r\nX-Lane: {name}\r\nX-Org: {tenant}\r\n\
          X-Entity: k={}\r\nX-Remaining-Ms: {}\r\n{resent}{rest}\r\n",
@@ -257,13 +284,22 @@
 
 /// Writes a ticket and waits for its answer. Nothing where a kept connection ended without a byte.
 async fn exchange(
-    load: &Load, pools: &Pools, balancer: usize, ticket: &Ticket, text: &[u8], mut stream: TcpStream,
+    load: &Load,
+    pools: &Pools,
+    balancer: usize,
+    ticket: &Ticket,
+    text: &[u8],
+    mut stream: TcpStream,
     kept: bool,
 ) -> Option<End> {
     let world = &load.world;
     let number = ticket.number;
     let further = ticket.leaves_after.is_none() && world.strikes(Kind::ClientsPipeline);
-    let both = if further { [text, FURTHER].concat() } else { text.to_vec() };
+    let both = if further {
+        [text, FURTHER].concat()
+    } else {
+        text.to_vec()
+    };
     let in_pieces = !further && world.strikes(Kind::ClientsInPieces);
     let wrote = match in_pieces {
         true => http::in_pieces(&mut stream, &both, 1 + world.draw(PIECES_MOST)).await,
@@ -274,15 +310,31 @@
     }
     let written = world.now();
     if !in_pieces {
-        locked(&load.collected).lateness.saturating_record(written.saturating_sub(ticket.due).max(1));
+        locked(&load.collected)
+            .lateness
+            .saturating_record(written.saturating_sub(ticket.due).max(1));
     }
     let hard_stop = written + ticket.wait;
-    world.note(written, Seen::Taken { ticket: number, balancer, use_case: ticket.use_case, hard_stop });
+    world.note(
+        written,
+        Seen::Taken {
+            ticket: number,
+            balancer,
+            use_case: ticket.use_case,
+            hard_stop,
+        },
+    );
     let until: Instant = world.clock.at(hard_stop) + WAITS_ON;
-    let leaves: Option<Instant> = ticket.leaves_after.map(|after| world.clock.at(written + after));
+    let leaves: Option<Instant> = ticket
+        .leaves_after
+        .map(|after| world.clock.at(written + after));
     let wait_until = leaves.map_or(until, |leaves| leaves.min(until));
     let mut heard = Vec::new();
-    let answer = tokio::time::timeout_at(wait_until.into(), http::read_answer(&mut stream, &mut heard)).await;
+    let answer = tokio::time::timeout_at(
+        wait_until.into(),
+        http::read_answer(&mut stream, &mut heard),
+    )
+    .await;
     let now = world.now();
     let answer = match answer {
         Ok(Ok(answer)) => answer,
@@ -304,15 +356,26 @@
     };
     let genuine = outcome != Outcome::Succeeded
         || heard[answer.body.clone()] == *body(&format!("{number:016x}")).as_bytes();
-    world.note(now, Seen::Answered { ticket: number, outcome, genuine });
-    let come_back = answer.retry_after.filter(|after| after.is_finite() && *after >= 0.0);
+    world.note(
+        now,
+        Seen::Answered {
+            ticket: number,
+            outcome,
+            genuine,
+        },
+    );
+    let come_back = answer
+        .retry_after
+        .filter(|after| after.is_finite() && *after >= 0.0);
     let answered = End::Answered(outcome, come_back.map(|after| (after * 1e6) as Micros));
     heard.drain(..answer.end);
     if further && answer.lasts {
         let second = timeout(FURTHER_WITHIN, http::read_answer(&mut stream, &mut heard)).await;
         let lost = !matches!(&second, Ok(Ok(_)));
         if lost && world.undisturbed_since(balancer, written) {
-            let what = format!("the request behind ticket {number} got no answer from balancer {balancer}");
+            let what = format!(
+                "the request behind ticket {number} got no answer from balancer {balancer}"
+            );
             locked(&world.ledger).broken(1, world.now(), what);
         }
         if !second.is_ok_and(|second| second.is_ok_and(|second| second.lasts)) {
--- a/crates/testbed/src/clock.rs
+++ b/crates/testbed/src/clock.rs
@@ -12,8 +12,11 @@
 impl Clock {
     /// The day begins now; a second call changes nothing.
     pub fn begin(&self) {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        self.0.get_or_init(|| (Instant::now(), unix.as_millis() as u64));
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        self.0
+            .get_or_init(|| (Instant::now(), unix.as_millis() as u64));
     }
 
     pub fn has_begun(&self) -> bool {
@@ -21,7 +24,9 @@
     }
 
     pub fn now(&self) -> Micros {
-        self.0.get().map_or(0, |(began, _)| began.elapsed().as_micros() as Micros)
+        self.0
+            .get()
+            .map_or(0, |(began, _)| began.elapsed().as_micros() as Micros)
     }
 
     /// The instant of a moment; before the day begins, as if it began now.
--- a/crates/testbed/src/commands/agreement.rs
+++ b/crates/testbed/src/commands/agreement.rs
@@ -56,15 +56,30 @@
         return Err("this lab was built without --features planted".into());
     }
     known.map(|(_, fault)| *fault).ok_or_else(|| {
-        format!("is none of {}", all.iter().map(|(name, _)| *name).collect::<Vec<_>>().join(", "))
+        format!(
+            "is none of {}",
+            all.iter()
+                .map(|(name, _)| *name)
+                .collect::<Vec<_>>()
+                .join(", ")
+        )
     })
 }
 
 pub fn planted_duty(text: &str) -> Result<pinefront_cluster::duties::Planted, String> {
     let all = pinefront_cluster::duties::Planted::ALL;
-    all.iter().find(|(name, _)| *name == text).map(|(_, fault)| *fault).ok_or_else(|| {
-        format!("is none of {}", all.iter().map(|(name, _)| *name).collect::<Vec<_>>().join(", "))
-    })
+    all.iter()
+        .find(|(name, _)| *name == text)
+        .map(|(_, fault)| *fault)
+        .ok_or_else(|| {
+            format!(
+                "is none of {}",
+                all.iter()
+                    .map(|(name, _)| *name)
+                    .collect::<Vec<_>>()
+                    .join(", ")
+            )
+        })
 }
 
 pub fn explore(options: &Explore, over: &Arc<AtomicBool>) -> Result<(), Failure> {
@@ -80,12 +95,23 @@
         "{} states to depth {}{}, {} walks of {} moves in all: {}",
         found.states,
         found.depth,
-        if found.whole { "" } else { " (not all: too many)" },
+        if found.whole {
+            ""
+        } else {
+            " (not all: too many)"
+        },
         found.walks,
         found.walk_steps,
-        if found.broken.is_empty() { "no promise broken" } else { "BROKEN" }
+        if found.broken.is_empty() {
+            "no promise broken"
+        } else {
+            "BROKEN"
+        }
     );
-    found.broken.iter().for_each(|broken| println!("  {broken}"));
+    found
+        .broken
+        .iter()
+        .for_each(|broken| println!("  {broken}"));
     write_json(options.json.as_deref(), &found)?;
     match found.broken.is_empty() {
         true => Ok(()),
@@ -118,7 +144,10 @@
         found.datagrams_a_second_late,
         found.bytes_a_second_late
     );
-    for (what, spread) in [("a death is known", &found.detected_ms), ("one view after", &found.one_view_ms)] {
+    for (what, spread) in [
+        ("a death is known", &found.detected_ms),
+        ("one view after", &found.one_view_ms),
+    ] {
         println!(
             "{what}: median {:.0} ms, p99 {:.0}, worst {:.0} of {}",
             spread.p50, spread.p99, spread.worst, spread.count
--- a/crates/testbed/src/commands/days.rs
+++ b/crates/testbed/src/commands/days.rs
@@ -123,8 +123,16 @@
 }
 
 /// Mean of the second less the first, pair by pair, and the standard deviation of that.
-pub fn difference(first: &[Figures], second: &[Figures], of: impl Fn(&Figures) -> f64) -> (f64, f64) {
-    let each: Vec<f64> = first.iter().zip(second).map(|(a, b)| of(b) - of(a)).collect();
+pub fn difference(
+    first: &[Figures],
+    second: &[Figures],
+    of: impl Fn(&Figures) -> f64,
+) -> (f64, f64) {
+    let each: Vec<f64> = first
+        .iter()
+        .zip(second)
+        .map(|(a, b)| of(b) - of(a))
+        .collect();
     let count = each.len().max(1) as f64;
     let mean = each.iter().sum::<f64>() / count;
     let squares: f64 = each.iter().map(|one| (one - mean) * (one - mean)).sum();
@@ -139,7 +147,12 @@
     );
     let day = check_day(&text, "demo")?;
     let who = Who::Binary(demo.binary.clone().unwrap_or_else(balancers::own_binary));
-    let wishes = Wishes { live: true, by_hand: true, fleet: false, over: Arc::clone(over) };
+    let wishes = Wishes {
+        live: true,
+        by_hand: true,
+        fleet: false,
+        over: Arc::clone(over),
+    };
     let figures = played(&day, day.seed, &who, &wishes)?;
     write_json(demo.json.as_deref(), &figures)?;
     sound(&[&figures])
@@ -152,13 +165,23 @@
             .map_err(|reason| Failure::Wrong(format!("--balancers: {reason}")))?;
     }
     let binaries = binaries(&run.binary);
-    let wishes = Wishes { live: true, by_hand: false, fleet: false, over: Arc::clone(over) };
+    let wishes = Wishes {
+        live: true,
+        by_hand: false,
+        fleet: false,
+        over: Arc::clone(over),
+    };
     let first = run.seed.unwrap_or(day.seed);
     let mut all: Vec<Vec<Figures>> = binaries.iter().map(|_| Vec::new()).collect();
     for round in 0..run.rounds.unwrap_or(1) {
         for (binary, found) in binaries.iter().zip(&mut all) {
             if !over.load(Ordering::Relaxed) {
-                found.push(played(&day, first + round, &Who::Binary(binary.clone()), &wishes)?);
+                found.push(played(
+                    &day,
+                    first + round,
+                    &Who::Binary(binary.clone()),
+                    &wishes,
+                )?);
             }
         }
     }
@@ -169,7 +192,10 @@
                 difference(first, second, |f| f.service),
                 difference(first, second, |f| f.cpu_us_per_ticket),
             );
-            println!("second less first, mean and spread over {} pairs:", first.len().min(second.len()));
+            println!(
+                "second less first, mean and spread over {} pairs:",
+                first.len().min(second.len())
+            );
             println!(
                 "  service  {:+.4} (spread {:.4})\n  CPU us   {:+.1} (spread {:.1})",
                 service.0, service.1, cpu.0, cpu.1
@@ -215,7 +241,12 @@
         fleet::drawn::lose(&mut day, loss);
     }
     let who = Who::Binary(options.binary.clone().unwrap_or_else(balancers::own_binary));
-    let wishes = Wishes { live: true, by_hand: false, fleet: true, over: Arc::clone(over) };
+    let wishes = Wishes {
+        live: true,
+        by_hand: false,
+        fleet: true,
+        over: Arc::clone(over),
+    };
     let Some(seeds) = options.seeds.clone() else {
         let figures = played(&day, options.seed.unwrap_or(day.seed), &who, &wishes)?;
         write_json(options.json.as_deref(), &figures)?;
@@ -225,10 +256,17 @@
     for seed in seeds.take_while(|_| !over.load(Ordering::Relaxed)) {
         let mut day = day.clone();
         fleet::drawn::draw(&mut day, seed);
-        options.loss.into_iter().for_each(|loss| fleet::drawn::lose(&mut day, loss));
+        options
+            .loss
+            .into_iter()
+            .for_each(|loss| fleet::drawn::lose(&mut day, loss));
         let figures = played(&day, seed, &who, &wishes)?;
         if !figures.is_sound() {
-            println!("again: pinefront-testbed fleet {} --seeds {seed}..{}", options.day.display(), seed + 1);
+            println!(
+                "again: pinefront-testbed fleet {} --seeds {seed}..{}",
+                options.day.display(),
+                seed + 1
+            );
         }
         all.push(figures);
     }
@@ -238,22 +276,42 @@
 
 pub fn compare(compare: &Compare, over: &Arc<AtomicBool>) -> Result<(), Failure> {
     let day = read_day(&compare.day)?;
-    let policies = if compare.policy.is_empty() { Policy::ALL.to_vec() } else { compare.policy.clone() };
-    let wishes = Wishes { live: true, by_hand: false, fleet: false, over: Arc::clone(over) };
+    let policies = if compare.policy.is_empty() {
+        Policy::ALL.to_vec()
+    } else {
+        compare.policy.clone()
+    };
+    let wishes = Wishes {
+        live: true,
+        by_hand: false,
+        fleet: false,
+        over: Arc::clone(over),
+    };
     let ours = compare.ours.then(balancers::own_binary);
-    let binaries = ours.into_iter().chain(compare.binary.iter().cloned()).map(Who::Binary);
+    let binaries = ours
+        .into_iter()
+        .chain(compare.binary.iter().cloned())
+        .map(Who::Binary);
     let whos = binaries.chain(policies.into_iter().map(Who::Policy));
     let mut all = Vec::new();
     for who in whos {
         if !over.load(Ordering::Relaxed) {
-            all.push(played(&day, compare.seed.unwrap_or(day.seed), &who, &wishes)?);
+            all.push(played(
+                &day,
+                compare.seed.unwrap_or(day.seed),
+                &who,
+                &wishes,
+            )?);
         }
     }
     println!(
         "| who | service | succeeded | p50 ms | p99 ms | rules broken |\n| --- | --- | --- | --- | --- | --- |"
     );
     for run in &all {
-        let (times, part) = (&run.latency_ms, run.tickets.succeeded as f64 / run.tickets.asked.max(1) as f64);
+        let (times, part) = (
+            &run.latency_ms,
+            run.tickets.succeeded as f64 / run.tickets.asked.max(1) as f64,
+        );
         println!(
             "| {} | {:.3} | {:.1} % | {:.0} | {:.0} | {} |",
             run.who,
@@ -264,6 +322,10 @@
             run.rules_broken_count
         );
     }
-    write_report(compare.report.as_deref(), &day, &all.iter().collect::<Vec<_>>())?;
+    write_report(
+        compare.report.as_deref(),
+        &day,
+        &all.iter().collect::<Vec<_>>(),
+    )?;
     write_json(compare.json.as_deref(), &all)
 }
--- a/crates/testbed/src/commands/measuring.rs
+++ b/crates/testbed/src/commands/measuring.rs
@@ -66,14 +66,20 @@
 }
 
 pub fn load_at(options: &LoadAt, over: &Arc<AtomicBool>) -> Result<(), Failure> {
-    if !(options.rate > 0.0 && options.rate <= 1e6) || options.clients == Some(0) || options.lasts.is_zero() {
+    if !(options.rate > 0.0 && options.rate <= 1e6)
+        || options.clients == Some(0)
+        || options.lasts.is_zero()
+    {
         return Err(Failure::Wrong(
             "--rate must be over 0 and at most 1000000, --clients and --for over 0".into(),
         ));
     }
     let bad = |field: &&String| !field.contains(':') || field.contains(['\r', '\n']);
     if let Some(field) = options.field.iter().find(bad) {
-        return Err(Failure::Wrong(format!("--field '{}' is no 'Name: value'", field.escape_debug())));
+        return Err(Failure::Wrong(format!(
+            "--field '{}' is no 'Name: value'",
+            field.escape_debug()
+        )));
     }
     let (mut address, path) = load::target(&options.url).map_err(Failure::Wrong)?;
     let runtime = play::runtime().map_err(|problem| Failure::Failed(problem.to_string()))?;
@@ -85,7 +91,11 @@
     let plan = load::Plan {
         addresses: vec![address],
         path,
-        fields: options.field.iter().map(|field| format!("{field}\r\n")).collect(),
+        fields: options
+            .field
+            .iter()
+            .map(|field| format!("{field}\r\n"))
+            .collect(),
         rate: Some(options.rate),
         lasts: options.lasts,
         clients: options.clients,
@@ -109,19 +119,30 @@
         "from when they were due: p50 {:.3} ms, p90 {:.3}, p99 {:.3}, longest {:.3}",
         latency.p50, latency.p90, latency.p99, latency.max
     );
-    println!("own lateness: p50 {:.3} ms, p99 {:.3}, longest {:.3}", late.p50, late.p99, late.max);
+    println!(
+        "own lateness: p50 {:.3} ms, p99 {:.3}, longest {:.3}",
+        late.p50, late.p99, late.max
+    );
     write_json(options.json.as_deref(), &found)?;
     match found.valid {
         true => Ok(()),
-        false => Err(Failure::Failed(format!("the run is invalid: {}", found.why_invalid.join("; ")))),
+        false => Err(Failure::Failed(format!(
+            "the run is invalid: {}",
+            found.why_invalid.join("; ")
+        ))),
     }
 }
 
 pub fn overhead(options: &Overhead, over: &Arc<AtomicBool>) -> Result<(), Failure> {
     let binaries = binaries(&options.binary);
     let rate_fits = options.rate > 0.0 && options.rate <= 1e6;
-    if !rate_fits || options.clients.contains(&0) || options.servers.contains(&0) || options.lasts.is_zero() {
-        let reason = "--rate must be over 0 and at most 1000000, --servers, --clients and --for over 0";
+    if !rate_fits
+        || options.clients.contains(&0)
+        || options.servers.contains(&0)
+        || options.lasts.is_zero()
+    {
+        let reason =
+            "--rate must be over 0 and at most 1000000, --servers, --clients and --for over 0";
         return Err(Failure::Wrong(reason.into()));
     }
     let wishes = |binary: &PathBuf, members| overheads::Wishes {
@@ -133,19 +154,30 @@
         members,
         over: Arc::clone(over),
     };
-    if let (false, [servers, ..], [clients, ..]) =
-        (options.fleet.is_empty(), &*options.servers, &*options.clients)
-    {
+    if let (false, [servers, ..], [clients, ..]) = (
+        options.fleet.is_empty(),
+        &*options.servers,
+        &*options.clients,
+    ) {
         println!("{}", overheads::FLEET_HEAD);
         let mut points = Vec::new();
-        for members in [None].into_iter().chain(options.fleet.iter().copied().map(Some)) {
+        for members in [None]
+            .into_iter()
+            .chain(options.fleet.iter().copied().map(Some))
+        {
             if !over.load(Ordering::Relaxed) {
                 let point = overheads::point(*servers, *clients, &wishes(&binaries[0], members));
                 points.push(point.map_err(Failure::Failed)?);
-                points.last().into_iter().for_each(|point| println!("{}", point.fleet_row()));
+                points
+                    .last()
+                    .into_iter()
+                    .for_each(|point| println!("{}", point.fleet_row()));
             }
         }
-        return write_json(options.json.as_deref(), &serde_json::json!({"points": points}));
+        return write_json(
+            options.json.as_deref(),
+            &serde_json::json!({"points": points}),
+        );
     }
     let mut all: Vec<Vec<overheads::Point>> = binaries.iter().map(|_| Vec::new()).collect();
     println!("{}", overheads::TABLE_HEAD);
@@ -155,20 +187,29 @@
                 if over.load(Ordering::Relaxed) {
                     continue;
                 }
-                let point =
-                    overheads::point(servers, clients, &wishes(binary, None)).map_err(Failure::Failed)?;
+                let point = overheads::point(servers, clients, &wishes(binary, None))
+                    .map_err(Failure::Failed)?;
                 println!("{}", point.row());
                 points.push(point);
             }
         }
     }
     if let [first, second] = all.as_slice() {
-        let ratios: Vec<f64> =
-            first.iter().zip(second).map(|(a, b)| b.cpu_us_per_ticket / a.cpu_us_per_ticket).collect();
+        let ratios: Vec<f64> = first
+            .iter()
+            .zip(second)
+            .map(|(a, b)| b.cpu_us_per_ticket / a.cpu_us_per_ticket)
+            .collect();
         let mean = ratios.iter().sum::<f64>() / ratios.len().max(1) as f64;
-        println!("CPU a ticket, second against first: {mean:.3} on the mean of {} points", ratios.len());
+        println!(
+            "CPU a ticket, second against first: {mean:.3} on the mean of {} points",
+            ratios.len()
+        );
     }
-    let points: Vec<_> = all.iter().map(|points| serde_json::json!({"points": points})).collect();
+    let points: Vec<_> = all
+        .iter()
+        .map(|points| serde_json::json!({"points": points}))
+        .collect();
     match points.as_slice() {
         [only] => write_json(options.json.as_deref(), only),
         several => write_json(options.json.as_deref(), &several),
--- a/crates/testbed/src/commands/mod.rs
+++ b/crates/testbed/src/commands/mod.rs
@@ -26,40 +26,58 @@
 
 pub fn read_day(path: &Path) -> Result<Day, Failure> {
     let name = path.display().to_string();
-    let text =
-        std::fs::read_to_string(path).map_err(|problem| Failure::Wrong(format!("{name}: {problem}")))?;
+    let text = std::fs::read_to_string(path)
+        .map_err(|problem| Failure::Wrong(format!("{name}: {problem}")))?;
     check_day(&text, &name)
 }
 
 pub fn check_day(text: &str, name: &str) -> Result<Day, Failure> {
     check::read(text, name).map_err(|problems| {
-        Failure::Wrong(problems.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))
+        Failure::Wrong(
+            problems
+                .iter()
+                .map(ToString::to_string)
+                .collect::<Vec<_>>()
+                .join("\n"),
+        )
     })
 }
 
 pub fn write_json(path: Option<&Path>, value: &impl serde::Serialize) -> Result<(), Failure> {
     let Some(path) = path else { return Ok(()) };
-    let text = serde_json::to_string_pretty(value).map_err(|problem| Failure::Failed(problem.to_string()))?;
+    let text = serde_json::to_string_pretty(value)
+        .map_err(|problem| Failure::Failed(problem.to_string()))?;
     std::fs::write(path, text + "\n")
         .map_err(|problem| Failure::Failed(format!("{}: {problem}", path.display())))
 }
 
 pub fn played(day: &Day, seed: u64, who: &Who, wishes: &Wishes) -> Result<Figures, Failure> {
     let figures = play(day, seed, who, wishes).map_err(Failure::Failed)?;
-    println!("{} with {}, seed {seed}:\n{}", day.name, who.name(), figures.table());
+    println!(
+        "{} with {}, seed {seed}:\n{}",
+        day.name,
+        who.name(),
+        figures.table()
+    );
     Ok(figures)
 }
 
 pub fn sound(figures: &[&Figures]) -> Result<(), Failure> {
     match figures.iter().all(|figures| figures.is_sound()) {
         true => Ok(()),
-        false => Err(Failure::Failed("a rule was broken or a balancer died; see above".into())),
+        false => Err(Failure::Failed(
+            "a rule was broken or a balancer died; see above".into(),
+        )),
     }
 }
 
 /// The balancers named, or the one beside this program.
 pub fn binaries(named: &[PathBuf]) -> Vec<PathBuf> {
-    if named.is_empty() { vec![balancers::own_binary()] } else { named.to_vec() }
+    if named.is_empty() {
+        vec![balancers::own_binary()]
+    } else {
+        named.to_vec()
+    }
 }
 
 pub fn write_report(folder: Option<&Path>, day: &Day, runs: &[&Figures]) -> Result<(), Failure> {
@@ -73,12 +91,20 @@
     let (from, to) = text.split_once("..").ok_or("is no range such as 0..500")?;
     let number = |text: &str| text.parse::<u64>().map_err(|problem| problem.to_string());
     let range = number(from)?..number(to)?;
-    if range.is_empty() { Err("holds no seed".into()) } else { Ok(range) }
+    if range.is_empty() {
+        Err("holds no seed".into())
+    } else {
+        Ok(range)
+    }
 }
 
 pub fn part(text: &str) -> Result<f64, String> {
     let part = text.parse::<f64>().map_err(|problem| problem.to_string())?;
-    if (0.0..1.0).contains(&part) { Ok(part) } else { Err("must be from 0 up to 1".into()) }
+    if (0.0..1.0).contains(&part) {
+        Ok(part)
+    } else {
+        Err("must be from 0 up to 1".into())
+    }
 }
 
 pub fn span(text: &str) -> Result<Duration, String> {
--- a/crates/testbed/src/commands/soaking.rs
+++ b/crates/testbed/src/commands/soaking.rs
@@ -71,10 +71,14 @@
     );
     write_json(options.json.as_deref(), &found)?;
     if found.failed + found.not_played.len() > 0 {
-        return Err(Failure::Failed("a rule was broken or a day not played; see above".into()));
+        return Err(Failure::Failed(
+            "a rule was broken or a day not played; see above".into(),
+        ));
     }
     if found.invalid == found.played.len() {
-        return Err(Failure::Failed("the machine was late on every day: nothing was found out".into()));
+        return Err(Failure::Failed(
+            "the machine was late on every day: nothing was found out".into(),
+        ));
     }
     Ok(())
 }
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -42,7 +42,11 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    let connection = Connection { world: Arc::clone(&world), balancer, stream };
+                    let connection = Connection {
+                        world: Arc::clone(&world),
+                        balancer,
+                        stream,
+                    };
                     tokio::spawn(connection.serve());
                 }
                 Err(_) => tokio::time::sleep(ACCEPT_AGAIN).await,
@@ -63,10 +67,15 @@
     fn read(path: &str) -> Self {
         let number = |name: &str| -> Option<u64> {
             let query = path.split_once('?')?.1;
-            query.split('&').find_map(|part| part.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
+            query
+                .split('&')
+                .find_map(|part| part.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
         };
         let wait = Duration::from_millis(number("timeout_ms").unwrap_or(0));
-        Self { since: number("since"), wait: wait.min(WATCH_MOST) }
+        Self {
+            since: number("since"),
+            wait: wait.min(WATCH_MOST),
+        }
     }
 }
 
@@ -116,7 +125,11 @@
             return Ok(After::Resets);
         }
         let (now, is_watch) = (self.world.now(), call.since.is_some());
-        let slower = self.world.line().wide(Kind::DiscoverySlow, now).map_or(1.0, |(factor, _)| factor);
+        let slower = self
+            .world
+            .line()
+            .wide(Kind::DiscoverySlow, now)
+            .map_or(1.0, |(factor, _)| factor);
         let admission = match self.world.clock.has_begun() {
             true => locked(&self.world.call_queue).admit(now, self.balancer, is_watch, slower),
             // Balancers are started before the day begins, in no time of its own.
@@ -141,7 +154,8 @@
                 Waited::Closed => return Ok(After::Closes),
                 Waited::Silent(from) => {
                     let over = began + call.wait.as_micros() as Micros + COUNTS_AFTER_WAIT;
-                    self.world.excuse(self.balancer, over.max(from + COUNTS_AFTER_SILENCE));
+                    self.world
+                        .excuse(self.balancer, over.max(from + COUNTS_AFTER_SILENCE));
                     // Nothing says that nothing will come.
                     ended(&mut self.stream, kept).await;
                     return Ok(After::Closes);
@@ -152,7 +166,11 @@
     }
 
     async fn wait_for_news(
-        &mut self, since: u64, wait: Duration, began: Micros, kept: &mut Vec<u8>,
+        &mut self,
+        since: u64,
+        wait: Duration,
+        began: Micros,
+        kept: &mut Vec<u8>,
     ) -> Waited {
         let world = Arc::clone(&self.world);
         let until = tokio::time::Instant::now() + wait;
@@ -184,7 +202,11 @@
             let ends = [Kind::WatchesSilent, Kind::WatchesReset, Kind::DiscoveryGone]
                 .into_iter()
                 .filter_map(|kind| world.line().begins_next(kind, now));
-            let next = next.into_iter().chain(ends).map(|at| world.clock.at(at + 1).into()).min();
+            let next = next
+                .into_iter()
+                .chain(ends)
+                .map(|at| world.clock.at(at + 1).into())
+                .min();
             let next = next.unwrap_or(latest).min(latest).min(until);
             tokio::select! {
                 () = sleep_until(next) => {}
@@ -200,12 +222,17 @@
         if let Some(late) = self.span_of(Kind::ListsLate) {
             tokio::time::sleep(late).await;
         }
-        let list = List::of(&world, call.since.filter(|_| !world.strikes(Kind::ListsWhole)));
+        let list = List::of(
+            &world,
+            call.since.filter(|_| !world.strikes(Kind::ListsWhole)),
+        );
         let answer = Answer::word(&list, &world);
         if call.since.is_some() {
             locked(&world.call_queue).answered(world.now(), self.balancer);
         }
-        let cut = world.strikes(Kind::ListsCut).then(|| 1 + world.draw(answer.text.len() - 1));
+        let cut = world
+            .strikes(Kind::ListsCut)
+            .then(|| 1 + world.draw(answer.text.len() - 1));
         let written = &answer.text[..cut.unwrap_or(answer.text.len())];
         match self.span_of(Kind::ListsInPieces) {
             Some(over) => self.write_in_pieces(written, &answer, &list, over).await?,
@@ -226,7 +253,11 @@
     }
 
     async fn write_in_pieces(
-        &mut self, written: &[u8], answer: &Answer, list: &List, over: Duration,
+        &mut self,
+        written: &[u8],
+        answer: &Answer,
+        list: &List,
+        over: Duration,
     ) -> io::Result<()> {
         let pieces = 2 + self.world.draw(PIECES_MOST - 1);
         let length = written.len().div_ceil(pieces).max(1);
@@ -263,12 +294,25 @@
     fn note_gone(&self, list: &List) {
         let now = self.world.now();
         let named = |server: &usize| list.entries.iter().any(|entry| entry.server == *server);
-        let servers = if list.is_whole { self.world.stands().len() } else { 0 };
-        (0..servers).filter(|server| !named(server)).for_each(|server| self.note(now, server, true));
+        let servers = if list.is_whole {
+            self.world.stands().len()
+        } else {
+            0
+        };
+        (0..servers)
+            .filter(|server| !named(server))
+            .for_each(|server| self.note(now, server, true));
     }
 
     fn note(&self, now: Micros, server: usize, drains: bool) {
-        self.world.note(now, Seen::Told { balancer: self.balancer, server, drains });
+        self.world.note(
+            now,
+            Seen::Told {
+                balancer: self.balancer,
+                server,
+                drains,
+            },
+        );
     }
 }
 
@@ -288,9 +332,18 @@
             Some(since) => registry.since(moment, since),
             None => registry.list(moment),
         });
-        let worded = |entry: Entry| world.entry(&entry).map(|target| (entry, target.to_string()));
+        let worded = |entry: Entry| {
+            world
+                .entry(&entry)
+                .map(|target| (entry, target.to_string()))
+        };
         let (entries, targets) = entries.into_iter().filter_map(worded).unzip();
-        Self { version, is_whole: since.is_none(), entries, targets }
+        Self {
+            version,
+            is_whole: since.is_none(),
+            entries,
+            targets,
+        }
     }
 }
 
@@ -303,7 +356,10 @@
 
 impl Answer {
     fn word(list: &List, world: &World) -> Self {
-        let mut body = format!("{{\"rev\":{},\"all\":{},\"targets\":[", list.version, list.is_whole);
+        let mut body = format!(
+            "{{\"rev\":{},\"all\":{},\"targets\":[",
+            list.version, list.is_whole
+        );
         let mut places = Vec::new();
         if world.strikes(Kind::ListsStrange) {
             let strange = json!({"uid": "s-strange", "endpoint": "nowhere", "state": "resting"});
@@ -322,18 +378,38 @@
 
     /// In one of the framings that HTTP/1.1 has, where pieces are to be told apart by them.
     fn framed(body: &str, places: Vec<usize>, world: &World) -> Self {
-        let framing =
-            if world.line().wide(Kind::ListsInPieces, world.now()).is_some() { world.draw(3) } else { 0 };
+        let framing = if world
+            .line()
+            .wide(Kind::ListsInPieces, world.now())
+            .is_some()
+        {
+            world.draw(3)
+        } else {
+            0
+        };
         let (head, tail) = match framing {
             1 => (
-                format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n", body.len()),
+                format!(
+                    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n",
+                    body.len()
+                ),
                 "\r\n0\r\n\r\n",
             ),
-            2 => ("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n".to_owned(), ""),
-            _ => (format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len()), ""),
+            2 => (
+                "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n".to_owned(),
+                "",
+            ),
+            _ => (
+                format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len()),
+                "",
+            ),
         };
         let entries_at = places.into_iter().map(|place| head.len() + place).collect();
-        Self { text: format!("{head}{body}{tail}").into_bytes(), entries_at, lasts: framing != 2 }
+        Self {
+            text: format!("{head}{body}{tail}").into_bytes(),
+            entries_at,
+            lasts: framing != 2,
+        }
     }
 }
 
--- a/crates/testbed/src/explore.rs
+++ b/crates/testbed/src/explore.rs
@@ -101,34 +101,65 @@
 
 fn started(number: usize, now: Micros, rate: u64, life: u64, wish: &Wish) -> Node {
     let names: Vec<Rc<str>> = (0..VOTERS).map(|n| Rc::from(format!("v{n}"))).collect();
-    let name = names.get(number).cloned().unwrap_or_else(|| format!("c{}", number - VOTERS).into());
-    let terms = DutyTerms { voters: names, lease: LEASE };
+    let name = names
+        .get(number)
+        .cloned()
+        .unwrap_or_else(|| format!("c{}", number - VOTERS).into());
+    let terms = DutyTerms {
+        voters: names,
+        lease: LEASE,
+    };
     let at = now * rate / 1_000;
     // A time of day that all agree on to the millisecond: terms then never fall, whoever forgets.
     let wall = 1_000_000 + now / 1_000 - at / 1_000;
-    let mut duties = Duties::planted(at, terms, Rc::clone(&name), lives(number, life), wall, wish.planted);
+    let mut duties = Duties::planted(
+        at,
+        terms,
+        Rc::clone(&name),
+        lives(number, life),
+        wall,
+        wish.planted,
+    );
     if number >= VOTERS {
         duties.want(at, vec![Duty::new(DUTY, None)]);
     }
-    Node { name, duties, rate, lives: life, took: None }
+    Node {
+        name,
+        duties,
+        rate,
+        lives: life,
+        took: None,
+    }
 }
 
 impl State {
     /// Voters that started long ago; the first candidate's clock is as slow as may be, all others as fast.
     fn first(wish: &Wish) -> Self {
         let rate = |number: usize| if number == VOTERS { 990 } else { 1_010 };
-        let mut nodes: Vec<Node> =
-            (0..VOTERS + wish.candidates).map(|number| started(number, 0, rate(number), 1, wish)).collect();
+        let mut nodes: Vec<Node> = (0..VOTERS + wish.candidates)
+            .map(|number| started(number, 0, rate(number), 1, wish))
+            .collect();
         let now = LEASE_MOST * 2;
         for node in &mut nodes[VOTERS..] {
             let at = local(node, now);
             node.duties.want(at, vec![Duty::new(DUTY, None)]);
         }
-        Self { now, nodes, frames: Vec::new(), highest: None, restarts: 0, stops: 0, repeats: 0 }
+        Self {
+            now,
+            nodes,
+            frames: Vec::new(),
+            highest: None,
+            restarts: 0,
+            stops: 0,
+            repeats: 0,
+        }
     }
 
     fn present(&self) -> Vec<Place> {
-        let place = |node: &Node| Place { name: Rc::clone(&node.name), zone: "".into() };
+        let place = |node: &Node| Place {
+            name: Rc::clone(&node.name),
+            zone: "".into(),
+        };
         self.nodes[VOTERS..].iter().map(place).collect()
     }
 
@@ -238,8 +269,10 @@
     /// Sends what one has to say and looks at what it did.
     fn after(&mut self, number: usize) -> Option<String> {
         let life = lives(number, self.nodes[number].lives);
-        let (frames, events) =
-            (self.nodes[number].duties.take_frames(), self.nodes[number].duties.take_events());
+        let (frames, events) = (
+            self.nodes[number].duties.take_frames(),
+            self.nodes[number].duties.take_events(),
+        );
         for (to, frame) in frames {
             if let Some(to) = self.nodes.iter().position(|node| node.name == to) {
                 self.frames.push((number, to, life, false, frame));
@@ -264,7 +297,10 @@
                 DutyEvent::Acted { term, .. } => {
                     let node = &mut self.nodes[number];
                     if node.took.is_some_and(|took| term < took) {
-                        return Some(format!("{} takes an act of {term:?} after {:?}", node.name, node.took));
+                        return Some(format!(
+                            "{} takes an act of {term:?} after {:?}",
+                            node.name, node.took
+                        ));
                     }
                     node.took = Some(term);
                 }
@@ -277,7 +313,8 @@
     fn judge(&self) -> Option<String> {
         let holders = self.holders();
         let names: Vec<&str> = holders.iter().map(|n| &*self.nodes[*n].name).collect();
-        (holders.len() > 1).then(|| format!("two hold the duty at {} us: {}", self.now, names.join(", ")))
+        (holders.len() > 1)
+            .then(|| format!("two hold the duty at {} us: {}", self.now, names.join(", ")))
     }
 
     fn hashed(&self) -> u64 {
@@ -297,7 +334,11 @@
 
 /// All moves from a state on, deeper and deeper; the trace of the first broken promise.
 fn descend(
-    state: &State, left: u8, seen: &mut SeenStates, path: &mut Vec<Move>, wish: &Wish,
+    state: &State,
+    left: u8,
+    seen: &mut SeenStates,
+    path: &mut Vec<Move>,
+    wish: &Wish,
 ) -> Option<String> {
     if left == 0 || seen.len() >= STATES_MOST || wish.over.load(Ordering::Relaxed) {
         return None;
@@ -372,14 +413,23 @@
 /// Every order of moves to the depth, from the start and from where one holds the duty, by a depth more each time, so
 /// that the first trace found is a shortest one; then walks by chance, which go deep and are shrunk where they break.
 pub fn explore(wish: &Wish) -> Explored {
-    let mut found = Explored { depth: wish.depth, whole: true, ..Explored::default() };
-    for (root, from) in [(State::first(wish), "the start"), (held(wish), "where c0 holds it")] {
+    let mut found = Explored {
+        depth: wish.depth,
+        whole: true,
+        ..Explored::default()
+    };
+    for (root, from) in [
+        (State::first(wish), "the start"),
+        (held(wish), "where c0 holds it"),
+    ] {
         let mut seen = SeenStates::new();
         for depth in 1..=wish.depth.min(30) as u8 {
             let mut path = Vec::new();
             seen.clear();
             if let Some(what) = descend(&root, depth, &mut seen, &mut path, wish) {
-                found.broken.push(format!("from {from}: {}", told(&path, &what)));
+                found
+                    .broken
+                    .push(format!("from {from}: {}", told(&path, &what)));
                 return found;
             }
         }
@@ -422,7 +472,10 @@
                 (_, shorter) if shorter.is_empty() => (moves, what),
                 shorter => shorter,
             };
-            broken.push(format!("walk {seed}, shrunk from {long} moves: {}", told(&moves, &what)));
+            broken.push(format!(
+                "walk {seed}, shrunk from {long} moves: {}",
+                told(&moves, &what)
+            ));
             return step;
         }
     }
@@ -437,8 +490,13 @@
 
     #[test]
     fn never_two_hold_one_duty() {
-        let found =
-            explore(&Wish { depth: 4, walks: 200, candidates: 2, planted: None, over: Arc::default() });
+        let found = explore(&Wish {
+            depth: 4,
+            walks: 200,
+            candidates: 2,
+            planted: None,
+            over: Arc::default(),
+        });
         assert_eq!(found.broken, Vec::<String>::new());
         assert!(found.whole && found.states > 1_000, "{found:?}");
     }
@@ -453,6 +511,10 @@
             planted: Some(planted),
             over: Arc::default(),
         });
-        assert!(!found.broken.is_empty(), "{name}: not found in {} walks", found.walks);
+        assert!(
+            !found.broken.is_empty(),
+            "{name}: not found in {} walks",
+            found.walks
+        );
     }
 }
