--- a/crates/testbed/src/figures.rs
+++ b/crates/testbed/src/figures.rs
@@ -23,7 +23,12 @@
 impl Times {
     pub fn of(histogram: &Histogram<u64>) -> Self {
         let at = |part: f64| histogram.value_at_quantile(part) as f64 / 1000.0;
-        Self { p50: at(0.5), p90: at(0.9), p99: at(0.99), max: histogram.max() as f64 / 1000.0 }
+        Self {
+            p50: at(0.5),
+            p90: at(0.9),
+            p99: at(0.99),
+            max: histogram.max() as f64 / 1000.0,
+        }
     }
 }
 
@@ -77,17 +82,36 @@
 const BREAKS_TOLD: usize = 20;
 
 impl Figures {
-    pub fn take(&mut self, collected: &Collected, parts: Parts, by_second: &[f64], ledger: &Ledger) {
+    pub fn take(
+        &mut self,
+        collected: &Collected,
+        parts: Parts,
+        by_second: &[f64],
+        ledger: &Ledger,
+    ) {
         self.tickets = collected.tickets.clone();
         self.latency_ms = Times::of(&collected.latency);
         self.lateness_ms = Times::of(&collected.lateness);
         (self.service, self.service_parts) = (parts.total, parts);
         self.rules_broken_count = ledger.breaks().len();
-        self.rules_broken = ledger.breaks().iter().take(BREAKS_TOLD).map(ToString::to_string).collect();
-        let seconds = by_second.iter().zip(&collected.by_second).map(|(service, histogram)| {
-            let times = Times::of(histogram);
-            Second { service: *service, p50_ms: times.p50, p90_ms: times.p90, p99_ms: times.p99 }
-        });
+        self.rules_broken = ledger
+            .breaks()
+            .iter()
+            .take(BREAKS_TOLD)
+            .map(ToString::to_string)
+            .collect();
+        let seconds = by_second
+            .iter()
+            .zip(&collected.by_second)
+            .map(|(service, histogram)| {
+                let times = Times::of(histogram);
+                Second {
+                    service: *service,
+                    p50_ms: times.p50,
+                    p90_ms: times.p90,
+                    p99_ms: times.p99,
+                }
+            });
         self.seconds = seconds.collect();
     }
 
@@ -97,20 +121,33 @@
         self.rules_broken_count == 0
             && self.deaths.is_empty()
             && self.violations == 0
-            && known.is_none_or(|known| known.wrongly_gone == 0 && known.views_agree_after_ms.is_some())
-            && known.and_then(|known| known.duties.as_ref()).is_none_or(DutiesFound::is_sound)
+            && known
+                .is_none_or(|known| known.wrongly_gone == 0 && known.views_agree_after_ms.is_some())
+            && known
+                .and_then(|known| known.duties.as_ref())
+                .is_none_or(DutiesFound::is_sound)
     }
 
     pub fn table(&self) -> String {
         let mut out = String::new();
-        let Tickets { asked, succeeded, dismissed, abandoned, unanswered, left, unreached } = self.tickets;
+        let Tickets {
+            asked,
+            succeeded,
+            dismissed,
+            abandoned,
+            unanswered,
+            left,
+            unreached,
+        } = self.tickets;
         let mut line = |name: &str, text: String| {
             // Writing to a text cannot fail.
             let _ = writeln!(out, "  {name:<16} {text}");
         };
         line(
             "tickets",
-            format!("{asked} asked, {succeeded} succeeded, {dismissed} dismissed, {abandoned} abandoned"),
+            format!(
+                "{asked} asked, {succeeded} succeeded, {dismissed} dismissed, {abandoned} abandoned"
+            ),
         );
         if unanswered + left + unreached > 0 {
             line(
@@ -121,7 +158,10 @@
             );
         }
         let Times { p50, p90, p99, max } = self.latency_ms;
-        line("answer time", format!("p50 {p50:.1} ms, p90 {p90:.1}, p99 {p99:.1}, longest {max:.1}"));
+        line(
+            "answer time",
+            format!("p50 {p50:.1} ms, p90 {p90:.1}, p99 {p99:.1}, longest {max:.1}"),
+        );
         let parts = &self.service_parts;
         line(
             "service",
@@ -131,38 +171,66 @@
             ),
         );
         if self.cpu_us_per_ticket > 0.0 {
-            let Self { cpu_us_per_ticket: cpu, memory_mb: memory, balancers, .. } = self;
-            line("balancers", format!("{balancers}: {cpu:.0} us of CPU a ticket, {memory:.1} MB at most"));
+            let Self {
+                cpu_us_per_ticket: cpu,
+                memory_mb: memory,
+                balancers,
+                ..
+            } = self;
+            line(
+                "balancers",
+                format!("{balancers}: {cpu:.0} us of CPU a ticket, {memory:.1} MB at most"),
+            );
         }
-        line("dispatches", format!("{:.3} a ticket", self.dispatches_per_ticket));
+        line(
+            "dispatches",
+            format!("{:.3} a ticket", self.dispatches_per_ticket),
+        );
         line(
             "load's lateness",
-            format!("p99 {:.2} ms, most {:.2}", self.lateness_ms.p99, self.lateness_ms.max),
+            format!(
+                "p99 {:.2} ms, most {:.2}",
+                self.lateness_ms.p99, self.lateness_ms.max
+            ),
         );
         line("the lab itself", format!("{:.0} MB", self.lab_memory_mb));
         if let Some(known) = &self.known {
             let agree = known
                 .views_agree_after_ms
-                .map_or("NEVER AGREE".into(), |ms| format!("agree {ms:.0} ms after the last fault"));
+                .map_or("NEVER AGREE".into(), |ms| {
+                    format!("agree {ms:.0} ms after the last fault")
+                });
             line("views", format!("{agree}, of {} looks", known.looks));
             let times = crate::accord::spread(known.detected_ms.clone());
             line(
                 "who is away",
-                format!("noticed after {:.0} ms, worst {:.0} of {}", times.p50, times.worst, times.count),
+                format!(
+                    "noticed after {:.0} ms, worst {:.0} of {}",
+                    times.p50, times.worst, times.count
+                ),
             );
             let all = crate::accord::spread(known.detected_by_all_ms.clone());
             if all.count > 0 {
-                let text = format!("after {:.0} ms, worst {:.0} of {}", all.p50, all.worst, all.count);
+                let text = format!(
+                    "after {:.0} ms, worst {:.0} of {}",
+                    all.p50, all.worst, all.count
+                );
                 line("noticed by all", text);
             }
             line(
                 "discovery",
-                format!("{} calls, {:.2} a second", known.discovery_calls, known.discovery_calls_a_second),
+                format!(
+                    "{} calls, {:.2} a second",
+                    known.discovery_calls, known.discovery_calls_a_second
+                ),
             );
             if known.flooded > 0 {
                 line("strangers sent", known.flooded.to_string());
             }
-            line("refuted", format!("{} doubts, also of who had been stopped", known.refuted));
+            line(
+                "refuted",
+                format!("{} doubts, also of who had been stopped", known.refuted),
+            );
             line(
                 "wrongly gone",
                 format!(
@@ -184,12 +252,17 @@
                 line("duties", text);
                 line(
                     "without a holder",
-                    format!("{:.0} ms (median), worst {:.0} of {}", times.p50, times.worst, times.count),
+                    format!(
+                        "{:.0} ms (median), worst {:.0} of {}",
+                        times.p50, times.worst, times.count
+                    ),
                 );
                 for (how, list) in &duties.without_holder_by {
                     let times = crate::accord::spread(list.clone());
-                    let text =
-                        format!("{how}: {:.0} ms, worst {:.0} of {}", times.p50, times.worst, times.count);
+                    let text = format!(
+                        "{how}: {:.0} ms, worst {:.0} of {}",
+                        times.p50, times.worst, times.count
+                    );
                     line("", text);
                 }
                 duties.why.iter().for_each(|why| line("", why.clone()));
@@ -200,11 +273,17 @@
             0 => line("rules", "none broken".into()),
             count => {
                 line("rules", format!("{count} BROKEN"));
-                self.rules_broken.iter().for_each(|broken| line("", broken.clone()));
+                self.rules_broken
+                    .iter()
+                    .for_each(|broken| line("", broken.clone()));
             }
         }
-        self.deaths.iter().for_each(|death| line("DIED", death.clone()));
-        self.why_invalid.iter().for_each(|why| line("INVALID", why.clone()));
+        self.deaths
+            .iter()
+            .for_each(|death| line("DIED", death.clone()));
+        self.why_invalid
+            .iter()
+            .for_each(|why| line("INVALID", why.clone()));
         out
     }
 }
--- a/crates/testbed/src/fleet/company.rs
+++ b/crates/testbed/src/fleet/company.rs
@@ -38,7 +38,11 @@
         let over = Arc::new(AtomicBool::new(false));
         let (told, known) = (Arc::clone(&over), seeds.clone());
         let thread = std::thread::spawn(move || carry(sockets, &known, &told));
-        Ok(Self { over, thread: Some(thread), seeds })
+        Ok(Self {
+            over,
+            thread: Some(thread),
+            seeds,
+        })
     }
 
     /// The operator file of a balancer that joins them.
@@ -46,7 +50,11 @@
         let key = folder.join("company.key");
         std::fs::write(&key, KEY)?;
         let listen = UdpSocket::bind("127.0.0.1:0")?.local_addr()?;
-        let seeds: Vec<_> = self.seeds.iter().map(|seed| format!("\"{seed}\"")).collect();
+        let seeds: Vec<_> = self
+            .seeds
+            .iter()
+            .map(|seed| format!("\"{seed}\""))
+            .collect();
         let path = folder.join("company.toml");
         let text = format!(
             "[fleet]\nname = \"{FLEET}\"\nkey_file = \"{}\"\nlisten = \"{listen}\"\nseeds = [{}]\n",
@@ -69,10 +77,15 @@
 }
 
 fn carry(sockets: Vec<(SocketAddr, UdpSocket)>, seeds: &[SocketAddr], over: &AtomicBool) {
-    let Ok(key) = Key::new(KEY.as_bytes()) else { return };
+    let Ok(key) = Key::new(KEY.as_bytes()) else {
+        return;
+    };
     let began = Instant::now();
     let now = || began.elapsed().as_micros() as Micros + 1;
-    let born = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
+    let born = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_micros() as u64;
     let mut all: Vec<(Accord, UdpSocket)> = Vec::new();
     for (number, (address, socket)) in sockets.into_iter().enumerate() {
         let part = Part {
@@ -87,7 +100,10 @@
             doubt_least: Part::DOUBT_LEAST,
             struck: Default::default(),
         };
-        all.push((Accord::new(part, key.clone(), number as u64 + 1, now()), socket));
+        all.push((
+            Accord::new(part, key.clone(), number as u64 + 1, now()),
+            socket,
+        ));
     }
     let mut bytes = [0; DATAGRAM_MOST + 1];
     while !over.load(Ordering::Relaxed) {
--- a/crates/testbed/src/fleet/drawn.rs
+++ b/crates/testbed/src/fleet/drawn.rs
@@ -32,7 +32,11 @@
         let at = CALM.0 + chance.span(room * 2 / 3);
         let lasts = (200_000 + chance.span(room / 2)).min(CALM.0 + room - at);
         let on_ways = kind.hits_ways();
-        let count = if on_ways { 1 + chance.below((balancers / 2).max(1)) } else { 1 };
+        let count = if on_ways {
+            1 + chance.below((balancers / 2).max(1))
+        } else {
+            1
+        };
         let side = chance.some_of(count, balancers);
         if !on_ways && hit.contains(&side[0]) {
             continue;
@@ -42,7 +46,11 @@
         }
         let one_way = kind == Kind::LinkCut && chance.happens(0.4);
         let by = (kind == Kind::LinkSlow).then(|| Span(10_000 + chance.span(300_000)));
-        let fault = Fault { one_way, by, ..among(kind, at, lasts, side) };
+        let fault = Fault {
+            one_way,
+            by,
+            ..among(kind, at, lasts, side)
+        };
         day.faults.push(toml::Spanned::new(0..0, fault));
     }
 }
@@ -70,6 +78,10 @@
 pub fn lose(day: &mut Day, part: f64) {
     let all: Vec<usize> = (0..*day.balancers.get_ref()).collect();
     let lossy = among(Kind::LinkLossy, 0, day.length.get_ref().0, all.clone());
-    let fault = Fault { against: Some(all), factor: Some(part), ..lossy };
+    let fault = Fault {
+        against: Some(all),
+        factor: Some(part),
+        ..lossy
+    };
     day.faults.push(toml::Spanned::new(0..0, fault));
 }
--- a/crates/testbed/src/fleet/duties.rs
+++ b/crates/testbed/src/fleet/duties.rs
@@ -127,7 +127,10 @@
 /// A term as it is logged.
 pub fn turn(text: &str) -> Option<Turn> {
     let (number, life) = text.split_once('-')?;
-    Some((u64::from_str_radix(number, 16).ok()?, u64::from_str_radix(life, 16).ok()?))
+    Some((
+        u64::from_str_radix(number, 16).ok()?,
+        u64::from_str_radix(life, 16).ok()?,
+    ))
 }
 
 #[cfg(test)]
@@ -137,8 +140,14 @@
     #[test]
     fn spans_are_read_from_lines_and_held_against_each_other() {
         let lines = DutyLines::default();
-        lines.take(0, "INFO duty taken duty=a term=0000000000000005-00000000000000aa at_us=1000");
-        lines.take(1, "INFO duty taken duty=a term=0000000000000006-00000000000000bb at_us=9000");
+        lines.take(
+            0,
+            "INFO duty taken duty=a term=0000000000000005-00000000000000aa at_us=1000",
+        );
+        lines.take(
+            1,
+            "INFO duty taken duty=a term=0000000000000006-00000000000000bb at_us=9000",
+        );
         lines.take(0, "INFO member joined member=b2");
         // Said late by one that was stopped: it lost it long before.
         lines.take(
@@ -148,7 +157,10 @@
         let found = lines.found(20_000, 0);
         assert_eq!((found.overlaps, found.changes, found.vacant), (0, 1, 0));
         assert_eq!(found.without_holder_by["ran out"], [1.0]);
-        lines.take(2, "INFO duty taken duty=a term=0000000000000007-00000000000000cc at_us=9500");
+        lines.take(
+            2,
+            "INFO duty taken duty=a term=0000000000000007-00000000000000cc at_us=9500",
+        );
         assert_eq!(lines.found(20_000, 0).overlaps, 1);
     }
 }
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -51,10 +51,16 @@
     if day.duties == 0 && !day.roster {
         return String::new();
     }
-    let zones = if day.roster { day.fleet.zones.as_slice() } else { &[] };
+    let zones = if day.roster {
+        day.fleet.zones.as_slice()
+    } else {
+        &[]
+    };
     let zones: Vec<_> = zones.iter().map(|zone| format!("\"{zone}\"")).collect();
     let voters: Vec<_> = (0..VOTERS).map(|voter| format!("\"b{voter}\"")).collect();
-    let own: Vec<_> = (0..day.duties).map(|number| format!("\"job-{number}\"")).collect();
+    let own: Vec<_> = (0..day.duties)
+        .map(|number| format!("\"job-{number}\""))
+        .collect();
     format!(
         "[duties]\nvoters = [{}]\nown = [{}]\nroster = [{}]\n",
         voters.join(", "),
@@ -84,7 +90,8 @@
 impl Addresses {
     pub fn new(balancers: usize) -> std::io::Result<Self> {
         let own = own_address();
-        let free = || UdpSocket::bind((own, 0)).and_then(|socket| Ok((socket.local_addr()?, socket)));
+        let free =
+            || UdpSocket::bind((own, 0)).and_then(|socket| Ok((socket.local_addr()?, socket)));
         // Held together, so that none is given twice; let go for the balancers to take.
         let held: Vec<_> = (0..balancers).map(|_| free()).collect::<Result<_, _>>()?;
         let heard_at: Vec<SocketAddr> = held.iter().map(|one| one.0).collect();
@@ -97,18 +104,34 @@
                 sockets.push((from, to, socket));
             }
         }
-        Ok(Self { heard_at, via, sockets })
+        Ok(Self {
+            heard_at,
+            via,
+            sockets,
+        })
     }
 
     /// Writes the operator file of one balancer at the fleet address of that place.
     pub fn operator_file(
-        &self, day: &Day, number: usize, place: usize, folder: &Path,
+        &self,
+        day: &Day,
+        number: usize,
+        place: usize,
+        folder: &Path,
     ) -> std::io::Result<PathBuf> {
         // One for each, all the same: another balancer may be reading its own meanwhile.
         let key = folder.join(format!("b{number}.key"));
         std::fs::write(&key, "a key for the lab's own fleet\n")?;
-        let seeds: Vec<_> = self.heard_at.iter().take(SEEDS).map(|seed| format!("\"{seed}\"")).collect();
-        let via: Vec<_> = self.via[place].iter().map(|(to, via)| format!("\"{to}\" = \"{via}\"\n")).collect();
+        let seeds: Vec<_> = self
+            .heard_at
+            .iter()
+            .take(SEEDS)
+            .map(|seed| format!("\"{seed}\""))
+            .collect();
+        let via: Vec<_> = self.via[place]
+            .iter()
+            .map(|(to, via)| format!("\"{to}\" = \"{via}\"\n"))
+            .collect();
         let text = format!(
             "[fleet]\nname = \"lab\"\nkey_file = \"{}\"\nlisten = \"{}\"\nseeds = [{}]\nzone = \"{}\"\n[fleet.via]\n{}",
             key.display(),
--- a/crates/testbed/src/fleet/relays.rs
+++ b/crates/testbed/src/fleet/relays.rs
@@ -32,7 +32,11 @@
 
 /// Relays what comes at a socket from one balancer to another's address, until the runtime ends.
 pub fn relay(
-    world: &Arc<World>, from: usize, to: usize, socket: UdpSocket, address: SocketAddr,
+    world: &Arc<World>,
+    from: usize,
+    to: usize,
+    socket: UdpSocket,
+    address: SocketAddr,
     relayed: &Arc<Relayed>,
 ) -> std::io::Result<()> {
     let socket = Arc::new(tokio::net::UdpSocket::from_std(socket)?);
@@ -43,7 +47,9 @@
         let mut bytes = [0; LONGEST];
         loop {
             // A report that nobody took an earlier one comes as an error; the next may be a datagram.
-            let Ok((length, _)) = socket.recv_from(&mut bytes).await else { continue };
+            let Ok((length, _)) = socket.recv_from(&mut bytes).await else {
+                continue;
+            };
             let mut bytes = bytes[..length].to_vec();
             let carried = world.line().ways.carry(from, to, world.now(), &mut chance);
             if carried.copies.is_empty() {
@@ -77,19 +83,28 @@
 
 fn floods(world: &World) -> impl Iterator<Item = Trouble> {
     let troubles = world.line().ways.troubles.clone();
-    troubles.into_iter().filter(|trouble| trouble.kind == Kind::LinkFlood)
+    troubles
+        .into_iter()
+        .filter(|trouble| trouble.kind == Kind::LinkFlood)
 }
 
 /// Strangers send what the day says to the balancers that it names: a third noise, a third of what went past before, a
 /// third of that with a bit turned. Each from a socket of its own, until the runtime ends.
-pub fn flood(world: &Arc<World>, heard_at: &[SocketAddr], relayed: &Arc<Relayed>) -> std::io::Result<()> {
+pub fn flood(
+    world: &Arc<World>,
+    heard_at: &[SocketAddr],
+    relayed: &Arc<Relayed>,
+) -> std::io::Result<()> {
     for (number, trouble) in floods(world).enumerate() {
         for place in trouble.side.clone() {
-            let Some(&address) = heard_at.get(place) else { continue };
+            let Some(&address) = heard_at.get(place) else {
+                continue;
+            };
             let socket = UdpSocket::bind("127.0.0.1:0")?;
             socket.set_nonblocking(true)?;
             let socket = tokio::net::UdpSocket::from_std(socket)?;
-            let (world, relayed, trouble) = (Arc::clone(world), Arc::clone(relayed), trouble.clone());
+            let (world, relayed, trouble) =
+                (Arc::clone(world), Arc::clone(relayed), trouble.clone());
             let mut chance = Chance::split(world.seed, "flood", (number * 1_000 + place) as u64);
             tokio::spawn(async move {
                 let (mut ticks, mut owed) = (tokio::time::interval(BURSTS_APART), 0.0);
--- a/crates/testbed/src/fleet/views.rs
+++ b/crates/testbed/src/fleet/views.rs
@@ -91,13 +91,35 @@
 impl Views {
     pub fn new(world: &World, balancers: usize) -> Self {
         let line = world.line();
-        let events = line.events.iter().filter(|(_, what)| what.balancer().is_some());
-        let over = events.map(|(at, _)| *at).max().unwrap_or(0).max(line.ways.over());
-        let truth = vec![Truth { runs: true, ..Truth::default() }; balancers];
+        let events = line
+            .events
+            .iter()
+            .filter(|(_, what)| what.balancer().is_some());
+        let over = events
+            .map(|(at, _)| *at)
+            .max()
+            .unwrap_or(0)
+            .max(line.ways.over());
+        let truth = vec![
+            Truth {
+                runs: true,
+                ..Truth::default()
+            };
+            balancers
+        ];
         let right = vec![Err("never asked".into()); balancers];
         let presence = Presence::new(balancers);
         let (tenures, lives) = (Tenures::default(), Vec::new());
-        Self { truth, presence, tenures, lives, known: Known::default(), over, right_since: None, right }
+        Self {
+            truth,
+            presence,
+            tenures,
+            lives,
+            known: Known::default(),
+            over,
+            right_since: None,
+            right,
+        }
     }
 
     /// A balancer is about to be killed, stopped, or goes on.
@@ -105,13 +127,20 @@
         let (number, runs, stopped, away) = match what {
             What::BalancerKilled(number) => (number, false, false, Some(now)),
             What::BalancerStopped(number) => (number, false, false, None),
-            What::BalancerPauses(number) => (number, true, true, (stall_lasts >= LONG_STALL).then_some(now)),
+            What::BalancerPauses(number) => (
+                number,
+                true,
+                true,
+                (stall_lasts >= LONG_STALL).then_some(now),
+            ),
             What::BalancerGoesOn(number)
             | What::BalancerStarts(number)
             | What::BalancerTakesPlace(number, _) => (number, true, false, None),
             _ => return,
         };
-        let Some(truth) = self.truth.get_mut(number) else { return };
+        let Some(truth) = self.truth.get_mut(number) else {
+            return;
+        };
         if !runs || matches!(what, What::BalancerStarts(_) | What::BalancerTakesPlace(..)) {
             truth.life = None;
             truth.refuted = 0;
@@ -120,13 +149,17 @@
         (truth.runs, truth.stopped, truth.since, truth.away) = (runs, stopped, now, away);
         truth.noticed.clear();
         truth.by_all = false;
-        self.right.iter_mut().for_each(|right| *right = Err("not asked since".into()));
+        self.right
+            .iter_mut()
+            .for_each(|right| *right = Err("not asked since".into()));
     }
 
     fn wrong(&mut self, now: Micros, what: String) {
         self.known.wrongly_gone += 1;
         if self.known.why.len() < WHYS_KEPT {
-            self.known.why.push(format!("{:.1} s: {what}", now as f64 / 1e6));
+            self.known
+                .why
+                .push(format!("{:.1} s: {what}", now as f64 / 1e6));
         }
     }
 
@@ -155,24 +188,46 @@
         self.truth[number].refuted = view.refuted;
         let held = |seen: &Seen| {
             let gone = seen.standing.contains_key("proven_gone");
-            let said = if gone { Said::ProvenGone } else { Said::MayServe };
-            let earlier = seen.earlier.iter().map(|life| Held { life: life.clone(), said: Said::MayServe });
-            [Held { life: seen.life.clone(), said }].into_iter().chain(earlier).collect::<Vec<_>>()
+            let said = if gone {
+                Said::ProvenGone
+            } else {
+                Said::MayServe
+            };
+            let earlier = seen.earlier.iter().map(|life| Held {
+                life: life.clone(),
+                said: Said::MayServe,
+            });
+            [Held {
+                life: seen.life.clone(),
+                said,
+            }]
+            .into_iter()
+            .chain(earlier)
+            .collect::<Vec<_>>()
         };
         let held: Vec<_> = view.members.iter().flat_map(held).collect();
         // It counts itself too.
-        let wrong = self.presence.view(number, [asked, now], &held, view.may_be_serving.saturating_sub(1));
+        let wrong = self.presence.view(
+            number,
+            [asked, now],
+            &held,
+            view.may_be_serving.saturating_sub(1),
+        );
         wrong.into_iter().for_each(|wrong| self.wrong(now, wrong));
         let mut right = Ok(());
         for other in (0..self.truth.len()).filter(|other| *other != number) {
-            let seen = view.members.iter().find(|seen| seen.name == format!("b{other}"));
+            let seen = view
+                .members
+                .iter()
+                .find(|seen| seen.name == format!("b{other}"));
             let truth = self.truth[other].clone();
             let same = seen.filter(|seen| truth.life.as_ref() == Some(&seen.life));
             if let Some(seen) = same
                 && truth.runs
                 && asked > truth.since
             {
-                let blames = seen.state == "gone" && !truth.stopped && now > truth.since + 10 * SECOND;
+                let blames =
+                    seen.state == "gone" && !truth.stopped && now > truth.since + 10 * SECOND;
                 if blames && !truth.blamed {
                     self.truth[other].blamed = true;
                     self.known.held_gone_while_running += 1;
@@ -184,10 +239,15 @@
                 && self.truth[other].noticed.insert(number)
             {
                 self.known.detected_ms.push((now - away) as f64 / 1_000.0);
-                let runs = |n: &usize| *n != other && self.truth[*n].runs && !self.truth[*n].stopped;
-                let all = (0..self.truth.len()).filter(runs).all(|n| self.truth[other].noticed.contains(&n));
+                let runs =
+                    |n: &usize| *n != other && self.truth[*n].runs && !self.truth[*n].stopped;
+                let all = (0..self.truth.len())
+                    .filter(runs)
+                    .all(|n| self.truth[other].noticed.contains(&n));
                 if all && !std::mem::replace(&mut self.truth[other].by_all, true) {
-                    self.known.detected_by_all_ms.push((now - away) as f64 / 1_000.0);
+                    self.known
+                        .detected_by_all_ms
+                        .push((now - away) as f64 / 1_000.0);
                 }
             }
             let state = seen.map_or("unknown", |seen| seen.state.as_str());
@@ -201,8 +261,14 @@
         }
         self.right[number] = right;
         let running = |n: &usize| self.truth[*n].runs && !self.truth[*n].stopped;
-        let all = (0..self.truth.len()).filter(running).all(|n| self.right[n].is_ok());
-        self.right_since = if all { self.right_since.or(Some(now)) } else { None };
+        let all = (0..self.truth.len())
+            .filter(running)
+            .all(|n| self.right[n].is_ok());
+        self.right_since = if all {
+            self.right_since.or(Some(now))
+        } else {
+            None
+        };
     }
 
     /// Times that a balancer's greatest known term of a duty fell.
@@ -216,15 +282,26 @@
         let after = |since: Micros| since.saturating_sub(self.over) as f64 / 1_000.0;
         known.views_agree_after_ms = self.right_since.map(after);
         if known.views_agree_after_ms.is_none() {
-            let wrong = self.right.iter().filter_map(|right| right.as_ref().err()).take(3);
-            known.why.extend(wrong.map(|wrong| format!("at the end {wrong}")));
+            let wrong = self
+                .right
+                .iter()
+                .filter_map(|right| right.as_ref().err())
+                .take(3);
+            known
+                .why
+                .extend(wrong.map(|wrong| format!("at the end {wrong}")));
         }
         known
     }
 }
 
 /// Asks one balancer until the runtime ends.
-pub async fn watch(world: Arc<World>, views: Arc<Mutex<Views>>, number: usize, address: SocketAddr) {
+pub async fn watch(
+    world: Arc<World>,
+    views: Arc<Mutex<Views>>,
+    number: usize,
+    address: SocketAddr,
+) {
     loop {
         tokio::time::sleep(LOOKS_APART).await;
         let asked = world.now();
--- a/crates/testbed/src/http.rs
+++ b/crates/testbed/src/http.rs
@@ -43,26 +43,40 @@
 }
 
 fn field<'a>(fields: &[Header<'a>], name: &str) -> Option<&'a str> {
-    let found = fields.iter().find(|field| field.name.eq_ignore_ascii_case(name))?;
+    let found = fields
+        .iter()
+        .find(|field| field.name.eq_ignore_ascii_case(name))?;
     std::str::from_utf8(found.value).ok().map(str::trim)
 }
 
 /// Where a body ends; nothing while part is missing. `ended`: no more will come.
 fn body_end(
-    kept: &[u8], head: usize, fields: &[Header], ended: bool, unsaid: Unsaid,
+    kept: &[u8],
+    head: usize,
+    fields: &[Header],
+    ended: bool,
+    unsaid: Unsaid,
 ) -> io::Result<Option<usize>> {
     if let Some(length) = field(fields, "content-length") {
-        let length: usize = length.parse().map_err(|_| bad("a length that is no number"))?;
-        let end =
-            head.checked_add(length).filter(|end| *end <= MESSAGE_MOST).ok_or_else(|| bad("too long"))?;
+        let length: usize = length
+            .parse()
+            .map_err(|_| bad("a length that is no number"))?;
+        let end = head
+            .checked_add(length)
+            .filter(|end| *end <= MESSAGE_MOST)
+            .ok_or_else(|| bad("too long"))?;
         return Ok((kept.len() >= end).then_some(end));
     }
-    if field(fields, "transfer-encoding").is_some_and(|coding| coding.eq_ignore_ascii_case("chunked")) {
+    if field(fields, "transfer-encoding")
+        .is_some_and(|coding| coding.eq_ignore_ascii_case("chunked"))
+    {
         let mut at = head;
         loop {
             match httparse::parse_chunk_size(&kept[at.min(kept.len())..]) {
                 Ok(Status::Complete((line, size))) => {
-                    let size = usize::try_from(size).ok().filter(|size| *size <= MESSAGE_MOST);
+                    let size = usize::try_from(size)
+                        .ok()
+                        .filter(|size| *size <= MESSAGE_MOST);
                     let size = size.ok_or_else(|| bad("too long"))?;
                     at += line + size + 2;
                     if size == 0 {
@@ -96,7 +110,9 @@
         Status::Partial => return Ok(None),
     };
     let fields = &*request.headers;
-    let Some(end) = body_end(kept, head, fields, false, Unsaid::Nothing)? else { return Ok(None) };
+    let Some(end) = body_end(kept, head, fields, false, Unsaid::Nothing)? else {
+        return Ok(None);
+    };
     Ok(Some(Asked {
         method: request.method.unwrap_or("").to_owned(),
         path: request.path.unwrap_or("").to_owned(),
@@ -116,8 +132,11 @@
         Status::Partial => return Ok(None),
     };
     let fields = &*response.headers;
-    let Some(end) = body_end(kept, head, fields, ended, Unsaid::ToTheEnd)? else { return Ok(None) };
-    let stated = field(fields, "content-length").is_some() || field(fields, "transfer-encoding").is_some();
+    let Some(end) = body_end(kept, head, fields, ended, Unsaid::ToTheEnd)? else {
+        return Ok(None);
+    };
+    let stated =
+        field(fields, "content-length").is_some() || field(fields, "transfer-encoding").is_some();
     let closes = field(fields, "connection").is_some_and(|word| word.eq_ignore_ascii_case("close"));
     Ok(Some(Answered {
         status: response.code.unwrap_or(0),
@@ -162,7 +181,11 @@
             return Ok(found);
         }
         if !more(stream, kept).await? {
-            let found = if kept.is_empty() { None } else { answered(kept, true)? };
+            let found = if kept.is_empty() {
+                None
+            } else {
+                answered(kept, true)?
+            };
             return found.ok_or_else(|| io::ErrorKind::UnexpectedEof.into());
         }
     }
@@ -170,11 +193,21 @@
 
 /// A plain answer with a body.
 pub fn answer_text(status: &str, fields: &str, body: &str) -> String {
-    format!("HTTP/1.1 {status}\r\n{fields}Content-Length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "HTTP/1.1 {status}\r\n{fields}Content-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
 
-pub async fn answer(stream: &mut TcpStream, status: &str, fields: &str, body: &str) -> io::Result<()> {
-    stream.write_all(answer_text(status, fields, body).as_bytes()).await
+pub async fn answer(
+    stream: &mut TcpStream,
+    status: &str,
+    fields: &str,
+    body: &str,
+) -> io::Result<()> {
+    stream
+        .write_all(answer_text(status, fields, body).as_bytes())
+        .await
 }
 
 /// Writes in so many pieces, with a millisecond between two.
@@ -211,9 +244,12 @@
     #[case(b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", Some((200, 57..57, false)))]
     #[case(b"HTTP/1.1 200 OK\r\n\r\nab", None)]
     fn answers_are_read_whole(
-        #[case] text: &[u8], #[case] wanted: Option<(u16, std::ops::Range<usize>, bool)>,
+        #[case] text: &[u8],
+        #[case] wanted: Option<(u16, std::ops::Range<usize>, bool)>,
     ) {
-        let found = answered(text, false).unwrap().map(|found| (found.status, found.body, found.lasts));
+        let found = answered(text, false)
+            .unwrap()
+            .map(|found| (found.status, found.body, found.lasts));
         assert_eq!(found, wanted);
     }
 
@@ -231,7 +267,10 @@
     fn requests_tell_their_ticket() {
         let text = b"GET /look/1 HTTP/1.1\r\nX-Txn: ab\r\nX-Remaining-Ms: 90\r\n\r\n";
         let found = asked(text).unwrap().unwrap();
-        assert_eq!((found.id.as_deref(), found.remaining_ms, found.end), (Some("ab"), Some(90), text.len()));
+        assert_eq!(
+            (found.id.as_deref(), found.remaining_ms, found.end),
+            (Some("ab"), Some(90), text.len())
+        );
         assert_eq!(asked(&text[..30]).unwrap(), None);
     }
 }
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -65,17 +65,25 @@
 
 /// An address and a path from a URL. Only this machine is loaded.
 pub fn target(url: &str) -> Result<(SocketAddr, String), String> {
-    let rest = url.strip_prefix("http://").ok_or_else(|| format!("'{url}' is no http:// address"))?;
+    let rest = url
+        .strip_prefix("http://")
+        .ok_or_else(|| format!("'{url}' is no http:// address"))?;
     let (host, path) = rest.find('/').map_or((rest, "/"), |at| rest.split_at(at));
     let host = if host.rsplit(']').next().is_some_and(|end| end.contains(':')) {
         host.to_owned()
     } else {
         format!("{host}:80")
     };
-    let mut found = host.to_socket_addrs().map_err(|problem| format!("'{host}': {problem}"))?;
-    let address = found.next().ok_or_else(|| format!("'{host}' has no address"))?;
+    let mut found = host
+        .to_socket_addrs()
+        .map_err(|problem| format!("'{host}': {problem}"))?;
+    let address = found
+        .next()
+        .ok_or_else(|| format!("'{host}' has no address"))?;
     if !address.ip().is_loopback() {
-        return Err(format!("{address} is not on this machine; the lab loads loopback addresses only"));
+        return Err(format!(
+            "{address} is not on this machine; the lab loads loopback addresses only"
+        ));
     }
     Ok((address, path.to_owned()))
 }
@@ -138,7 +146,9 @@
     }
 
     async fn ticket(&self, due: Instant) {
-        let Plan { path, fields, wait, .. } = &*self.plan;
+        let Plan {
+            path, fields, wait, ..
+        } = &*self.plan;
         let number = self.number.fetch_add(1, Ordering::Relaxed);
         let text = format!(
             "GET {path} HTTP/1.1\r\nHost: lab\r\nX-Txn: {number:016x}\r\nX-Remaining-Ms: {}\r\n{fields}\r\n",
@@ -148,9 +158,12 @@
         let mut end = End::Unanswered;
         // A kept connection that ends without a byte was closed meanwhile: once more, on another.
         for _ in 0..2 {
-            let Ok((stream, kept)) = self.connection().await else { break };
+            let Ok((stream, kept)) = self.connection().await else {
+                break;
+            };
             let exchange =
-                tokio::time::timeout(*wait + WAITS_ON, self.exchange(stream, text.as_bytes())).await;
+                tokio::time::timeout(*wait + WAITS_ON, self.exchange(stream, text.as_bytes()))
+                    .await;
             match exchange {
                 Ok(Ok(status)) => {
                     end = End::Status(status);
@@ -183,7 +196,9 @@
     async fn exchange(&self, mut stream: TcpStream, text: &[u8]) -> Result<u16, bool> {
         stream.write_all(text).await.map_err(|_| true)?;
         let mut heard = Vec::new();
-        let answer = http::read_answer(&mut stream, &mut heard).await.map_err(|_| heard.is_empty())?;
+        let answer = http::read_answer(&mut stream, &mut heard)
+            .await
+            .map_err(|_| heard.is_empty())?;
         if answer.lasts {
             self.idle.borrow_mut().push_back(stream);
             self.freed.notify_one();
@@ -202,7 +217,9 @@
 }
 
 fn work(worker: Worker, mut due: mpsc::Receiver<Instant>) -> io::Result<Part> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     let set = LocalSet::new();
     let worker = Rc::new(worker);
     let until = Instant::now() + worker.plan.lasts;
@@ -218,7 +235,11 @@
         }
     });
     runtime.block_on(set);
-    let blank = Part { counts: Found::default(), latency: histogram(), lateness: histogram() };
+    let blank = Part {
+        counts: Found::default(),
+        latency: histogram(),
+        lateness: histogram(),
+    };
     Ok(worker.found.replace(blank))
 }
 
@@ -239,14 +260,18 @@
     let (number, dropped) = (Arc::new(AtomicU64::new(1)), AtomicU64::new(0));
     let (mut senders, mut workers) = (Vec::new(), Vec::new());
     for thread in 0..threads {
-        let most = plan
-            .clients
-            .map_or(usize::MAX, |clients| clients / threads + usize::from(thread < clients % threads));
+        let most = plan.clients.map_or(usize::MAX, |clients| {
+            clients / threads + usize::from(thread < clients % threads)
+        });
         let (sender, due) = mpsc::channel(pace::QUEUE);
         let (plan, number) = (Arc::clone(&plan), Arc::clone(&number));
         senders.push(sender);
         workers.push(std::thread::spawn(move || {
-            let found = Part { counts: Found::default(), latency: histogram(), lateness: histogram() };
+            let found = Part {
+                counts: Found::default(),
+                latency: histogram(),
+                lateness: histogram(),
+            };
             let worker = Worker {
                 plan,
                 idle: RefCell::default(),
@@ -262,7 +287,12 @@
     }
     let began = Instant::now();
     if let Some(rate) = plan.rate {
-        pace(moments(rate, plan.lasts, plan.seed), &senders, over, &dropped);
+        pace(
+            moments(rate, plan.lasts, plan.seed),
+            &senders,
+            over,
+            &dropped,
+        );
     }
     drop(senders);
     let mut found = Found::default();
@@ -280,13 +310,19 @@
     }
     let took = began.elapsed().min(plan.lasts).as_secs_f64();
     found.dropped = dropped.load(Ordering::Relaxed);
-    (found.rate_asked, found.rate_succeeded) = (found.asked as f64 / took, found.succeeded as f64 / took);
+    (found.rate_asked, found.rate_succeeded) =
+        (found.asked as f64 / took, found.succeeded as f64 / took);
     (found.latency_ms, found.lateness_ms) = (Times::of(&latency), Times::of(&lateness));
     if plan.rate.is_some() && found.lateness_ms.p99 > LATE_MS {
-        found.why_invalid.push(format!("the load was late: p99 {:.2} ms", found.lateness_ms.p99));
+        found.why_invalid.push(format!(
+            "the load was late: p99 {:.2} ms",
+            found.lateness_ms.p99
+        ));
     }
     if found.dropped > 0 {
-        found.why_invalid.push(format!("{} tickets were never sent", found.dropped));
+        found
+            .why_invalid
+            .push(format!("{} tickets were never sent", found.dropped));
     }
     found.valid = found.why_invalid.is_empty();
     Ok(found)
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -32,7 +32,9 @@
 
 use crate::commands::Failure;
 use crate::commands::agreement::{AccordOf, Explore, accord_of, explore};
-use crate::commands::days::{Compare, Demo, FleetDay, Run, Standing, compare, demo, fleet_day, run, stand};
+use crate::commands::days::{
+    Compare, Demo, FleetDay, Run, Standing, compare, demo, fleet_day, run, stand,
+};
 use crate::commands::measuring::{LoadAt, Overhead, load_at, overhead};
 use crate::commands::soaking::{Soak, soak};
 /// Runs pinefront before stand-in servers on this machine, plays days of trouble, and measures.
@@ -73,7 +75,12 @@
 fn watch_signals(over: &Arc<AtomicBool>) {
     let over = Arc::clone(over);
     std::thread::spawn(move || {
-        let Ok(runtime) = tokio::runtime::Builder::new_current_thread().enable_all().build() else { return };
+        let Ok(runtime) = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+        else {
+            return;
+        };
         runtime.block_on(async {
             let term = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate());
             let Ok(mut term) = term else { return };
--- a/crates/testbed/src/overhead.rs
+++ b/crates/testbed/src/overhead.rs
@@ -79,7 +79,10 @@
         if !work.is_zero() {
             tokio::time::sleep(work).await;
         }
-        if http::answer(&mut stream, "200 OK", "", "served\n").await.is_err() {
+        if http::answer(&mut stream, "200 OK", "", "served\n")
+            .await
+            .is_err()
+        {
             return;
         }
     }
@@ -100,18 +103,37 @@
     let (addresses, discovery) = runtime.block_on(async {
         let mut addresses = Vec::new();
         for number in 0..servers {
-            let address = plain_server(wishes.work).await.map_err(|problem| problem.to_string())?;
+            let address = plain_server(wishes.work)
+                .await
+                .map_err(|problem| problem.to_string())?;
             world.listens(number, address, false);
             addresses.push(address);
         }
-        let discovery = discovery::serve(&world, 0).await.map_err(|problem| problem.to_string())?;
+        let discovery = discovery::serve(&world, 0)
+            .await
+            .map_err(|problem| problem.to_string())?;
         Ok::<_, String>((addresses, discovery))
     })?;
-    let company = wishes.members.map(|members| Company::start(members.saturating_sub(1))).transpose();
-    let company = company.map_err(|problem| format!("cannot start the fleet's other members: {problem}"))?;
-    let operator = company.as_ref().map(|company| company.operator_file(&folder.0)).transpose();
+    let company = wishes
+        .members
+        .map(|members| Company::start(members.saturating_sub(1)))
+        .transpose();
+    let company =
+        company.map_err(|problem| format!("cannot start the fleet's other members: {problem}"))?;
+    let operator = company
+        .as_ref()
+        .map(|company| company.operator_file(&folder.0))
+        .transpose();
     let operator = operator.map_err(|problem| problem.to_string())?;
-    let child = Balancer::new(&world.day, 1, 0, &wishes.binary, &folder.0, [discovery; 2], operator);
+    let child = Balancer::new(
+        &world.day,
+        1,
+        0,
+        &wishes.binary,
+        &folder.0,
+        [discovery; 2],
+        operator,
+    );
     let mut child = child.map_err(|problem| problem.to_string())?;
     child.start().map_err(|problem| problem.to_string())?;
     let listen = child.listen;
@@ -179,14 +201,19 @@
     pub fn fleet_row(&self) -> String {
         format!(
             "| {} | {:.2} % | {:.1} | {:.1} | {:.2} | {:.2} | {:.0} |{}",
-            self.members.map_or("no operator file".into(), |members| members.to_string()),
+            self.members
+                .map_or("no operator file".into(), |members| members.to_string()),
             100.0 * self.cpu_part_at_rest,
             self.cpu_us_per_ticket,
             self.memory_mb,
             self.through_p50_ms,
             self.through_p99_ms,
             self.highest_rate,
-            if self.valid { "" } else { " (invalid: the load was late)" }
+            if self.valid {
+                ""
+            } else {
+                " (invalid: the load was late)"
+            }
         )
     }
 
@@ -204,7 +231,11 @@
             self.p99_ratio,
             self.cpu_us_per_ticket,
             self.highest_rate,
-            if self.valid { "" } else { " (invalid: the load was late)" }
+            if self.valid {
+                ""
+            } else {
+                " (invalid: the load was late)"
+            }
         )
     }
 }
--- a/crates/testbed/src/pace.rs
+++ b/crates/testbed/src/pace.rs
@@ -16,7 +16,9 @@
 
 /// Hands each item to the workers in turn at its moment. Ends early when told.
 pub fn pace<T>(
-    due: impl Iterator<Item = (Instant, T)>, workers: &[Sender<T>], over: &Arc<AtomicBool>,
+    due: impl Iterator<Item = (Instant, T)>,
+    workers: &[Sender<T>],
+    over: &Arc<AtomicBool>,
     dropped: &AtomicU64,
 ) {
     for (turn, (moment, item)) in due.enumerate() {
--- a/crates/testbed/src/play.rs
+++ b/crates/testbed/src/play.rs
@@ -83,7 +83,11 @@
 impl Folder {
     pub fn new() -> io::Result<Self> {
         static COUNT: AtomicU64 = AtomicU64::new(0);
-        let name = format!("pinefront-testbed-{}-{}", std::process::id(), COUNT.fetch_add(1, Ordering::Relaxed));
+        let name = format!(
+            "pinefront-testbed-{}-{}",
+            std::process::id(),
+            COUNT.fetch_add(1, Ordering::Relaxed)
+        );
         let path = std::env::temp_dir().join(name);
         std::fs::create_dir(&path)?;
         Ok(Self(path))
@@ -98,7 +102,10 @@
 }
 
 pub fn runtime() -> io::Result<Runtime> {
-    tokio::runtime::Builder::new_multi_thread().worker_threads(WORLD_THREADS).enable_all().build()
+    tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(WORLD_THREADS)
+        .enable_all()
+        .build()
 }
 
 /// Lets this process open as many descriptors as the system allows it.
@@ -115,7 +122,9 @@
     for number in 0..world.stands().len() {
         stand::server(world, number, false)
             .await
-            .map_err(|problem| format!("cannot start the stand-in of server {number}: {problem}"))?;
+            .map_err(|problem| {
+                format!("cannot start the stand-in of server {number}: {problem}")
+            })?;
     }
     Ok(())
 }
@@ -138,7 +147,9 @@
         world.apply_conditions();
         loop {
             let event = world.line().events.get(done).copied();
-            let Some((_, what)) = event.filter(|(at, _)| *at <= world.now()) else { break };
+            let Some((_, what)) = event.filter(|(at, _)| *at <= world.now()) else {
+                break;
+            };
             done += 1;
             if what.balancer().is_some() {
                 // Nobody listens once the day is over.
@@ -147,7 +158,9 @@
             }
             for number in world.happens(what) {
                 if let Err(problem) = stand::server(&world, number, true).await {
-                    eprintln!("pinefront-testbed: cannot start the stand-in of server {number}: {problem}");
+                    eprintln!(
+                        "pinefront-testbed: cannot start the stand-in of server {number}: {problem}"
+                    );
                 }
             }
         }
@@ -166,14 +179,16 @@
 }
 
 async fn start_balancers(world: &Arc<World>, who: &Who, fleet: bool) -> Result<Balancing, String> {
-    let folder = Folder::new().map_err(|problem| format!("cannot make a folder for this run: {problem}"))?;
+    let folder =
+        Folder::new().map_err(|problem| format!("cannot make a folder for this run: {problem}"))?;
     let children = Arc::new(Mutex::new(Vec::new()));
     let (mut addresses, relayed) = (Vec::new(), Arc::new(Relayed::default()));
     let duty_lines = DutyLines::default();
     let mut hear = match fleet {
-        true => {
-            Some(Addresses::new(*world.day.balancers.get_ref()).map_err(|p| format!("no addresses: {p}"))?)
-        }
+        true => Some(
+            Addresses::new(*world.day.balancers.get_ref())
+                .map_err(|p| format!("no addresses: {p}"))?,
+        ),
         false => None,
     };
     let system = match System::is_wanted(&world.day) {
@@ -183,32 +198,42 @@
     if let Some(system) = &system {
         tokio::spawn(system::drive(Arc::clone(world), system.clone()));
     }
-    let sockets = hear.as_mut().map(|hear| std::mem::take(&mut hear.sockets)).unwrap_or_default();
+    let sockets = hear
+        .as_mut()
+        .map(|hear| std::mem::take(&mut hear.sockets))
+        .unwrap_or_default();
     for (from, to, socket) in sockets {
         let heard_at = hear_at(hear.as_ref(), to)?;
         relay(world, from, to, socket, heard_at, &relayed)
             .map_err(|problem| format!("cannot relay between balancers: {problem}"))?;
     }
     if let Some(hear) = &hear {
-        flood(world, &hear.heard_at, &relayed).map_err(|problem| format!("no strangers: {problem}"))?;
+        flood(world, &hear.heard_at, &relayed)
+            .map_err(|problem| format!("no strangers: {problem}"))?;
     }
     for number in 0..*world.day.balancers.get_ref() {
         let mut discovery = Vec::new();
         for _ in 0..2 {
             let address = discovery::serve(world, number).await;
-            discovery.push(address.map_err(|problem| format!("cannot start discovery: {problem}"))?);
+            discovery
+                .push(address.map_err(|problem| format!("cannot start discovery: {problem}"))?);
         }
         match who {
             Who::Policy(policy) => {
                 let address = baseline::start(world, *policy, number).await;
-                addresses
-                    .push(address.map_err(|problem| format!("cannot start a stand-in balancer: {problem}"))?);
+                addresses.push(
+                    address.map_err(|problem| {
+                        format!("cannot start a stand-in balancer: {problem}")
+                    })?,
+                );
             }
             Who::Binary(binary) => {
-                let operator =
-                    hear.as_ref().map(|hear| hear.operator_file(&world.day, number, number, &folder.0));
-                let operator =
-                    operator.transpose().map_err(|problem| format!("no operator file: {problem}"))?;
+                let operator = hear
+                    .as_ref()
+                    .map(|hear| hear.operator_file(&world.day, number, number, &folder.0));
+                let operator = operator
+                    .transpose()
+                    .map_err(|problem| format!("no operator file: {problem}"))?;
                 let child = Balancer::new(
                     &world.day,
                     world.seed,
@@ -218,12 +243,14 @@
                     [discovery[0], discovery[1]],
                     operator,
                 );
-                let mut child =
-                    child.map_err(|problem| format!("cannot set up balancer {number}: {problem}"))?;
+                let mut child = child
+                    .map_err(|problem| format!("cannot set up balancer {number}: {problem}"))?;
                 child.duty_lines = duty_lines.clone();
                 child.system.clone_from(&system);
                 world.lives(number, true);
-                child.start().map_err(|problem| format!("cannot start a balancer: {problem}"))?;
+                child
+                    .start()
+                    .map_err(|problem| format!("cannot start a balancer: {problem}"))?;
                 addresses.push(child.listen);
                 locked(&children).push(child);
             }
@@ -233,16 +260,27 @@
     for number in 0..count {
         wait_ready(&children, number).await?;
     }
-    Ok(Balancing { children, addresses, hear, relayed, duty_lines, folder })
+    Ok(Balancing {
+        children,
+        addresses,
+        hear,
+        relayed,
+        duty_lines,
+        folder,
+    })
 }
 
 fn hear_at(hear: Option<&Addresses>, to: usize) -> Result<SocketAddr, String> {
-    hear.and_then(|hear| hear.heard_at.get(to)).copied().ok_or_else(|| "no such balancer".to_owned())
+    hear.and_then(|hear| hear.heard_at.get(to))
+        .copied()
+        .ok_or_else(|| "no such balancer".to_owned())
 }
 
 /// Kills, stops and starts balancers as the day says.
 async fn balancer_events(
-    load: Arc<Load>, children: Arc<Mutex<Vec<Balancer>>>, views: Arc<Mutex<Views>>,
+    load: Arc<Load>,
+    children: Arc<Mutex<Vec<Balancer>>>,
+    views: Arc<Mutex<Views>>,
     mut events: mpsc::UnboundedReceiver<What>,
 ) {
     while let Some(what) = events.recv().await {
@@ -256,7 +294,8 @@
             {
                 child.stop(stops);
                 load.world.disturb(balancer);
-                load.world.note(load.world.now(), Seen::Stalled { balancer });
+                load.world
+                    .note(load.world.now(), Seen::Stalled { balancer });
             }
             continue;
         }
@@ -310,10 +349,9 @@
                                 child.kill();
                             }
                             if let What::BalancerTakesPlace(_, place) = what {
-                                child.operator = child
-                                    .operator
-                                    .as_ref()
-                                    .map(|file| file.with_file_name(format!("b{balancer}-at-{place}.toml")));
+                                child.operator = child.operator.as_ref().map(|file| {
+                                    file.with_file_name(format!("b{balancer}-at-{place}.toml"))
+                                });
                             }
                             child.start()
                         }
@@ -337,10 +375,17 @@
 
 /// How long a balancer that is stopped now stays so.
 fn stall_lasts(world: &World, what: What) -> Micros {
-    let What::BalancerPauses(balancer) = what else { return 0 };
+    let What::BalancerPauses(balancer) = what else {
+        return 0;
+    };
     let now = world.now();
     let goes_on = |at: &&(Micros, What)| at.0 > now && at.1 == What::BalancerGoesOn(balancer);
-    world.line().events.iter().find(goes_on).map_or(0, |(at, _)| at - now)
+    world
+        .line()
+        .events
+        .iter()
+        .find(goes_on)
+        .map_or(0, |(at, _)| at - now)
 }
 
 /// Plays a day from start to end and tells what was found.
@@ -359,17 +404,33 @@
         }
     }
     let views = Arc::new(Mutex::new(Views::new(&world, balancing.addresses.len())));
-    for (number, address) in balancing.addresses.iter().enumerate().filter(|_| wishes.fleet) {
-        runtime.spawn(watch(Arc::clone(&world), Arc::clone(&views), number, *address));
+    for (number, address) in balancing
+        .addresses
+        .iter()
+        .enumerate()
+        .filter(|_| wishes.fleet)
+    {
+        runtime.spawn(watch(
+            Arc::clone(&world),
+            Arc::clone(&views),
+            number,
+            *address,
+        ));
     }
     let load = Arc::new(Load::new(Arc::clone(&world), balancing.addresses.clone()));
-    let before: u64 = locked(&balancing.children).iter().map(|child| child.used().cpu_us).sum();
+    let before: u64 = locked(&balancing.children)
+        .iter()
+        .map(|child| child.used().cpu_us)
+        .sum();
     if wishes.by_hand {
         by_hand(&world, &balancing);
     }
     world.clock.begin();
     runtime.spawn(told::count(Arc::clone(&world), balancing.addresses.len()));
-    runtime.spawn(stopping::stop_in_the_middle(Arc::clone(&world), balancing.addresses.clone()));
+    runtime.spawn(stopping::stop_in_the_middle(
+        Arc::clone(&world),
+        balancing.addresses.clone(),
+    ));
     let (events, seen) = mpsc::unbounded_channel();
     runtime.spawn(drive(Arc::clone(&world), events));
     let (children, judged) = (Arc::clone(&balancing.children), Arc::clone(&views));
@@ -399,11 +460,19 @@
     if let Some(known) = known.as_mut().filter(|_| day.duties > 0 || day.roster) {
         // The readers of the processes' logs end with these.
         std::thread::sleep(RUNS_OUT);
-        known.duties = Some(balancing.duty_lines.found(over_at, locked(&views).terms_fallen()));
+        known.duties = Some(
+            balancing
+                .duty_lines
+                .found(over_at, locked(&views).terms_fallen()),
+        );
     }
     runtime.shutdown_background();
     let collected = locked(&load.collected);
-    let sends: Vec<u64> = world.stands().iter().map(|stand| stand.sends.load(Ordering::Relaxed)).collect();
+    let sends: Vec<u64> = world
+        .stands()
+        .iter()
+        .map(|stand| stand.sends.load(Ordering::Relaxed))
+        .collect();
     let asked = collected.tickets.asked.max(1) as f64;
     let mut found = Figures {
         day: day.name.clone(),
@@ -423,12 +492,22 @@
         ..Figures::default()
     };
     let tally = &collected.tally;
-    found.take(&collected, tally.parts(day), &tally.by_second(day), &locked(&world.ledger));
+    found.take(
+        &collected,
+        tally.parts(day),
+        &tally.by_second(day),
+        &locked(&world.ledger),
+    );
     if found.lateness_ms.p99 > LATE_MS {
-        found.why_invalid.push(format!("the load itself was late: p99 {:.1} ms", found.lateness_ms.p99));
+        found.why_invalid.push(format!(
+            "the load itself was late: p99 {:.1} ms",
+            found.lateness_ms.p99
+        ));
     }
     if dropped > 0 {
-        found.why_invalid.push(format!("{dropped} tickets were never sent: the load could not keep up"));
+        found.why_invalid.push(format!(
+            "{dropped} tickets were never sent: the load could not keep up"
+        ));
     }
     found.valid = found.why_invalid.is_empty();
     Ok(found)
@@ -446,11 +525,20 @@
     }
     let dropped = Arc::new(AtomicU64::new(0));
     let pacing = {
-        let (world, over, dropped) = (Arc::clone(world), Arc::clone(&wishes.over), Arc::clone(&dropped));
+        let (world, over, dropped) = (
+            Arc::clone(world),
+            Arc::clone(&wishes.over),
+            Arc::clone(&dropped),
+        );
         std::thread::spawn(move || {
             let line = world.line().clone();
             let due = Arrivals::new(&world.day, &line, world.seed);
-            pace(due.map(|ticket| (world.clock.at(ticket.due), ticket)), &senders, &over, &dropped);
+            pace(
+                due.map(|ticket| (world.clock.at(ticket.due), ticket)),
+                &senders,
+                &over,
+                &dropped,
+            );
         })
     };
     let live = wishes.live && io::stderr().is_terminal();
@@ -466,15 +554,19 @@
             told = Instant::now();
             tell_live(load);
         }
-        if pacing.is_finished() && Instant::now() > *ends.get_or_insert_with(|| Instant::now() + LOAD_ENDS) {
+        if pacing.is_finished()
+            && Instant::now() > *ends.get_or_insert_with(|| Instant::now() + LOAD_ENDS)
+        {
             break;
         }
     }
     if live {
         eprintln!();
     }
-    let failed =
-        workers.into_iter().filter(|worker| worker.is_finished()).find_map(|worker| match worker.join() {
+    let failed = workers
+        .into_iter()
+        .filter(|worker| worker.is_finished())
+        .find_map(|worker| match worker.join() {
             Ok(Ok(())) => None,
             Ok(Err(problem)) => Some(format!("the load failed: {problem}")),
             Err(_) => Some("the load failed".into()),
@@ -484,7 +576,10 @@
 
 fn tell_live(load: &Load) {
     let collected = locked(&load.collected);
-    let (asked, p99) = (collected.tickets.asked, collected.latency.value_at_quantile(0.99) as f64 / 1000.0);
+    let (asked, p99) = (
+        collected.tickets.asked,
+        collected.latency.value_at_quantile(0.99) as f64 / 1000.0,
+    );
     let text = format!(
         "\r{:>4} s  {asked} asked  {} succeeded  {} dismissed  {} abandoned  p99 {p99:.0} ms  {} rules broken   ",
         load.world.now() / 1_000_000,
@@ -499,7 +594,9 @@
 }
 
 fn by_hand(world: &World, balancing: &Balancing) {
-    let Some(address) = balancing.addresses.first() else { return };
+    let Some(address) = balancing.addresses.first() else {
+        return;
+    };
     let redoable = world
         .day
         .use_cases
@@ -508,7 +605,9 @@
     if let Some(class) = redoable {
         let name = &class.get_ref().name;
         eprintln!("Ask a balancer yourself while this runs (a new X-Txn each time):");
-        eprintln!("  curl -i -H \"X-Txn: me-$RANDOM\" -H 'X-Remaining-Ms: 1000' http://{address}/{name}/1");
+        eprintln!(
+            "  curl -i -H \"X-Txn: me-$RANDOM\" -H 'X-Remaining-Ms: 1000' http://{address}/{name}/1"
+        );
     }
     eprintln!("Its counters: curl http://{address}/stats");
 }
--- a/crates/testbed/src/play/tests.rs
+++ b/crates/testbed/src/play/tests.rs
@@ -4,7 +4,8 @@
 use crate::baseline::Policy;
 
 fn day(rest: &str) -> Day {
-    pinefront_model::check::read(&format!("name = 'd'\nlength = '1500ms'\n{rest}"), "d.toml").unwrap()
+    pinefront_model::check::read(&format!("name = 'd'\nlength = '1500ms'\n{rest}"), "d.toml")
+        .unwrap()
 }
 
 /// The whole way on sockets, with a balancer of the lab's own: every try has exactly one end.
@@ -18,7 +19,13 @@
     "[traffic]\nleaves = 0.5\nretries = 0\n[[faults]]\nkind = 'silent'\nat = '0s'\nfor = '1500ms'\npart = 0.5"
 )]
 fn every_try_has_one_end(#[case] rest: &str) {
-    let found = play(&day(rest), 1, &Who::Policy(Policy::TwoChoices), &Wishes::default()).unwrap();
+    let found = play(
+        &day(rest),
+        1,
+        &Who::Policy(Policy::TwoChoices),
+        &Wishes::default(),
+    )
+    .unwrap();
     let tickets = &found.tickets;
     let ends = tickets.succeeded
         + tickets.dismissed
@@ -34,10 +41,24 @@
 #[test]
 fn a_drain_takes_a_server_away_and_brings_another() {
     let rest = "[discovery]\ndelay = ['1ms', '2ms']\n[[faults]]\nkind = 'drain'\nat = '300ms'\nfor = '600ms'\nservers = [0]";
-    let found = play(&day(rest), 1, &Who::Policy(Policy::RoundRobin), &Wishes::default()).unwrap();
+    let found = play(
+        &day(rest),
+        1,
+        &Who::Policy(Policy::RoundRobin),
+        &Wishes::default(),
+    )
+    .unwrap();
     assert_eq!(found.servers, 13);
-    assert!(found.sends[12] > 0, "the newcomer is sent tickets: {:?}", found.sends);
-    assert!(found.sends[0] < found.sends[1], "the one that drained gets no more: {:?}", found.sends);
+    assert!(
+        found.sends[12] > 0,
+        "the newcomer is sent tickets: {:?}",
+        found.sends
+    );
+    assert!(
+        found.sends[0] < found.sends[1],
+        "the one that drained gets no more: {:?}",
+        found.sends
+    );
 }
 
 /// A balancer that ends by itself is told with what it said; nothing hangs.
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -29,12 +29,21 @@
 }
 
 fn text(value: &str) -> String {
-    value.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
+    value
+        .replace('&', "&amp;")
+        .replace('<', "&lt;")
+        .replace('>', "&gt;")
+        .replace('"', "&quot;")
 }
 
 /// Curves over the seconds of a day, with faults as bands behind them.
 fn plot(
-    curves: &[Curve], length: f64, faults: &[(f64, f64)], most: f64, unit: &str, legend: SeriesLabelPosition,
+    curves: &[Curve],
+    length: f64,
+    faults: &[(f64, f64)],
+    most: f64,
+    unit: &str,
+    legend: SeriesLabelPosition,
 ) -> Result<String, String> {
     let mut svg = String::new();
     {
@@ -57,11 +66,16 @@
             .map_err(|problem| failed(&problem))?;
         let bands = faults.iter().map(|(from, to)| {
             Rectangle::new(
-                [(*from, 0.0), (to.max(from + length / 400.0).min(length), most)],
+                [
+                    (*from, 0.0),
+                    (to.max(from + length / 400.0).min(length), most),
+                ],
                 FAULT.mix(0.25).filled(),
             )
         });
-        chart.draw_series(bands).map_err(|problem| failed(&problem))?;
+        chart
+            .draw_series(bands)
+            .map_err(|problem| failed(&problem))?;
         for curve in curves {
             let style = curve.colour.stroke_width(2);
             chart
@@ -106,18 +120,31 @@
             .map_err(|problem| failed(&problem))?;
         let bars = sends.iter().enumerate().map(|(place, count)| {
             let left = place as f64;
-            Rectangle::new([(left + 0.1, 0.0), (left + 0.9, *count as f64)], colour.filled())
+            Rectangle::new(
+                [(left + 0.1, 0.0), (left + 0.9, *count as f64)],
+                colour.filled(),
+            )
         });
-        chart.draw_series(bars).map_err(|problem| failed(&problem))?;
+        chart
+            .draw_series(bars)
+            .map_err(|problem| failed(&problem))?;
         area.present().map_err(|problem| failed(&problem))?;
     }
     Ok(svg)
 }
 
 fn curve<'a>(run: &Figures, number: usize, name: &str, of: impl Fn(&Second) -> f64) -> Curve<'a> {
-    let points = run.seconds.iter().enumerate().map(|(second, figures)| (second as f64, of(figures)));
+    let points = run
+        .seconds
+        .iter()
+        .enumerate()
+        .map(|(second, figures)| (second as f64, of(figures)));
     let label = format!("{} (seed {}){name}", run.who, run.seed);
-    Curve { name: label, points: points.collect(), colour: &COLOURS[number % COLOURS.len()] }
+    Curve {
+        name: label,
+        points: points.collect(),
+        colour: &COLOURS[number % COLOURS.len()],
+    }
 }
 
 fn row(run: &Figures) -> String {
@@ -151,10 +178,18 @@
         .faults
         .iter()
         .map(|fault| fault.get_ref())
-        .map(|fault| (fault.at.0 as f64 / 1e6, (fault.at.0 + fault.over.0 + fault.lasts.0) as f64 / 1e6))
+        .map(|fault| {
+            (
+                fault.at.0 as f64 / 1e6,
+                (fault.at.0 + fault.over.0 + fault.lasts.0) as f64 / 1e6,
+            )
+        })
         .collect();
     let each = |name: &str, of: &dyn Fn(&Second) -> f64| -> Vec<Curve> {
-        runs.iter().enumerate().map(|(number, run)| curve(run, number, name, of)).collect()
+        runs.iter()
+            .enumerate()
+            .map(|(number, run)| curve(run, number, name, of))
+            .collect()
     };
     let service = plot(
         &each("", &|second| second.service),
@@ -166,12 +201,19 @@
     )?;
     let mut times = String::new();
     for (heading, of) in [
-        ("p50", &(|second: &Second| second.p50_ms) as &dyn Fn(&Second) -> f64),
+        (
+            "p50",
+            &(|second: &Second| second.p50_ms) as &dyn Fn(&Second) -> f64,
+        ),
         ("p90", &|second: &Second| second.p90_ms),
         ("p99", &|second: &Second| second.p99_ms),
     ] {
         let curves = each(&format!(", {heading}"), of);
-        let most = curves.iter().flat_map(|curve| &curve.points).map(|point| point.1).fold(1.0, f64::max);
+        let most = curves
+            .iter()
+            .flat_map(|curve| &curve.points)
+            .map(|point| point.1)
+            .fold(1.0, f64::max);
         times.push_str(&plot(
             &curves,
             length,
@@ -221,14 +263,32 @@
     out.push_str("<h2>Dispatches by server</h2>\n");
     for (number, run) in runs.iter().enumerate() {
         let plot = bars(&run.sends, &COLOURS[number % COLOURS.len()])?;
-        let _ = write!(out, "<p>{} (seed {})</p>\n{plot}\n", text(&run.who), run.seed);
+        let _ = write!(
+            out,
+            "<p>{} (seed {})</p>\n{plot}\n",
+            text(&run.who),
+            run.seed
+        );
     }
     out.push_str("<h2>Rules</h2>\n");
     for run in runs {
-        let broken = run.rules_broken.iter().chain(&run.deaths).map(|line| text(line)).collect::<Vec<_>>();
-        let said =
-            if broken.is_empty() { "no rule broken, no balancer died".to_owned() } else { broken.join("\n") };
-        let _ = writeln!(out, "<p>{} (seed {})</p><pre>{said}</pre>", text(&run.who), run.seed);
+        let broken = run
+            .rules_broken
+            .iter()
+            .chain(&run.deaths)
+            .map(|line| text(line))
+            .collect::<Vec<_>>();
+        let said = if broken.is_empty() {
+            "no rule broken, no balancer died".to_owned()
+        } else {
+            broken.join("\n")
+        };
+        let _ = writeln!(
+            out,
+            "<p>{} (seed {})</p><pre>{said}</pre>",
+            text(&run.who),
+            run.seed
+        );
     }
     out.push_str("</body></html>\n");
     Ok(out)
@@ -250,10 +310,19 @@
     #[test]
     fn what_a_run_says_cannot_break_the_page() {
         let day =
-            pinefront_model::check::read("name = 'd'\nlength = '2s'\nabout = '<b>&'", "d.toml").unwrap();
+            pinefront_model::check::read("name = 'd'\nlength = '2s'\nabout = '<b>&'", "d.toml")
+                .unwrap();
         let run = Figures {
             who: "a<script>".into(),
-            seconds: vec![Second { service: 0.5, p50_ms: 1.0, p90_ms: 2.0, p99_ms: 3.0 }; 2],
+            seconds: vec![
+                Second {
+                    service: 0.5,
+                    p50_ms: 1.0,
+                    p90_ms: 2.0,
+                    p99_ms: 3.0
+                };
+                2
+            ],
             sends: vec![3, 0, 9],
             rules_broken: vec!["rule 1 <i>".into()],
             rules_broken_count: 1,
--- a/crates/testbed/src/soak/coverage.rs
+++ b/crates/testbed/src/soak/coverage.rs
@@ -19,7 +19,10 @@
 
 /// From its beginning to its end; what happens at one moment counts for a second.
 fn span(fault: &Fault) -> (Micros, Micros) {
-    (fault.at.0, fault.at.0 + fault.over.0 + fault.lasts.0.max(SECOND))
+    (
+        fault.at.0,
+        fault.at.0 + fault.over.0 + fault.lasts.0.max(SECOND),
+    )
 }
 
 fn overlap(one: &Fault, other: &Fault) -> Micros {
@@ -46,5 +49,11 @@
             }
         }
     }
-    met.into_iter().map(|(troubles, (days, requests))| Pair { troubles, days, requests }).collect()
+    met.into_iter()
+        .map(|(troubles, (days, requests))| Pair {
+            troubles,
+            days,
+            requests,
+        })
+        .collect()
 }
--- a/crates/testbed/src/soak/mod.rs
+++ b/crates/testbed/src/soak/mod.rs
@@ -71,8 +71,13 @@
 
 /// Reads a schedule that was drawn.
 pub fn day_of(text: &str) -> Result<Day, String> {
-    check::read(text, "soak")
-        .map_err(|problems| problems.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))
+    check::read(text, "soak").map_err(|problems| {
+        problems
+            .iter()
+            .map(ToString::to_string)
+            .collect::<Vec<_>>()
+            .join("; ")
+    })
 }
 
 fn played(seed: u64, day: &Day, figures: &Figures) -> Played {
@@ -95,15 +100,25 @@
 fn one(wish: &Wish, seed: u64, over: &Arc<AtomicBool>) -> Result<(Played, Day), String> {
     let text = schedule::draw(seed, &wish.shape);
     let day = day_of(&text)?;
-    let wishes = Wishes { over: Arc::clone(over), ..Wishes::default() };
+    let wishes = Wishes {
+        over: Arc::clone(over),
+        ..Wishes::default()
+    };
     let figures = play(&day, seed, &wish.who, &wishes)?;
     let mut played = played(seed, &day, &figures);
     if !played.is_sound() {
-        let text = if wish.shrinks { shrink::shrink(&text, seed, &wish.who, over) } else { text };
+        let text = if wish.shrinks {
+            shrink::shrink(&text, seed, &wish.who, over)
+        } else {
+            text
+        };
         std::fs::create_dir_all(&wish.save).map_err(|problem| problem.to_string())?;
         let path = wish.save.join(format!("soak-{seed}.toml"));
         std::fs::write(&path, text).map_err(|problem| format!("{}: {problem}", path.display()))?;
-        played.again = Some(format!("pinefront-testbed run {} --seed {seed}", path.display()));
+        played.again = Some(format!(
+            "pinefront-testbed run {} --seed {seed}",
+            path.display()
+        ));
     }
     Ok((played, day))
 }
@@ -121,12 +136,22 @@
         played.succeeded,
         played.troubles.join(" + ")
     );
-    played.broken.iter().take(3).for_each(|broken| println!("    {broken}"));
+    played
+        .broken
+        .iter()
+        .take(3)
+        .for_each(|broken| println!("    {broken}"));
     if played.violations > 0 {
         println!("    {} violations of balancers' guards", played.violations);
     }
-    played.deaths.iter().for_each(|death| println!("    {death}"));
-    played.again.iter().for_each(|again| println!("    again: {again}"));
+    played
+        .deaths
+        .iter()
+        .for_each(|death| println!("    {death}"));
+    played
+        .again
+        .iter()
+        .for_each(|again| println!("    again: {again}"));
 }
 
 /// Plays all seeds, some side by side.
@@ -149,7 +174,9 @@
                         }
                         Err(problem) => {
                             println!("seed {seed:>5}  not played: {problem}");
-                            locked(&found).not_played.push(format!("seed {seed}: {problem}"));
+                            locked(&found)
+                                .not_played
+                                .push(format!("seed {seed}: {problem}"));
                         }
                     }
                 }
@@ -158,7 +185,13 @@
     });
     let mut found = found.into_inner().unwrap_or_default();
     found.played.sort_by_key(|played| played.seed);
-    let broke = |valid: bool| found.played.iter().filter(|one| !one.is_sound() && one.valid == valid).count();
+    let broke = |valid: bool| {
+        found
+            .played
+            .iter()
+            .filter(|one| !one.is_sound() && one.valid == valid)
+            .count()
+    };
     (found.failed, found.doubtful) = (broke(true), broke(false));
     found.invalid = found.played.iter().filter(|played| !played.valid).count();
     found.pairs = coverage::pairs(&locked(&days));
--- a/crates/testbed/src/soak/schedule.rs
+++ b/crates/testbed/src/soak/schedule.rs
@@ -34,37 +34,125 @@
 }
 
 const fn of(name: &'static str, kind: Kind, lasts: [u64; 2]) -> Trouble {
-    Trouble { name, kind, lasts, factor: None, by: None, servers: None, balancers: None }
+    Trouble {
+        name,
+        kind,
+        lasts,
+        factor: None,
+        by: None,
+        servers: None,
+        balancers: None,
+    }
 }
 
 const TROUBLES: [Trouble; 29] = [
-    Trouble { balancers: Some(0.5), ..of("balancer_stopped", Kind::BalancerStopped, [3_000, 6_000]) },
-    Trouble { balancers: Some(0.5), ..of("balancer_killed", Kind::BalancerKilled, [300, 3_000]) },
-    Trouble { balancers: Some(0.3), ..of("balancer_stalled", Kind::BalancerStalled, [100, 2_000]) },
-    Trouble { balancers: Some(1.0), ..of("balancer_reloaded", Kind::BalancerReloaded, [0, 0]) },
-    Trouble { servers: Some(0.5), ..of("drain", Kind::Drain, [3_000, 6_000]) },
-    Trouble { servers: Some(0.4), ..of("crash", Kind::Crash, [500, 4_000]) },
-    Trouble { servers: Some(0.4), ..of("cold", Kind::Cold, [1_000, 1_000]) },
-    Trouble { servers: Some(0.5), ..of("freeze", Kind::Freeze, [300, 4_000]) },
-    Trouble { servers: Some(0.4), ..of("silent", Kind::Silent, [300, 4_000]) },
-    Trouble { servers: Some(0.5), factor: Some([0.1, 0.6]), ..of("lost", Kind::Lost, [2_000, 5_000]) },
-    Trouble { servers: Some(0.6), factor: Some([0.1, 0.8]), ..of("errors", Kind::Errors, [2_000, 5_000]) },
-    Trouble { servers: Some(0.6), factor: Some([0.1, 0.8]), ..of("spoilt", Kind::Spoilt, [2_000, 5_000]) },
-    Trouble { servers: Some(0.6), factor: Some([0.1, 0.8]), ..of("reset", Kind::Reset, [2_000, 5_000]) },
-    Trouble { servers: Some(0.5), factor: Some([2.0, 8.0]), ..of("slow", Kind::Slow, [2_000, 5_000]) },
+    Trouble {
+        balancers: Some(0.5),
+        ..of("balancer_stopped", Kind::BalancerStopped, [3_000, 6_000])
+    },
+    Trouble {
+        balancers: Some(0.5),
+        ..of("balancer_killed", Kind::BalancerKilled, [300, 3_000])
+    },
+    Trouble {
+        balancers: Some(0.3),
+        ..of("balancer_stalled", Kind::BalancerStalled, [100, 2_000])
+    },
+    Trouble {
+        balancers: Some(1.0),
+        ..of("balancer_reloaded", Kind::BalancerReloaded, [0, 0])
+    },
+    Trouble {
+        servers: Some(0.5),
+        ..of("drain", Kind::Drain, [3_000, 6_000])
+    },
+    Trouble {
+        servers: Some(0.4),
+        ..of("crash", Kind::Crash, [500, 4_000])
+    },
+    Trouble {
+        servers: Some(0.4),
+        ..of("cold", Kind::Cold, [1_000, 1_000])
+    },
+    Trouble {
+        servers: Some(0.5),
+        ..of("freeze", Kind::Freeze, [300, 4_000])
+    },
+    Trouble {
+        servers: Some(0.4),
+        ..of("silent", Kind::Silent, [300, 4_000])
+    },
+    Trouble {
+        servers: Some(0.5),
+        factor: Some([0.1, 0.6]),
+        ..of("lost", Kind::Lost, [2_000, 5_000])
+    },
+    Trouble {
+        servers: Some(0.6),
+        factor: Some([0.1, 0.8]),
+        ..of("errors", Kind::Errors, [2_000, 5_000])
+    },
+    Trouble {
+        servers: Some(0.6),
+        factor: Some([0.1, 0.8]),
+        ..of("spoilt", Kind::Spoilt, [2_000, 5_000])
+    },
+    Trouble {
+        servers: Some(0.6),
+        factor: Some([0.1, 0.8]),
+        ..of("reset", Kind::Reset, [2_000, 5_000])
+    },
+    Trouble {
+        servers: Some(0.5),
+        factor: Some([2.0, 8.0]),
+        ..of("slow", Kind::Slow, [2_000, 5_000])
+    },
     of("discovery_gone", Kind::DiscoveryGone, [1_000, 6_000]),
-    Trouble { by: Some([500, 4_000]), ..of("discovery_stale", Kind::DiscoveryStale, [2_000, 5_000]) },
+    Trouble {
+        by: Some([500, 4_000]),
+        ..of("discovery_stale", Kind::DiscoveryStale, [2_000, 5_000])
+    },
     of("watches_silent", Kind::WatchesSilent, [500, 3_000]),
-    Trouble { factor: Some([1.3, 2.5]), ..of("burst", Kind::Burst, [1_000, 4_000]) },
-    Trouble { factor: Some([0.2, 1.0]), ..of("clients_in_pieces", Kind::ClientsInPieces, [2_000, 6_000]) },
-    Trouble { factor: Some([1.0, 5.0]), ..of("clients_stop", Kind::ClientsStop, [2_000, 6_000]) },
-    Trouble { factor: Some([0.2, 1.0]), ..of("clients_pipeline", Kind::ClientsPipeline, [2_000, 6_000]) },
-    Trouble { factor: Some([0.2, 1.0]), ..of("answers_in_pieces", Kind::AnswersInPieces, [2_000, 6_000]) },
-    Trouble { factor: Some([0.2, 1.0]), ..of("answers_unended", Kind::AnswersUnended, [2_000, 6_000]) },
-    Trouble { factor: Some([0.05, 0.5]), ..of("answers_twice", Kind::AnswersTwice, [2_000, 6_000]) },
-    Trouble { by: Some([5, 300]), ..of("idle_closed", Kind::IdleClosed, [2_000, 6_000]) },
-    Trouble { factor: Some([0.01, 0.3]), ..of("system_fails", Kind::SystemFails, [2_000, 6_000]) },
-    Trouble { factor: Some([0.05, 0.5]), ..of("calls_short", Kind::CallsShort, [2_000, 6_000]) },
+    Trouble {
+        factor: Some([1.3, 2.5]),
+        ..of("burst", Kind::Burst, [1_000, 4_000])
+    },
+    Trouble {
+        factor: Some([0.2, 1.0]),
+        ..of("clients_in_pieces", Kind::ClientsInPieces, [2_000, 6_000])
+    },
+    Trouble {
+        factor: Some([1.0, 5.0]),
+        ..of("clients_stop", Kind::ClientsStop, [2_000, 6_000])
+    },
+    Trouble {
+        factor: Some([0.2, 1.0]),
+        ..of("clients_pipeline", Kind::ClientsPipeline, [2_000, 6_000])
+    },
+    Trouble {
+        factor: Some([0.2, 1.0]),
+        ..of("answers_in_pieces", Kind::AnswersInPieces, [2_000, 6_000])
+    },
+    Trouble {
+        factor: Some([0.2, 1.0]),
+        ..of("answers_unended", Kind::AnswersUnended, [2_000, 6_000])
+    },
+    Trouble {
+        factor: Some([0.05, 0.5]),
+        ..of("answers_twice", Kind::AnswersTwice, [2_000, 6_000])
+    },
+    Trouble {
+        by: Some([5, 300]),
+        ..of("idle_closed", Kind::IdleClosed, [2_000, 6_000])
+    },
+    Trouble {
+        factor: Some([0.01, 0.3]),
+        ..of("system_fails", Kind::SystemFails, [2_000, 6_000])
+    },
+    Trouble {
+        factor: Some([0.05, 0.5]),
+        ..of("calls_short", Kind::CallsShort, [2_000, 6_000])
+    },
     Trouble {
         factor: Some([0.001, 0.02]),
         ..of("connections_break", Kind::ConnectionsBreak, [2_000, 6_000])
@@ -84,13 +172,25 @@
 
 /// The name of a trouble in a schedule.
 pub fn name(kind: Kind) -> String {
-    let known = TROUBLES.iter().find(|trouble| trouble.kind == kind).map(|trouble| trouble.name);
-    known.unwrap_or(if kind == Kind::ClockSteps { "clock_steps" } else { "other" }).to_owned()
+    let known = TROUBLES
+        .iter()
+        .find(|trouble| trouble.kind == kind)
+        .map(|trouble| trouble.name);
+    known
+        .unwrap_or(if kind == Kind::ClockSteps {
+            "clock_steps"
+        } else {
+            "other"
+        })
+        .to_owned()
 }
 
 /// The troubles of a day by name.
 pub fn troubles(day: &Day) -> Vec<String> {
-    day.faults.iter().map(|fault| name(fault.get_ref().kind)).collect()
+    day.faults
+        .iter()
+        .map(|fault| name(fault.get_ref().kind))
+        .collect()
 }
 
 /// Draws a day as a file would hold it.
@@ -123,7 +223,14 @@
                     (false, 0) => all.collect(),
                     (false, _) => all.skip(1).step_by(2).collect(),
                 };
-                write_trouble(&mut text, trouble, [at, most], balancers, &servers, &mut chance);
+                write_trouble(
+                    &mut text,
+                    trouble,
+                    [at, most],
+                    balancers,
+                    &servers,
+                    &mut chance,
+                );
             }
         }
         if knot == 0 && chance.happens(0.25) {
@@ -136,10 +243,21 @@
             );
         }
     }
-    for wanted in shape.with.iter().filter(|wanted| !taken.contains(&wanted.as_str())) {
+    for wanted in shape
+        .with
+        .iter()
+        .filter(|wanted| !taken.contains(&wanted.as_str()))
+    {
         if let Some(trouble) = TROUBLES.iter().find(|trouble| trouble.name == wanted) {
             let odd: Vec<usize> = (1..SERVERS[0]).step_by(2).collect();
-            write_trouble(&mut text, trouble, [length_ms / 8, length_ms / 2], balancers, &odd, &mut chance);
+            write_trouble(
+                &mut text,
+                trouble,
+                [length_ms / 8, length_ms / 2],
+                balancers,
+                &odd,
+                &mut chance,
+            );
         }
     }
     text
@@ -173,7 +291,11 @@
 }
 
 fn write_trouble(
-    text: &mut String, trouble: &Trouble, [at, most]: [u64; 2], balancers: usize, servers: &[usize],
+    text: &mut String,
+    trouble: &Trouble,
+    [at, most]: [u64; 2],
+    balancers: usize,
+    servers: &[usize],
     chance: &mut Chance,
 ) {
     let between = |chance: &mut Chance, [least, most]: [u64; 2]| {
@@ -181,7 +303,11 @@
     };
     let lasts = between(chance, trouble.lasts).min(most);
     // Writing to a text cannot fail.
-    let _ = write!(text, "[[faults]]\nkind = \"{}\"\nat = \"{at}ms\"\nfor = \"{lasts}ms\"\n", trouble.name);
+    let _ = write!(
+        text,
+        "[[faults]]\nkind = \"{}\"\nat = \"{at}ms\"\nfor = \"{lasts}ms\"\n",
+        trouble.name
+    );
     if let Some([least, most]) = trouble.factor {
         let _ = writeln!(text, "factor = {:.4}", chance.between(least, most));
     }
@@ -191,13 +317,24 @@
     if let Some(part) = trouble.servers {
         let count = 1 + chance.below((part * servers.len() as f64).ceil() as usize);
         let named = chance.some_of(count.min(servers.len()), servers.len());
-        let named: Vec<_> = named.into_iter().map(|place| servers[place].to_string()).collect();
+        let named: Vec<_> = named
+            .into_iter()
+            .map(|place| servers[place].to_string())
+            .collect();
         let _ = writeln!(text, "servers = [{}]", named.join(", "));
     }
     if let Some(part) = trouble.balancers {
         let count = 1 + chance.below((part * balancers as f64).ceil() as usize);
-        let named: Vec<_> =
-            chance.some_of(count.min(balancers), balancers).iter().map(ToString::to_string).collect();
-        let _ = writeln!(text, "balancers = [{}]\nover = \"{}ms\"", named.join(", "), chance.below(1_500));
+        let named: Vec<_> = chance
+            .some_of(count.min(balancers), balancers)
+            .iter()
+            .map(ToString::to_string)
+            .collect();
+        let _ = writeln!(
+            text,
+            "balancers = [{}]\nover = \"{}ms\"",
+            named.join(", "),
+            chance.below(1_500)
+        );
     }
 }
--- a/crates/testbed/src/soak/shrink.rs
+++ b/crates/testbed/src/soak/shrink.rs
@@ -10,7 +10,10 @@
 const FAULT: &str = "[[faults]]\n";
 
 fn fails(text: &str, seed: u64, who: &Who, over: &Arc<AtomicBool>) -> bool {
-    let wishes = Wishes { over: Arc::clone(over), ..Wishes::default() };
+    let wishes = Wishes {
+        over: Arc::clone(over),
+        ..Wishes::default()
+    };
     let played = day_of(text).and_then(|day| play(&day, seed, who, &wishes));
     played.is_ok_and(|figures| !figures.is_sound())
 }
@@ -28,7 +31,10 @@
 }
 
 /// Leaves out each part but the first, the head, without which it still fails.
-pub fn without_needless<'a>(parts: &[&'a str], mut fails: impl FnMut(&[&'a str]) -> bool) -> Vec<&'a str> {
+pub fn without_needless<'a>(
+    parts: &[&'a str],
+    mut fails: impl FnMut(&[&'a str]) -> bool,
+) -> Vec<&'a str> {
     let mut kept = parts.to_vec();
     let mut at = 1;
     while at < kept.len() && kept.len() > 2 {
--- a/crates/testbed/src/soak/tests.rs
+++ b/crates/testbed/src/soak/tests.rs
@@ -2,7 +2,12 @@
 
 use super::*;
 
-const SHAPE: Shape = Shape { seconds: 20, balancers: None, rate: 200.0, with: Vec::new() };
+const SHAPE: Shape = Shape {
+    seconds: 20,
+    balancers: None,
+    rate: 200.0,
+    with: Vec::new(),
+};
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(300))]
@@ -17,7 +22,9 @@
 
 #[test]
 fn troubles_overlap_in_most_days() {
-    let days: Vec<_> = (0..50).map(|seed| (0, day_of(&schedule::draw(seed, &SHAPE)).unwrap())).collect();
+    let days: Vec<_> = (0..50)
+        .map(|seed| (0, day_of(&schedule::draw(seed, &SHAPE)).unwrap()))
+        .collect();
     let met = |day: &(u64, Day)| !coverage::pairs(std::slice::from_ref(day)).is_empty();
     assert!(days.iter().filter(|day| met(day)).count() >= 45);
 }
--- a/crates/testbed/src/stand.rs
+++ b/crates/testbed/src/stand.rs
@@ -28,7 +28,9 @@
 /// Starts a server's stand-in on a new address. It ends when the server's life does.
 pub async fn server(world: &Arc<World>, number: usize, told: bool) -> io::Result<()> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
-    let Some(stand) = world.stand(number) else { return Ok(()) };
+    let Some(stand) = world.stand(number) else {
+        return Ok(());
+    };
     world.listens(number, listener.local_addr()?, told);
     let life = *stand.life.borrow();
     tokio::spawn(timer(Arc::clone(world), Arc::clone(&stand), life));
@@ -63,7 +65,9 @@
     let mut lives = stand.life.subscribe();
     loop {
         let latest = tokio::time::Instant::now() + LOOKS_AT_LEAST;
-        let next = world.advance(&stand).map_or(latest, |next| world.clock.at(next).into());
+        let next = world
+            .advance(&stand)
+            .map_or(latest, |next| world.clock.at(next).into());
         tokio::select! {
             () = sleep_until(next) => {}
             () = stand.look.notified() => {}
@@ -106,16 +110,24 @@
     loop {
         let mut began: Option<Micros> = (!kept.is_empty()).then(|| world.now());
         let asked = loop {
-            match if kept.is_empty() { Ok(None) } else { http::asked(&kept) } {
+            match if kept.is_empty() {
+                Ok(None)
+            } else {
+                http::asked(&kept)
+            } {
                 Ok(Some(asked)) => break asked,
                 Ok(None) => {}
                 Err(_) => return Over::Closed,
             }
             let short = world.line().wide(Kind::IdleClosed, world.now());
-            let idle = short.map_or(usual_idle, |(_, by)| usual_idle.min(Duration::from_micros(by)));
+            let idle = short.map_or(usual_idle, |(_, by)| {
+                usual_idle.min(Duration::from_micros(by))
+            });
             match timeout(idle, http::more(stream, &mut kept)).await {
                 Ok(Ok(true)) => _ = began.get_or_insert_with(|| world.now()),
-                Err(_) if short.is_some() && kept.is_empty() && world.drawn(0.5) => return Over::Reset,
+                Err(_) if short.is_some() && kept.is_empty() && world.drawn(0.5) => {
+                    return Over::Reset;
+                }
                 // It ended, broke, or stood idle for too long.
                 _ => return Over::Closed,
             }
@@ -123,21 +135,35 @@
         let began = began.unwrap_or_else(|| world.now());
         kept.drain(..asked.end);
         let Some(id) = asked.id else {
-            if http::answer(stream, "404 Not Found", "", "no ticket\n").await.is_err() {
+            if http::answer(stream, "404 Not Found", "", "no ticket\n")
+                .await
+                .is_err()
+            {
                 return Over::Reset;
             }
             continue;
         };
         let (known, Some(ticket)) = world.ticket(&id, &asked.path) else {
-            if http::answer(stream, "400 Bad Request", "", "no such ticket\n").await.is_err() {
+            if http::answer(stream, "400 Bad Request", "", "no such ticket\n")
+                .await
+                .is_err()
+            {
                 return Over::Reset;
             }
             continue;
         };
         if let Some((ticket, told)) = known.zip(asked.remaining_ms) {
-            world.note(world.now(), Seen::ToldTime { ticket, began, told: told * 1000 });
+            world.note(
+                world.now(),
+                Seen::ToldTime {
+                    ticket,
+                    began,
+                    told: told * 1000,
+                },
+            );
         }
-        let (job, answer) = world.sent(stand, known, &ticket, began, std::mem::take(&mut handshake));
+        let (job, answer) =
+            world.sent(stand, known, &ticket, began, std::mem::take(&mut handshake));
         let how = tokio::select! {
             how = answer => how.unwrap_or(How::Died),
             // More bytes are no end: they are kept for the next ticket. An end is a call off.
@@ -156,7 +182,13 @@
                 return Over::Closed;
             }
             How::Full => {
-                http::answer(stream, "503 Service Unavailable", "X-Turned-Away: 1\r\n", "full\n").await
+                http::answer(
+                    stream,
+                    "503 Service Unavailable",
+                    "X-Turned-Away: 1\r\n",
+                    "full\n",
+                )
+                .await
             }
             How::Failed => http::answer(stream, "500 Internal Server Error", "", "failed\n").await,
             How::Reset | How::Died => return Over::Reset,
@@ -176,7 +208,12 @@
     while let Ok(true) = http::more(stream, kept).await {}
 }
 
-async fn succeeded(world: &World, stand: &Stand, stream: &mut TcpStream, id: &str) -> io::Result<()> {
+async fn succeeded(
+    world: &World,
+    stand: &Stand,
+    stream: &mut TcpStream,
+    id: &str,
+) -> io::Result<()> {
     let load = stand.report(world.now()).map_or_else(String::new, |load| {
         format!(
             "X-Pressure: TEXT inflight={}, queue={}, util={:.2}\r\n",
@@ -199,12 +236,20 @@
 /// An answer that states no length, and ends with its connection: in order, or by a reset on the way.
 async fn unended(stream: &mut TcpStream, id: &str, resets: bool) -> Over {
     let body = body(id);
-    let sent = if resets { &body[..body.len() / 2] } else { &body };
+    let sent = if resets {
+        &body[..body.len() / 2]
+    } else {
+        &body
+    };
     let text = format!("HTTP/1.1 200 OK\r\n\r\n{sent}");
     let written = stream.write_all(text.as_bytes()).await;
     // The reset must not overtake what was written.
     tokio::time::sleep(Duration::from_millis(2)).await;
-    if resets || written.is_err() { Over::Reset } else { Over::Closed }
+    if resets || written.is_err() {
+        Over::Reset
+    } else {
+        Over::Closed
+    }
 }
 
 /// The body that a server makes for a ticket.
@@ -216,7 +261,10 @@
 async fn spoilt(world: &World, stream: &mut TcpStream, id: &str) {
     let body = body(id);
     let text = match world.draw(3) {
-        0 => format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len() + 40),
+        0 => format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len() + 40
+        ),
         1 => format!("\u{1}\u{2}/9.9 OK 200\r\n\r\n{body}"),
         _ => format!("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 90\r\n\r\n{body}"),
     };
--- a/crates/testbed/src/standing.rs
+++ b/crates/testbed/src/standing.rs
@@ -21,7 +21,11 @@
 const LOOKS_APART: Duration = Duration::from_millis(100);
 
 pub fn stand_alone(
-    day: &Day, page: SocketAddr, listen: SocketAddr, config: &Path, over: &AtomicBool,
+    day: &Day,
+    page: SocketAddr,
+    listen: SocketAddr,
+    config: &Path,
+    over: &AtomicBool,
 ) -> Result<(), String> {
     let runtime = runtime().map_err(|problem| format!("cannot start threads: {problem}"))?;
     let world = Arc::new(World::new(day.clone(), day.seed));
@@ -69,7 +73,9 @@
 
 async fn page(world: Arc<World>, mut stream: TcpStream) {
     let mut kept = Vec::new();
-    let Some(asked) = http::next_request(&mut stream, &mut kept).await else { return };
+    let Some(asked) = http::next_request(&mut stream, &mut kept).await else {
+        return;
+    };
     let form = String::from_utf8_lossy(&kept[asked.head..asked.end]).into_owned();
     const HTML: &str = "Content-Type: text/html; charset=utf-8\r\nConnection: close\r\n";
     const TEXT: &str = "Content-Type: text/plain; charset=utf-8\r\nConnection: close\r\n";
@@ -90,7 +96,9 @@
     let bytes = text.replace('+', " ").into_bytes();
     let (mut out, mut at) = (Vec::new(), 0);
     while at < bytes.len() {
-        let hex = (bytes[at] == b'%').then(|| bytes.get(at + 1..at + 3)).flatten();
+        let hex = (bytes[at] == b'%')
+            .then(|| bytes.get(at + 1..at + 3))
+            .flatten();
         let byte = hex
             .and_then(|hex| std::str::from_utf8(hex).ok())
             .and_then(|hex| u8::from_str_radix(hex, 16).ok());
@@ -104,7 +112,11 @@
 fn fault_text(form: &str) -> Result<String, String> {
     let mut text = String::new();
     let mut at_said = false;
-    for (name, value) in form.trim().split('&').filter_map(|field| field.split_once('=')) {
+    for (name, value) in form
+        .trim()
+        .split('&')
+        .filter_map(|field| field.split_once('='))
+    {
         let (name, value) = (plain(name), plain(value));
         let value = value.trim();
         if value.is_empty() {
@@ -133,14 +145,20 @@
 fn add(world: &World, form: &str) -> Result<String, String> {
     let fault = check::by_hand(&world.day, &fault_text(form)?, world.now())?;
     world.add_fault(&fault);
-    Ok(format!("{:?} from {:.1} s on\n", fault.kind, fault.at.0 as f64 / 1e6))
+    Ok(format!(
+        "{:?} from {:.1} s on\n",
+        fault.kind,
+        fault.at.0 as f64 / 1e6
+    ))
 }
 
 fn servers(world: &World) -> String {
     let now = world.now();
     let mut rows = String::new();
     for (number, stand) in world.stands().iter().enumerate() {
-        let address = stand.address().map_or_else(String::new, |address| address.to_string());
+        let address = stand
+            .address()
+            .map_or_else(String::new, |address| address.to_string());
         let sends = stand.sends.load(Ordering::Relaxed);
         let row = stand.with(|server| {
             let spec = &server.spec;
@@ -183,10 +201,19 @@
         Ok("kind = \"freeze\"\nservers = [0,1]\nfor = \"5s\"\nat = \"0s\"\n")
     )]
     #[case("kind=slow&factor=&at=1s", Ok("kind = \"slow\"\nat = \"1s\"\n"))]
-    #[case("kind=slow%0Aat&for=1s", Ok("kind = \"slow\\nat\"\nfor = \"1s\"\nat = \"0s\"\n"))]
+    #[case(
+        "kind=slow%0Aat&for=1s",
+        Ok("kind = \"slow\\nat\"\nfor = \"1s\"\nat = \"0s\"\n")
+    )]
     #[case("factor=1%0Azone%3D2", Err("field 'factor' holds a line break"))]
     #[case("length=9", Err("no field 'length'"))]
-    fn a_form_becomes_a_fault_and_nothing_else(#[case] form: &str, #[case] wanted: Result<&str, &str>) {
-        assert_eq!(fault_text(form), wanted.map(str::to_owned).map_err(str::to_owned));
+    fn a_form_becomes_a_fault_and_nothing_else(
+        #[case] form: &str,
+        #[case] wanted: Result<&str, &str>,
+    ) {
+        assert_eq!(
+            fault_text(form),
+            wanted.map(str::to_owned).map_err(str::to_owned)
+        );
     }
 }
--- a/crates/testbed/src/stopping.rs
+++ b/crates/testbed/src/stopping.rs
@@ -21,7 +21,9 @@
 pub async fn stop_in_the_middle(world: Arc<World>, balancers: Vec<SocketAddr>) {
     loop {
         tokio::time::sleep(LOOKS_APART).await;
-        let Some((rate, _)) = world.line().wide(Kind::ClientsStop, world.now()) else { continue };
+        let Some((rate, _)) = world.line().wide(Kind::ClientsStop, world.now()) else {
+            continue;
+        };
         for (number, address) in balancers.iter().enumerate() {
             if world.drawn((rate * LOOKS_APART.as_secs_f64()).min(1.0)) {
                 tokio::spawn(client(Arc::clone(&world), number, *address));
@@ -31,7 +33,9 @@
 }
 
 async fn client(world: Arc<World>, balancer: usize, address: SocketAddr) {
-    let Ok(mut stream) = TcpStream::connect(address).await else { return };
+    let Ok(mut stream) = TcpStream::connect(address).await else {
+        return;
+    };
     let mut heard = Vec::new();
     // Half of them have brought a request before.
     let used = world.drawn(0.5);
@@ -57,7 +61,8 @@
     let ended = timeout(OWED_WITHIN, http::more(&mut stream, &mut heard)).await;
     if ended.is_err() && world.undisturbed_since(balancer, began) {
         let kind = if used { "used" } else { "new" };
-        let what = format!("balancer {balancer} kept half a request on a {kind} connection for over 3 s");
+        let what =
+            format!("balancer {balancer} kept half a request on a {kind} connection for over 3 s");
         locked(&world.ledger).broken(1, world.now(), what);
     }
 }
--- a/crates/testbed/src/system.rs
+++ b/crates/testbed/src/system.rs
@@ -42,7 +42,10 @@
 impl Control {
     /// What the day says of that moment.
     pub fn at(line: &Timeline, now: Micros) -> Self {
-        let part = |kind| line.wide(kind, now).map_or(0, |(factor, _)| (factor * MILLION) as i64);
+        let part = |kind| {
+            line.wide(kind, now)
+                .map_or(0, |(factor, _)| (factor * MILLION) as i64)
+        };
         let clock = line.wide(Kind::ClockSteps, now);
         Self {
             fails: part(Kind::SystemFails),
@@ -65,14 +68,19 @@
             self.clock_offset_us,
             self.breaks,
         ];
-        fields.iter().flat_map(|field| field.to_ne_bytes()).collect()
+        fields
+            .iter()
+            .flat_map(|field| field.to_ne_bytes())
+            .collect()
     }
 }
 
 impl System {
     /// Whether a day needs the library.
     pub fn is_wanted(day: &Day) -> bool {
-        day.faults.iter().any(|fault| fault.get_ref().kind.is_of_system())
+        day.faults
+            .iter()
+            .any(|fault| fault.get_ref().kind.is_of_system())
     }
 
     /// Builds the library with the machine's C compiler.
@@ -86,9 +94,14 @@
             .arg("-ldl")
             .output()?;
         if !built.status.success() {
-            return Err(io::Error::other(String::from_utf8_lossy(&built.stderr).into_owned()));
+            return Err(io::Error::other(
+                String::from_utf8_lossy(&built.stderr).into_owned(),
+            ));
         }
-        let system = Self { library, control: folder.join("control") };
+        let system = Self {
+            library,
+            control: folder.join("control"),
+        };
         system.tell(&Control::default())?;
         Ok(system)
     }
@@ -96,8 +109,11 @@
     /// In place: balancers have the file mapped.
     pub fn tell(&self, control: &Control) -> io::Result<()> {
         use std::os::unix::fs::FileExt;
-        let file =
-            std::fs::OpenOptions::new().create(true).write(true).truncate(false).open(&self.control)?;
+        let file = std::fs::OpenOptions::new()
+            .create(true)
+            .write(true)
+            .truncate(false)
+            .open(&self.control)?;
         file.write_all_at(&control.bytes(), 0)
     }
 }
--- a/crates/testbed/src/told.rs
+++ b/crates/testbed/src/told.rs
@@ -36,15 +36,26 @@
                 continue;
             }
             let counts_at = now + COUNTS_AFTER;
-            let known = leaving.entry(entry.server).or_insert(Leaving { counts_at, noted: BTreeMap::new() });
+            let known = leaving.entry(entry.server).or_insert(Leaving {
+                counts_at,
+                noted: BTreeMap::new(),
+            });
             if gone {
                 known.counts_at = known.counts_at.max(counts_at);
             }
             for balancer in 0..balancers {
                 let life = world.life_of(balancer);
                 let told = now >= known.counts_at.max(world.excused_until(balancer));
-                if told && life.is_some() && known.noted.insert(balancer, life.unwrap_or(0)) != life {
-                    world.note(now, Seen::Told { balancer, server: entry.server, drains: true });
+                if told && life.is_some() && known.noted.insert(balancer, life.unwrap_or(0)) != life
+                {
+                    world.note(
+                        now,
+                        Seen::Told {
+                            balancer,
+                            server: entry.server,
+                            drains: true,
+                        },
+                    );
                 }
             }
         }
--- a/crates/testbed/src/world.rs
+++ b/crates/testbed/src/world.rs
@@ -88,7 +88,10 @@
         let specs = fleet::specs(&day, seed);
         let line = Timeline::new(&day, &specs, seed);
         let registry = Registry::new(&day.discovery, specs.len(), seed);
-        let stands = specs.into_iter().map(|spec| Arc::new(Stand::new(&day, seed, spec))).collect();
+        let stands = specs
+            .into_iter()
+            .map(|spec| Arc::new(Stand::new(&day, seed, spec)))
+            .collect();
         Self {
             ledger: Mutex::new(Ledger::new(&day)),
             seed,
@@ -122,8 +125,11 @@
 
     /// Adds a fault by hand, from now on.
     pub fn add_fault(&self, fault: &Fault) {
-        let specs: Vec<Spec> =
-            self.stands().iter().map(|stand| stand.with(|server| server.spec.clone())).collect();
+        let specs: Vec<Spec> = self
+            .stands()
+            .iter()
+            .map(|stand| stand.with(|server| server.spec.clone()))
+            .collect();
         let mut line = self.line.write().unwrap_or_else(PoisonError::into_inner);
         let place = line.hits().len() + self.day.faults.len();
         line.add(&self.day, &specs, self.seed, place, fault);
@@ -143,11 +149,18 @@
     }
 
     pub fn stands(&self) -> Vec<Arc<Stand>> {
-        self.stands.read().unwrap_or_else(PoisonError::into_inner).clone()
+        self.stands
+            .read()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 
     pub fn stand(&self, number: usize) -> Option<Arc<Stand>> {
-        self.stands.read().unwrap_or_else(PoisonError::into_inner).get(number).cloned()
+        self.stands
+            .read()
+            .unwrap_or_else(PoisonError::into_inner)
+            .get(number)
+            .cloned()
     }
 
     pub fn note(&self, at: Micros, seen: Seen) {
@@ -180,7 +193,10 @@
 
     /// Which of its lives a balancer is in, if it runs.
     pub fn life_of(&self, balancer: usize) -> Option<u64> {
-        locked(&self.lives).get(&balancer).filter(|life| life.1).map(|life| life.0)
+        locked(&self.lives)
+            .get(&balancer)
+            .filter(|life| life.1)
+            .map(|life| life.0)
     }
 
     pub fn disturb(&self, balancer: usize) {
@@ -188,7 +204,9 @@
     }
 
     pub fn undisturbed_since(&self, balancer: usize, since: Micros) -> bool {
-        locked(&self.disturbed).get(&balancer).is_none_or(|at| *at < since)
+        locked(&self.disturbed)
+            .get(&balancer)
+            .is_none_or(|at| *at < since)
     }
 
     /// A watch of a balancer fell silent: what it misses counts from then on.
@@ -206,7 +224,10 @@
     pub fn list_now(&self) -> serde_json::Value {
         let now = self.now();
         let (version, entries) = self.with_registry(|registry| registry.list(now));
-        let targets: Vec<_> = entries.iter().filter_map(|entry| self.entry(entry)).collect();
+        let targets: Vec<_> = entries
+            .iter()
+            .filter_map(|entry| self.entry(entry))
+            .collect();
         serde_json::json!({"rev": version, "all": true, "targets": targets})
     }
 
@@ -220,7 +241,9 @@
             }
         }
         tickets.tickets.insert(ticket.number, ticket.clone());
-        tickets.until.push_back((now + ticket.wait + KNOWN_FOR, ticket.number));
+        tickets
+            .until
+            .push_back((now + ticket.wait + KNOWN_FOR, ticket.number));
     }
 
     /// A ticket by its id; of one that the lab did not send, what a usual ticket of that path would be.
@@ -230,19 +253,39 @@
         if found.is_some() {
             return (known, found);
         }
-        let name = path.trim_start_matches('/').split(['/', '?']).next().unwrap_or("");
-        let use_case = self.day.use_cases.iter().position(|use_case| use_case.get_ref().name == name);
+        let name = path
+            .trim_start_matches('/')
+            .split(['/', '?'])
+            .next()
+            .unwrap_or("");
+        let use_case = self
+            .day
+            .use_cases
+            .iter()
+            .position(|use_case| use_case.get_ref().name == name);
         let ticket = use_case.map(|use_case| {
             let class = self.day.use_cases[use_case].get_ref();
             let (work, waits, wait) = (class.work.0 as f64, class.waits.0, class.hard_stop.0);
-            Ticket { tries: 1, use_case, work, waits, wait, ..Ticket::default() }
+            Ticket {
+                tries: 1,
+                use_case,
+                work,
+                waits,
+                wait,
+                ..Ticket::default()
+            }
         });
         (None, ticket)
     }
 
     /// A dispatch came whole to a server. What comes of it is sent when it is known.
     pub fn sent(
-        &self, stand: &Stand, known: Option<u64>, ticket: &Ticket, began: Micros, extra: f64,
+        &self,
+        stand: &Stand,
+        known: Option<u64>,
+        ticket: &Ticket,
+        began: Micros,
+        extra: f64,
     ) -> (u64, oneshot::Receiver<How>) {
         let now = self.now();
         let job = self.jobs.fetch_add(1, Ordering::Relaxed);
@@ -252,22 +295,51 @@
         let mut state = locked(&stand.state);
         let spec = &state.server.spec;
         let cold = (state.server.warmth(now) < 1.0).then(|| state.server.capacity(now));
-        let place = Place { server: spec.number, zone: spec.zone, cell: spec.cell, cold };
+        let place = Place {
+            server: spec.number,
+            zone: spec.zone,
+            cell: spec.cell,
+            cold,
+        };
         let group = match class.group {
             Group::All => 0,
             Group::Zone => 1 + spec.zone,
             Group::Cell => 1000 + spec.cell,
         };
         if let Some(number) = known {
-            self.note(now, Seen::Sent { ticket: number, place, began, work: ticket.work });
+            self.note(
+                now,
+                Seen::Sent {
+                    ticket: number,
+                    place,
+                    began,
+                    work: ticket.work,
+                },
+            );
         }
         let labelled = known.is_some() && class.effect == Effect::Labelled;
-        let repeat = labelled && locked(&self.repeats).is_repeat(now, group, ticket.label, class.window.0);
+        let repeat =
+            labelled && locked(&self.repeats).is_repeat(now, group, ticket.label, class.window.0);
         let work = extra + if repeat { REPEAT_WORK } else { ticket.work };
-        state.waiting.insert(job, Waiter { ticket: known, answer });
+        state.waiting.insert(
+            job,
+            Waiter {
+                ticket: known,
+                answer,
+            },
+        );
         let mut out = Vec::new();
         let fell = state.server.fell();
-        state.server.arrive(now, Arrival { job, work, waits: ticket.waits, key: Some(ticket.key) }, &mut out);
+        state.server.arrive(
+            now,
+            Arrival {
+                job,
+                work,
+                waits: ticket.waits,
+                key: Some(ticket.key),
+            },
+            &mut out,
+        );
         if state.server.fell() && !fell {
             let server = state.server.spec.number;
             self.note(now, Seen::Fell { server });
@@ -303,7 +375,9 @@
     fn deliver(&self, state: &mut StandState, now: Micros, out: Vec<Done>) {
         let server = state.server.spec.number;
         for done in out {
-            let Some(waiter) = state.waiting.remove(&done.job) else { continue };
+            let Some(waiter) = state.waiting.remove(&done.job) else {
+                continue;
+            };
             if let Some(ticket) = waiter.ticket {
                 if done.how.ran() {
                     self.note(now, Seen::Ran { ticket, server });
@@ -356,24 +430,32 @@
     }
 
     fn kill(&self, number: usize) {
-        let Some(stand) = self.stand(number) else { return };
+        let Some(stand) = self.stand(number) else {
+            return;
+        };
         self.change(&stand, |server, now, out| server.kill(now, out));
         stand.life.send_modify(|life| *life += 1);
     }
 
     fn start_again(&self, number: usize) {
-        let Some(stand) = self.stand(number) else { return };
+        let Some(stand) = self.stand(number) else {
+            return;
+        };
         let now = self.now();
         let mut state = locked(&stand.state);
-        let spec = Spec { born: Some(now), ..state.server.spec.clone() };
+        let spec = Spec {
+            born: Some(now),
+            ..state.server.spec.clone()
+        };
         let life = *stand.life.borrow();
         let chance = Chance::split(self.seed, "server", number as u64 + (life << 32));
         state.server = Server::new(spec, &self.day.fleet, &self.day.rules, chance);
     }
 
     fn newcomers(&self, count: usize, like: Option<usize>) -> Vec<usize> {
-        let like =
-            like.and_then(|number| self.stand(number)).map(|stand| locked(&stand.state).server.spec.clone());
+        let like = like
+            .and_then(|number| self.stand(number))
+            .map(|stand| locked(&stand.state).server.spec.clone());
         let now = self.now();
         let mut stands = self.stands.write().unwrap_or_else(PoisonError::into_inner);
         let first = stands.len();
@@ -395,8 +477,17 @@
     }
 
     fn list(&self, server: usize, state: State) {
-        let born = self.stand(server).and_then(|stand| locked(&stand.state).server.spec.born);
-        locked(&self.registry).change(self.now(), Entry { server, state, born });
+        let born = self
+            .stand(server)
+            .and_then(|stand| locked(&stand.state).server.spec.born);
+        locked(&self.registry).change(
+            self.now(),
+            Entry {
+                server,
+                state,
+                born,
+            },
+        );
         self.listed.send_modify(|count| *count += 1);
     }
 
@@ -427,7 +518,11 @@
         let chance = Chance::split(seed, "server", spec.number as u64);
         let server = Server::new(spec, &day.fleet, &day.rules, chance);
         Self {
-            state: Mutex::new(StandState { server, waiting: HashMap::new(), address: None }),
+            state: Mutex::new(StandState {
+                server,
+                waiting: HashMap::new(),
+                address: None,
+            }),
             look: Notify::new(),
             life: watch::Sender::new(0),
             sends: AtomicU64::new(0),
