--- a/crates/policy/src/books.rs
+++ b/crates/policy/src/books.rs
@@ -11,7 +11,7 @@
 
 impl<H: Host> Balancer<H> {
     /// What another balancer tells. All of it is hearsay that fades; what can't be read is passed over.
-    pub fn told(&mut self, now: Micros, from: usize, words: &str) {
+    pub fn gossip_received(&mut self, now: Micros, from: usize, words: &str) {
         let Some(word) = Word::read(words) else {
             return;
         };
@@ -30,7 +30,7 @@
                     self.upstreams[u].lost,
                 );
                 self.host
-                    .tell(Some(from), &Word::Holds(short, held, lost).text());
+                    .send_gossip(Some(from), &Word::Holds(short, held, lost).text());
             }
             (Word::Holds(_, held, lost), Some(u)) if from == self.keeper(u) => {
                 let upstream = &mut self.upstreams[u];
@@ -54,7 +54,7 @@
         match ended {
             _ if !self.terms.gossip_allowed || (ended.is_none() && !self.terms.load_unreported) => {
             }
-            _ if keeper != own => self.host.tell(Some(keeper), &word.text()),
+            _ if keeper != own => self.host.send_gossip(Some(keeper), &word.text()),
             None => self.upstreams[u].note(own, now),
             Some((_, fate)) => self.upstreams[u].strike(own, now, fate),
         }
--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -140,7 +140,7 @@
     }
 
     #[allow(clippy::too_many_arguments)]
-    pub fn ticket_arrived(
+    pub fn request_arrived(
         &mut self,
         now: Micros,
         id: &str,
@@ -156,7 +156,7 @@
             .get(use_case)
             .map(|c| now + c.latency_objective)
         else {
-            return self.host.dismiss(id, 0);
+            return self.host.reject(id, 0);
         };
         self.seen.arrivals.add(now, LASTING, 1.0);
         let work = hint.map_or(1.0, |hint| {
@@ -236,7 +236,7 @@
         for &u in &ticket.waits {
             match self.terms.load_from_probes {
                 true => self.host.probe(&self.upstreams[u].id),
-                false => self.host.tell(
+                false => self.host.send_gossip(
                     Some(self.keeper(u)),
                     &Word::Asks(self.upstreams[u].short()).text(),
                 ),
@@ -269,7 +269,7 @@
     }
 
     /// What came of a probe.
-    pub fn probed(&mut self, now: Micros, id: &str, answered: bool) {
+    pub fn probe_completed(&mut self, now: Micros, id: &str, answered: bool) {
         let known = self.by_id.get(id).copied();
         known.into_iter().for_each(|u| self.heard(now, u, answered));
     }
@@ -416,7 +416,7 @@
         upstream.used = Some(now);
         // What is sent on a connection dropped unseen is lost, and may not be sent again.
         if now < self.dropped.1 && rested.is_some_and(|rested| rested >= self.dropped.0) {
-            self.host.close_idle(&upstream.id);
+            self.host.close_idle_connections(&upstream.id);
         }
         ticket.untold = true;
         if let Some(line) = ticket.line.and_then(|key| self.lines.get_mut(&key)) {
@@ -441,7 +441,7 @@
             Micros::MAX
         };
         self.host
-            .dispatch(&ticket.id, &id, until.min(ticket.hard_stop));
+            .start_attempt(&ticket.id, &id, until.min(ticket.hard_stop));
         self.tell_keeper(now, u, None);
         true
     }
@@ -450,7 +450,7 @@
     pub(crate) fn set_alarm(&mut self, wait: Micros, alarm: Alarm) {
         self.last_alarm = self.last_alarm.max(PUMP_ALARM) + 1;
         self.alarms.insert(self.last_alarm, alarm);
-        self.host.wake(wait, self.last_alarm);
+        self.host.set_timer(wait, self.last_alarm);
     }
 
     /// The four rules for one more dispatch of a ticket to an upstream.
@@ -498,7 +498,7 @@
             && ticket.dispatches.iter().all(|d| !d.out)
     }
 
-    pub fn dispatch_ended(
+    pub fn attempt_ended(
         &mut self,
         now: Micros,
         id: &str,
@@ -529,13 +529,13 @@
         self.pump(now);
     }
 
-    pub fn stream_began(&mut self, id: &str) {
+    pub fn response_started(&mut self, id: &str) {
         self.tickets
             .entry(Rc::from(id))
             .and_modify(|ticket| ticket.streaming = true);
     }
 
-    pub fn client_left(&mut self, now: Micros, id: &str) {
+    pub fn client_disconnected(&mut self, now: Micros, id: &str) {
         let lines = self.lines.values_mut().map(|line| &mut line.waiting);
         let lists = [&mut self.held, &mut self.asking].into_iter().chain(lines);
         let waiting = lists
@@ -564,8 +564,8 @@
         match harmless {
             true => self
                 .host
-                .dismiss(&ticket.id, soon.min(self.terms.max_retry_after)),
-            false => self.host.abandon(&ticket.id),
+                .reject(&ticket.id, soon.min(self.terms.max_retry_after)),
+            false => self.host.fail(&ticket.id),
         }
         self.close(now, ticket);
     }
@@ -574,7 +574,7 @@
     fn close(&mut self, now: Micros, mut ticket: Ticket) {
         if let Some(number) = ticket.dispatches.iter().position(|d| d.out) {
             if self.terms.can_cancel {
-                self.host.call_off(&ticket.id, number);
+                self.host.cancel_attempt(&ticket.id, number);
             }
             let waited = now.saturating_sub(ticket.dispatches[number].sent);
             self.ended(now, &mut ticket, number, AttemptOutcome::Cancelled, waited);
@@ -582,9 +582,9 @@
         self.leave_line(now, &ticket);
     }
 
-    pub fn alarm_rang(&mut self, now: Micros, alarm: u64) {
+    pub fn timer_expired(&mut self, now: Micros, alarm: u64) {
         match alarm {
-            FOLLOW_ALARM => self.host.follow_list(),
+            FOLLOW_ALARM => self.host.poll_endpoint_list(),
             PUMP_ALARM => {
                 self.pump_set = false;
                 self.pump(now);
@@ -759,7 +759,7 @@
     fn set_pump(&mut self) {
         if !self.pump_set && !self.held.is_empty() {
             self.pump_set = true;
-            self.host.wake(PUMP_EVERY, PUMP_ALARM);
+            self.host.set_timer(PUMP_EVERY, PUMP_ALARM);
         }
     }
 
@@ -818,7 +818,8 @@
         {
             self.believe_dropped(now, rested / 2);
             if self.terms.gossip_allowed {
-                self.host.tell(None, &Word::Dropped(rested / 2).text());
+                self.host
+                    .send_gossip(None, &Word::Dropped(rested / 2).text());
             }
         }
         let told = took as f64 > self.silence()
--- a/crates/policy/src/decide/tests.rs
+++ b/crates/policy/src/decide/tests.rs
@@ -31,34 +31,34 @@
 }
 
 impl Host for Diary {
-    fn dispatch(&mut self, ticket: &str, upstream: &str, expire_at: Micros) {
+    fn start_attempt(&mut self, ticket: &str, upstream: &str, expire_at: Micros) {
         self.note(format!(
             "dispatch {ticket} {upstream} until {}",
             expire_at - START_AT
         ));
     }
-    fn call_off(&mut self, ticket: &str, dispatch: usize) {
+    fn cancel_attempt(&mut self, ticket: &str, dispatch: usize) {
         self.note(format!("call off {ticket} {dispatch}"));
     }
-    fn dismiss(&mut self, ticket: &str, come_back_after: Micros) {
-        self.note(format!("dismiss {ticket} {come_back_after}"));
+    fn reject(&mut self, ticket: &str, retry_after: Micros) {
+        self.note(format!("dismiss {ticket} {retry_after}"));
     }
-    fn abandon(&mut self, ticket: &str) {
+    fn fail(&mut self, ticket: &str) {
         self.note(format!("abandon {ticket}"));
     }
-    fn wake(&mut self, after: Micros, _: u64) {
+    fn set_timer(&mut self, after: Micros, _: u64) {
         self.note(format!("wake {after}"));
     }
-    fn follow_list(&mut self) {
+    fn poll_endpoint_list(&mut self) {
         self.note("follow".into());
     }
     fn probe(&mut self, upstream: &str) {
         self.note(format!("probe {upstream}"));
     }
-    fn close_idle(&mut self, upstream: &str) {
+    fn close_idle_connections(&mut self, upstream: &str) {
         self.note(format!("close {upstream}"));
     }
-    fn tell(&mut self, balancer: Option<usize>, words: &str) {
+    fn send_gossip(&mut self, balancer: Option<usize>, words: &str) {
         self.note(format!(
             "tell {} {words}",
             balancer.map_or("all".to_owned(), |b| b.to_string())
@@ -108,9 +108,9 @@
     };
     let mut balancer = Balancer::start(diary.clone(), 7, terms, START_AT);
     for u in 0..upstreams {
-        balancer.list_entry(&format!("u{u}"), 0, 0, u as u64 % 2, 1.0, 0);
+        balancer.endpoint_listed(&format!("u{u}"), 0, 0, u as u64 % 2, 1.0, 0);
     }
-    balancer.list_ends(START_AT);
+    balancer.endpoint_list_ends(START_AT);
     balancer.let_through = 1.0;
     (balancer, diary)
 }
@@ -120,14 +120,14 @@
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 0);
     (balancer.terms.own_index, balancer.terms.balancers) = (number, balancers);
     for u in 0..upstreams {
-        balancer.list_entry(&format!("u{u}"), 0, 0, 0, 1.0, 0);
+        balancer.endpoint_listed(&format!("u{u}"), 0, 0, 0, 1.0, 0);
     }
-    balancer.list_ends(START_AT);
+    balancer.endpoint_list_ends(START_AT);
     balancer
 }
 
 fn arrive(balancer: &mut Balancer<Diary>, now: Micros, id: &str) {
-    balancer.ticket_arrived(now, id, 0, 0, now + 1_000 * MS, None, None);
+    balancer.request_arrived(now, id, 0, 0, now + 1_000 * MS, None, None);
 }
 
 pub(crate) fn ticket(upstreams: &[usize], may_have_run: bool) -> Ticket {
@@ -268,10 +268,10 @@
 #[case::absent(true)]
 fn nothing_goes_to_what_drains_or_is_gone(#[case] complete: bool) {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 2);
-    balancer.list_begins(START_AT, complete);
+    balancer.endpoint_list_begins(START_AT, complete);
     match complete {
-        true => balancer.list_entry("u0", 0, 0, 0, 1.0, 0),
-        false => balancer.list_drains("u1"),
+        true => balancer.endpoint_listed("u0", 0, 0, 0, 1.0, 0),
+        false => balancer.endpoint_draining("u1"),
     }
     assert!(!balancer.permitted(START_AT, &ticket(&[], false), 1));
     assert!(balancer.permitted(START_AT, &ticket(&[], false), 0));
@@ -280,8 +280,8 @@
 #[rstest]
 fn a_cold_upstream_gets_little_even_when_alone() {
     let (mut balancer, diary) = balancer(Idempotency::Idempotent, 0);
-    balancer.list_entry("cold", 0, 0, 0, 1.0, START_AT);
-    balancer.list_ends(START_AT);
+    balancer.endpoint_listed("cold", 0, 0, 0, 1.0, START_AT);
+    balancer.endpoint_list_ends(START_AT);
     for n in 0..200 {
         balancer.place(START_AT + n * 10 * MS, &mut ticket(&[], false));
     }
@@ -302,7 +302,7 @@
     sent.dispatches[0].out = true;
     balancer.tickets.insert(Rc::clone(&sent.id), sent);
     let now = START_AT + after * MS;
-    balancer.dispatch_ended(
+    balancer.attempt_ended(
         now,
         "t",
         0,
@@ -318,8 +318,8 @@
 #[rstest]
 fn without_a_budget_a_cold_upstream_gets_no_small_request_either() {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 1);
-    balancer.list_entry("cold", 0, 0, 0, 1.0, START_AT);
-    balancer.list_ends(START_AT);
+    balancer.endpoint_listed("cold", 0, 0, 0, 1.0, START_AT);
+    balancer.endpoint_list_ends(START_AT);
     let cold = balancer.by_id["cold"];
     let moments = (0..40).map(|span| START_AT + span * 200 * MS);
     let without = moments
@@ -340,14 +340,14 @@
 fn a_ticket_is_never_left_without_answer(#[case] upstreams: usize, #[case] dismissed: usize) {
     let (mut balancer, diary) = balancer(Idempotency::Idempotent, upstreams);
     arrive(&mut balancer, START_AT, "a");
-    balancer.alarm_rang(START_AT + 400 * MS, PUMP_ALARM);
+    balancer.timer_expired(START_AT + 400 * MS, PUMP_ALARM);
     assert_eq!(diary.count("dismiss"), dismissed);
 }
 
 #[rstest]
 fn with_nothing_to_spare_a_ticket_is_dismissed_at_once() {
     let (mut balancer, diary) = balancer(Idempotency::Idempotent, 0);
-    balancer.ticket_arrived(START_AT, "a", 0, 0, START_AT + 5 * MS, None, None);
+    balancer.request_arrived(START_AT, "a", 0, 0, START_AT + 5 * MS, None, None);
     assert_eq!(diary.count("dismiss"), 1);
 }
 
@@ -481,7 +481,7 @@
     let (mut balancer, diary) = balancer(Idempotency::Idempotent, 4);
     arrive(&mut balancer, START_AT, "a");
     (0..before).for_each(|n| {
-        balancer.dispatch_ended(
+        balancer.attempt_ended(
             START_AT + 5 * MS,
             "a",
             n,
@@ -490,7 +490,7 @@
             5 * MS,
         )
     });
-    balancer.dispatch_ended(START_AT + 10 * MS, "a", before, false, ending, 5 * MS);
+    balancer.attempt_ended(START_AT + 10 * MS, "a", before, false, ending, 5 * MS);
     assert_eq!(
         (diary.count("dispatch"), diary.count("dismiss")),
         (dispatches, usize::from(dispatches == 2 && before == 1))
@@ -503,7 +503,7 @@
 fn a_ticket_goes_on_when_an_upstream_that_broke_under_it_answers() {
     let (mut balancer, diary) = balancer(Idempotency::Idempotent, 60);
     arrive(&mut balancer, START_AT, "a");
-    balancer.dispatch_ended(
+    balancer.attempt_ended(
         START_AT + MS,
         "a",
         0,
@@ -511,7 +511,7 @@
         AttemptOutcome::ConnectionLost,
         MS,
     );
-    balancer.dispatch_ended(
+    balancer.attempt_ended(
         START_AT + 2 * MS,
         "a",
         1,
@@ -728,17 +728,17 @@
 #[case::no_room(false, true, false)]
 #[case::asked_for_loads(true, false, false)]
 fn near_upstreams_come_first_while_they_have_room(
-    #[case] probed: bool,
+    #[case] probe_completed: bool,
     #[case] full: bool,
     #[case] near: bool,
 ) {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 0);
-    balancer.terms.load_from_probes = probed;
+    balancer.terms.load_from_probes = probe_completed;
     balancer.crowded_until = if full { START_AT + 1 } else { 0 };
     for u in 0..9 {
-        balancer.list_entry(&format!("u{u}"), u64::from(u > 2), 0, 0, 1.0, 0);
+        balancer.endpoint_listed(&format!("u{u}"), u64::from(u > 2), 0, 0, 1.0, 0);
     }
-    balancer.list_ends(START_AT);
+    balancer.endpoint_list_ends(START_AT);
     let mut first: Vec<usize> = balancer.present_order(START_AT)[..3].to_vec();
     first.sort_unstable();
     assert_eq!(first == [0, 1, 2], near, "{first:?}");
@@ -815,7 +815,7 @@
 fn the_list_is_asked_for_again_in_time_and_without_crowding() {
     let (mut balancer, diary) = balancer(Idempotency::Idempotent, 0);
     for _ in 0..9 {
-        balancer.list_failed();
+        balancer.endpoint_list_failed();
     }
     let waits = diary.0.borrow();
     let waits: Vec<Micros> = waits
@@ -839,7 +839,7 @@
 ) {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 1);
     balancer.upstreams[0].full_until = START_AT + 5;
-    balancer.list_entry("u0", 0, 0, 0, 1.0, launched);
+    balancer.endpoint_listed("u0", 0, 0, 0, 1.0, launched);
     assert_eq!(balancer.upstreams[0].full_until, rests_until);
 }
 
@@ -854,11 +854,11 @@
 ) {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 1);
     balancer.upstreams[0].met_until = START_AT;
-    balancer.list_begins(START_AT, true);
-    (0..entries).for_each(|_| balancer.list_entry("u0", 0, 0, 0, 1.0, 0));
-    balancer.list_ends(START_AT + ago * MS);
+    balancer.endpoint_list_begins(START_AT, true);
+    (0..entries).for_each(|_| balancer.endpoint_listed("u0", 0, 0, 0, 1.0, 0));
+    balancer.endpoint_list_ends(START_AT + ago * MS);
     assert_eq!(balancer.by_id.len(), known);
-    balancer.list_entry("new", 0, 0, 0, 1.0, 0);
+    balancer.endpoint_listed("new", 0, 0, 0, 1.0, 0);
     assert_eq!(balancer.by_id["new"], known);
 }
 
@@ -881,13 +881,13 @@
 }
 
 /// One of so many whose upstreams tell their load to probes, or to nobody, and that may send messages.
-fn asking(idempotency: Idempotency, probed: bool) -> (Balancer<Diary>, Diary) {
+fn asking(idempotency: Idempotency, probe_completed: bool) -> (Balancer<Diary>, Diary) {
     let (mut balancer, diary) = balancer(idempotency, 4);
     balancer.terms.gossip_allowed = true;
     (
         balancer.terms.load_from_probes,
         balancer.terms.load_unreported,
-    ) = (probed, !probed);
+    ) = (probe_completed, !probe_completed);
     (balancer.terms.balancers, balancer.terms.own_index) = (1_000, 1_000);
     (balancer, diary)
 }
@@ -901,9 +901,11 @@
     match balancer.terms.load_from_probes {
         true => {
             balancer.load_reported(now, &id, None, None, Some(held as f64));
-            balancer.probed(now, &id, true);
+            balancer.probe_completed(now, &id, true);
+        }
+        false => {
+            balancer.gossip_received(now, balancer.keeper(u), &format!("= {short:x} {held:x}"))
         }
-        false => balancer.told(now, balancer.keeper(u), &format!("= {short:x} {held:x}")),
     }
 }
 
@@ -911,8 +913,8 @@
 #[rstest]
 #[case::by_probes(true, "probe")]
 #[case::by_books(false, "tell")]
-fn a_ticket_goes_where_least_is_held(#[case] probed: bool, #[case] asks: &str) {
-    let (mut balancer, diary) = asking(Idempotency::Idempotent, probed);
+fn a_ticket_goes_where_least_is_held(#[case] probe_completed: bool, #[case] asks: &str) {
+    let (mut balancer, diary) = asking(Idempotency::Idempotent, probe_completed);
     for n in 0..20 {
         let now = START_AT + n * 1_000 * MS;
         arrive(&mut balancer, now, &n.to_string());
@@ -931,16 +933,16 @@
 #[case::by_probes(true, 0, 1)]
 #[case::by_books(false, 1, 0)]
 fn asking_in_vain_leaves_no_ticket_without_answer(
-    #[case] probed: bool,
+    #[case] probe_completed: bool,
     #[case] dispatched: usize,
     #[case] dismissed: usize,
 ) {
-    let (mut balancer, diary) = asking(Idempotency::Idempotent, probed);
+    let (mut balancer, diary) = asking(Idempotency::Idempotent, probe_completed);
     arrive(&mut balancer, START_AT, "a");
     for turn in 1..100 {
         let now = START_AT + turn * 20 * MS;
-        balancer.alarm_rang(now, PUMP_ALARM);
-        (PUMP_ALARM + 1..=balancer.last_alarm).for_each(|alarm| balancer.alarm_rang(now, alarm));
+        balancer.timer_expired(now, PUMP_ALARM);
+        (PUMP_ALARM + 1..=balancer.last_alarm).for_each(|alarm| balancer.timer_expired(now, alarm));
     }
     assert_eq!(
         (diary.count("dispatch"), diary.count("dismiss")),
@@ -953,9 +955,9 @@
 fn a_book_counts_what_all_sent_and_forgets_lost_words() {
     let (mut balancer, diary) = asking(Idempotency::Idempotent, false);
     let short = balancer.upstreams[1].short();
-    (0..3).for_each(|from| balancer.told(START_AT, from, &format!("+ {short:x}")));
-    balancer.told(START_AT + 100 * MS, 2, &format!("- {short:x} 0 1"));
-    balancer.told(START_AT + 100 * MS, 9, &format!("? {short:x}"));
+    (0..3).for_each(|from| balancer.gossip_received(START_AT, from, &format!("+ {short:x}")));
+    balancer.gossip_received(START_AT + 100 * MS, 2, &format!("- {short:x} 0 1"));
+    balancer.gossip_received(START_AT + 100 * MS, 9, &format!("? {short:x}"));
     assert_eq!(diary.count(&format!("tell 9 = {short:x} 2 0")), 1);
     assert_eq!(balancer.upstreams[1].read_book(START_AT + 10_000 * MS), 0);
 }
@@ -969,7 +971,7 @@
 #[case("~")]
 fn words_that_cannot_be_read_change_nothing(#[case] words: &str) {
     let (mut balancer, diary) = asking(Idempotency::Idempotent, false);
-    balancer.told(START_AT, 0, words);
+    balancer.gossip_received(START_AT, 0, words);
     assert_eq!((balancer.dropped, diary.count("tell")), ((0, 0), 0));
 }
 
@@ -1151,7 +1153,7 @@
         },
         most,
     ];
-    balancer.terms_changed(balancer.terms.clone());
+    balancer.settings_changed(balancer.terms.clone());
     balancer
         .seen
         .each
@@ -1176,7 +1178,7 @@
         .present
         .add(START_AT, RECENT, 50.0 * MS as f64, 1.0);
     let (keeper, short) = (balancer.keeper(0), balancer.upstreams[0].short());
-    balancer.told(START_AT, keeper, &format!("= {short:x} 0 {lost:x}"));
+    balancer.gossip_received(START_AT, keeper, &format!("= {short:x} 0 {lost:x}"));
     balancer.send(START_AT, &mut ticket(&[], false), 0, None);
     let told = balancer
         .host
@@ -1194,9 +1196,9 @@
     let (mut balancer, _) = asking(Idempotency::Idempotent, false);
     let (keeper, short) = (balancer.keeper(2), balancer.upstreams[2].short());
     let told = |balancer: &Balancer<Diary>| balancer.upstreams[2].held;
-    balancer.told(START_AT, keeper + 1, &format!("{what} {short:x} {more}"));
+    balancer.gossip_received(START_AT, keeper + 1, &format!("{what} {short:x} {more}"));
     assert_eq!(told(&balancer), None);
-    balancer.told(START_AT, keeper, &format!("{what} {short:x} {more}"));
+    balancer.gossip_received(START_AT, keeper, &format!("{what} {short:x} {more}"));
     assert_ne!(told(&balancer), None);
 }
 
@@ -1227,7 +1229,7 @@
     let mut open = ticket(&[0], true);
     open.dispatches[0].out = true;
     balancer.tickets.insert(Rc::clone(&open.id), open);
-    balancer.terms_changed(Settings {
+    balancer.settings_changed(Settings {
         max_attempts: 5,
         ..balancer.terms.clone()
     });
@@ -1246,8 +1248,8 @@
 #[rstest]
 #[case::by_probes(true)]
 #[case::by_books(false)]
-fn a_balancer_that_has_heard_nothing_sends(#[case] probed: bool) {
-    let (mut balancer, diary) = asking(Idempotency::NonIdempotent, probed);
+fn a_balancer_that_has_heard_nothing_sends(#[case] probe_completed: bool) {
+    let (mut balancer, diary) = asking(Idempotency::NonIdempotent, probe_completed);
     arrive(&mut balancer, START_AT, "a");
     (0..4).for_each(|u| holds(&mut balancer, START_AT + MS, u, 2));
     assert_eq!(diary.count("dispatch"), 1);
@@ -1260,14 +1262,14 @@
 fn gone_binds_unless_only_draining_does(#[case] stays: bool, #[case] sent: usize) {
     let (mut balancer, diary) = balancer(Idempotency::Idempotent, 2);
     balancer.terms.unlisted_stay_usable = stays;
-    balancer.list_begins(START_AT, true);
-    balancer.list_entry("u0", 0, 0, 0, 1.0, 0);
-    balancer.list_drops(START_AT, "u0");
-    balancer.list_ends(START_AT);
+    balancer.endpoint_list_begins(START_AT, true);
+    balancer.endpoint_listed("u0", 0, 0, 0, 1.0, 0);
+    balancer.endpoint_removed(START_AT, "u0");
+    balancer.endpoint_list_ends(START_AT);
     arrive(&mut balancer, START_AT, "a");
     assert_eq!(diary.count("dispatch"), sent);
-    balancer.list_drains("u0");
-    balancer.list_drains("u1");
+    balancer.endpoint_draining("u0");
+    balancer.endpoint_draining("u1");
     arrive(&mut balancer, START_AT, "b");
     assert_eq!(diary.count("dispatch"), sent);
 }
--- a/crates/policy/src/decide/tests/slow_start.rs
+++ b/crates/policy/src/decide/tests/slow_start.rs
@@ -72,8 +72,8 @@
         (balancer.salt, balancer.let_through) = (self.chance.generate(), 1.0);
         // Clocks apart by some milliseconds.
         let apart = self.chance.generate_range(0..=20 * MS);
-        balancer.list_entry("u0", 0, 0, 0, 1.0, START_AT - apart);
-        balancer.list_ends(now);
+        balancer.endpoint_listed("u0", 0, 0, 0, 1.0, START_AT - apart);
+        balancer.endpoint_list_ends(now);
         balancer.started = now;
         if served {
             balancer.started = START_AT - 20_000 * MS;
@@ -94,7 +94,15 @@
                 let number = self.chance.generate_range(0..self.balancers.len());
                 self.next += 1;
                 let id = format!("t{}", self.next);
-                self.balancers[number].ticket_arrived(now, &id, 0, 1, now + 1_000 * MS, None, None);
+                self.balancers[number].request_arrived(
+                    now,
+                    &id,
+                    0,
+                    1,
+                    now + 1_000 * MS,
+                    None,
+                    None,
+                );
                 self.took_down(now, number);
             }
             owed -= 1.0;
@@ -144,7 +152,7 @@
                 AttemptOutcome::Succeeded
             };
             let balancer = &mut self.balancers[sent.balancer];
-            balancer.dispatch_ended(now, &sent.ticket, sent.number, !away, how, now - sent.at);
+            balancer.attempt_ended(now, &sent.ticket, sent.number, !away, how, now - sent.at);
             self.took_down(now, sent.balancer);
         }
     }
@@ -169,7 +177,7 @@
             self.arrivals(now, usual * burst);
             for number in 0..self.balancers.len() {
                 if since.is_multiple_of(PUMP_EVERY) {
-                    self.balancers[number].alarm_rang(now, PUMP_ALARM);
+                    self.balancers[number].timer_expired(now, PUMP_ALARM);
                     self.took_down(now, number);
                 }
             }
--- a/crates/policy/src/groups/tests.rs
+++ b/crates/policy/src/groups/tests.rs
@@ -11,7 +11,7 @@
 fn met(took: Micros, others: Micros) -> Balancer<Diary> {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 4);
     balancer.terms.tenant_quotas = vec![1e6, 1e6];
-    balancer.terms_changed(balancer.terms.clone());
+    balancer.settings_changed(balancer.terms.clone());
     for n in 0..20 {
         let [one, other] = [0, 1].map(|account| Ticket {
             account,
--- a/crates/policy/src/known.rs
+++ b/crates/policy/src/known.rs
@@ -290,7 +290,7 @@
     /// New terms hold from now on. Open tickets keep their use case and promised time, and of dispatches what
     /// the stricter terms allow. Use cases keep their numbers: those of before stand first, as they were,
     /// stricter, or earning 0 where clients can't ask for them now.
-    pub fn terms_changed(&mut self, terms: Settings) {
+    pub fn settings_changed(&mut self, terms: Settings) {
         let most = self.terms.max_attempts;
         let lines = self.lines.values_mut().flat_map(|line| &mut line.waiting);
         let waiting = self.held.iter_mut().chain(&mut self.asking).chain(lines);
@@ -307,7 +307,7 @@
         self.draw_order();
     }
 
-    pub fn terms(&self) -> &Settings {
+    pub fn settings(&self) -> &Settings {
         &self.terms
     }
 
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -21,24 +21,24 @@
 
 /// What a balancer may do. Every call takes effect at the moment of the event being answered.
 pub trait Host {
-    /// Sends the ticket to the upstream; the dispatch ends by itself at `expire_at`.
-    fn dispatch(&mut self, ticket: &str, upstream: &str, expire_at: Micros);
-    /// Stops waiting for one dispatch of the ticket, counted from 0.
-    fn call_off(&mut self, ticket: &str, dispatch: usize);
-    /// Final answer: not done, and trying again is harmless after `come_back_after`.
-    fn dismiss(&mut self, ticket: &str, come_back_after: Micros);
-    /// Final answer: not done as far as is known, with no promise.
-    fn abandon(&mut self, ticket: &str);
-    /// Asks for [`Balancer::alarm_rang`] with `alarm` after the given span.
-    fn wake(&mut self, after: Micros, alarm: u64);
-    /// Subscribes to changes of the list of upstreams.
-    fn follow_list(&mut self);
-    /// Asks an upstream how it is; [`Balancer::probed`] tells what came back.
-    fn probe(&mut self, upstream: &str);
-    /// Closes the idle connections to an upstream.
-    fn close_idle(&mut self, upstream: &str);
-    /// Tells one balancer, or all others, something short; it may be lost.
-    fn tell(&mut self, balancer: Option<usize>, words: &str);
+    /// Sends the request to the endpoint; the attempt times out by itself at `expire_at`.
+    fn start_attempt(&mut self, request: &str, endpoint: &str, expire_at: Micros);
+    /// Stops waiting for one attempt of the request, counted from 0.
+    fn cancel_attempt(&mut self, request: &str, attempt: usize);
+    /// Final answer: not served, and a retry is harmless after `retry_after`.
+    fn reject(&mut self, request: &str, retry_after: Micros);
+    /// Final answer: not served as far as is known, with no promise.
+    fn fail(&mut self, request: &str);
+    /// Asks for [`Balancer::timer_expired`] with `timer` after the given time.
+    fn set_timer(&mut self, after: Micros, timer: u64);
+    /// Polls the endpoint list, or subscribes to its changes.
+    fn poll_endpoint_list(&mut self);
+    /// Asks an endpoint for its load; [`Balancer::probe_completed`] takes what came back.
+    fn probe(&mut self, endpoint: &str);
+    /// Closes the idle connections to an endpoint.
+    fn close_idle_connections(&mut self, endpoint: &str);
+    /// Sends a short message to one balancer, or to all others; it may be lost.
+    fn send_gossip(&mut self, balancer: Option<usize>, message: &str);
 }
 
 /// How a dispatch ended.
--- a/crates/policy/src/list.rs
+++ b/crates/policy/src/list.rs
@@ -19,10 +19,10 @@
     /// Asks for the list for the first time, where it has to be asked for.
     pub(crate) fn begin_following(&mut self) {
         match self.follow_spread() {
-            Some(0) => self.host.follow_list(),
+            Some(0) => self.host.poll_endpoint_list(),
             Some(spread) => self
                 .host
-                .wake(self.chance.generate_range(0..=spread), FOLLOW_ALARM),
+                .set_timer(self.chance.generate_range(0..=spread), FOLLOW_ALARM),
             None => {}
         }
     }
@@ -36,20 +36,20 @@
     }
 
     /// The list failed or broke: the previous one stands, and we ask anew after a growing, scattered wait.
-    pub fn list_failed(&mut self) {
+    pub fn endpoint_list_failed(&mut self) {
         let Some((within, spread)) = self.terms.max_poll_interval.zip(self.follow_spread()) else {
             return;
         };
         let wait = spread.max((within / 64) << self.failed_follows.min(4)) as f64;
         self.failed_follows += 1;
-        self.host.wake(
+        self.host.set_timer(
             (wait * (0.5 + self.chance.generate::<f64>() / 2.0)) as Micros,
             FOLLOW_ALARM,
         );
     }
 
     /// What a complete list does not name is gone.
-    pub fn list_begins(&mut self, now: Micros, complete: bool) {
+    pub fn endpoint_list_begins(&mut self, now: Micros, complete: bool) {
         let stays = self.terms.unlisted_stay_usable;
         self.upstreams
             .iter_mut()
@@ -58,20 +58,20 @@
     }
 
     /// It is listed as gone.
-    pub fn list_drops(&mut self, now: Micros, id: &str) {
+    pub fn endpoint_removed(&mut self, now: Micros, id: &str) {
         if let Some(&u) = self.by_id.get(id) {
             self.upstreams[u].drop_out(now, self.terms.unlisted_stay_usable);
         }
     }
 
     /// It drains: nothing more, at once.
-    pub fn list_drains(&mut self, id: &str) {
+    pub fn endpoint_draining(&mut self, id: &str) {
         if let Some(&u) = self.by_id.get(id) {
             self.upstreams[u].ready = false;
         }
     }
 
-    pub fn list_entry(
+    pub fn endpoint_listed(
         &mut self,
         id: &str,
         zone: u64,
@@ -124,7 +124,7 @@
         }
     }
 
-    pub fn list_ends(&mut self, now: Micros) {
+    pub fn endpoint_list_ends(&mut self, now: Micros) {
         self.failed_follows = 0;
         self.forget_left(now);
         self.draw_order();
--- a/crates/policy/src/turns/tests.rs
+++ b/crates/policy/src/turns/tests.rs
@@ -16,14 +16,14 @@
 }
 
 fn arrive(balancer: &mut Balancer<Diary>, now: Micros, id: &str, key: Option<u64>) {
-    balancer.ticket_arrived(now, id, 0, 0, now + 1_000 * MS, None, key);
+    balancer.request_arrived(now, id, 0, 0, now + 1_000 * MS, None, key);
 }
 
 /// Rings whatever was set for lines: a look that comes too early must change nothing.
 fn ring(balancer: &mut Balancer<Diary>, now: Micros) {
     for alarm in 0..=balancer.last_alarm {
         if let Some(Alarm::Line(_)) = balancer.alarms.get(&alarm) {
-            balancer.alarm_rang(now, alarm);
+            balancer.timer_expired(now, alarm);
         }
     }
 }
@@ -43,7 +43,7 @@
     arrive(&mut balancer, START_AT, "b", second);
     ring(&mut balancer, START_AT + MS);
     assert_eq!(diary.count("dispatch"), sent);
-    balancer.dispatch_ended(
+    balancer.attempt_ended(
         START_AT + 20 * MS,
         "a",
         0,
@@ -65,7 +65,7 @@
         arrive(&mut balancer, START_AT, id, Some(KEY));
     }
     for (n, id) in (1..).zip(["a", "b"]) {
-        balancer.dispatch_ended(
+        balancer.attempt_ended(
             START_AT + n * 20 * MS,
             id,
             0,
@@ -95,7 +95,7 @@
     arrive(&mut balancer, START_AT, "b", Some(KEY));
     balancer.terms.key_cooldown = 100 * MS;
     balancer.terms.max_attempts = 1;
-    balancer.dispatch_ended(START_AT + 20 * MS, "a", 0, false, ending, 20 * MS);
+    balancer.attempt_ended(START_AT + 20 * MS, "a", 0, false, ending, 20 * MS);
     ring(&mut balancer, START_AT + 110 * MS);
     assert_eq!(diary.count("dispatch b"), usize::from(!rests));
     ring(&mut balancer, START_AT + 121 * MS);
@@ -109,10 +109,10 @@
     arrive(&mut balancer, START_AT, "a", Some(KEY));
     arrive(&mut balancer, START_AT, "b", Some(KEY));
     balancer.terms.key_cooldown = 50 * MS;
-    balancer.client_left(START_AT + 10 * MS, "a");
+    balancer.client_disconnected(START_AT + 10 * MS, "a");
     ring(&mut balancer, START_AT + 80 * MS);
     assert_eq!(diary.count("dispatch b"), 0);
-    balancer.dispatch_ended(
+    balancer.attempt_ended(
         START_AT + 90 * MS,
         "a",
         0,
@@ -150,8 +150,8 @@
     ]) {
         let (id, now) = (n.to_string(), START_AT + n * 1_000 * MS);
         arrive(&mut balancer, now, &id, Some(n));
-        balancer.client_left(now + MS, &id);
-        balancer.dispatch_ended(now + 2 * MS, &id, 0, true, how, MS);
+        balancer.client_disconnected(now + MS, &id);
+        balancer.attempt_ended(now + 2 * MS, &id, 0, true, how, MS);
     }
     ring(&mut balancer, START_AT + 10_000 * MS);
     assert!(balancer.lines.is_empty() && balancer.trailing.is_empty());
@@ -163,7 +163,7 @@
     let (mut balancer, diary) = ordered_by_key(Idempotency::NonIdempotent);
     arrive(&mut balancer, START_AT, "a", Some(KEY));
     balancer.terms.max_attempts = 1;
-    balancer.dispatch_ended(
+    balancer.attempt_ended(
         START_AT + MS,
         "a",
         0,
--- a/crates/proxy/src/life/place.rs
+++ b/crates/proxy/src/life/place.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 
 use pinefront_policy::{Idempotency, IdempotencyScope, Micros, RequestClass, Settings};
+use pinefront_settings::decode_settings;
 use pinefront_settings::fields::{Decoded, list, optional, part, text, whole};
-use pinefront_settings::terms;
 use serde_json::Value;
 
 use crate::life::start::passes;
@@ -159,7 +159,8 @@
         most_open: u64,
     ) -> Decoded<(Self, Settings)> {
         let settings = part(told, "settings")?;
-        let terms = terms(settings).map_err(|problem| format!("in 'settings': {problem}"))?;
+        let terms =
+            decode_settings(settings).map_err(|problem| format!("in 'settings': {problem}"))?;
         let caps = part(settings, "caps")?;
         let limits = optional(told, "limits", Some)?.unwrap_or(&Value::Null);
         let memory = optional(limits, "memory_mb", Value::as_u64)?;
--- a/crates/proxy/src/life/reread.rs
+++ b/crates/proxy/src/life/reread.rs
@@ -34,7 +34,7 @@
         let Some((path, fleet)) = path.zip(desk.fleet.as_ref()) else {
             return;
         };
-        match fleet_terms(path, &desk.place, self.balancer.terms()) {
+        match fleet_terms(path, &desk.place, self.balancer.settings()) {
             Ok(terms) => {
                 let kept = fleet.borrow_mut().renew(terms);
                 info!(desk.log, "operator file read anew"; "file" => path);
@@ -68,7 +68,7 @@
             let ear = Ear::moved(desk.ear.as_ref(), &desk.handle, own)
                 .map_err(|problem| format!("cannot hear other balancers at {own:?}: {problem}"))?;
             let kept = desk.place.kept_of(&place);
-            let renewed = desk.place.renew(place, terms, self.balancer.terms());
+            let renewed = desk.place.renew(place, terms, self.balancer.settings());
             match renewed {
                 Ok(_) => {
                     desk.hear_at(ear);
@@ -84,7 +84,7 @@
             Ok(terms) => {
                 desk.reread_again = None;
                 let place = &desk.place;
-                let changed = terms != *self.balancer.terms();
+                let changed = terms != *self.balancer.settings();
                 info!(desk.log, "configuration read anew"; "discovery" => %place.discovery,
                     "clients_most" => place.clients_most, "links_most" => place.links_most,
                     "settings_changed" => changed, "use_cases" => place.classes.join(","));
@@ -93,7 +93,7 @@
                     desk.ask_elsewhere();
                 }
                 if changed {
-                    self.balancer.terms_changed(terms);
+                    self.balancer.settings_changed(terms);
                 }
             }
             Err(unread) => {
--- a/crates/proxy/src/life/reread/tests.rs
+++ b/crates/proxy/src/life/reread/tests.rs
@@ -184,7 +184,7 @@
         &format!("spoilt-{}", new.to_string().len()),
         &new.to_string(),
     );
-    let before = stand.node.balancer.terms().clone();
+    let before = stand.node.balancer.settings().clone();
     stand.node.reread(Some(&path), &variables());
     std::fs::remove_file(path).unwrap();
     let desk = stand.node.desk.borrow();
@@ -193,7 +193,7 @@
         (1, true)
     );
     assert_eq!(
-        (stand.node.balancer.terms(), &*desk.place.classes),
+        (stand.node.balancer.settings(), &*desk.place.classes),
         (&before, &["pay".to_owned(), "look".to_owned()][..])
     );
 }
@@ -384,7 +384,7 @@
     let path = file("operator", &fleet);
     let opened = {
         let desk = stand.node.desk.borrow();
-        let terms = fleet_terms(&path, &desk.place, stand.node.balancer.terms()).unwrap();
+        let terms = fleet_terms(&path, &desk.place, stand.node.balancer.settings()).unwrap();
         Fleet::open(&desk.handle, terms, 1, &desk.log).unwrap()
     };
     stand.node.desk.borrow_mut().fleet = Some(opened);
--- a/crates/proxy/src/life/serve.rs
+++ b/crates/proxy/src/life/serve.rs
@@ -44,7 +44,7 @@
             match due {
                 Due::Alarm(alarm) => {
                     let now = self.desk.borrow().now();
-                    self.balancer.alarm_rang(now, alarm);
+                    self.balancer.timer_expired(now, alarm);
                 }
                 Due::Client(slot) => self.client_due(slot),
                 Due::NextMessage(slot) => self.client_ready(slot),
--- a/crates/proxy/src/stand.rs
+++ b/crates/proxy/src/stand.rs
@@ -214,7 +214,7 @@
 
     pub fn again(&mut self, id: &str, upstream: &str, wait: Micros) {
         let expire_at = self.node.desk.borrow().now() + wait;
-        Hands(self.node.desk.clone()).dispatch(id, upstream, expire_at);
+        Hands(self.node.desk.clone()).start_attempt(id, upstream, expire_at);
     }
 }
 
--- a/crates/proxy/src/wire/answers.rs
+++ b/crates/proxy/src/wire/answers.rs
@@ -37,7 +37,7 @@
         let Some(errand) = link.errand.take() else {
             return;
         };
-        let (probed, place) = (errand.is_probe(), link.upstream);
+        let (probe_completed, place) = (errand.is_probe(), link.upstream);
         let Some(upstream) = desk
             .upstreams
             .get(place)
@@ -57,7 +57,7 @@
             503 | 504 if turned_away => AttemptOutcome::Rejected,
             _ => AttemptOutcome::Failed,
         };
-        let load = match desk.place.loads_told || probed {
+        let load = match desk.place.loads_told || probe_completed {
             true => load(response.headers),
             false => None,
         };
@@ -72,7 +72,7 @@
             desk.said_unasked(place);
         }
         let told = desk.over(errand.ticket, errand.number, ending, errand.sent);
-        if !probed {
+        if !probe_completed {
             desk.count_ending(ending);
         }
         let last = ending == AttemptOutcome::Succeeded;
@@ -91,14 +91,14 @@
             self.balancer
                 .load_reported(now, &upstream, busy, queue, held);
         }
-        if probed {
+        if probe_completed {
             return self.probe_over(place, last);
         }
         if let Some((id, _)) = told {
             self.desk.borrow().tell_attempt(&id, errand.number, ending);
             let took = now.saturating_sub(errand.sent);
             self.balancer
-                .dispatch_ended(now, &id, errand.number, last, ending, took);
+                .attempt_ended(now, &id, errand.number, last, ending, took);
         }
     }
 }
--- a/crates/proxy/src/wire/clients.rs
+++ b/crates/proxy/src/wire/clients.rs
@@ -69,7 +69,7 @@
             info!(desk.log, "client left its request"; "request" => &*id);
             let now = desk.now();
             drop(desk);
-            self.balancer.client_left(now, &id);
+            self.balancer.client_disconnected(now, &id);
         }
     }
 
--- a/crates/proxy/src/wire/discovery/lists.rs
+++ b/crates/proxy/src/wire/discovery/lists.rs
@@ -55,9 +55,9 @@
         if is_whole {
             self.desk
                 .borrow_mut()
-                .all_gone(now, self.balancer.terms().unlisted_stay_usable);
+                .all_gone(now, self.balancer.settings().unlisted_stay_usable);
         }
-        self.balancer.list_begins(now, is_whole);
+        self.balancer.endpoint_list_begins(now, is_whole);
         let starts = self.desk.borrow_mut().start_times(now, entries);
         for entry in entries {
             if let Err(problem) = self.take_entry(now, entry, starts) {
@@ -68,7 +68,7 @@
                 }
             }
         }
-        self.balancer.list_ends(now);
+        self.balancer.endpoint_list_ends(now);
         let mut desk = self.desk.borrow_mut();
         desk.drop_left();
         desk.discovery.listed_at = now;
@@ -95,7 +95,7 @@
                 let launched = desk.started(id, stated, starts);
                 drop(desk);
                 self.balancer
-                    .list_entry(id, zone, kind, group, weight, launched);
+                    .endpoint_listed(id, zone, kind, group, weight, launched);
             }
             "leaving" => self.take_away(now, id),
             "left" => self.take_left(now, id),
@@ -107,14 +107,14 @@
     /// It drains: it gets nothing new.
     fn take_away(&mut self, now: Micros, id: &str) {
         self.desk.borrow_mut().drains(id, now);
-        self.balancer.list_drains(id);
+        self.balancer.endpoint_draining(id);
     }
 
     /// It is gone.
     fn take_left(&mut self, now: Micros, id: &str) {
-        let stays = self.balancer.terms().unlisted_stay_usable;
+        let stays = self.balancer.settings().unlisted_stay_usable;
         self.desk.borrow_mut().drops(id, now, stays);
-        self.balancer.list_drops(now, id);
+        self.balancer.endpoint_removed(now, id);
     }
 
     /// Takes what a list takes away of which only a part came: what discovery wrote counts as told, whether or not the
@@ -136,14 +136,14 @@
         if going.is_empty() {
             return;
         }
-        self.balancer.list_begins(now, false);
+        self.balancer.endpoint_list_begins(now, false);
         for entry in &going {
             match entry.state.as_deref() {
                 Some("left") => self.take_left(now, &entry.id),
                 _ => self.take_away(now, &entry.id),
             }
         }
-        self.balancer.list_ends(now);
+        self.balancer.endpoint_list_ends(now);
         let mut desk = self.desk.borrow_mut();
         // One whose state did not come may serve on: what is known of it stays.
         let stated = going.iter().filter(|entry| entry.state.is_some());
--- a/crates/proxy/src/wire/discovery/mod.rs
+++ b/crates/proxy/src/wire/discovery/mod.rs
@@ -329,7 +329,7 @@
                     desk.counters.lists_told += 1;
                     desk.discovery.taken = true;
                     desk.discovery.schedule.told_by_peer(told);
-                    desk.follow_list();
+                    desk.poll_endpoint_list();
                 }
                 Err(problem) => {
                     warn!(self.desk.borrow().log, "list of another balancer not understood"; "problem" => problem);
@@ -352,7 +352,7 @@
     }
 
     /// The module wants the list followed; on a later turn, as we are inside its call.
-    pub fn follow_list(&mut self) {
+    pub fn poll_endpoint_list(&mut self) {
         let now = self.clock.now();
         self.discovery.schedule.follow(now);
         self.hang_discovery();
--- a/crates/proxy/src/wire/discovery/schedule.rs
+++ b/crates/proxy/src/wire/discovery/schedule.rs
@@ -315,7 +315,7 @@
     /// before still tells is heard until the new one has answered.
     pub fn moved(&mut self, now: Micros) {
         self.replace_awaited();
-        self.close_idle();
+        self.close_idle_connections();
         self.discovery += 1;
         (self.version, self.unverified, self.has_answered) = (None, false, false);
         (self.next, self.news, self.watch_answered, self.verify_at) = (Some(now), true, None, None);
@@ -433,7 +433,7 @@
         self.closing.push((call.connection, is_owed));
     }
 
-    fn close_idle(&mut self) {
+    fn close_idle_connections(&mut self) {
         self.closing
             .extend(self.idle.take().map(|connection| (connection, false)));
     }
@@ -636,7 +636,7 @@
         // What waits for its turn meanwhile is only heard: the watch goes on here.
         self.close_connecting();
         self.replace_awaited();
-        self.close_idle();
+        self.close_idle_connections();
         let continues = call.query != Query::WholeList;
         self.watch_answered = continues.then_some(now);
         match lasts {
--- a/crates/proxy/src/wire/hands.rs
+++ b/crates/proxy/src/wire/hands.rs
@@ -12,12 +12,12 @@
 use crate::memory::slots::TicketSlot;
 
 impl Host for Hands {
-    fn dispatch(&mut self, ticket: &str, upstream: &str, expire_at: Micros) {
+    fn start_attempt(&mut self, ticket: &str, upstream: &str, expire_at: Micros) {
         self.0.borrow_mut().dispatch(ticket, upstream, expire_at);
     }
 
     /// Calling off closes the connection: the upstream sees that nobody waits.
-    fn call_off(&mut self, ticket: &str, dispatch: usize) {
+    fn cancel_attempt(&mut self, ticket: &str, dispatch: usize) {
         let mut desk = self.0.borrow_mut();
         let Some(slot) = desk.by_id.get(ticket).copied() else {
             return;
@@ -34,16 +34,16 @@
         }
     }
 
-    fn dismiss(&mut self, ticket: &str, come_back_after: Micros) {
+    fn reject(&mut self, ticket: &str, retry_after: Micros) {
         let mut desk = self.0.borrow_mut();
         let Some(slot) = desk.by_id.get(ticket).copied() else {
             return;
         };
         let mut fields = Vec::new();
-        if come_back_after > 0 {
+        if retry_after > 0 {
             fields.push(Bytes::from(format!(
                 "Retry-After: {:.3}\r\n",
-                come_back_after as f64 / 1e6
+                retry_after as f64 / 1e6
             )));
         }
         desk.counters.tickets_dismissed += 1;
@@ -51,7 +51,7 @@
         desk.answer(slot, 503, fields, Vec::new());
     }
 
-    fn abandon(&mut self, ticket: &str) {
+    fn fail(&mut self, ticket: &str) {
         let mut desk = self.0.borrow_mut();
         let Some(slot) = desk.by_id.get(ticket).copied() else {
             return;
@@ -61,22 +61,22 @@
         desk.answer(slot, 502, Vec::new(), Vec::new());
     }
 
-    fn wake(&mut self, after: Micros, alarm: u64) {
+    fn set_timer(&mut self, after: Micros, alarm: u64) {
         let mut desk = self.0.borrow_mut();
         let at = desk.now().saturating_add(after);
         desk.deadlines.hang(at, Due::Alarm(alarm));
     }
 
-    fn follow_list(&mut self) {
+    fn poll_endpoint_list(&mut self) {
         let mut desk = self.0.borrow_mut();
-        desk.follow_list();
+        desk.poll_endpoint_list();
     }
 
     fn probe(&mut self, upstream: &str) {
         self.0.borrow_mut().probe(upstream);
     }
 
-    fn close_idle(&mut self, upstream: &str) {
+    fn close_idle_connections(&mut self, upstream: &str) {
         let mut desk = self.0.borrow_mut();
         let Some(slot) = desk.by_name.get(upstream).copied() else {
             return;
@@ -84,7 +84,7 @@
         desk.drop_idle_links(slot, reasons::STALE);
     }
 
-    fn tell(&mut self, balancer: Option<usize>, words: &str) {
+    fn send_gossip(&mut self, balancer: Option<usize>, words: &str) {
         self.0.borrow_mut().tell(balancer, words);
     }
 }
--- a/crates/proxy/src/wire/peers.rs
+++ b/crates/proxy/src/wire/peers.rs
@@ -82,7 +82,7 @@
                 Some((author, text)) => {
                     desk.counters.words_heard += 1;
                     drop(desk);
-                    self.balancer.told(now, author, text);
+                    self.balancer.gossip_received(now, author, text);
                 }
                 None => desk.counters.words_passed_over += 1,
             }
--- a/crates/proxy/src/wire/peers/tests.rs
+++ b/crates/proxy/src/wire/peers/tests.rs
@@ -33,8 +33,8 @@
 #[case::nobody(Some(7), false)]
 fn words_go_to_whom_they_are_for(#[case] to: Option<usize>, #[case] reached: bool) {
     let (mut stand, other, _) = two();
-    Hands(stand.node.desk.clone()).tell(to, "~ 5");
-    Hands(stand.node.desk.clone()).tell(Some(1), "end");
+    Hands(stand.node.desk.clone()).send_gossip(to, "~ 5");
+    Hands(stand.node.desk.clone()).send_gossip(Some(1), "end");
     assert_eq!(hears(&mut stand, &other) == "~ 5", reached);
 }
 
--- a/crates/proxy/src/wire/tickets.rs
+++ b/crates/proxy/src/wire/tickets.rs
@@ -126,7 +126,7 @@
         let ticket = desk.open(slot, id, idempotency, &message, &asked, &body);
         drop(borrowed);
         self.balancer
-            .ticket_arrived(now, &ticket, use_case, account, hard_stop, hint, key);
+            .request_arrived(now, &ticket, use_case, account, hard_stop, hint, key);
     }
 }
 
--- a/crates/proxy/src/wire/upstreams.rs
+++ b/crates/proxy/src/wire/upstreams.rs
@@ -123,7 +123,7 @@
         };
         desk.counters.probes_answered += u64::from(answered);
         drop(desk);
-        self.balancer.probed(now, &id, answered);
+        self.balancer.probe_completed(now, &id, answered);
     }
 
     /// Tells the module how a dispatch ended, unless its ticket has its final answer.
@@ -143,7 +143,7 @@
         if let Some((id, _)) = told {
             self.desk.borrow().tell_attempt(&id, number, ending);
             self.balancer
-                .dispatch_ended(now, &id, number, false, ending, now.saturating_sub(sent));
+                .attempt_ended(now, &id, number, false, ending, now.saturating_sub(sent));
         }
     }
 }
--- a/crates/proxy/src/wire/upstreams/tests.rs
+++ b/crates/proxy/src/wire/upstreams/tests.rs
@@ -247,8 +247,8 @@
     stream.shutdown(std::net::Shutdown::Both).unwrap();
     stand.node.link_ready(slot);
 }, 0)]
-#[case::called_off_late(LONG, |stand: &mut Stand, _| Hands(stand.node.desk.clone()).call_off("t2", 0), 0)]
-#[case::called_off_early(0, |stand: &mut Stand, _| Hands(stand.node.desk.clone()).call_off("t2", 0), 1)]
+#[case::called_off_late(LONG, |stand: &mut Stand, _| Hands(stand.node.desk.clone()).cancel_attempt("t2", 0), 0)]
+#[case::called_off_early(0, |stand: &mut Stand, _| Hands(stand.node.desk.clone()).cancel_attempt("t2", 0), 1)]
 fn doubt_about_one_connection_ends_the_idle_ones(
     #[case] waited: Micros,
     #[case] act: fn(&mut Stand, LinkSlot),
@@ -338,7 +338,7 @@
     let (_client, ticket) = stand.dispatched("t1", "s1", LONG);
     let link = stand.accepted(&upstream);
     stand.heard(&link, "body");
-    Hands(stand.node.desk.clone()).call_off("t1", 0);
+    Hands(stand.node.desk.clone()).cancel_attempt("t1", 0);
     stand.ends(&link);
     let desk = stand.node.desk.borrow();
     assert_eq!(
@@ -405,7 +405,7 @@
     if !waits {
         stand.node.desk.borrow_mut().tickets[ticket].client = None;
     }
-    Hands(stand.node.desk.clone()).call_off("t1", 0);
+    Hands(stand.node.desk.clone()).cancel_attempt("t1", 0);
     let hung = stand.node.desk.borrow().counters.dispatches_called_off == 0;
     assert_eq!((hung, ended(&mut stand).as_str()), (true, heard));
     assert_eq!(stand.node.desk.borrow().tickets.contains_key(ticket), waits);
@@ -499,7 +499,7 @@
     let slot = stand.node.desk.borrow().clients.keys().next().unwrap();
     stand.node.client_gone(slot, reasons::CLIENT_CLOSED);
 })]
-#[case::answered(|stand: &mut Stand| Hands(stand.node.desk.clone()).abandon("t1"))]
+#[case::answered(|stand: &mut Stand| Hands(stand.node.desk.clone()).fail("t1"))]
 #[case::time_over(|stand: &mut Stand| {
     let mut desk = stand.node.desk.borrow_mut();
     let now = desk.now();
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -41,7 +41,7 @@
 }
 
 /// What the deployment lays down, from the object that the settings are.
-pub fn terms(conf: &Value) -> Decoded<Settings> {
+pub fn decode_settings(conf: &Value) -> Decoded<Settings> {
     let (caps, rules) = (part(conf, "caps")?, part(conf, "rules")?);
     let accounts = optional(conf, "accounts", Value::as_array)?;
     let (balancers, own_index) = (count(conf, "fleetSize")?, count(conf, "me")?);
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -10,8 +10,8 @@
 use std::rc::Rc;
 
 use pinefront_policy::{AttemptOutcome, Balancer, Host, Micros};
+use pinefront_settings::decode_settings;
 use pinefront_settings::fields::Decoded;
-use pinefront_settings::terms;
 use serde::Deserialize;
 use serde_json::Value;
 
@@ -40,47 +40,47 @@
 }
 
 impl Host for Wire {
-    fn dispatch(&mut self, ticket: &str, upstream: &str, expire_at: Micros) {
+    fn start_attempt(&mut self, ticket: &str, upstream: &str, expire_at: Micros) {
         let (ticket, upstream) = (quoted(ticket), quoted(upstream));
         self.order(
             "Try",
             format_args!(",\"req\":{ticket},\"expireAtUs\":{expire_at},\"upstream\":{upstream}"),
         );
     }
-    fn call_off(&mut self, ticket: &str, dispatch: usize) {
+    fn cancel_attempt(&mut self, ticket: &str, dispatch: usize) {
         let ticket = quoted(ticket);
         self.order(
             "CallOff",
             format_args!(",\"req\":{ticket},\"trial\":{dispatch}"),
         );
     }
-    fn dismiss(&mut self, ticket: &str, come_back_after: Micros) {
+    fn reject(&mut self, ticket: &str, retry_after: Micros) {
         let ticket = quoted(ticket);
         self.order(
             "PushBack",
-            format_args!(",\"req\":{ticket},\"waitUs\":{come_back_after}"),
+            format_args!(",\"req\":{ticket},\"waitUs\":{retry_after}"),
         );
     }
-    fn abandon(&mut self, ticket: &str) {
+    fn fail(&mut self, ticket: &str) {
         let ticket = quoted(ticket);
         self.order("Fail", format_args!(",\"req\":{ticket}"));
     }
-    fn wake(&mut self, after: Micros, alarm: u64) {
+    fn set_timer(&mut self, after: Micros, alarm: u64) {
         self.order(
             "SetAlarm",
             format_args!(",\"fromNowUs\":{after},\"keyBack\":{alarm}"),
         );
     }
-    fn follow_list(&mut self) {
+    fn poll_endpoint_list(&mut self) {
         self.order("Follow", format_args!(",\"on\":true"));
     }
     fn probe(&mut self, upstream: &str) {
         self.order("Probe", format_args!(",\"upstream\":{}", quoted(upstream)));
     }
-    fn close_idle(&mut self, upstream: &str) {
+    fn close_idle_connections(&mut self, upstream: &str) {
         self.order("Close", format_args!(",\"upstream\":{}", quoted(upstream)));
     }
-    fn tell(&mut self, balancer: Option<usize>, words: &str) {
+    fn send_gossip(&mut self, balancer: Option<usize>, words: &str) {
         let (target, words) = (
             balancer.map_or(Value::from("all"), Value::from),
             quoted(words),
@@ -171,17 +171,17 @@
 fn take_list(balancer: &mut Balancer<Wire>, now: Micros, event: &Event) -> Decoded<()> {
     let complete = match need(event.scope, "scope")? {
         "failed" => {
-            balancer.list_failed();
+            balancer.endpoint_list_failed();
             return Ok(());
         }
         "delta" => false,
         "full" | "cached" => true,
         other => return Err(format!("field 'scope' holds unknown '{other}'")),
     };
-    balancer.list_begins(now, complete);
+    balancer.endpoint_list_begins(now, complete);
     for entry in need(event.members_list.as_ref(), "membersList")? {
         match entry.phase {
-            "IN" => balancer.list_entry(
+            "IN" => balancer.endpoint_listed(
                 entry.upstream,
                 need(entry.site, "site")?,
                 need(entry.generation_hw, "generationHw")?,
@@ -189,12 +189,12 @@
                 need(entry.weight, "weight")?,
                 entry.launched_us.unwrap_or(0),
             ),
-            "LAME" => balancer.list_drains(entry.upstream),
-            "OUT" => balancer.list_drops(now, entry.upstream),
+            "LAME" => balancer.endpoint_draining(entry.upstream),
+            "OUT" => balancer.endpoint_removed(now, entry.upstream),
             other => return Err(format!("field 'phase' holds unknown '{other}'")),
         }
     }
-    balancer.list_ends(now);
+    balancer.endpoint_list_ends(now);
     Ok(())
 }
 
@@ -225,7 +225,7 @@
             instance,
             reply: Rc::clone(reply),
         };
-        let terms = terms(need(event.conf.as_ref(), "conf")?)?;
+        let terms = decode_settings(need(event.conf.as_ref(), "conf")?)?;
         let seed = need(event.nonce64, "nonce64")?;
         instances.insert(instance, Balancer::start(host, seed, terms, now));
         return Ok(());
@@ -238,7 +238,7 @@
             instances.remove(&instance);
         }
         "Sync" => take_list(balancer, now, event)?,
-        "Call" => balancer.ticket_arrived(
+        "Call" => balancer.request_arrived(
             now,
             need(event.req, "req")?,
             need(event.qos, "qos")?,
@@ -251,7 +251,7 @@
         ),
         "Ended" => {
             take_load(balancer, now, event)?;
-            balancer.dispatch_ended(
+            balancer.attempt_ended(
                 now,
                 need(event.req, "req")?,
                 need(event.trial, "trial")?,
@@ -260,17 +260,17 @@
                 need(event.delay_seen_us, "delaySeenUs")?,
             );
         }
-        "FirstByte" => balancer.stream_began(need(event.req, "req")?),
-        "Gone" => balancer.client_left(now, need(event.req, "req")?),
-        "Elapsed" => balancer.alarm_rang(now, need(event.key_back, "keyBack")?),
+        "FirstByte" => balancer.response_started(need(event.req, "req")?),
+        "Gone" => balancer.client_disconnected(now, need(event.req, "req")?),
+        "Elapsed" => balancer.timer_expired(now, need(event.key_back, "keyBack")?),
         "CheckResult" => {
             take_load(balancer, now, event)?;
             let answered = ending(need(event.how, "how")?)? == AttemptOutcome::Succeeded;
-            balancer.probed(now, need(event.upstream, "upstream")?, answered);
+            balancer.probe_completed(now, need(event.upstream, "upstream")?, answered);
         }
         "Datagram" => {
             let words = need(event.contents.as_deref(), "contents")?;
-            balancer.told(now, need(event.author, "author")?, words);
+            balancer.gossip_received(now, need(event.author, "author")?, words);
         }
         _ => {}
     }
