--- a/crates/policy/src/arithmetic.rs
+++ b/crates/policy/src/arithmetic.rs
@@ -2,7 +2,7 @@
 
 use nanorand::{Rng, WyRand};
 
-use crate::known::{FEATURES, Scene};
+use crate::known::{DecisionSample, FEATURES};
 
 /// An irrational step: it spreads evenly on a ring of any size.
 const RING_STEP: f64 = std::f64::consts::SQRT_2;
@@ -55,25 +55,25 @@
 /// normalisation and projection; nothing where it is no longer among the top.
 pub(crate) fn slope(
     weights: &[f64; FEATURES],
-    scene: &Scene,
+    sample: &DecisionSample,
     m: usize,
 ) -> Option<(f64, [f64; FEATURES])> {
-    let raw: Vec<f64> = scene.rows.iter().map(|row| dot(weights, row)).collect();
+    let raw: Vec<f64> = sample.rows.iter().map(|row| dot(weights, row)).collect();
     // Of the rest is what lies below the last of the top, so that ties with it count as top.
     let last = *raw
         .clone()
         .select_nth_unstable_by(m - 1, |a, b| b.total_cmp(a))
         .1;
     let in_rest = |place: usize| raw[place] < last;
-    if in_rest(scene.drawn) {
+    if in_rest(sample.drawn) {
         return None;
     }
     let (mut sum, mut rest_sum) = (0.0, 0.0);
     let (mut sum_slope, mut own_slope) = ([0.0; FEATURES], [0.0; FEATURES]);
-    for (place, row) in scene.rows.iter().enumerate() {
+    for (place, row) in sample.rows.iter().enumerate() {
         let (o, bend) = (softplus(raw[place]), 1.0 / (1.0 + (-raw[place]).exp()));
         let spread = if in_rest(place) { 1.0 / m as f64 } else { 0.0 };
-        let own = if place == scene.drawn { 1.0 } else { spread };
+        let own = if place == sample.drawn { 1.0 } else { spread };
         sum += o;
         rest_sum += own * o;
         for f in 0..FEATURES {
@@ -89,23 +89,23 @@
 /// The clipped policy step (eq. 5 and 6 of the paper); `usual` is the payoff that is no advantage.
 pub(crate) fn clipped_step(
     weights: &[f64; FEATURES],
-    samples: &[(Scene, f64)],
+    samples: &[(DecisionSample, f64)],
     usual: f64,
     clip: f64,
-    top: impl Fn(usize) -> usize,
+    selectable: impl Fn(usize) -> usize,
 ) -> [f64; FEATURES] {
     let mut step = [0.0; FEATURES];
-    for (scene, payoff) in samples {
-        let advantage = payoff - usual;
-        let Some((chance, slope)) = slope(weights, scene, top(scene.rows.len())) else {
+    for (sample, reward) in samples {
+        let advantage = reward - usual;
+        let Some((chance, slope)) = slope(weights, sample, selectable(sample.rows.len())) else {
             continue;
         };
-        let ratio = chance / scene.chance;
+        let ratio = chance / sample.chance;
         if (ratio < 1.0 - clip && advantage < 0.0) || (ratio > 1.0 + clip && advantage > 0.0) {
             continue;
         }
         for f in 1..FEATURES {
-            step[f] += advantage / scene.chance * slope[f];
+            step[f] += advantage / sample.chance * slope[f];
         }
     }
     step
--- a/crates/policy/src/fading.rs
+++ b/crates/policy/src/decaying.rs
@@ -4,12 +4,12 @@
 
 /// A sum that fades with time and is brought up to date when read.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Fading {
+pub(crate) struct DecayingSum {
     pub(crate) sum: f64,
     at: Micros,
 }
 
-impl Fading {
+impl DecayingSum {
     pub(crate) fn read(&self, now: Micros, horizon: f64) -> f64 {
         // Most sums of most endpoints hold nothing, and exp() is what a look at a large fleet costs.
         if self.sum == 0.0 || now <= self.at {
@@ -25,12 +25,12 @@
 
 /// A fading mean. Both sums fade alike, so it needs no time to be read.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Mean {
-    pub(crate) total: Fading,
-    pub(crate) weight: Fading,
+pub(crate) struct DecayingAverage {
+    pub(crate) total: DecayingSum,
+    pub(crate) weight: DecayingSum,
 }
 
-impl Mean {
+impl DecayingAverage {
     pub(crate) fn add(&mut self, now: Micros, horizon: f64, value: f64, weight: f64) {
         self.total.add(now, horizon, value * weight);
         self.weight.add(now, horizon, weight);
--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -7,10 +7,10 @@
 use nanorand::{Rng, WyRand};
 
 use crate::arithmetic::{clipped_step, dot, mixed, project, relative, scattered, softplus};
-use crate::known::{Alarm, Attempt, Balancer, Endpoint, FEATURES, Request, Scene};
-use crate::margin::begin_before;
-use crate::measures::{LASTING, RECENT, SECOND};
-use crate::words::{Fate, Word};
+use crate::estimates::{LONG_TERM_US, RECENT_US, SECOND_US};
+use crate::gossip::{GossipMessage, PeerOutcome};
+use crate::known::{Attempt, Balancer, DecisionSample, Endpoint, FEATURES, Request, TimerPurpose};
+use crate::time_margin::begin_before;
 use crate::{AttemptOutcome, Host, Idempotency, IdempotencyScope, Micros, Settings};
 
 #[cfg(test)]
@@ -63,7 +63,7 @@
 const THROUGH: (f64, f64) = (0.1, 0.5);
 const HEARD_PRIOR: f64 = 0.5;
 /// How often held requests are looked at.
-const PUMP_EVERY: Micros = 10_000;
+const QUEUE_INTERVAL_US: Micros = 10_000;
 /// Endpoints for each balancer from which on requests are held: the places that come free are then its own.
 const HOLDS: usize = 3;
 /// Part of a request's spare time that the queue before it may take, also beyond its share: longer ones stand.
@@ -88,52 +88,63 @@
 /// latency objective within which it is found: a crash takes longer.
 const DROPPED: (Micros, Micros, Micros) = (15_000_000, 200_000, 100);
 
-pub(crate) const FOLLOW_ALARM: u64 = 0;
-const PUMP_ALARM: u64 = 1;
+pub(crate) const LIST_POLL_TIMER: u64 = 0;
+const QUEUE_TIMER: u64 = 1;
 
 impl<H: Host> Balancer<H> {
     pub fn start(host: H, seed: u64, settings: Settings, now: Micros) -> Self {
         let mut balancer = Self::blank(host, WyRand::new_seed(seed), settings, START, now);
-        (balancer.salt, balancer.let_through) = (mixed(seed, 0), THROUGH.1);
-        balancer.begin_following();
+        (balancer.instance_seed, balancer.admitted_share) = (mixed(seed, 0), THROUGH.1);
+        balancer.start_polling_list();
         balancer
     }
 
     /// Balancers that see little keep to a few endpoints, from evenly spread starts on the common ring.
-    pub(crate) fn draw_order(&mut self) {
+    pub(crate) fn rebuild_preference_order(&mut self) {
         let mut ring: Vec<usize> = (0..self.endpoints.len())
             .filter(|&u| self.endpoints[u].ready)
             .collect();
-        if ring.len() == self.order.len() && self.order.iter().all(|&u| self.endpoints[u].ready) {
+        if ring.len() == self.preference_order.len()
+            && self
+                .preference_order
+                .iter()
+                .all(|&u| self.endpoints[u].ready)
+        {
             return;
         }
         ring.sort_by_key(|&u| (self.endpoints[u].hash, u));
         // A far one costs the way there; where loads are asked for, the drawing weighs that against the load.
-        let is_near = |u: &usize| self.asks() || self.endpoints[*u].zone == self.settings.zone;
+        let is_near =
+            |u: &usize| self.polls_loads() || self.endpoints[*u].zone == self.settings.zone;
         let (near, far): (Vec<_>, Vec<_>) = ring.into_iter().partition(is_near);
         let own = self.settings.own_index as f64 * RING;
         let [near, far] = [near, far].map(|ring| scattered(ring, own));
-        (self.near_first, self.order) = ([near.as_slice(), &far].concat(), Vec::new());
+        (self.zone_first_order, self.preference_order) =
+            ([near.as_slice(), &far].concat(), Vec::new());
         let (mut near, mut far) = (near.into_iter(), far.into_iter());
         while near.len() + far.len() > 0 {
-            self.order
+            self.preference_order
                 .extend(near.by_ref().take(MIX).chain(far.by_ref().take(1)));
         }
     }
 
     /// The order to go by now: near ones may bear less than comes there, and leave requests without room then.
-    fn present_order(&self, now: Micros) -> &[usize] {
-        if now < self.crowded_until {
-            &self.order
+    fn current_order(&self, now: Micros) -> &[usize] {
+        if now < self.zone_crowded_until {
+            &self.preference_order
         } else {
-            &self.near_first
+            &self.zone_first_order
         }
     }
 
     /// How many endpoints this balancer keeps to, and how many balancers keep to each.
-    pub(crate) fn circle(&self) -> (usize, f64) {
-        let (ready, balancers) = (self.order.len(), self.settings.balancers);
-        let least = if self.asks() { CIRCLE.2 } else { CIRCLE.1 };
+    pub(crate) fn subset(&self) -> (usize, f64) {
+        let (ready, balancers) = (self.preference_order.len(), self.settings.balancers);
+        let least = if self.polls_loads() {
+            CIRCLE.2
+        } else {
+            CIRCLE.1
+        };
         let kept = ((CIRCLE.0 * balancers + CIRCLE.3) * ready).div_ceil(balancers * balancers);
         let kept = kept.max(least).min(ready);
         (kept, (kept * balancers) as f64 / ready.max(1) as f64)
@@ -158,14 +169,14 @@
         else {
             return self.host.reject(id, 0);
         };
-        self.seen.arrivals.add(now, LASTING, 1.0);
+        self.fleet.arrivals.add(now, LONG_TERM_US, 1.0);
         let work = hint.map_or(1.0, |hint| {
-            let usual = &mut self.paces[class].hint;
-            usual.add(now, LASTING, hint as f64, 1.0);
+            let usual = &mut self.class_latency[class].hint;
+            usual.add(now, LONG_TERM_US, hint as f64, 1.0);
             (hint as f64 / usual.read().unwrap_or(1.0).max(1.0)).clamp(0.1, 10.0)
         });
         let within_quota = self.within_quota(now, tenant);
-        let line = key.filter(|_| self.settings.classes[class].ordered_by_key);
+        let key_queue = key.filter(|_| self.settings.classes[class].ordered_by_key);
         let blank = Request::new(
             Rc::from(id),
             class,
@@ -176,125 +187,130 @@
         );
         let request = Request {
             tenant,
-            line,
+            key_queue,
             ..blank
         };
-        let [late, heard] =
-            [&self.seen.pressure.total, &self.seen.pressure.weight].map(|s| s.read(now, SECOND));
-        self.ease = 1.0 - (late + HEARD_PRIOR) / (heard + HEARD_PRIOR);
-        self.let_through =
-            (self.let_through * (1.0 + THINNING.0 * self.ease)).clamp(THROUGH.0, 1.0);
+        let [late, heard] = [&self.fleet.pressure.total, &self.fleet.pressure.weight]
+            .map(|s| s.read(now, SECOND_US));
+        self.headroom = 1.0 - (late + HEARD_PRIOR) / (heard + HEARD_PRIOR);
+        self.admitted_share =
+            (self.admitted_share * (1.0 + THINNING.0 * self.headroom)).clamp(THROUGH.0, 1.0);
         // With several endpoints to itself, or loads to ask for, a balancer needs no guess.
-        let own = if self.asks() {
+        let own = if self.polls_loads() {
             usize::MAX
         } else {
-            self.order.len()
+            self.preference_order.len()
         } as f64;
-        let let_through =
-            1.0 - (1.0 - self.let_through) / (1.0 + (own / self.settings.balancers as f64).powi(4));
+        let admitted_share = 1.0
+            - (1.0 - self.admitted_share) / (1.0 + (own / self.settings.balancers as f64).powi(4));
         // Beyond the share gives way first.
         let part = if within_quota {
-            let_through
+            admitted_share
         } else {
-            2.0 * let_through - 1.0
+            2.0 * admitted_share - 1.0
         };
-        if self.chance.generate::<f64>() > part || self.kept_out(now, &request) {
-            return self.give_up(now, request);
+        if self.random.generate::<f64>() > part || self.excluded_as_outlier(now, &request) {
+            return self.reject_or_fail(now, request);
         }
-        self.take_turn(now, request);
+        self.enter_key_queue(now, request);
     }
 
     /// The ordinary path of a request.
     fn place(&mut self, now: Micros, request: &mut Request) -> bool {
         let ready = self.candidates(now, request);
-        self.draw(now, request, &ready)
+        self.select_and_send(now, request, &ready)
     }
 
     /// Whether loads are asked for, of endpoints or keepers: a balancer of a request a second can't know them.
-    pub(crate) fn asks(&self) -> bool {
+    pub(crate) fn polls_loads(&self) -> bool {
         self.settings.load_from_probes
             || (self.settings.load_unreported && self.settings.gossip_allowed)
     }
 
     /// Asks some of the candidates what they hold; the request is placed when they have answered.
-    fn ask(&mut self, now: Micros, mut request: Request) {
+    fn poll_loads(&mut self, now: Micros, mut request: Request) {
         let ready = self.candidates(now, &request);
         if ready.is_empty() || request.objective_at.min(request.deadline) <= now {
-            self.in_vain = now;
-            return self.give_up(now, request);
+            self.last_unplaced = now;
+            return self.reject_or_fail(now, request);
         }
         let wait = self.settings.classes[request.class].latency_objective / ASK_PART;
         // Where none was in time of late, words about each request would flood all balancers.
-        let flood = !self.settings.load_from_probes && now < self.in_vain + STANDS * wait;
+        let flood = !self.settings.load_from_probes && now < self.last_unplaced + STANDS * wait;
         let fresh = if flood { STANDS * wait } else { wait };
         (request.waits, request.answered) = ready.into_iter().take(ASKED).partition(|&u| {
-            let (keeper, endpoint) = (self.keeper(u), &mut self.endpoints[u]);
-            if !self.settings.load_from_probes && keeper == self.settings.own_index {
-                endpoint.read_book(now);
+            let (ledger_owner, endpoint) = (self.ledger_owner(u), &mut self.endpoints[u]);
+            if !self.settings.load_from_probes && ledger_owner == self.settings.own_index {
+                endpoint.refresh_from_ledger(now);
             }
-            endpoint.held.is_none() || now >= endpoint.reported + fresh
+            endpoint.reported_in_flight.is_none() || now >= endpoint.reported_at + fresh
         });
         for &u in &request.waits {
             match self.settings.load_from_probes {
                 true => self.host.probe(&self.endpoints[u].id),
                 false => self.host.send_gossip(
-                    Some(self.keeper(u)),
-                    &Word::Asks(self.endpoints[u].short()).text(),
+                    Some(self.ledger_owner(u)),
+                    &GossipMessage::Asks(self.endpoints[u].gossip_id()).text(),
                 ),
             }
         }
         if request.waits.is_empty() {
-            return self.place_asked(now, request);
+            return self.place_by_load(now, request);
         }
         let wait = wait.min(request.deadline.saturating_sub(now) / 2);
-        self.set_alarm(wait, Alarm::Asked(Rc::clone(&request.id)));
-        self.asking.push(request);
+        self.schedule_timer(wait, TimerPurpose::Asked(Rc::clone(&request.id)));
+        self.awaiting_loads.push(request);
     }
 
     /// An endpoint that was asked has answered, or can't.
     pub(crate) fn heard(&mut self, now: Micros, u: usize, answered: bool) {
-        for request in &mut self.asking {
+        for request in &mut self.awaiting_loads {
             if let Some(at) = request.waits.iter().position(|waits| *waits == u) {
                 request.waits.swap_remove(at);
                 request.answered.extend(answered.then_some(u));
             }
         }
         while let Some(at) = self
-            .asking
+            .awaiting_loads
             .iter()
             .position(|request| request.waits.is_empty())
         {
-            let request = self.asking.remove(at);
-            self.place_asked(now, request);
+            let request = self.awaiting_loads.remove(at);
+            self.place_by_load(now, request);
         }
     }
 
     /// What came of a probe.
     pub fn probe_completed(&mut self, now: Micros, id: &str, answered: bool) {
-        let known = self.by_id.get(id).copied();
+        let known = self.index_by_id.get(id).copied();
         known.into_iter().for_each(|u| self.heard(now, u, answered));
     }
 
     /// Places a request among those that answered, as far as they would be in time; else it waits a little.
-    fn place_asked(&mut self, now: Micros, mut request: Request) {
+    fn place_by_load(&mut self, now: Micros, mut request: Request) {
         let mut ready = std::mem::take(&mut request.answered);
         if ready.is_empty() && !self.settings.load_from_probes {
             // Who keeps the book is gone or slow: better unasked than not at all.
             ready = std::mem::take(&mut request.waits);
         }
-        ready.retain(|&u| self.permitted(now, &request, u) && self.in_time(now, &request, u));
-        match !ready.is_empty() && self.draw(now, &mut request, &ready) {
+        ready.retain(|&u| {
+            self.permitted(now, &request, u) && self.meets_objective(now, &request, u)
+        });
+        match !ready.is_empty() && self.select_and_send(now, &mut request, &ready) {
             true => _ = self.requests.insert(Rc::clone(&request.id), request),
             false => {
-                self.in_vain = now;
-                self.give_up(now, request);
+                self.last_unplaced = now;
+                self.reject_or_fail(now, request);
             }
         }
     }
 
     /// Whether an endpoint would answer a request in the part of its time that its earnings are worth.
-    fn in_time(&self, now: Micros, request: &Request, u: usize) -> bool {
-        let (each, Some(held)) = (self.each(now, u), self.endpoints[u].held) else {
+    fn meets_objective(&self, now: Micros, request: &Request, u: usize) -> bool {
+        let (latency_per_request, Some(held)) = (
+            self.latency_per_request(now, u),
+            self.endpoints[u].reported_in_flight,
+        ) else {
             return true;
         };
         let spare = request
@@ -306,35 +322,36 @@
         let part = WORTHLESS_PART + (1.0 - WORTHLESS_PART) * worth;
         // With no hint of its work a request may be one of the long ones; once sent there is less to lose.
         let unsent = request.attempts.is_empty();
-        let scatter = if unsent {
-            self.paces[request.class].margin()
+        let relative_spread = if unsent {
+            self.class_latency[request.class].spread_margin()
         } else {
             0.0
         };
-        each * held * (1.0 + scatter) <= part * (spare - each * request.work * (1.0 + scatter))
+        latency_per_request * held * (1.0 + relative_spread)
+            <= part * (spare - latency_per_request * request.work * (1.0 + relative_spread))
     }
 
     /// Idle connections that rested so long are not used for a while.
-    pub(crate) fn believe_dropped(&mut self, now: Micros, rested: Micros) {
-        let least = if now < self.dropped.1 {
-            self.dropped.0.min(rested)
+    pub(crate) fn assume_idle_drops(&mut self, now: Micros, idle_for: Micros) {
+        let least = if now < self.idle_drops.1 {
+            self.idle_drops.0.min(idle_for)
         } else {
-            rested
+            idle_for
         };
-        self.dropped = (least, now + DROPPED.0);
+        self.idle_drops = (least, now + DROPPED.0);
     }
 
     /// Draws one of the candidates by the scoring function and sends the request there.
-    fn draw(&mut self, now: Micros, request: &mut Request, ready: &[usize]) -> bool {
+    fn select_and_send(&mut self, now: Micros, request: &mut Request, ready: &[usize]) -> bool {
         let rows = self.features(now, ready);
         let score = |row| softplus(dot(&self.weights, row));
         let mut scored: Vec<(f64, usize)> = rows.iter().map(score).zip(0..).collect();
         scored.sort_by(|a, b| b.0.total_cmp(&a.0));
         let chances = project(
             &scored.iter().map(|s| s.0).collect::<Vec<_>>(),
-            top(scored.len()),
+            selectable(scored.len()),
         );
-        let mut left = self.chance.generate::<f64>();
+        let mut left = self.random.generate::<f64>();
         let beyond = |chance: &f64| {
             left -= chance;
             left < 0.0
@@ -347,13 +364,13 @@
             return false;
         };
         let teaches =
-            rows.len() <= TEACHING || self.chance.generate_range(0..rows.len()) < TEACHING;
-        let scene = teaches.then(|| Scene {
+            rows.len() <= TEACHING || self.random.generate_range(0..rows.len()) < TEACHING;
+        let sample = teaches.then(|| DecisionSample {
             rows: scored.iter().map(|s| rows[s.1]).collect(),
             drawn,
             chance,
         });
-        self.send(now, request, u, scene)
+        self.send(now, request, u, sample)
     }
 
     /// What the mechanism knows of each candidate. Ratios to the candidates' mean make one weight vector
@@ -361,13 +378,13 @@
     fn features(&self, now: Micros, ready: &[usize]) -> Vec<[f64; FEATURES]> {
         let ups = &self.endpoints;
         let gather = |known: &dyn Fn(usize, &Endpoint) -> Option<f64>| -> Vec<f64> {
-            let each = ready.iter().enumerate().map(|(i, &u)| known(i, &ups[u]));
-            relative(&each.collect::<Vec<_>>(), WIDEST)
+            let latency_per_request = ready.iter().enumerate().map(|(i, &u)| known(i, &ups[u]));
+            relative(&latency_per_request.collect::<Vec<_>>(), WIDEST)
         };
-        let (heard, (_, sharers)) = (self.heard_within(now), self.circle());
+        let (heard, (_, sharers)) = (self.latency_horizon(now), self.subset());
         let latency = gather(&|_, up| up.latency(now));
         // Served rate per own request in flight is the inverse of the answer time.
-        let rate = |up: &Endpoint| up.lasting_answers.read().map(f64::recip);
+        let rate = |up: &Endpoint| up.long_term_latency.read().map(f64::recip);
         let capacity = gather(&|_, up| {
             if self.settings.weights_listed {
                 up.weight.read()
@@ -376,18 +393,22 @@
             }
         });
         // An old report speaks of a load that is gone.
-        let weight = |u: &usize| (-2.0 * now.saturating_sub(ups[*u].reported) as f64 / heard).exp();
+        let weight =
+            |u: &usize| (-2.0 * now.saturating_sub(ups[*u].reported_at) as f64 / heard).exp();
         let fresh: Vec<f64> = ready.iter().map(weight).collect();
-        let queue = gather(&|_, up| up.queue.map(|queue| queue + 1.0));
-        let busy = gather(&|_, up| up.utilisation.map(|busy| busy + 0.1));
-        let since = self.unheard_since(now);
+        let queue = gather(&|_, up| up.reported_queue.map(|queue| queue + 1.0));
+        let busy = gather(&|_, up| up.reported_utilisation.map(|busy| busy + 0.1));
+        let since = self.lost_before(now);
         // Own work in flight, and of what is reported the part that is the other balancers'.
-        let others =
-            |i: usize, up: &Endpoint| (1.0 - 1.0 / sharers) * fresh[i] * up.queue.unwrap_or(0.0);
-        let in_flight = gather(&|i, up| match up.held.filter(|_| self.asks()) {
-            Some(held) => Some(IDLE + held * fresh[i]),
-            None => Some(0.5 + up.out_since(since).1 + others(i, up)),
-        });
+        let others = |i: usize, up: &Endpoint| {
+            (1.0 - 1.0 / sharers) * fresh[i] * up.reported_queue.unwrap_or(0.0)
+        };
+        let in_flight = gather(
+            &|i, up| match up.reported_in_flight.filter(|_| self.polls_loads()) {
+                Some(held) => Some(IDLE + held * fresh[i]),
+                None => Some(0.5 + up.in_flight_since(since).1 + others(i, up)),
+            },
+        );
         let near = |u: usize| f64::from(u8::from(ups[u].zone == self.settings.zone));
         let row = |(i, &u): (usize, &usize)| {
             let (busy, queue) = (busy[i] * fresh[i], queue[i] * fresh[i]);
@@ -405,66 +426,78 @@
     }
 
     /// The one place that every attempt passes.
-    fn send(&mut self, now: Micros, request: &mut Request, u: usize, scene: Option<Scene>) -> bool {
+    fn send(
+        &mut self,
+        now: Micros,
+        request: &mut Request,
+        u: usize,
+        sample: Option<DecisionSample>,
+    ) -> bool {
         if !self.permitted(now, request, u) {
             return false;
         }
-        let (span, spent, _) = self.cold_budget(now, u);
-        self.endpoints[u].cold_spent = (span, spent + request.work);
+        let (span, spent, _) = self.slow_start_budget(now, u);
+        self.endpoints[u].slow_start_spent = (span, spent + request.work);
         let endpoint = &mut self.endpoints[u];
-        let before = endpoint.held;
-        endpoint.outs.push((now, request.work));
-        endpoint.held = endpoint.held.map(|held| held + 1.0);
+        let before = endpoint.reported_in_flight;
+        endpoint.in_flight.push((now, request.work));
+        endpoint.reported_in_flight = endpoint.reported_in_flight.map(|held| held + 1.0);
         endpoint.unanswered_since.get_or_insert(now);
-        endpoint.met_until = endpoint.met_until.max(request.deadline);
-        let rested = endpoint.used.map(|used| now.saturating_sub(used));
-        endpoint.used = Some(now);
+        endpoint.latest_deadline = endpoint.latest_deadline.max(request.deadline);
+        let idle_for = endpoint
+            .last_used
+            .map(|last_used| now.saturating_sub(last_used));
+        endpoint.last_used = Some(now);
         // What is sent on a connection dropped unseen is lost, and may not be sent again.
-        if now < self.dropped.1 && rested.is_some_and(|rested| rested >= self.dropped.0) {
+        if now < self.idle_drops.1 && idle_for.is_some_and(|idle_for| idle_for >= self.idle_drops.0)
+        {
             self.host.close_idle_connections(&endpoint.id);
         }
-        request.untold = true;
-        if let Some(line) = request.line.and_then(|key| self.lines.get_mut(&key)) {
-            line.out += 1;
+        request.outcome_pending = true;
+        if let Some(key_queue) = request
+            .key_queue
+            .and_then(|key| self.key_queues.get_mut(&key))
+        {
+            key_queue.out += 1;
         }
         request.attempts.push(Attempt {
-            rested,
+            idle_for,
             before,
-            ..Attempt::new(u, now, scene)
+            ..Attempt::new(u, now, sample)
         });
         let id = Rc::clone(&endpoint.id);
         // Where answers get lost an attempt ends by itself in time for another.
-        let told = self.endpoints[u].lost > LONE.0 && !self.settings.can_cancel;
-        let lone = (told || self.paces[request.class].loses(now))
+        let told = self.endpoints[u].failure_percent > LONE.0 && !self.settings.can_cancel;
+        let lone = (told || self.class_latency[request.class].loses_attempts(now))
             && self.settings.classes[request.class].idempotency.repeats();
         let spare = request.objective_at.saturating_sub(now) as f64;
-        let patience =
-            (LONE.3 * self.expected(request.class)).clamp(LONE.1 * spare, LONE.2 * spare) as Micros;
+        let patience = (LONE.3 * self.expected_latency(request.class))
+            .clamp(LONE.1 * spare, LONE.2 * spare) as Micros;
         let until = if lone {
-            now + patience.max(PUMP_EVERY)
+            now + patience.max(QUEUE_INTERVAL_US)
         } else {
             Micros::MAX
         };
         self.host
             .start_attempt(&request.id, &id, until.min(request.deadline));
-        self.tell_keeper(now, u, None);
+        self.report_to_ledger_owner(now, u, None);
         true
     }
 
     /// Asks to be woken.
-    pub(crate) fn set_alarm(&mut self, wait: Micros, alarm: Alarm) {
-        self.last_alarm = self.last_alarm.max(PUMP_ALARM) + 1;
-        self.alarms.insert(self.last_alarm, alarm);
-        self.host.set_timer(wait, self.last_alarm);
+    pub(crate) fn schedule_timer(&mut self, wait: Micros, timer: TimerPurpose) {
+        self.last_timer = self.last_timer.max(QUEUE_TIMER) + 1;
+        self.timers.insert(self.last_timer, timer);
+        self.host.set_timer(wait, self.last_timer);
     }
 
     /// The four rules for one more attempt of a request to an endpoint.
     fn permitted(&self, now: Micros, request: &Request, u: usize) -> bool {
-        let (endpoint, (_, spent, budget)) = (&self.endpoints[u], self.cold_budget(now, u));
+        let (endpoint, (_, spent, budget)) = (&self.endpoints[u], self.slow_start_budget(now, u));
         // Two that went down under a request may do so by it: no third, unless one of them has answered since.
         let down = |d: &&Attempt| {
-            d.broke
-                .is_some_and(|at| self.endpoints[d.endpoint].answered <= at)
+            d.connection_lost_at
+                .is_some_and(|at| self.endpoints[d.endpoint].last_success <= at)
         };
         let open = endpoint.ready
             // What a request may go over is no allowance of its own: many balancers without one would add up.
@@ -483,11 +516,11 @@
                 }
             }),
         };
-        open && in_group && self.may_go_on(now, request)
+        open && in_group && self.may_be_attempted(now, request)
     }
 
     /// Whether a request may be sent to any endpoint at all, now or later: what may not is given up at once.
-    fn may_go_on(&self, now: Micros, request: &Request) -> bool {
+    fn may_be_attempted(&self, now: Micros, request: &Request) -> bool {
         let mut ran = request.attempts.iter().filter(|d| d.may_have_run);
         let again = match self.settings.classes[request.class].idempotency {
             Idempotency::Idempotent => true,
@@ -513,25 +546,25 @@
         took: Micros,
     ) {
         let Some(mut request) = self.requests.remove(id) else {
-            return self.end_trailing(now, id, how);
+            return self.trailing_attempt_ended(now, id, how);
         };
-        request.untold = false;
+        request.outcome_pending = false;
         request
-            .line
+            .key_queue
             .into_iter()
-            .for_each(|key| self.end_in_line(now, key, how));
+            .for_each(|key| self.key_attempt_ended(now, key, how));
         self.ended(now, &mut request, n, how, took);
         if last {
             self.close(now, request);
         } else if request.attempts.iter().any(|d| d.out) {
             self.requests.insert(Rc::clone(&request.id), request);
         } else {
-            match self.may_go_on(now, &request) {
+            match self.may_be_attempted(now, &request) {
                 true => self.admit(now, request),
-                false => self.give_up(now, request),
+                false => self.reject_or_fail(now, request),
             }
         }
-        self.pump(now);
+        self.process_queue(now);
     }
 
     pub fn response_started(&mut self, id: &str) {
@@ -541,19 +574,24 @@
     }
 
     pub fn client_disconnected(&mut self, now: Micros, id: &str) {
-        let lines = self.lines.values_mut().map(|line| &mut line.waiting);
-        let lists = [&mut self.held, &mut self.asking].into_iter().chain(lines);
+        let key_queues = self
+            .key_queues
+            .values_mut()
+            .map(|key_queue| &mut key_queue.waiting);
+        let lists = [&mut self.queue, &mut self.awaiting_loads]
+            .into_iter()
+            .chain(key_queues);
         let waiting = lists
             .flat_map(|list| list.extract_if(.., |request| *request.id == *id))
             .next();
         if let Some(request) = self.requests.remove(id).or(waiting) {
             self.close(now, request);
-            self.pump(now);
+            self.process_queue(now);
         }
     }
 
     /// The final answer, as good as the rules allow: a dismissal promises that trying again is harmless.
-    pub(crate) fn give_up(&mut self, now: Micros, request: Request) {
+    pub(crate) fn reject_or_fail(&mut self, now: Micros, request: Request) {
         let ran = request.attempts.iter().any(|d| d.may_have_run);
         let idempotency = self.settings.classes[request.class].idempotency;
         let harmless = !ran
@@ -565,7 +603,7 @@
                         ..
                     }
             );
-        let soon = (COME_BACK * self.expected(request.class)) as Micros;
+        let soon = (COME_BACK * self.expected_latency(request.class)) as Micros;
         match harmless {
             true => self
                 .host
@@ -584,27 +622,27 @@
             let waited = now.saturating_sub(request.attempts[number].sent);
             self.ended(now, &mut request, number, AttemptOutcome::Cancelled, waited);
         }
-        self.leave_line(now, &request);
+        self.release_key(now, &request);
     }
 
-    pub fn timer_expired(&mut self, now: Micros, alarm: u64) {
-        match alarm {
-            FOLLOW_ALARM => self.host.poll_endpoint_list(),
-            PUMP_ALARM => {
-                self.pump_set = false;
-                self.pump(now);
+    pub fn timer_expired(&mut self, now: Micros, timer: u64) {
+        match timer {
+            LIST_POLL_TIMER => self.host.poll_endpoint_list(),
+            QUEUE_TIMER => {
+                self.queue_timer_scheduled = false;
+                self.process_queue(now);
             }
-            _ => match self.alarms.remove(&alarm) {
-                Some(Alarm::Asked(id)) => {
-                    let asked = self
-                        .asking
+            _ => match self.timers.remove(&timer) {
+                Some(TimerPurpose::Asked(id)) => {
+                    let polled = self
+                        .awaiting_loads
                         .extract_if(.., |request| request.id == id)
                         .next();
-                    asked
+                    polled
                         .into_iter()
-                        .for_each(|request| self.place_asked(now, request));
+                        .for_each(|request| self.place_by_load(now, request));
                 }
-                Some(Alarm::Line(key)) => self.move_line(now, key),
+                Some(TimerPurpose::KeyQueue(key)) => self.advance_key_queue(now, key),
                 None => {}
             },
         }
@@ -614,30 +652,36 @@
     /// it is cold. Its capacity is not told; it is taken to be what this balancer's warm endpoints bear, or a
     /// part of what arrives where none is warm. Where that is less than a request, own chance, drawn for each
     /// span, lets some balancers send one: what is not used is gone, so lone requests never come together.
-    fn cold_budget(&self, now: Micros, u: usize) -> (u64, f64, f64) {
-        if !self.is_cold(now, u) {
+    fn slow_start_budget(&self, now: Micros, u: usize) -> (u64, f64, f64) {
+        if !self.in_slow_start(now, u) {
             return (u64::MAX, 0.0, f64::INFINITY);
         }
         let (slow_start, endpoint) = (&self.settings.slow_start, &self.endpoints[u]);
-        let (kept, all) = (self.circle().0, self.order.len().max(1));
-        let age = now.saturating_sub(endpoint.launched);
-        let borne = match self.warm {
-            0 => slow_start.initial_capacity * self.seen.arrivals.read(now, LASTING),
-            _ => self.seen.served.read(now, LASTING),
+        let (kept, all) = (self.subset().0, self.preference_order.len().max(1));
+        let age = now.saturating_sub(endpoint.started_at);
+        let borne = match self.warm_endpoints {
+            0 => slow_start.initial_capacity * self.fleet.arrivals.read(now, LONG_TERM_US),
+            _ => self.fleet.served.read(now, LONG_TERM_US),
         };
-        let each = borne / self.lived(now) / kept.min(self.warm).max(1) as f64;
+        let latency_per_request =
+            borne / self.long_term_span(now) / kept.min(self.warm_endpoints).max(1) as f64;
         let span = age / slow_start.overload_window.max(1);
-        let chance = mixed(mixed(self.salt, endpoint.hash), span) as f64 / u64::MAX as f64;
+        let chance = mixed(mixed(self.instance_seed, endpoint.hash), span) as f64 / u64::MAX as f64;
         // All budgets add up to what it bears: those of its circles to one half, all the others' to another.
-        let keeps = self.asks() || self.order.iter().take(kept).any(|&kept| kept == u);
+        let keeps = self.polls_loads()
+            || self
+                .preference_order
+                .iter()
+                .take(kept)
+                .any(|&kept| kept == u);
         let part = if keeps { 1.0 } else { kept as f64 / all as f64 };
         let budget = part
             * COLD.0
             * slow_start.overload_multiple
-            * self.grown(now, u)
-            * each
+            * self.slow_start_capacity(now, u)
+            * latency_per_request
             * slow_start.overload_window as f64;
-        let (spent_in, spent) = endpoint.cold_spent;
+        let (spent_in, spent) = endpoint.slow_start_spent;
         (
             span,
             if spent_in == span { spent } else { 0.0 },
@@ -647,109 +691,118 @@
 
     /// The candidates to draw from: the first of the own order that are open.
     fn candidates(&mut self, now: Micros, request: &Request) -> Vec<usize> {
-        self.warm = self
-            .order
+        self.warm_endpoints = self
+            .preference_order
             .iter()
-            .filter(|&&u| !self.is_cold(now, u))
+            .filter(|&&u| !self.in_slow_start(now, u))
             .count();
-        let silence = self.silence();
+        let unresponsive_after = self.unresponsive_after();
         let open = |u: &usize| {
             let up = &self.endpoints[*u];
             // Of what is silent one at a time shows whether it still is.
-            let tried = up.silent_for(now) > silence
-                && up.used.is_some_and(|at| now < at + silence as Micros);
+            let tried = up.unanswered_for(now) > unresponsive_after
+                && up
+                    .last_used
+                    .is_some_and(|at| now < at + unresponsive_after as Micros);
             let met = request.attempts.iter().any(|d| d.endpoint == *u);
-            !tried && !met && self.has_room(now, *u) && self.permitted(now, request, *u)
+            !tried && !met && self.has_capacity(now, *u) && self.permitted(now, request, *u)
         };
         let mut ready: Vec<_> = self
-            .present_order(now)
+            .current_order(now)
             .iter()
             .copied()
             .filter(open)
-            .take(self.circle().0)
+            .take(self.subset().0)
             .collect();
         // Ties would fall to whoever comes first, again and again.
-        let turn = self.chance.generate_range(0..ready.len().max(1));
+        let turn = self.random.generate_range(0..ready.len().max(1));
         ready.rotate_left(turn);
         ready
     }
 
     /// Beyond this nothing having come is no accident; what is out may be of the slowest class.
-    fn silence(&self) -> f64 {
-        let in_use =
-            (0..self.paces.len()).filter(|&c| self.settings.classes[c].priority_weight > 0.0);
-        SILENT * in_use.map(|c| self.expected(c)).fold(0.0, f64::max)
+    fn unresponsive_after(&self) -> f64 {
+        let in_use = (0..self.class_latency.len())
+            .filter(|&c| self.settings.classes[c].priority_weight > 0.0);
+        SILENT * in_use.map(|c| self.expected_latency(c)).fold(0.0, f64::max)
     }
 
     /// What was sent before takes up no place: a lost attempt would close an endpoint whose limit is one.
-    fn unheard_since(&self, now: Micros) -> Micros {
-        now.saturating_sub(self.silence() as Micros)
+    fn lost_before(&self, now: Micros) -> Micros {
+        now.saturating_sub(self.unresponsive_after() as Micros)
     }
 
     /// What an endpoint may hold of ours: what its served rate needs × shortest ÷ present answer time.
-    fn limit(&self, now: Micros, u: usize) -> f64 {
+    fn concurrency_limit(&self, now: Micros, u: usize) -> f64 {
         let endpoint = &self.endpoints[u];
-        let kept = endpoint.kept.read(now, RECENT) / self.watched(now);
+        let kept = endpoint.busy_time.read(now, RECENT_US) / self.recent_span(now);
         let known = endpoint.shortest.zip(endpoint.latency(now));
         let ratio = known.map_or(1.0, |(shortest, present)| (shortest / present).min(1.0));
-        (LEAST.0 / self.circle().1).max(STRETCH * kept * ratio)
+        (LEAST.0 / self.subset().1).max(STRETCH * kept * ratio)
     }
 
-    fn has_room(&self, now: Micros, u: usize) -> bool {
+    fn has_capacity(&self, now: Micros, u: usize) -> bool {
         let (up, (held, _)) = (
             &self.endpoints[u],
-            self.endpoints[u].out_since(self.unheard_since(now)),
+            self.endpoints[u].in_flight_since(self.lost_before(now)),
         );
-        up.full_until <= now && (self.asks() || held == 0.0 || held + ROUNDING < self.limit(now, u))
+        up.backoff_until <= now
+            && (self.polls_loads()
+                || held == 0.0
+                || held + ROUNDING < self.concurrency_limit(now, u))
     }
 
     /// Whether all limits together leave room, with their root for chance: each may be less than a request.
-    fn pool_has_room(&self, now: Micros) -> bool {
-        let since = self.unheard_since(now);
+    fn subset_has_capacity(&self, now: Micros) -> bool {
+        let since = self.lost_before(now);
         let heard = || {
-            self.present_order(now)
+            self.current_order(now)
                 .iter()
-                .filter(|&&u| !self.endpoints[u].silent_since(since))
+                .filter(|&&u| !self.endpoints[u].unanswered_since_before(since))
         };
-        let held: f64 = heard().map(|&u| self.endpoints[u].out_since(since).0).sum();
-        let limit: f64 = heard()
-            .take(self.circle().0)
-            .map(|&u| self.limit(now, u))
+        let held: f64 = heard()
+            .map(|&u| self.endpoints[u].in_flight_since(since).0)
+            .sum();
+        let concurrency_limit: f64 = heard()
+            .take(self.subset().0)
+            .map(|&u| self.concurrency_limit(now, u))
             .sum();
-        let root = CHANCE * self.ease.max(0.0) + (1.0 / self.settings.balancers as f64).sqrt();
-        held < LEAST.1.max(limit + root * limit.sqrt())
+        let root = CHANCE * self.headroom.max(0.0) + (1.0 / self.settings.balancers as f64).sqrt();
+        held < LEAST
+            .1
+            .max(concurrency_limit + root * concurrency_limit.sqrt())
     }
 
     /// The moment after which an answer would likely come too late.
     pub(crate) fn last_start(&self, request: &Request) -> Micros {
-        let needed = TIME_LEFT * self.expected(request.class) * request.work.max(1.0);
+        let needed = TIME_LEFT * self.expected_latency(request.class) * request.work.max(1.0);
         request
             .objective_at
-            .min(request.deadline.saturating_sub(PUMP_EVERY))
+            .min(request.deadline.saturating_sub(QUEUE_INTERVAL_US))
             .saturating_sub(needed as Micros)
     }
 
     /// Places a request, holds it where it would be sent soon, or gives it up at once.
     pub(crate) fn admit(&mut self, now: Micros, mut request: Request) {
-        if self.asks() {
-            return self.ask(now, request);
+        if self.polls_loads() {
+            return self.poll_loads(now, request);
         }
         // What was sent may only go on to some: it must not stand in the way of those that may go anywhere.
-        let first = self.held.iter().all(|held| !held.attempts.is_empty());
-        if first && self.pool_has_room(now) && self.place(now, &mut request) {
+        let first = self.queue.iter().all(|held| !held.attempts.is_empty());
+        if first && self.subset_has_capacity(now) && self.place(now, &mut request) {
             self.requests.insert(Rc::clone(&request.id), request);
             return;
         }
-        self.crowded_until = now + LASTING as Micros;
-        let rate = self.seen.succeeded.read(now, RECENT) / self.watched(now);
+        self.zone_crowded_until = now + LONG_TERM_US as Micros;
+        let rate = self.fleet.succeeded.read(now, RECENT_US) / self.recent_span(now);
         let place = self
-            .held
+            .queue
             .partition_point(|held| held.objective_at <= request.objective_at);
-        let ahead = self.held[..place]
+        let ahead = self.queue[..place]
             .iter()
             .filter(|held| held.attempts.is_empty())
             .count();
-        let wait = ahead as f64 / rate.max(1.0 / SECOND);
+        let wait = ahead as f64 / rate.max(1.0 / SECOND_US);
         // With nothing to spare a request is not even held until the next look: its deadline may come first.
         let slack = self.last_start(&request) as f64 - now as f64;
         let part = if request.within_quota {
@@ -758,33 +811,35 @@
             HELD_PART.1
         };
         // Where others fill the places that come free, holding only makes for later ones.
-        if slack <= 0.0 || wait > part * slack || self.order.len() < HOLDS * self.settings.balancers
+        if slack <= 0.0
+            || wait > part * slack
+            || self.preference_order.len() < HOLDS * self.settings.balancers
         {
-            return self.give_up(now, request);
+            return self.reject_or_fail(now, request);
         }
-        self.held.insert(place, request);
-        self.set_pump();
+        self.queue.insert(place, request);
+        self.schedule_queue_timer();
     }
 
-    fn set_pump(&mut self) {
-        if !self.pump_set && !self.held.is_empty() {
-            self.pump_set = true;
-            self.host.set_timer(PUMP_EVERY, PUMP_ALARM);
+    fn schedule_queue_timer(&mut self) {
+        if !self.queue_timer_scheduled && !self.queue.is_empty() {
+            self.queue_timer_scheduled = true;
+            self.host.set_timer(QUEUE_INTERVAL_US, QUEUE_TIMER);
         }
     }
 
     /// Sends held requests while there is room, the most pressing first, and dismisses what is too late.
-    pub(crate) fn pump(&mut self, now: Micros) {
-        for mut request in std::mem::take(&mut self.held) {
-            if self.last_start(&request) < now || !self.may_go_on(now, &request) {
-                self.give_up(now, request);
-            } else if self.pool_has_room(now) && self.place(now, &mut request) {
+    pub(crate) fn process_queue(&mut self, now: Micros) {
+        for mut request in std::mem::take(&mut self.queue) {
+            if self.last_start(&request) < now || !self.may_be_attempted(now, &request) {
+                self.reject_or_fail(now, request);
+            } else if self.subset_has_capacity(now) && self.place(now, &mut request) {
                 self.requests.insert(Rc::clone(&request.id), request);
             } else {
-                self.held.push(request);
+                self.queue.push(request);
             }
         }
-        self.set_pump();
+        self.schedule_queue_timer();
     }
 
     /// Whether a request lies within this balancer's part of its tenant's allowance.
@@ -792,10 +847,11 @@
         let Some(admitted) = self.admitted.get_mut(tenant) else {
             return true;
         };
-        let usual =
-            self.settings.tenant_quotas[tenant] / self.settings.balancers as f64 * RECENT / SECOND;
-        let within = admitted.read(now, RECENT) < usual + usual.sqrt();
-        admitted.add(now, RECENT, f64::from(u8::from(within)));
+        let usual = self.settings.tenant_quotas[tenant] / self.settings.balancers as f64
+            * RECENT_US
+            / SECOND_US;
+        let within = admitted.read(now, RECENT_US) < usual + usual.sqrt();
+        admitted.add(now, RECENT_US, f64::from(u8::from(within)));
         within
     }
 
@@ -811,74 +867,80 @@
         let Some(attempt) = request.attempts.get_mut(number).filter(|d| d.out) else {
             return;
         };
-        let (heard, cold) = (self.heard_within(now), self.is_cold(now, attempt.endpoint));
+        let (heard, cold) = (
+            self.latency_horizon(now),
+            self.in_slow_start(now, attempt.endpoint),
+        );
         attempt.out = false;
         attempt.may_have_run = !ending.proves_not_run();
-        attempt.broke = (ending == AttemptOutcome::ConnectionLost).then_some(now);
-        let (u, rested, sent) = (attempt.endpoint, attempt.rested, attempt.sent);
+        attempt.connection_lost_at = (ending == AttemptOutcome::ConnectionLost).then_some(now);
+        let (u, idle_for, sent) = (attempt.endpoint, attempt.idle_for, attempt.sent);
         self.endpoints[u].release(sent, request.work);
-        self.endpoints[u].used = Some(now);
+        self.endpoints[u].last_used = Some(now);
         let objective_at = self.settings.classes[request.class].latency_objective;
-        self.tell_keeper(now, u, Some((request.class, Fate::of(ending))));
-        let unknown = |rested: &Micros| now >= self.dropped.1 || *rested < self.dropped.0;
+        self.report_to_ledger_owner(now, u, Some((request.class, PeerOutcome::of(ending))));
+        let unknown = |idle_for: &Micros| now >= self.idle_drops.1 || *idle_for < self.idle_drops.0;
         let at_once = ending == AttemptOutcome::ConnectionLost && took < objective_at / DROPPED.2;
-        if let Some(rested) = rested
+        if let Some(idle_for) = idle_for
             .filter(unknown)
-            .filter(|rested| at_once && *rested >= DROPPED.1)
+            .filter(|idle_for| at_once && *idle_for >= DROPPED.1)
         {
-            self.believe_dropped(now, rested / 2);
+            self.assume_idle_drops(now, idle_for / 2);
             if self.settings.gossip_allowed {
                 self.host
-                    .send_gossip(None, &Word::Dropped(rested / 2).text());
+                    .send_gossip(None, &GossipMessage::Dropped(idle_for / 2).text());
             }
         }
-        let told = took as f64 > self.silence()
+        let told = took as f64 > self.unresponsive_after()
             && matches!(ending, AttemptOutcome::TimedOut | AttemptOutcome::Succeeded);
         let [told, lost] =
             [told, ending == AttemptOutcome::TimedOut].map(|is| f64::from(u8::from(is)));
-        self.paces[request.class]
+        self.class_latency[request.class]
             .overdue
-            .add(now, RECENT, lost, told);
+            .add(now, RECENT_US, lost, told);
         if took >= objective_at || ending == AttemptOutcome::Succeeded {
-            self.fared(now, request, took);
+            self.record_outcome(now, request, took);
         }
-        let dragging = took >= objective_at && self.dragging(now, request).is_some();
+        let outlier_group = took >= objective_at && self.outlier_group(now, request).is_some();
         let endpoint = &mut self.endpoints[u];
-        if dragging || ending == AttemptOutcome::Cancelled || ending == AttemptOutcome::NotSent {
+        if outlier_group || ending == AttemptOutcome::Cancelled || ending == AttemptOutcome::NotSent
+        {
             // A client that left early says nothing of the endpoint.
-            endpoint.unanswered_since = endpoint.unanswered_since.filter(|_| endpoint.any_out());
+            endpoint.unanswered_since = endpoint
+                .unanswered_since
+                .filter(|_| endpoint.has_in_flight());
             return;
         }
         // Classes are put on one scale by how their usual answer times compare.
-        let pace = &mut self.paces[request.class];
+        let latency = &mut self.class_latency[request.class];
         let took = took.max(1) as f64 / request.work;
         // A hung or broken endpoint says nothing of the others' load.
         if matches!(ending, AttemptOutcome::Succeeded | AttemptOutcome::Rejected) {
-            let (objective_at, ease) = (
+            let (objective_at, headroom) = (
                 objective_at as f64,
-                AT_EASE.0 * pace.shortest.unwrap_or(f64::INFINITY),
+                AT_EASE.0 * latency.shortest.unwrap_or(f64::INFINITY),
             );
-            let late = took / ease.clamp(AT_EASE.1 * objective_at, AT_EASE.2 * objective_at);
+            let late = took / headroom.clamp(AT_EASE.1 * objective_at, AT_EASE.2 * objective_at);
             let late = if ending == AttemptOutcome::Succeeded {
                 late.min(THINNING.1)
             } else {
                 3.0 * THINNING.1
             };
-            self.seen.pressure.add(now, SECOND, late, request.work);
+            self.fleet.pressure.add(now, SECOND_US, late, request.work);
         }
-        let all = self.seen.answers.read().unwrap_or(took);
-        let mut answer = took * all / pace.lasting.read().unwrap_or(took).max(1.0);
+        let all = self.fleet.latency.read().unwrap_or(took);
+        let mut answer = took * all / latency.long_term.read().unwrap_or(took).max(1.0);
         endpoint.unanswered_since = endpoint
             .unanswered_since
             .filter(|_| ending == AttemptOutcome::TimedOut);
-        let mut payoff = 0.0;
+        let mut reward = 0.0;
         if ending == AttemptOutcome::Succeeded {
-            (endpoint.left, endpoint.answered) = (None, now);
-            self.learn(now, request, number, took, answer, cold);
-            payoff = (all / answer).min(WIDEST);
+            (endpoint.unlisted_since, endpoint.last_success) = (None, now);
+            self.record_success(now, request, number, took, answer, cold);
+            reward = (all / answer).min(WIDEST);
         } else {
             let rest = if ending.proves_not_run() { REST } else { 0.0 };
-            endpoint.full_until = now + (rest * pace.present.read().unwrap_or(0.0)) as Micros;
+            endpoint.backoff_until = now + (rest * latency.present.read().unwrap_or(0.0)) as Micros;
             // A fast failure must not make an endpoint look quick, nor a lost answer make it look slow.
             answer = if ending == AttemptOutcome::TimedOut {
                 0.0
@@ -888,15 +950,17 @@
             .max(FAILURE_LATENCY * all);
         }
         let endpoint = &mut self.endpoints[u];
-        endpoint.answers.add(now, heard, answer, request.work);
         endpoint
-            .lasting_answers
-            .add(now, LASTING, answer, request.work);
+            .recent_latency
+            .add(now, heard, answer, request.work);
+        endpoint
+            .long_term_latency
+            .add(now, LONG_TERM_US, answer, request.work);
         self.samples.extend(
             request.attempts[number]
-                .scene
+                .sample
                 .take()
-                .map(|scene| (scene, payoff)),
+                .map(|sample| (sample, reward)),
         );
         if self.samples.len() >= OUTCOMES_AN_UPDATE || now > self.updated + UPDATE_EVERY {
             self.update_weights(now);
@@ -907,14 +971,14 @@
     fn update_weights(&mut self, now: Micros) {
         self.updated = now;
         let samples = std::mem::take(&mut self.samples);
-        for (_, payoff) in &samples {
-            self.seen.payoffs.add(now, LASTING, *payoff, 1.0);
+        for (_, reward) in &samples {
+            self.fleet.rewards.add(now, LONG_TERM_US, *reward, 1.0);
         }
-        let Some(usual) = self.seen.payoffs.read() else {
+        let Some(usual) = self.fleet.rewards.read() else {
             return;
         };
         for _ in 0..EPOCHS {
-            let step = clipped_step(&self.weights, &samples, usual, CLIP, top);
+            let step = clipped_step(&self.weights, &samples, usual, CLIP, selectable);
             for f in 1..FEATURES {
                 let step = STEP * step[f] / OUTCOMES_AN_UPDATE as f64;
                 let moved = self.weights[f] + step + ANCHOR * (START[f] - self.weights[f]);
@@ -925,6 +989,6 @@
 }
 
 /// How many of the candidates may be drawn: all but the worst quarter, as the candidates themselves are few.
-fn top(ready: usize) -> usize {
+fn selectable(ready: usize) -> usize {
     (3 * ready).div_ceil(4).max(2).min(ready)
 }
--- a/crates/policy/src/decide/tests.rs
+++ b/crates/policy/src/decide/tests.rs
@@ -15,9 +15,9 @@
 
 /// Writes down what it is asked to do.
 #[derive(Clone, Default)]
-pub(crate) struct Diary(pub(crate) Rc<RefCell<Vec<String>>>);
+pub(crate) struct RecordingHost(pub(crate) Rc<RefCell<Vec<String>>>);
 
-impl Diary {
+impl RecordingHost {
     pub(crate) fn count(&self, word: &str) -> usize {
         self.0
             .borrow()
@@ -25,41 +25,41 @@
             .filter(|act| act.starts_with(word))
             .count()
     }
-    fn note(&self, act: String) {
+    fn record_peer_attempt(&self, act: String) {
         self.0.borrow_mut().push(act);
     }
 }
 
-impl Host for Diary {
+impl Host for RecordingHost {
     fn start_attempt(&mut self, request: &str, endpoint: &str, expire_at: Micros) {
-        self.note(format!(
+        self.record_peer_attempt(format!(
             "attempt {request} {endpoint} until {}",
             expire_at - START_AT
         ));
     }
     fn cancel_attempt(&mut self, request: &str, attempt: usize) {
-        self.note(format!("cancel {request} {attempt}"));
+        self.record_peer_attempt(format!("cancel {request} {attempt}"));
     }
     fn reject(&mut self, request: &str, retry_after: Micros) {
-        self.note(format!("reject {request} {retry_after}"));
+        self.record_peer_attempt(format!("reject {request} {retry_after}"));
     }
     fn fail(&mut self, request: &str) {
-        self.note(format!("fail {request}"));
+        self.record_peer_attempt(format!("fail {request}"));
     }
     fn set_timer(&mut self, after: Micros, _: u64) {
-        self.note(format!("timer {after}"));
+        self.record_peer_attempt(format!("timer {after}"));
     }
     fn poll_endpoint_list(&mut self) {
-        self.note("poll list".into());
+        self.record_peer_attempt("poll list".into());
     }
     fn probe(&mut self, endpoint: &str) {
-        self.note(format!("probe {endpoint}"));
+        self.record_peer_attempt(format!("probe {endpoint}"));
     }
     fn close_idle_connections(&mut self, endpoint: &str) {
-        self.note(format!("close {endpoint}"));
+        self.record_peer_attempt(format!("close {endpoint}"));
     }
     fn send_gossip(&mut self, balancer: Option<usize>, words: &str) {
-        self.note(format!(
+        self.record_peer_attempt(format!(
             "gossip {} {words}",
             balancer.map_or("all".to_owned(), |b| b.to_string())
         ));
@@ -76,8 +76,11 @@
 };
 
 /// A balancer of two, with so many warm endpoints in two cells.
-pub(crate) fn balancer(idempotency: Idempotency, endpoints: usize) -> (Balancer<Diary>, Diary) {
-    let diary = Diary::default();
+pub(crate) fn balancer(
+    idempotency: Idempotency,
+    endpoints: usize,
+) -> (Balancer<RecordingHost>, RecordingHost) {
+    let recorder = RecordingHost::default();
     let settings = Settings {
         balancers: 2,
         own_index: 0,
@@ -106,17 +109,17 @@
         }],
         tenant_quotas: vec![20.0],
     };
-    let mut balancer = Balancer::start(diary.clone(), 7, settings, START_AT);
+    let mut balancer = Balancer::start(recorder.clone(), 7, settings, START_AT);
     for u in 0..endpoints {
         balancer.endpoint_listed(&format!("u{u}"), 0, 0, u as u64 % 2, 1.0, 0);
     }
     balancer.endpoint_list_ends(START_AT);
-    balancer.let_through = 1.0;
-    (balancer, diary)
+    balancer.admitted_share = 1.0;
+    (balancer, recorder)
 }
 
 /// One of so many balancers before so many endpoints.
-fn one_of_many(number: usize, balancers: usize, endpoints: usize) -> Balancer<Diary> {
+fn one_of_many(number: usize, balancers: usize, endpoints: usize) -> Balancer<RecordingHost> {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 0);
     (balancer.settings.own_index, balancer.settings.balancers) = (number, balancers);
     for u in 0..endpoints {
@@ -126,7 +129,7 @@
     balancer
 }
 
-fn arrive(balancer: &mut Balancer<Diary>, now: Micros, id: &str) {
+fn arrive(balancer: &mut Balancer<RecordingHost>, now: Micros, id: &str) {
     balancer.request_arrived(now, id, 0, 0, now + 1_000 * MS, None, None);
 }
 
@@ -151,10 +154,10 @@
 fn projection_keeps_the_first(
     #[case] priorities: &[f64],
     #[case] m: usize,
-    #[case] expected: &[f64],
+    #[case] expected_latency: &[f64],
 ) {
-    for (chance, expected) in project(priorities, m).iter().zip(expected) {
-        assert!((chance - expected).abs() < 1e-9);
+    for (chance, expected_latency) in project(priorities, m).iter().zip(expected_latency) {
+        assert!((chance - expected_latency).abs() < 1e-9);
     }
 }
 
@@ -164,7 +167,7 @@
 #[case(3, 3)]
 #[case(12, 9)]
 fn top_leaves_the_worst_quarter(#[case] ready: usize, #[case] m: usize) {
-    assert_eq!(top(ready), m);
+    assert_eq!(selectable(ready), m);
 }
 
 #[rstest]
@@ -177,15 +180,15 @@
         .map(|i| std::array::from_fn(|f| 1.0 / (1 + f + 2 * i) as f64))
         .collect();
     balancer.weights = std::array::from_fn(|f| 1.0 + f as f64 / 10.0);
-    let scene = Scene {
+    let sample = DecisionSample {
         rows,
         drawn,
         chance: 0.5,
     };
-    let (chance, slope_of) = slope(&balancer.weights, &scene, top(3)).unwrap();
+    let (chance, slope_of) = slope(&balancer.weights, &sample, selectable(3)).unwrap();
     for (f, along) in slope_of.iter().enumerate() {
         balancer.weights[f] += 1e-6;
-        let (moved, _) = slope(&balancer.weights, &scene, top(3)).unwrap();
+        let (moved, _) = slope(&balancer.weights, &sample, selectable(3)).unwrap();
         assert!(((moved - chance) / 1e-6 - along).abs() < 1e-5);
         balancer.weights[f] -= 1e-6;
     }
@@ -194,17 +197,20 @@
 #[rstest]
 #[case(1e9)]
 #[case(-1e9)]
-fn odd_payoffs_never_change_a_sign(#[case] payoff: f64) {
+fn odd_payoffs_never_change_a_sign(#[case] reward: f64) {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 0);
     let rows = vec![[1.0; FEATURES], [0.5; FEATURES]];
-    balancer.seen.payoffs.add(START_AT, LASTING, 0.0, 1e12);
+    balancer
+        .fleet
+        .rewards
+        .add(START_AT, LONG_TERM_US, 0.0, 1e12);
     balancer.samples.push((
-        Scene {
+        DecisionSample {
             rows,
             drawn: 0,
             chance: 0.5,
         },
-        payoff,
+        reward,
     ));
     balancer.update_weights(START_AT);
     for (weight, start) in balancer.weights.iter().zip(START) {
@@ -232,10 +238,10 @@
     #[case] ran: bool,
     #[case] dismissed: bool,
 ) {
-    let (mut balancer, diary) = balancer(idempotency, 2);
-    balancer.give_up(START_AT, request(&[0], ran));
+    let (mut balancer, recorder) = balancer(idempotency, 2);
+    balancer.reject_or_fail(START_AT, request(&[0], ran));
     assert_eq!(
-        (diary.count("reject"), diary.count("fail")),
+        (recorder.count("reject"), recorder.count("fail")),
         if dismissed { (1, 0) } else { (0, 1) }
     );
 }
@@ -279,13 +285,13 @@
 
 #[rstest]
 fn a_cold_endpoint_gets_little_even_when_alone() {
-    let (mut balancer, diary) = balancer(Idempotency::Idempotent, 0);
+    let (mut balancer, recorder) = balancer(Idempotency::Idempotent, 0);
     balancer.endpoint_listed("cold", 0, 0, 0, 1.0, START_AT);
     balancer.endpoint_list_ends(START_AT);
     for n in 0..200 {
         balancer.place(START_AT + n * 10 * MS, &mut request(&[], false));
     }
-    assert!(diary.count("attempt") <= 2);
+    assert!(recorder.count("attempt") <= 2);
 }
 
 /// Behind its window a labelled request that may have run can't be sent to anybody: holding it would only keep its answer
@@ -295,7 +301,7 @@
 #[case::within_the_margin(1_900, 1)]
 #[case::behind_it(2_100, 1)]
 fn what_can_not_be_sent_again_is_given_up_at_once(#[case] after: u64, #[case] given_up: usize) {
-    let (mut balancer, diary) = balancer(CELL, 8);
+    let (mut balancer, recorder) = balancer(CELL, 8);
     let mut sent = request(&[0], true);
     sent.deadline = START_AT + 60_000 * MS;
     sent.objective_at = sent.deadline;
@@ -310,7 +316,7 @@
         AttemptOutcome::ConnectionLost,
         after * MS,
     );
-    assert_eq!(diary.count("fail"), given_up);
+    assert_eq!(recorder.count("fail"), given_up);
 }
 
 /// What a request may go over a budget is no budget: hundreds of balancers without one, each with a small request, would
@@ -320,55 +326,58 @@
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 1);
     balancer.endpoint_listed("cold", 0, 0, 0, 1.0, START_AT);
     balancer.endpoint_list_ends(START_AT);
-    let cold = balancer.by_id["cold"];
+    let cold = balancer.index_by_id["cold"];
     let moments = (0..40).map(|span| START_AT + span * 200 * MS);
     let without = moments
         .into_iter()
-        .find(|now| balancer.cold_budget(*now, cold).2 == 0.0)
+        .find(|now| balancer.slow_start_budget(*now, cold).2 == 0.0)
         .unwrap();
     let small = Request {
         work: 0.2,
         ..request(&[], false)
     };
     assert!(!balancer.permitted(without, &small, cold));
-    assert!(balancer.permitted(without, &small, balancer.by_id["u0"]));
+    assert!(balancer.permitted(without, &small, balancer.index_by_id["u0"]));
 }
 
 #[rstest]
 #[case::nobody_ready(0, 1)]
 #[case::somebody(1, 0)]
 fn a_request_is_never_left_without_answer(#[case] endpoints: usize, #[case] dismissed: usize) {
-    let (mut balancer, diary) = balancer(Idempotency::Idempotent, endpoints);
+    let (mut balancer, recorder) = balancer(Idempotency::Idempotent, endpoints);
     arrive(&mut balancer, START_AT, "a");
-    balancer.timer_expired(START_AT + 400 * MS, PUMP_ALARM);
-    assert_eq!(diary.count("reject"), dismissed);
+    balancer.timer_expired(START_AT + 400 * MS, QUEUE_TIMER);
+    assert_eq!(recorder.count("reject"), dismissed);
 }
 
 #[rstest]
 fn with_nothing_to_spare_a_request_is_dismissed_at_once() {
-    let (mut balancer, diary) = balancer(Idempotency::Idempotent, 0);
+    let (mut balancer, recorder) = balancer(Idempotency::Idempotent, 0);
     balancer.request_arrived(START_AT, "a", 0, 0, START_AT + 5 * MS, None, None);
-    assert_eq!(diary.count("reject"), 1);
+    assert_eq!(recorder.count("reject"), 1);
 }
 
 #[rstest]
 fn many_balancers_do_not_send_one_each() {
-    let (mut balancer, diary) = balancer(Idempotency::Idempotent, 6);
+    let (mut balancer, recorder) = balancer(Idempotency::Idempotent, 6);
     balancer.settings.balancers = 20;
     (0..6).for_each(|n| arrive(&mut balancer, START_AT, &n.to_string()));
-    assert_eq!(diary.count("attempt"), 2);
+    assert_eq!(recorder.count("attempt"), 2);
 }
 
 #[rstest]
 fn a_refusing_endpoint_is_left_alone_for_a_while() {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 1);
-    balancer.paces[0]
+    balancer.class_latency[0]
         .present
-        .add(START_AT, RECENT, 80_000.0, 1.0);
+        .add(START_AT, RECENT_US, 80_000.0, 1.0);
     let mut sent = request(&[0], true);
     sent.attempts[0].out = true;
     balancer.ended(START_AT, &mut sent, 0, AttemptOutcome::Rejected, 10);
-    assert!(!balancer.has_room(START_AT + 20 * MS, 0) && balancer.has_room(START_AT + 50 * MS, 0));
+    assert!(
+        !balancer.has_capacity(START_AT + 20 * MS, 0)
+            && balancer.has_capacity(START_AT + 50 * MS, 0)
+    );
 }
 
 #[rstest]
@@ -376,7 +385,10 @@
 #[case::refused_route(AttemptOutcome::Unreachable)]
 fn a_fast_failure_looks_slow(#[case] ending: AttemptOutcome) {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 1);
-    balancer.seen.answers.add(START_AT, LASTING, 100_000.0, 1.0);
+    balancer
+        .fleet
+        .latency
+        .add(START_AT, LONG_TERM_US, 100_000.0, 1.0);
     let mut sent = request(&[0], true);
     sent.attempts[0].out = true;
     balancer.ended(START_AT, &mut sent, 0, ending, 10);
@@ -390,16 +402,16 @@
     let sent = START_AT - 500 * MS;
     (
         balancer.endpoints[0].unanswered_since,
-        balancer.endpoints[0].outs,
+        balancer.endpoints[0].in_flight,
     ) = (Some(sent), vec![(sent, 1.0); 90]);
-    balancer.endpoints[0].used = Some(START_AT - 10 * MS);
+    balancer.endpoints[0].last_used = Some(START_AT - 10 * MS);
     assert!(
         !balancer
             .candidates(START_AT, &request(&[], false))
             .contains(&0)
     );
-    assert!(balancer.pool_has_room(START_AT));
-    balancer.endpoints[0].outs.clear();
+    assert!(balancer.subset_has_capacity(START_AT));
+    balancer.endpoints[0].in_flight.clear();
     assert!(
         balancer
             .candidates(START_AT + 600 * MS, &request(&[], false))
@@ -415,17 +427,17 @@
 #[case::connection_reset(AttemptOutcome::ConnectionLost, false)]
 fn what_failed_rests_half_a_usual_answer_time(#[case] ending: AttemptOutcome, #[case] rests: bool) {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 1);
-    balancer.paces[0]
+    balancer.class_latency[0]
         .present
-        .add(START_AT, RECENT, 100_000.0, 1.0);
+        .add(START_AT, RECENT_US, 100_000.0, 1.0);
     let mut sent = request(&[0], true);
     sent.attempts[0].out = true;
     balancer.ended(START_AT, &mut sent, 0, ending, 10);
-    assert_eq!(balancer.endpoints[0].full_until > START_AT, rests);
+    assert_eq!(balancer.endpoints[0].backoff_until > START_AT, rests);
     assert_eq!(
         (
-            balancer.has_room(START_AT + 49 * MS, 0),
-            balancer.has_room(START_AT + 50 * MS, 0)
+            balancer.has_capacity(START_AT + 49 * MS, 0),
+            balancer.has_capacity(START_AT + 50 * MS, 0)
         ),
         (!rests, true)
     );
@@ -436,16 +448,16 @@
 fn who_does_not_keep_to_a_cold_endpoint_has_a_part_of_its_budget() {
     let budgets = [0, 19].map(|place| {
         let mut balancer = one_of_many(3, 20, 20);
-        balancer.salt = 0;
-        balancer.warm = 20;
+        balancer.instance_seed = 0;
+        balancer.warm_endpoints = 20;
         balancer.started = START_AT - 20_000 * MS;
         balancer
-            .seen
+            .fleet
             .served
-            .add(START_AT, LASTING, 1_000.0 * LASTING / SECOND);
-        let u = balancer.order[place];
-        balancer.endpoints[u].launched = START_AT;
-        balancer.cold_budget(START_AT, u).2
+            .add(START_AT, LONG_TERM_US, 1_000.0 * LONG_TERM_US / SECOND_US);
+        let u = balancer.preference_order[place];
+        balancer.endpoints[u].started_at = START_AT;
+        balancer.slow_start_budget(START_AT, u).2
     });
     assert!(
         budgets[0] > 5.0 * budgets[1] && budgets[1] > 0.0,
@@ -458,8 +470,8 @@
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 1);
     balancer.endpoints[0].shortest = Some(100_000.0);
     balancer.endpoints[0]
-        .lasting_answers
-        .add(START_AT, LASTING, 100_000.0, 20.0);
+        .long_term_latency
+        .add(START_AT, LONG_TERM_US, 100_000.0, 20.0);
     let mut sent = request(&[0], true);
     sent.attempts[0].out = true;
     balancer.ended(START_AT, &mut sent, 0, AttemptOutcome::Succeeded, 5_000);
@@ -478,7 +490,7 @@
     #[case] ending: AttemptOutcome,
     #[case] attempts: usize,
 ) {
-    let (mut balancer, diary) = balancer(Idempotency::Idempotent, 4);
+    let (mut balancer, recorder) = balancer(Idempotency::Idempotent, 4);
     arrive(&mut balancer, START_AT, "a");
     (0..before).for_each(|n| {
         balancer.attempt_ended(
@@ -492,7 +504,7 @@
     });
     balancer.attempt_ended(START_AT + 10 * MS, "a", before, false, ending, 5 * MS);
     assert_eq!(
-        (diary.count("attempt"), diary.count("reject")),
+        (recorder.count("attempt"), recorder.count("reject")),
         (attempts, usize::from(attempts == 2 && before == 1))
     );
 }
@@ -501,7 +513,7 @@
 /// millisecond ended 3 % of the requests: they wait, while there is time, for a sign of life of either endpoint.
 #[rstest]
 fn a_request_goes_on_when_an_endpoint_that_broke_under_it_answers() {
-    let (mut balancer, diary) = balancer(Idempotency::Idempotent, 60);
+    let (mut balancer, recorder) = balancer(Idempotency::Idempotent, 60);
     arrive(&mut balancer, START_AT, "a");
     balancer.attempt_ended(
         START_AT + MS,
@@ -519,11 +531,14 @@
         AttemptOutcome::ConnectionLost,
         MS,
     );
-    assert_eq!((diary.count("attempt"), balancer.held.len()), (2, 1));
-    let first = balancer.held[0].attempts[0].endpoint;
-    balancer.endpoints[first].answered = START_AT + 3 * MS;
-    balancer.pump(START_AT + 3 * MS);
-    assert_eq!((diary.count("attempt"), diary.count("reject")), (3, 0));
+    assert_eq!((recorder.count("attempt"), balancer.queue.len()), (2, 1));
+    let first = balancer.queue[0].attempts[0].endpoint;
+    balancer.endpoints[first].last_success = START_AT + 3 * MS;
+    balancer.process_queue(START_AT + 3 * MS);
+    assert_eq!(
+        (recorder.count("attempt"), recorder.count("reject")),
+        (3, 0)
+    );
 }
 
 /// Connections that fall silent one by one (rate+silent+leave on sockets, 0.99 -> 0.00; r2f515a, 0.71 -> 0.00): each lost
@@ -539,14 +554,19 @@
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 1);
     balancer.settings.balancers = 2;
     let now = START_AT + 1_000 * MS;
-    balancer.paces[0].present.add(now, RECENT, 25_000.0, 1.0);
+    balancer.class_latency[0]
+        .present
+        .add(now, RECENT_US, 25_000.0, 1.0);
     balancer.send(now - earlier * MS, &mut request(&[], false), 0, None);
     assert_eq!(
-        (balancer.limit(now, 0), balancer.has_room(now, 0)),
+        (
+            balancer.concurrency_limit(now, 0),
+            balancer.has_capacity(now, 0)
+        ),
         (1.0, room)
     );
     assert_eq!(
-        balancer.endpoints[0].out_since(balancer.unheard_since(now)),
+        balancer.endpoints[0].in_flight_since(balancer.lost_before(now)),
         (counted, counted)
     );
     assert_eq!(
@@ -562,7 +582,7 @@
         );
     }
     balancer.endpoints[0].release(now - earlier * MS, 1.0);
-    assert_eq!(balancer.endpoints[0].outs, [(now, 1.0)]);
+    assert_eq!(balancer.endpoints[0].in_flight, [(now, 1.0)]);
 }
 
 /// An endpoint that hangs is sent no more for it than one request in each span of silence: places that come free by waiting
@@ -570,12 +590,14 @@
 #[rstest]
 fn a_hung_endpoint_takes_one_request_in_each_span_of_silence() {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 1);
-    balancer.paces[0]
+    balancer.class_latency[0]
         .present
-        .add(START_AT, RECENT, 25_000.0, 1.0);
+        .add(START_AT, RECENT_US, 25_000.0, 1.0);
     let mut sent = 0;
     for at in (0..2_000).map(|ms| START_AT + ms * MS) {
-        balancer.paces[0].present.add(at, RECENT, 25_000.0, 1.0);
+        balancer.class_latency[0]
+            .present
+            .add(at, RECENT_US, 25_000.0, 1.0);
         if !balancer.candidates(at, &request(&[], false)).is_empty() {
             balancer.send(at, &mut request(&[], false), 0, None);
             sent += 1;
@@ -590,7 +612,10 @@
 #[rstest]
 fn a_lost_attempt_counts_as_a_failure_however_long_it_was_out() {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 1);
-    balancer.seen.answers.add(START_AT, LASTING, 25_000.0, 1.0);
+    balancer
+        .fleet
+        .latency
+        .add(START_AT, LONG_TERM_US, 25_000.0, 1.0);
     let mut sent = request(&[0], true);
     sent.attempts[0].out = true;
     balancer.ended(
@@ -600,7 +625,7 @@
         AttemptOutcome::TimedOut,
         600 * MS,
     );
-    let told = balancer.endpoints[0].answers.read().unwrap();
+    let told = balancer.endpoints[0].recent_latency.read().unwrap();
     assert!((told - 75_000.0).abs() < 1.0, "{told}");
 }
 
@@ -613,7 +638,7 @@
     let mut kept = vec![0; endpoints];
     for number in 0..balancers {
         let balancer = one_of_many(number, balancers, endpoints);
-        balancer.order[..balancer.circle().0]
+        balancer.preference_order[..balancer.subset().0]
             .iter()
             .for_each(|&u| kept[u] += 1);
     }
@@ -628,22 +653,25 @@
 #[case::few(4)]
 #[case::one(1)]
 fn a_cold_endpoint_is_sent_its_budget_by_all_together(#[case] balancers: usize) {
-    let (span, borne_by_all) = (2.0 * SECOND, 800.0);
+    let (span, borne_by_all) = (2.0 * SECOND_US, 800.0);
     let mut sent = 0.0;
     for number in 0..balancers {
         let mut balancer = one_of_many(number, balancers, 20);
-        balancer.salt = mixed(number as u64, 7);
-        balancer.warm = 20;
-        balancer.endpoints[0].launched = START_AT;
-        let rate = borne_by_all / balancers as f64 / SECOND;
+        balancer.instance_seed = mixed(number as u64, 7);
+        balancer.warm_endpoints = 20;
+        balancer.endpoints[0].started_at = START_AT;
+        let rate = borne_by_all / balancers as f64 / SECOND_US;
         balancer.started = START_AT - 20_000 * MS;
-        balancer.seen.served.add(START_AT, LASTING, rate * LASTING);
-        if balancer.order[..balancer.circle().0].contains(&0) {
-            let (_, _, budget) = balancer.cold_budget(START_AT, 0);
+        balancer
+            .fleet
+            .served
+            .add(START_AT, LONG_TERM_US, rate * LONG_TERM_US);
+        if balancer.preference_order[..balancer.subset().0].contains(&0) {
+            let (_, _, budget) = balancer.slow_start_budget(START_AT, 0);
             sent += budget;
         }
     }
-    let falls_at = 3.0 * 0.2 * borne_by_all / 20.0 * span / SECOND;
+    let falls_at = 3.0 * 0.2 * borne_by_all / 20.0 * span / SECOND_US;
     assert!(
         sent > 0.1 * falls_at && sent < 0.8 * falls_at,
         "{sent} of {falls_at}"
@@ -654,7 +682,7 @@
 #[rstest]
 fn a_large_fleet_spreads_its_asking_for_the_list() {
     let spreads =
-        [1, 4, 900].map(|balancers| one_of_many(0, balancers, 0).follow_spread().unwrap());
+        [1, 4, 900].map(|balancers| one_of_many(0, balancers, 0).list_poll_spread().unwrap());
     assert_eq!(spreads[0], 0);
     assert!(spreads[1] < 1_000 * MS && spreads[2] > 5_000 * MS && spreads[2] < 8_000 * MS);
 }
@@ -668,39 +696,42 @@
     #[case] thinned: bool,
 ) {
     let mut balancer = one_of_many(0, 800, 100);
-    balancer.let_through = THROUGH.1;
+    balancer.admitted_share = THROUGH.1;
     for n in 0..40 {
-        balancer.seen.pressure.add(START_AT, SECOND, pressure, 1.0);
+        balancer
+            .fleet
+            .pressure
+            .add(START_AT, SECOND_US, pressure, 1.0);
         arrive(&mut balancer, START_AT + n, &n.to_string());
     }
-    assert_eq!(balancer.let_through < THROUGH.1, thinned);
+    assert_eq!(balancer.admitted_share < THROUGH.1, thinned);
 }
 
 #[rstest]
 #[case::quick(1.0, 20.0 * STRETCH)]
 #[case::slowed(5.0, 4.0 * STRETCH)]
-fn the_limit_follows_shortest_over_present(#[case] stretch: f64, #[case] limit: f64) {
+fn the_limit_follows_shortest_over_present(#[case] stretch: f64, #[case] concurrency_limit: f64) {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 4);
     balancer.started = 0;
     balancer.endpoints[0]
-        .kept
-        .add(START_AT, RECENT, 20.0 * RECENT);
+        .busy_time
+        .add(START_AT, RECENT_US, 20.0 * RECENT_US);
     balancer.endpoints[0].shortest = Some(1.0);
     balancer.endpoints[0]
-        .answers
-        .add(START_AT, RECENT, stretch, 1.0);
-    assert!((balancer.limit(START_AT, 0) - limit).abs() < 1e-6);
+        .recent_latency
+        .add(START_AT, RECENT_US, stretch, 1.0);
+    assert!((balancer.concurrency_limit(START_AT, 0) - concurrency_limit).abs() < 1e-6);
 }
 
 /// How many are held and dismissed of one request, behind one that waits, with so much admitted of its tenant.
 fn held_or_dismissed(endpoints: usize, admitted: f64) -> (usize, usize) {
-    let (mut balancer, diary) = balancer(Idempotency::Idempotent, endpoints);
-    balancer.admitted[0].add(START_AT, RECENT, admitted);
-    balancer.seen.succeeded.add(START_AT, RECENT, 80.0);
+    let (mut balancer, recorder) = balancer(Idempotency::Idempotent, endpoints);
+    balancer.admitted[0].add(START_AT, RECENT_US, admitted);
+    balancer.fleet.succeeded.add(START_AT, RECENT_US, 80.0);
     balancer.started = 0;
-    balancer.held.push(request(&[], false));
+    balancer.queue.push(request(&[], false));
     arrive(&mut balancer, START_AT, "a");
-    (balancer.held.len() - 1, diary.count("reject"))
+    (balancer.queue.len() - 1, recorder.count("reject"))
 }
 
 #[rstest]
@@ -734,12 +765,12 @@
 ) {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 0);
     balancer.settings.load_from_probes = probe_completed;
-    balancer.crowded_until = if full { START_AT + 1 } else { 0 };
+    balancer.zone_crowded_until = if full { START_AT + 1 } else { 0 };
     for u in 0..9 {
         balancer.endpoint_listed(&format!("u{u}"), u64::from(u > 2), 0, 0, 1.0, 0);
     }
     balancer.endpoint_list_ends(START_AT);
-    let mut first: Vec<usize> = balancer.present_order(START_AT)[..3].to_vec();
+    let mut first: Vec<usize> = balancer.current_order(START_AT)[..3].to_vec();
     first.sort_unstable();
     assert_eq!(first == [0, 1, 2], near, "{first:?}");
 }
@@ -772,16 +803,16 @@
     #[case] sent: &[usize],
     #[case] attempted: usize,
 ) {
-    let (mut balancer, diary) = balancer(
+    let (mut balancer, recorder) = balancer(
         Idempotency::IdempotencyKey {
             scope: IdempotencyScope::Cell,
             window: 1_000 * MS,
         },
         6,
     );
-    balancer.held.push(request(sent, true));
+    balancer.queue.push(request(sent, true));
     arrive(&mut balancer, START_AT, "a");
-    assert_eq!(diary.count("attempt a"), attempted);
+    assert_eq!(recorder.count("attempt a"), attempted);
 }
 
 /// What found no room is a sign that near endpoints bear less than comes there.
@@ -789,35 +820,35 @@
 fn a_request_without_room_opens_the_way_to_far_endpoints() {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 0);
     arrive(&mut balancer, START_AT, "a");
-    assert!(balancer.crowded_until > START_AT);
+    assert!(balancer.zone_crowded_until > START_AT);
 }
 
 #[rstest]
 fn a_fresh_start_does_not_make_the_queue_look_endless() {
     let (balancer, _) = balancer(Idempotency::Idempotent, 0);
-    assert!(balancer.watched(START_AT + 600 * MS) < 0.4 * RECENT);
-    assert_eq!(balancer.watched(START_AT + 9_000 * MS), RECENT);
+    assert!(balancer.recent_span(START_AT + 600 * MS) < 0.4 * RECENT_US);
+    assert_eq!(balancer.recent_span(START_AT + 9_000 * MS), RECENT_US);
 }
 
 #[rstest]
 fn a_dismissed_request_is_asked_back_within_its_promised_time() {
-    let (mut balancer, diary) = balancer(Idempotency::Idempotent, 0);
+    let (mut balancer, recorder) = balancer(Idempotency::Idempotent, 0);
     balancer.settings.max_retry_after = 9_000 * MS;
-    balancer.give_up(START_AT, request(&[], false));
-    let asked = diary.0.borrow()[1]
+    balancer.reject_or_fail(START_AT, request(&[], false));
+    let polled = recorder.0.borrow()[1]
         .rsplit(' ')
         .next()
         .and_then(|wait| wait.parse::<Micros>().ok());
-    assert!(asked > Some(0) && asked < Some(400 * MS));
+    assert!(polled > Some(0) && polled < Some(400 * MS));
 }
 
 #[rstest]
 fn the_list_is_asked_for_again_in_time_and_without_crowding() {
-    let (mut balancer, diary) = balancer(Idempotency::Idempotent, 0);
+    let (mut balancer, recorder) = balancer(Idempotency::Idempotent, 0);
     for _ in 0..9 {
         balancer.endpoint_list_failed();
     }
-    let waits = diary.0.borrow();
+    let waits = recorder.0.borrow();
     let waits: Vec<Micros> = waits
         .iter()
         .filter_map(|act| act.strip_prefix("timer ")?.parse().ok())
@@ -834,13 +865,13 @@
 #[case::restarted(START_AT, 0)]
 #[case::as_it_was(0, START_AT + 5)]
 fn a_restart_clears_what_was_held_against_an_endpoint(
-    #[case] launched: Micros,
-    #[case] rests_until: Micros,
+    #[case] started_at: Micros,
+    #[case] cooldown_until: Micros,
 ) {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 1);
-    balancer.endpoints[0].full_until = START_AT + 5;
-    balancer.endpoint_listed("u0", 0, 0, 0, 1.0, launched);
-    assert_eq!(balancer.endpoints[0].full_until, rests_until);
+    balancer.endpoints[0].backoff_until = START_AT + 5;
+    balancer.endpoint_listed("u0", 0, 0, 0, 1.0, started_at);
+    assert_eq!(balancer.endpoints[0].backoff_until, cooldown_until);
 }
 
 #[rstest]
@@ -853,13 +884,13 @@
     #[case] known: usize,
 ) {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 1);
-    balancer.endpoints[0].met_until = START_AT;
+    balancer.endpoints[0].latest_deadline = START_AT;
     balancer.endpoint_list_begins(START_AT, true);
     (0..entries).for_each(|_| balancer.endpoint_listed("u0", 0, 0, 0, 1.0, 0));
     balancer.endpoint_list_ends(START_AT + ago * MS);
-    assert_eq!(balancer.by_id.len(), known);
+    assert_eq!(balancer.index_by_id.len(), known);
     balancer.endpoint_listed("new", 0, 0, 0, 1.0, 0);
-    assert_eq!(balancer.by_id["new"], known);
+    assert_eq!(balancer.index_by_id["new"], known);
 }
 
 /// With many candidates what is kept of attempts would grow with their square over a fleet.
@@ -871,7 +902,7 @@
             let (id, objective_at) = (Rc::from(format!("t{n}")), START_AT + 400 * MS);
             let mut request = Request::new(id, 0, objective_at, objective_at, 1.0, true);
             assert!(balancer.place(START_AT, &mut request));
-            usize::from(request.attempts[0].scene.is_some())
+            usize::from(request.attempts[0].sample.is_some())
         };
         (0..TEACHING).map(teaches).sum::<usize>()
     };
@@ -881,31 +912,36 @@
 }
 
 /// One of so many whose endpoints tell their load to probes, or to nobody, and that may send messages.
-fn asking(idempotency: Idempotency, probe_completed: bool) -> (Balancer<Diary>, Diary) {
-    let (mut balancer, diary) = balancer(idempotency, 4);
+fn awaiting_loads(
+    idempotency: Idempotency,
+    probe_completed: bool,
+) -> (Balancer<RecordingHost>, RecordingHost) {
+    let (mut balancer, recorder) = balancer(idempotency, 4);
     balancer.settings.gossip_allowed = true;
     (
         balancer.settings.load_from_probes,
         balancer.settings.load_unreported,
     ) = (probe_completed, !probe_completed);
     (balancer.settings.balancers, balancer.settings.own_index) = (1_000, 1_000);
-    (balancer, diary)
+    (balancer, recorder)
 }
 
 /// Hears what an endpoint holds, as a probe or its keeper tells.
-fn holds(balancer: &mut Balancer<Diary>, now: Micros, u: usize, held: u64) {
-    let (id, short) = (
+fn holds(balancer: &mut Balancer<RecordingHost>, now: Micros, u: usize, held: u64) {
+    let (id, gossip_id) = (
         Rc::clone(&balancer.endpoints[u].id),
-        balancer.endpoints[u].short(),
+        balancer.endpoints[u].gossip_id(),
     );
     match balancer.settings.load_from_probes {
         true => {
             balancer.load_reported(now, &id, None, None, Some(held as f64));
             balancer.probe_completed(now, &id, true);
         }
-        false => {
-            balancer.gossip_received(now, balancer.keeper(u), &format!("= {short:x} {held:x}"))
-        }
+        false => balancer.gossip_received(
+            now,
+            balancer.ledger_owner(u),
+            &format!("= {gossip_id:x} {held:x}"),
+        ),
     }
 }
 
@@ -913,19 +949,19 @@
 #[rstest]
 #[case::by_probes(true, "probe")]
 #[case::by_books(false, "gossip")]
-fn a_request_goes_where_least_is_held(#[case] probe_completed: bool, #[case] asks: &str) {
-    let (mut balancer, diary) = asking(Idempotency::Idempotent, probe_completed);
+fn a_request_goes_where_least_is_held(#[case] probe_completed: bool, #[case] polls_loads: &str) {
+    let (mut balancer, recorder) = awaiting_loads(Idempotency::Idempotent, probe_completed);
     for n in 0..20 {
         let now = START_AT + n * 1_000 * MS;
         arrive(&mut balancer, now, &n.to_string());
         (0..4).for_each(|u| holds(&mut balancer, now + MS, u, if u == 2 { 0 } else { 9 }));
     }
-    assert!(diary.count(asks) >= 4 && diary.count("attempt") == 20);
+    assert!(recorder.count(polls_loads) >= 4 && recorder.count("attempt") == 20);
     let elsewhere = [0, 1, 3]
-        .map(|u| balancer.endpoints[u].outs.len())
+        .map(|u| balancer.endpoints[u].in_flight.len())
         .iter()
         .sum::<usize>();
-    assert!(balancer.endpoints[2].outs.len() >= 18 && elsewhere <= 2);
+    assert!(balancer.endpoints[2].in_flight.len() >= 18 && elsewhere <= 2);
 }
 
 /// Who was asked may be gone, stalled or slow.
@@ -937,29 +973,33 @@
     #[case] attempted: usize,
     #[case] dismissed: usize,
 ) {
-    let (mut balancer, diary) = asking(Idempotency::Idempotent, probe_completed);
+    let (mut balancer, recorder) = awaiting_loads(Idempotency::Idempotent, probe_completed);
     arrive(&mut balancer, START_AT, "a");
     for turn in 1..100 {
         let now = START_AT + turn * 20 * MS;
-        balancer.timer_expired(now, PUMP_ALARM);
-        (PUMP_ALARM + 1..=balancer.last_alarm).for_each(|alarm| balancer.timer_expired(now, alarm));
+        balancer.timer_expired(now, QUEUE_TIMER);
+        (QUEUE_TIMER + 1..=balancer.last_timer)
+            .for_each(|timer| balancer.timer_expired(now, timer));
     }
     assert_eq!(
-        (diary.count("attempt"), diary.count("reject")),
+        (recorder.count("attempt"), recorder.count("reject")),
         (attempted, dismissed)
     );
-    assert!(balancer.asking.is_empty() && balancer.held.is_empty());
+    assert!(balancer.awaiting_loads.is_empty() && balancer.queue.is_empty());
 }
 
 #[rstest]
 fn a_book_counts_what_all_sent_and_forgets_lost_words() {
-    let (mut balancer, diary) = asking(Idempotency::Idempotent, false);
-    let short = balancer.endpoints[1].short();
-    (0..3).for_each(|from| balancer.gossip_received(START_AT, from, &format!("+ {short:x}")));
-    balancer.gossip_received(START_AT + 100 * MS, 2, &format!("- {short:x} 0 1"));
-    balancer.gossip_received(START_AT + 100 * MS, 9, &format!("? {short:x}"));
-    assert_eq!(diary.count(&format!("gossip 9 = {short:x} 2 0")), 1);
-    assert_eq!(balancer.endpoints[1].read_book(START_AT + 10_000 * MS), 0);
+    let (mut balancer, recorder) = awaiting_loads(Idempotency::Idempotent, false);
+    let gossip_id = balancer.endpoints[1].gossip_id();
+    (0..3).for_each(|from| balancer.gossip_received(START_AT, from, &format!("+ {gossip_id:x}")));
+    balancer.gossip_received(START_AT + 100 * MS, 2, &format!("- {gossip_id:x} 0 1"));
+    balancer.gossip_received(START_AT + 100 * MS, 9, &format!("? {gossip_id:x}"));
+    assert_eq!(recorder.count(&format!("gossip 9 = {gossip_id:x} 2 0")), 1);
+    assert_eq!(
+        balancer.endpoints[1].refresh_from_ledger(START_AT + 10_000 * MS),
+        0
+    );
 }
 
 #[rstest]
@@ -970,9 +1010,9 @@
 #[case("- 1 ffffffffffffffff 1")]
 #[case("~")]
 fn words_that_cannot_be_read_change_nothing(#[case] words: &str) {
-    let (mut balancer, diary) = asking(Idempotency::Idempotent, false);
+    let (mut balancer, recorder) = awaiting_loads(Idempotency::Idempotent, false);
     balancer.gossip_received(START_AT, 0, words);
-    assert_eq!((balancer.dropped, diary.count("gossip")), ((0, 0), 0));
+    assert_eq!((balancer.idle_drops, recorder.count("gossip")), ((0, 0), 0));
 }
 
 /// What is sent on a connection that was dropped unseen is lost, and an irreversible request with it.
@@ -983,15 +1023,15 @@
     #[case] took: Micros,
     #[case] dropped: bool,
 ) {
-    let (mut balancer, diary) = asking(Idempotency::NonIdempotent, false);
+    let (mut balancer, recorder) = awaiting_loads(Idempotency::NonIdempotent, false);
     balancer.settings.gossip_allowed = dropped;
     let mut sent = request(&[0], true);
-    (sent.attempts[0].out, sent.attempts[0].rested) = (true, Some(2_000 * MS));
+    (sent.attempts[0].out, sent.attempts[0].idle_for) = (true, Some(2_000 * MS));
     balancer.ended(START_AT, &mut sent, 0, AttemptOutcome::ConnectionLost, took);
-    balancer.endpoints[1].used = Some(START_AT);
+    balancer.endpoints[1].last_used = Some(START_AT);
     balancer.send(START_AT + 3_000 * MS, &mut request(&[], false), 1, None);
     assert_eq!(
-        (diary.count("gossip all ~"), diary.count("close u1")),
+        (recorder.count("gossip all ~"), recorder.count("close u1")),
         if dropped { (1, 1) } else { (0, 0) }
     );
 }
@@ -1001,9 +1041,9 @@
 #[case::redoable(Idempotency::Idempotent, true)]
 #[case::irreversible(Idempotency::NonIdempotent, false)]
 fn a_lone_attempt_ends_in_time_for_another(#[case] idempotency: Idempotency, #[case] early: bool) {
-    let (mut balancer, _) = asking(idempotency, false);
+    let (mut balancer, _) = awaiting_loads(idempotency, false);
     balancer.settings.can_cancel = false;
-    balancer.endpoints[0].lost = LONE.0 + 1;
+    balancer.endpoints[0].failure_percent = LONE.0 + 1;
     let mut sent = request(&[], false);
     balancer.send(START_AT, &mut sent, 0, None);
     let until = balancer
@@ -1029,10 +1069,10 @@
     #[case] early: bool,
 ) {
     let (mut balancer, _) = balancer(CELL, 4);
-    let pace = &mut balancer.paces[0];
-    pace.present.add(START_AT, RECENT, 25_000.0, served);
-    pace.overdue.add(START_AT, RECENT, 1.0, lost);
-    pace.overdue.add(START_AT, RECENT, 0.0, slow);
+    let latency = &mut balancer.class_latency[0];
+    latency.present.add(START_AT, RECENT_US, 25_000.0, served);
+    latency.overdue.add(START_AT, RECENT_US, 1.0, lost);
+    latency.overdue.add(START_AT, RECENT_US, 0.0, slow);
     let mut sent = request(&[], false);
     balancer.send(START_AT, &mut sent, 0, None);
     let until = balancer
@@ -1052,12 +1092,12 @@
         200 * MS,
     );
     assert!(balancer.permitted(START_AT + 200 * MS, &sent, 2));
-    assert!(balancer.paces[0].overdue.weight.sum > lost + slow - 1.0);
+    assert!(balancer.class_latency[0].overdue.weight.sum > lost + slow - 1.0);
 }
 
 /// What came in time tells nothing of what is overdue; what came late tells that work is slow.
 #[rstest]
-#[case::in_time(AttemptOutcome::Succeeded, 20, None)]
+#[case::meets_objective(AttemptOutcome::Succeeded, 20, None)]
 #[case::slow(AttemptOutcome::Succeeded, 200, Some(0.0))]
 #[case::lost(AttemptOutcome::TimedOut, 200, Some(1.0))]
 #[case::the_client_left(AttemptOutcome::Cancelled, 200, None)]
@@ -1067,13 +1107,13 @@
     #[case] lost: Option<f64>,
 ) {
     let (mut balancer, _) = balancer(CELL, 2);
-    balancer.paces[0]
+    balancer.class_latency[0]
         .present
-        .add(START_AT, RECENT, 25_000.0, 1.0);
+        .add(START_AT, RECENT_US, 25_000.0, 1.0);
     let mut sent = request(&[0], true);
     sent.attempts[0].out = true;
     balancer.ended(START_AT + after * MS, &mut sent, 0, how, after * MS);
-    assert_eq!(balancer.paces[0].overdue.read(), lost);
+    assert_eq!(balancer.class_latency[0].overdue.read(), lost);
 }
 
 /// r2f515a, as lost attempts were sent again: those that wait for their own cell counted as a queue before all others,
@@ -1083,51 +1123,51 @@
 #[case::one_sent_before(&[0], 1)]
 fn what_was_sent_before_is_no_queue_before_others(#[case] sent: &[usize], #[case] held: usize) {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 6);
-    balancer.seen.succeeded.add(START_AT, RECENT, 30.0);
+    balancer.fleet.succeeded.add(START_AT, RECENT_US, 30.0);
     balancer.started = 0;
     for u in 0..6 {
-        balancer.endpoints[u].outs = vec![(START_AT, 1.0); 9];
+        balancer.endpoints[u].in_flight = vec![(START_AT, 1.0); 9];
     }
-    balancer.held.push(request(sent, true));
+    balancer.queue.push(request(sent, true));
     let taken = Request {
         objective_at: START_AT + 401 * MS,
         ..request(&[], false)
     };
     balancer.admit(START_AT, taken);
-    assert_eq!(balancer.held.len() - 1, held);
+    assert_eq!(balancer.queue.len() - 1, held);
 }
 
 /// Tried again at once by clients that do not wait, each request would cost dozens of words.
 #[rstest]
 fn where_none_is_in_time_not_every_request_asks() {
-    let (mut balancer, diary) = asking(Idempotency::Idempotent, false);
+    let (mut balancer, recorder) = awaiting_loads(Idempotency::Idempotent, false);
     for n in 0..50 {
-        let (now, asked) = (START_AT + n * 5 * MS, diary.count("gossip"));
+        let (now, polled) = (START_AT + n * 5 * MS, recorder.count("gossip"));
         arrive(&mut balancer, now, &n.to_string());
-        if diary.count("gossip") > asked {
+        if recorder.count("gossip") > polled {
             (0..4).for_each(|u| holds(&mut balancer, now + MS, u, 90));
         }
     }
     // A quarter of a second: four asked each 80 ms, and not each 20.
     assert!(
-        diary.count("gossip") <= 16 && diary.count("attempt") == 0,
+        recorder.count("gossip") <= 16 && recorder.count("attempt") == 0,
         "{}",
-        diary.count("gossip")
+        recorder.count("gossip")
     );
 }
 
 /// One long request, and nothing more would be sent that could tell better.
 #[rstest]
 fn one_long_answer_does_not_close_a_quiet_balancer() {
-    let (mut balancer, diary) = asking(Idempotency::Idempotent, true);
+    let (mut balancer, recorder) = awaiting_loads(Idempotency::Idempotent, true);
     balancer
-        .seen
-        .each
-        .add(START_AT, LASTING, 450.0 * MS as f64, 1.0);
+        .fleet
+        .latency_per_request
+        .add(START_AT, LONG_TERM_US, 450.0 * MS as f64, 1.0);
     let now = START_AT + 30_000 * MS;
     arrive(&mut balancer, now, "a");
     (0..4).for_each(|u| holds(&mut balancer, now + MS, u, 0));
-    assert_eq!(diary.count("attempt"), 1);
+    assert_eq!(recorder.count("attempt"), 1);
 }
 
 /// What earns little waits only a part of its time, so that what earns much finds room.
@@ -1137,9 +1177,9 @@
 fn earnings_bound_the_wait(
     #[case] priority_weight: f64,
     #[case] within_quota: bool,
-    #[case] in_time: bool,
+    #[case] meets_objective: bool,
 ) {
-    let (mut balancer, _) = asking(Idempotency::Idempotent, true);
+    let (mut balancer, _) = awaiting_loads(Idempotency::Idempotent, true);
     let most = RequestClass {
         latency_objective: 400 * MS,
         idempotency: Idempotency::Idempotent,
@@ -1155,16 +1195,21 @@
     ];
     balancer.settings_changed(balancer.settings.clone());
     balancer
-        .seen
-        .each
-        .add(START_AT, LASTING, 60.0 * MS as f64, 1e6);
-    balancer.endpoints[1].held = Some(3.0);
-    balancer.paces[0].hint.add(START_AT, LASTING, 60.0, 1.0);
+        .fleet
+        .latency_per_request
+        .add(START_AT, LONG_TERM_US, 60.0 * MS as f64, 1e6);
+    balancer.endpoints[1].reported_in_flight = Some(3.0);
+    balancer.class_latency[0]
+        .hint
+        .add(START_AT, LONG_TERM_US, 60.0, 1.0);
     let waiting = Request {
         within_quota,
         ..request(&[], false)
     };
-    assert_eq!(balancer.in_time(START_AT, &waiting, 1), in_time);
+    assert_eq!(
+        balancer.meets_objective(START_AT, &waiting, 1),
+        meets_objective
+    );
 }
 
 /// Quiet balancers see no loss themselves: the keeper tells it, and a lone attempt leaves time for another.
@@ -1172,13 +1217,17 @@
 #[case::few_lost(10, 5_000)]
 #[case::a_quarter_lost(25, 200)]
 fn a_lone_attempt_waits_less_where_answers_are_lost(#[case] lost: u64, #[case] until: u64) {
-    let (mut balancer, _) = asking(Idempotency::Idempotent, false);
+    let (mut balancer, _) = awaiting_loads(Idempotency::Idempotent, false);
     balancer.settings.can_cancel = false;
-    balancer.paces[0]
+    balancer.class_latency[0]
         .present
-        .add(START_AT, RECENT, 50.0 * MS as f64, 1.0);
-    let (keeper, short) = (balancer.keeper(0), balancer.endpoints[0].short());
-    balancer.gossip_received(START_AT, keeper, &format!("= {short:x} 0 {lost:x}"));
+        .add(START_AT, RECENT_US, 50.0 * MS as f64, 1.0);
+    let (ledger_owner, gossip_id) = (balancer.ledger_owner(0), balancer.endpoints[0].gossip_id());
+    balancer.gossip_received(
+        START_AT,
+        ledger_owner,
+        &format!("= {gossip_id:x} 0 {lost:x}"),
+    );
     balancer.send(START_AT, &mut request(&[], false), 0, None);
     let told = balancer
         .host
@@ -1193,23 +1242,31 @@
 #[rstest]
 #[case("=", "7 0")]
 fn only_its_keeper_tells_of_an_endpoint(#[case] what: &str, #[case] more: &str) {
-    let (mut balancer, _) = asking(Idempotency::Idempotent, false);
-    let (keeper, short) = (balancer.keeper(2), balancer.endpoints[2].short());
-    let told = |balancer: &Balancer<Diary>| balancer.endpoints[2].held;
-    balancer.gossip_received(START_AT, keeper + 1, &format!("{what} {short:x} {more}"));
+    let (mut balancer, _) = awaiting_loads(Idempotency::Idempotent, false);
+    let (ledger_owner, gossip_id) = (balancer.ledger_owner(2), balancer.endpoints[2].gossip_id());
+    let told = |balancer: &Balancer<RecordingHost>| balancer.endpoints[2].reported_in_flight;
+    balancer.gossip_received(
+        START_AT,
+        ledger_owner + 1,
+        &format!("{what} {gossip_id:x} {more}"),
+    );
     assert_eq!(told(&balancer), None);
-    balancer.gossip_received(START_AT, keeper, &format!("{what} {short:x} {more}"));
+    balancer.gossip_received(
+        START_AT,
+        ledger_owner,
+        &format!("{what} {gossip_id:x} {more}"),
+    );
     assert_ne!(told(&balancer), None);
 }
 
 /// Where messages are not allowed, one is a broken rule of the wire.
 #[rstest]
 fn without_leave_nothing_is_told() {
-    let (mut balancer, diary) = balancer(Idempotency::Idempotent, 4);
+    let (mut balancer, recorder) = balancer(Idempotency::Idempotent, 4);
     balancer.settings.balancers = 1;
     for n in 0..20 {
         let mut sent = request(&[1], true);
-        (sent.attempts[0].out, sent.attempts[0].rested) = (true, Some(5_000 * MS));
+        (sent.attempts[0].out, sent.attempts[0].idle_for) = (true, Some(5_000 * MS));
         balancer.ended(
             START_AT + n * MS,
             &mut sent,
@@ -1218,7 +1275,7 @@
             1,
         );
     }
-    assert_eq!(diary.count("gossip"), 0);
+    assert_eq!(recorder.count("gossip"), 0);
 }
 
 /// Where second copies are off, two out at once break a rule; they brought nothing elsewhere, so none are sent.
@@ -1249,10 +1306,10 @@
 #[case::by_probes(true)]
 #[case::by_books(false)]
 fn a_balancer_that_has_heard_nothing_sends(#[case] probe_completed: bool) {
-    let (mut balancer, diary) = asking(Idempotency::NonIdempotent, probe_completed);
+    let (mut balancer, recorder) = awaiting_loads(Idempotency::NonIdempotent, probe_completed);
     arrive(&mut balancer, START_AT, "a");
     (0..4).for_each(|u| holds(&mut balancer, START_AT + MS, u, 2));
-    assert_eq!(diary.count("attempt"), 1);
+    assert_eq!(recorder.count("attempt"), 1);
 }
 
 /// Where only draining binds, a list that leaves out what runs takes nothing away: it is tried, and serves again.
@@ -1260,16 +1317,16 @@
 #[case::binds(false, 0)]
 #[case::stays_open(true, 1)]
 fn gone_binds_unless_only_draining_does(#[case] stays: bool, #[case] sent: usize) {
-    let (mut balancer, diary) = balancer(Idempotency::Idempotent, 2);
+    let (mut balancer, recorder) = balancer(Idempotency::Idempotent, 2);
     balancer.settings.unlisted_stay_usable = stays;
     balancer.endpoint_list_begins(START_AT, true);
     balancer.endpoint_listed("u0", 0, 0, 0, 1.0, 0);
     balancer.endpoint_removed(START_AT, "u0");
     balancer.endpoint_list_ends(START_AT);
     arrive(&mut balancer, START_AT, "a");
-    assert_eq!(diary.count("attempt"), sent);
+    assert_eq!(recorder.count("attempt"), sent);
     balancer.endpoint_draining("u0");
     balancer.endpoint_draining("u1");
     arrive(&mut balancer, START_AT, "b");
-    assert_eq!(diary.count("attempt"), sent);
+    assert_eq!(recorder.count("attempt"), sent);
 }
--- a/crates/policy/src/decide/tests/slow_start.rs
+++ b/crates/policy/src/decide/tests/slow_start.rs
@@ -36,9 +36,9 @@
 
 /// A fleet of balancers; each believes that there are so many.
 struct Fleet {
-    balancers: Vec<Balancer<Diary>>,
+    balancers: Vec<Balancer<RecordingHost>>,
     believed: usize,
-    chance: WyRand,
+    random: WyRand,
     under_way: BTreeMap<(Micros, usize), Sent>,
     attempts: BTreeMap<String, usize>,
     /// When the cold endpoint was sent something.
@@ -51,7 +51,7 @@
         let mut fleet = Self {
             balancers: Vec::new(),
             believed,
-            chance: WyRand::new_seed(seed),
+            random: WyRand::new_seed(seed),
             under_way: BTreeMap::new(),
             attempts: BTreeMap::new(),
             cold: Vec::new(),
@@ -65,33 +65,36 @@
     }
 
     /// One that has served for long, or that has just begun.
-    fn balancer(&mut self, number: usize, now: Micros, served: bool) -> Balancer<Diary> {
+    fn balancer(&mut self, number: usize, now: Micros, served: bool) -> Balancer<RecordingHost> {
         let mut balancer = one_of_many(number % self.believed, self.believed, ENDPOINTS);
-        balancer.chance = WyRand::new_seed(self.chance.generate());
+        balancer.random = WyRand::new_seed(self.random.generate());
         balancer.settings.slow_start = WARMING;
-        (balancer.salt, balancer.let_through) = (self.chance.generate(), 1.0);
+        (balancer.instance_seed, balancer.admitted_share) = (self.random.generate(), 1.0);
         // Clocks apart by some milliseconds.
-        let apart = self.chance.generate_range(0..=20 * MS);
+        let apart = self.random.generate_range(0..=20 * MS);
         balancer.endpoint_listed("u0", 0, 0, 0, 1.0, START_AT - apart);
         balancer.endpoint_list_ends(now);
         balancer.started = now;
         if served {
             balancer.started = START_AT - 20_000 * MS;
-            let rate = LOAD * CAPACITY * ENDPOINTS as f64 / self.believed as f64 / SECOND;
-            balancer.seen.served.add(START_AT, LASTING, rate * LASTING);
+            let rate = LOAD * CAPACITY * ENDPOINTS as f64 / self.believed as f64 / SECOND_US;
             balancer
-                .seen
+                .fleet
+                .served
+                .add(START_AT, LONG_TERM_US, rate * LONG_TERM_US);
+            balancer
+                .fleet
                 .arrivals
-                .add(START_AT, LASTING, rate * LASTING);
+                .add(START_AT, LONG_TERM_US, rate * LONG_TERM_US);
         }
         balancer
     }
 
     fn arrivals(&mut self, now: Micros, rate: f64) {
-        let mut owed = rate * TICK as f64 / SECOND;
+        let mut owed = rate * TICK as f64 / SECOND_US;
         while owed > 0.0 {
-            if self.chance.generate::<f64>() < owed {
-                let number = self.chance.generate_range(0..self.balancers.len());
+            if self.random.generate::<f64>() < owed {
+                let number = self.random.generate_range(0..self.balancers.len());
                 self.next += 1;
                 let id = format!("t{}", self.next);
                 self.balancers[number].request_arrived(
@@ -145,7 +148,7 @@
             .filter(|first| first.key().0 <= now)
         {
             let sent = first.remove();
-            let away = self.chance.generate::<f64>() < TURNED_AWAY;
+            let away = self.random.generate::<f64>() < TURNED_AWAY;
             let how = if away {
                 AttemptOutcome::Rejected
             } else {
@@ -176,8 +179,8 @@
             self.answers(now);
             self.arrivals(now, usual * burst);
             for number in 0..self.balancers.len() {
-                if since.is_multiple_of(PUMP_EVERY) {
-                    self.balancers[number].timer_expired(now, PUMP_ALARM);
+                if since.is_multiple_of(QUEUE_INTERVAL_US) {
+                    self.balancers[number].timer_expired(now, QUEUE_TIMER);
                     self.took_down(now, number);
                 }
             }
@@ -190,11 +193,13 @@
         let slow_start = WARMING;
         let allowed = |at: Micros| {
             let age = (at - START_AT) as f64 / slow_start.duration as f64;
-            let grown =
+            let slow_start_capacity =
                 slow_start.initial_capacity + (1.0 - slow_start.initial_capacity) * age.min(1.0);
-            let n =
-                slow_start.overload_multiple * grown * CAPACITY * slow_start.overload_window as f64
-                    / SECOND;
+            let n = slow_start.overload_multiple
+                * slow_start_capacity
+                * CAPACITY
+                * slow_start.overload_window as f64
+                / SECOND_US;
             if n < 30.0 {
                 n + 3.0 * n.sqrt() + 3.0
             } else {
--- a/crates/policy/src/words.rs
+++ b/crates/policy/src/gossip.rs
@@ -5,13 +5,13 @@
 
 /// How an attempt ended, as far as its endpoint's fame goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Fate {
+pub(crate) enum PeerOutcome {
     Neither,
     Passed,
     Failed,
 }
 
-impl Fate {
+impl PeerOutcome {
     /// What an ending tells of the endpoint.
     pub(crate) fn of(ending: AttemptOutcome) -> Self {
         match ending {
@@ -25,11 +25,11 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Word {
+pub(crate) enum GossipMessage {
     /// A attempt went to the endpoint.
     Sent(u64),
     /// One of the class ended there.
-    Ended(u64, usize, Fate),
+    Ended(u64, usize, PeerOutcome),
     /// What does the endpoint hold by your book?
     Asks(u64),
     /// So many, and so many hundredth parts of what went there failed.
@@ -38,7 +38,7 @@
     Dropped(Micros),
 }
 
-impl Word {
+impl GossipMessage {
     pub(crate) fn read(text: &str) -> Option<Self> {
         let mut parts = text.split(' ');
         let what = parts.next()?;
@@ -51,15 +51,15 @@
             ("+", endpoint, ..) => Self::Sent(endpoint),
             ("-", endpoint, Some(class), Some(how)) => {
                 let fate = match how {
-                    1 => Fate::Passed,
-                    2 => Fate::Failed,
-                    _ => Fate::Neither,
+                    1 => PeerOutcome::Passed,
+                    2 => PeerOutcome::Failed,
+                    _ => PeerOutcome::Neither,
                 };
                 Self::Ended(endpoint, usize::try_from(class).ok()?, fate)
             }
             ("?", endpoint, ..) => Self::Asks(endpoint),
             ("=", endpoint, Some(held), lost) => Self::Holds(endpoint, held, lost.unwrap_or(0)),
-            ("~", rested, ..) => Self::Dropped(rested),
+            ("~", idle_for, ..) => Self::Dropped(idle_for),
             _ => return None,
         })
     }
@@ -83,7 +83,7 @@
             }
             Self::Asks(endpoint) => format!("? {endpoint:x}"),
             Self::Holds(endpoint, held, lost) => format!("= {endpoint:x} {held:x} {lost:x}"),
-            Self::Dropped(rested) => format!("~ {rested:x}"),
+            Self::Dropped(idle_for) => format!("~ {idle_for:x}"),
         }
     }
 }
@@ -97,17 +97,17 @@
     proptest! {
         #[test]
         fn words_come_back_as_they_were_told(endpoint in any::<u64>(), a in any::<u64>(), class in 0usize..9) {
-            let fate = [Fate::Neither, Fate::Passed, Fate::Failed][class % 3];
-            for word in [Word::Sent(endpoint), Word::Ended(endpoint, class, fate), Word::Asks(endpoint),
-                Word::Holds(endpoint, a, endpoint), Word::Dropped(a)] {
-                prop_assert_eq!(Word::read(&word.text()), Some(word));
+            let fate = [PeerOutcome::Neither, PeerOutcome::Passed, PeerOutcome::Failed][class % 3];
+            for word in [GossipMessage::Sent(endpoint), GossipMessage::Ended(endpoint, class, fate), GossipMessage::Asks(endpoint),
+                GossipMessage::Holds(endpoint, a, endpoint), GossipMessage::Dropped(a)] {
+                prop_assert_eq!(GossipMessage::read(&word.text()), Some(word));
                 prop_assert!(word.text().len() <= 256);
             }
         }
 
         #[test]
         fn any_text_is_a_word_or_none(text in ".{0,40}") {
-            _ = Word::read(&text);
+            _ = GossipMessage::read(&text);
         }
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -2,19 +2,19 @@
 //! This file holds the words they share and decides nothing.
 
 mod arithmetic;
-mod books;
+mod decaying;
 mod decide;
-mod fading;
-mod groups;
+mod endpoint_list;
+mod estimates;
+mod gossip;
+mod key_order;
 mod known;
-mod list;
-mod margin;
-mod measures;
-mod turns;
-mod words;
+mod load_ledger;
+mod outliers;
+mod time_margin;
 
 pub use known::Balancer;
-pub use margin::begin_before;
+pub use time_margin::begin_before;
 
 /// A moment or a span in whole microseconds.
 pub type Micros = u64;
--- a/crates/policy/src/margin.rs
+++ b/crates/policy/src/time_margin.rs
@@ -20,7 +20,7 @@
     #[rstest]
     #[case::long(2_000_000, 1_850_000)]
     #[case::usual(400_000, 250_000)]
-    #[case::short(200_000, 100_000)]
+    #[case::gossip_id(200_000, 100_000)]
     #[case::none(0, 0)]
     fn a_margin_is_kept_and_never_takes_more_than_half(
         #[case] span: Micros,
