--- /dev/null
+++ b/crates/policy/src/attempt_outcome.rs
@@ -0,0 +1,29 @@
+//! How attempts end.
+
+/// Outcome of an attempt.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AttemptOutcome {
+    /// The endpoint served the request.
+    Succeeded,
+    /// The endpoint answered with an error.
+    Failed,
+    /// No response arrived in time.
+    TimedOut,
+    /// The connection was lost during the attempt.
+    ConnectionLost,
+    /// The balancer cancelled the attempt.
+    Cancelled,
+    /// The endpoint rejected the request before running it.
+    Rejected,
+    /// No connection could be opened, so the request did not run.
+    Unreachable,
+    /// The request never left the balancer.
+    NotSent,
+}
+
+impl AttemptOutcome {
+    /// Whether the request is known not to have run at the endpoint.
+    pub fn proves_not_run(self) -> bool {
+        matches!(self, Self::Rejected | Self::Unreachable | Self::NotSent)
+    }
+}
--- /dev/null
+++ b/crates/policy/src/settings.rs
@@ -0,0 +1,122 @@
+//! Settings of one balancer: request classes, quotas, slow start and the capabilities that the deployment allows.
+
+use crate::Micros;
+
+/// The endpoints that discard a repeated request with the same idempotency key.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum IdempotencyScope {
+    /// All endpoints share one set of keys.
+    All,
+    /// The endpoints of a zone share one set of keys.
+    Zone,
+    /// The endpoints of a cell share one set of keys.
+    Cell,
+}
+
+/// The effect of running a request a second time.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Idempotency {
+    /// A second run does no harm.
+    Idempotent,
+    /// Endpoints within `scope` discard a second run that begins within `window` microseconds of the first.
+    IdempotencyKey {
+        /// The endpoints that share the key.
+        scope: IdempotencyScope,
+        /// Time in microseconds during which the key is remembered.
+        window: Micros,
+    },
+    /// A second run repeats the effect.
+    NonIdempotent,
+}
+
+impl Idempotency {
+    /// Whether a request that may have run may be sent again at all.
+    pub fn repeats(self) -> bool {
+        self != Self::NonIdempotent
+    }
+}
+
+/// A class of requests.
+#[derive(Clone, Debug, PartialEq)]
+pub struct RequestClass {
+    /// Time in microseconds within which a request should be answered.
+    pub latency_objective: Micros,
+    /// The effect of a second run.
+    pub idempotency: Idempotency,
+    /// Value of one unit of work relative to the other classes; 0 for a class that is no longer configured.
+    pub priority_weight: f64,
+    /// Requests with the same key run one at a time, in the order of their arrival at this balancer.
+    pub ordered_by_key: bool,
+}
+
+/// Slow start of an endpoint whose process has just started, and the overload that would bring it down.
+#[derive(Clone, Debug, PartialEq)]
+pub struct SlowStart {
+    /// Capacity at the start, as a fraction of the full capacity.
+    pub initial_capacity: f64,
+    /// Time in microseconds until the full capacity is reached.
+    pub duration: Micros,
+    /// Load, as a multiple of the present capacity, that overloads the endpoint.
+    pub overload_multiple: f64,
+    /// Time in microseconds over which that load is measured.
+    pub overload_window: Micros,
+}
+
+/// Settings of one balancer.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Settings {
+    /// Number of balancers in the fleet.
+    pub balancers: usize,
+    /// Index of this balancer in the fleet, counted from 0.
+    pub own_index: usize,
+    /// Zone of this balancer.
+    pub zone: u64,
+    /// Longest time in microseconds between two polls of the endpoint list; `None` where it is pushed.
+    pub max_poll_interval: Option<Micros>,
+    /// The endpoint list holds weights.
+    pub weights_listed: bool,
+    /// Attempts may be cancelled.
+    pub can_cancel: bool,
+    /// Endpoints report their load in answers to probes, and only there.
+    pub load_from_probes: bool,
+    /// Endpoints report their load neither with responses nor to probes.
+    pub load_unreported: bool,
+    /// Balancers may send gossip to one another.
+    pub gossip_allowed: bool,
+    /// Most attempts for one request.
+    pub max_attempts: usize,
+    /// Longest `retry_after` of a rejection, in microseconds.
+    pub max_retry_after: Micros,
+    /// Time in microseconds that a key is blocked after an attempt that may still run though it ended here.
+    pub key_cooldown: Micros,
+    /// Endpoints stay usable after the list drops them, unless they drain.
+    pub unlisted_stay_usable: bool,
+    /// Slow start of endpoints.
+    pub slow_start: SlowStart,
+    /// Request classes by index.
+    pub classes: Vec<RequestClass>,
+    /// Requests per second that each tenant may send to the whole fleet.
+    pub tenant_quotas: Vec<f64>,
+}
+
+impl Settings {
+    /// The classes that clients can request.
+    fn configured_classes(&self) -> impl Iterator<Item = &RequestClass> {
+        self.classes
+            .iter()
+            .filter(|class| class.priority_weight > 0.0)
+    }
+
+    pub(crate) fn shortest_latency_objective(&self) -> Micros {
+        self.configured_classes()
+            .map(|class| class.latency_objective)
+            .min()
+            .unwrap_or(0)
+    }
+
+    pub(crate) fn highest_priority_weight(&self) -> f64 {
+        self.configured_classes()
+            .map(|class| class.priority_weight)
+            .fold(f64::MIN_POSITIVE, f64::max)
+    }
+}
