--- /dev/null
+++ b/crates/policy/src/decisions/admission.rs
@@ -0,0 +1,24 @@
+//! Load shedding: whether an arriving request is admitted.
+
+use nanorand::Rng;
+
+use crate::balancer::Balancer;
+use crate::state::request::Request;
+use crate::{Host, Micros};
+
+impl<H: Host> Balancer<H> {
+    /// Whether a request is admitted, by the admitted share and unless it belongs to an outlier group.
+    pub(crate) fn admits(&mut self, now: Micros, request: &Request) -> bool {
+        self.admission.update(now, &self.fleet.pressure);
+        let endpoints = match self.settings.polls_loads() {
+            true => usize::MAX,
+            false => self.subset.preference_order.len(),
+        };
+        let endpoints_per_balancer = endpoints as f64 / self.settings.balancers as f64;
+        let probability = self
+            .admission
+            .probability(endpoints_per_balancer, request.within_quota);
+        let shed = self.random.generate::<f64>() > probability;
+        !shed && !self.excluded_as_outlier(now, request)
+    }
+}
--- /dev/null
+++ b/crates/policy/src/decisions/attempt_end.rs
@@ -0,0 +1,214 @@
+//! The end of an attempt: what its outcome says of the endpoint, the class, the fleet and the decision that chose it.
+
+use crate::balancer::Balancer;
+use crate::gossip_message::GossipMessage;
+use crate::scoring::learning::MAX_REWARD;
+use crate::state::admission::{MAX_PRESSURE, REJECTION_PRESSURE};
+use crate::state::decaying::{LONG_TERM_US, RECENT_US, SECOND_US};
+use crate::state::request::Request;
+use crate::{AttemptOutcome, Host, Micros};
+
+use super::latency::AttemptLatency;
+
+/// Latency relative to the shortest from which on it counts as late.
+const LATE_PER_SHORTEST: f64 = 2.5;
+/// Bounds of that latency as fractions of the latency objective, as a fleet may never be seen without load.
+const MIN_LATE_FRACTION: f64 = 0.4;
+const MAX_LATE_FRACTION: f64 = 0.7;
+/// Fraction of a class's latency for which an endpoint is avoided after it did not run a request.
+const BACKOFF_FRACTION: f64 = 0.5;
+/// Latency that a failure counts as, relative to the fleet's: a fast failure must not look quick.
+const FAILURE_LATENCY: f64 = 3.0;
+
+/// An attempt that has ended.
+struct EndedAttempt {
+    /// Index of the endpoint.
+    endpoint: usize,
+    outcome: AttemptOutcome,
+    elapsed: Micros,
+    latency_objective: Micros,
+    /// Horizon of the endpoint's recent latency.
+    latency_horizon: f64,
+    in_slow_start: bool,
+}
+
+impl EndedAttempt {
+    fn succeeded(&self) -> bool {
+        self.outcome == AttemptOutcome::Succeeded
+    }
+
+    fn timed_out(&self) -> bool {
+        self.outcome == AttemptOutcome::TimedOut
+    }
+
+    fn is_late(&self) -> bool {
+        self.elapsed >= self.latency_objective
+    }
+}
+
+impl<H: Host> Balancer<H> {
+    /// Cancels the attempt in flight of a request that has its answer, and releases its key.
+    pub(crate) fn close(&mut self, now: Micros, mut request: Request) {
+        if let Some(number) = request.attempt_in_flight() {
+            if self.settings.can_cancel {
+                self.host.cancel_attempt(&request.id, number);
+            }
+            let elapsed = now.saturating_sub(request.attempts[number].sent_at);
+            let outcome = AttemptOutcome::Cancelled;
+            self.record_attempt_end(now, &mut request, number, outcome, elapsed);
+        }
+        self.release_key(now, &request);
+    }
+
+    /// Records how an attempt ended.
+    pub(crate) fn record_attempt_end(
+        &mut self,
+        now: Micros,
+        request: &mut Request,
+        number: usize,
+        outcome: AttemptOutcome,
+        elapsed: Micros,
+    ) {
+        let attempt = request.attempts.get_mut(number);
+        let Some(attempt) = attempt.filter(|attempt| attempt.in_flight) else {
+            return;
+        };
+        let ended = EndedAttempt {
+            endpoint: attempt.endpoint,
+            outcome,
+            elapsed,
+            latency_objective: self.settings.classes[request.class].latency_objective,
+            latency_horizon: self.latency_horizon(now),
+            in_slow_start: self.in_slow_start(now, attempt.endpoint),
+        };
+        attempt.end(now, outcome);
+        let (sent_at, idle_for) = (attempt.sent_at, attempt.idle_for);
+        let endpoint = &mut self.endpoints[ended.endpoint];
+        endpoint.release(request.in_flight_attempt(sent_at));
+        endpoint.last_used = Some(now);
+        self.report_attempt_ended(now, ended.endpoint, request.class, outcome);
+        self.detect_idle_drop(now, &ended, idle_for);
+        self.record_overdue(now, request.class, &ended);
+        if ended.is_late() || ended.succeeded() {
+            self.record_outcome(now, request, elapsed);
+        }
+        let of_outlier = ended.is_late() && self.outlier_group(now, request).is_some();
+        // Neither an outlier nor a client that disconnected early says anything of the endpoint.
+        if of_outlier || matches!(outcome, AttemptOutcome::Cancelled | AttemptOutcome::NotSent) {
+            let endpoint = &mut self.endpoints[ended.endpoint];
+            if !endpoint.has_in_flight() {
+                endpoint.unanswered_since = None;
+            }
+            return;
+        }
+        let latency = elapsed.max(1) as f64 / request.work;
+        self.record_pressure(now, request, &ended, latency);
+        let reward = self.record_latency(now, request, number, &ended, latency);
+        let sample = request.attempts[number].sample.take();
+        self.learning.record(now, sample, reward);
+    }
+
+    /// A connection lost at once after a time without use shows that the network drops idle connections.
+    fn detect_idle_drop(&mut self, now: Micros, ended: &EndedAttempt, idle_for: Option<Micros>) {
+        let lost = ended.outcome == AttemptOutcome::ConnectionLost;
+        let Some(idle_for) = idle_for.filter(|_| lost) else {
+            return;
+        };
+        let (elapsed, objective) = (ended.elapsed, ended.latency_objective);
+        if !self
+            .idle_drops
+            .shows_new_drop(now, idle_for, elapsed, objective)
+        {
+            return;
+        }
+        // The drop came some time before it showed.
+        let idle_for = idle_for / 2;
+        self.idle_drops.assume(now, idle_for);
+        if self.settings.gossip_allowed {
+            let message = GossipMessage::IdleDrops { idle_for };
+            self.host.send_gossip(None, &message.to_text());
+        }
+    }
+
+    /// Records whether an attempt that took longer than `unresponsive_after` was answered.
+    fn record_overdue(&mut self, now: Micros, class: usize, ended: &EndedAttempt) {
+        let overdue = ended.elapsed as f64 > self.unresponsive_after()
+            && (ended.timed_out() || ended.succeeded());
+        let [lost, weight] = [ended.timed_out(), overdue].map(|is| f64::from(u8::from(is)));
+        self.class_latency[class]
+            .overdue
+            .add(now, RECENT_US, lost, weight);
+    }
+
+    /// Records how late a response came. Other outcomes are no pressure: a hung endpoint says nothing of the load.
+    fn record_pressure(
+        &mut self,
+        now: Micros,
+        request: &Request,
+        ended: &EndedAttempt,
+        latency: f64,
+    ) {
+        let objective = ended.latency_objective as f64;
+        let shortest = self.class_latency[request.class].shortest;
+        let late = (LATE_PER_SHORTEST * shortest.unwrap_or(f64::INFINITY))
+            .clamp(MIN_LATE_FRACTION * objective, MAX_LATE_FRACTION * objective);
+        let pressure = match ended.outcome {
+            AttemptOutcome::Succeeded => (latency / late).min(MAX_PRESSURE),
+            AttemptOutcome::Rejected => REJECTION_PRESSURE,
+            _ => return,
+        };
+        self.fleet
+            .pressure
+            .add(now, SECOND_US, pressure, request.work);
+    }
+
+    /// Records the latency of an attempt for its endpoint, and returns the reward of the decision.
+    fn record_latency(
+        &mut self,
+        now: Micros,
+        request: &Request,
+        number: usize,
+        ended: &EndedAttempt,
+        latency: f64,
+    ) -> f64 {
+        let fleet_latency = self.fleet.latency.read().unwrap_or(latency);
+        let class = &self.class_latency[request.class];
+        // The classes' usual latencies put all requests on one scale.
+        let usual = class.long_term.read().unwrap_or(latency).max(1.0);
+        let mut normalized = latency * fleet_latency / usual;
+        let class_latency = class.recent.read().unwrap_or(0.0);
+        let endpoint = &mut self.endpoints[ended.endpoint];
+        if !ended.timed_out() {
+            endpoint.unanswered_since = None;
+        }
+        let mut reward = 0.0;
+        if ended.succeeded() {
+            (endpoint.unlisted_since, endpoint.last_success) = (None, now);
+            reward = (fleet_latency / normalized).min(MAX_REWARD);
+            let in_slow_start = ended.in_slow_start;
+            let measured = AttemptLatency {
+                latency,
+                normalized,
+                in_slow_start,
+            };
+            self.record_success(now, request, number, &measured);
+        } else {
+            let not_run = ended.outcome.proves_not_run();
+            let backoff = if not_run { BACKOFF_FRACTION } else { 0.0 };
+            endpoint.backoff_until = now + (backoff * class_latency) as Micros;
+            // How long a lost response was waited for says nothing of the endpoint's speed.
+            normalized = match ended.timed_out() {
+                true => 0.0,
+                false => normalized,
+            }
+            .max(FAILURE_LATENCY * fleet_latency);
+        }
+        let endpoint = &mut self.endpoints[ended.endpoint];
+        let (work, horizon) = (request.work, ended.latency_horizon);
+        endpoint.recent_latency.add(now, horizon, normalized, work);
+        endpoint
+            .long_term_latency
+            .add(now, LONG_TERM_US, normalized, work);
+        reward
+    }
+}
--- /dev/null
+++ b/crates/policy/src/decisions/features.rs
@@ -0,0 +1,92 @@
+//! Features of the candidates for a request, as the score weighs them (see `scoring/score.rs`).
+
+use crate::balancer::Balancer;
+use crate::scoring::score::{FeatureRow, MAX_LOG_RATIO, log_ratios};
+use crate::state::endpoint::Endpoint;
+use crate::{Host, Micros};
+
+/// Load of an endpoint that reports nothing in flight.
+const IDLE_REPORTED_LOAD: f64 = 0.2;
+/// Load of an endpoint that has none of this balancer's requests in flight.
+const IDLE_OWN_LOAD: f64 = 0.5;
+/// Added to a reported utilisation, which may be 0.
+const UTILISATION_OFFSET: f64 = 0.1;
+/// Fraction of the capacity's logarithm that is taken off the load's.
+const CAPACITY_IN_LOAD: f64 = 0.5;
+/// Decay of a report with its age, for each latency horizon.
+const REPORT_DECAY: f64 = -2.0;
+
+impl<H: Host> Balancer<H> {
+    /// The feature rows of the candidates.
+    pub(crate) fn feature_rows(&self, now: Micros, candidates: &[usize]) -> Vec<FeatureRow> {
+        let freshness = self.report_freshness(now, candidates);
+        let log_ratios_of = |value: &dyn Fn(&Endpoint) -> Option<f64>| {
+            let values = candidates
+                .iter()
+                .map(|&index| value(&self.endpoints[index]));
+            log_ratios(&values.collect::<Vec<_>>(), MAX_LOG_RATIO)
+        };
+        let latency = log_ratios_of(&|endpoint| endpoint.latency(now));
+        let capacity = log_ratios_of(&|endpoint| self.capacity_estimate(endpoint));
+        let queue = log_ratios_of(&|endpoint| endpoint.reported_queue.map(|queue| queue + 1.0));
+        let utilisation = log_ratios_of(&|endpoint| {
+            let utilisation = endpoint.reported_utilisation;
+            utilisation.map(|utilisation| utilisation + UTILISATION_OFFSET)
+        });
+        let load = self.loads(now, candidates, &freshness);
+        let row = |(i, &index): (usize, &usize)| {
+            let same_zone = self.endpoints[index].zone == self.settings.zone;
+            [
+                1.0,
+                latency[i],
+                utilisation[i] * freshness[i],
+                load[i] - capacity[i] * CAPACITY_IN_LOAD,
+                capacity[i],
+                f64::from(u8::from(same_zone)),
+                queue[i] * freshness[i],
+            ]
+        };
+        candidates.iter().enumerate().map(row).collect()
+    }
+
+    /// How much the latest report of each candidate counts: an old one describes a load that is gone.
+    fn report_freshness(&self, now: Micros, candidates: &[usize]) -> Vec<f64> {
+        let horizon = self.latency_horizon(now);
+        let freshness = |index: &usize| {
+            let age = now.saturating_sub(self.endpoints[*index].reported_at) as f64;
+            (REPORT_DECAY * age / horizon).exp()
+        };
+        candidates.iter().map(freshness).collect()
+    }
+
+    /// Log ratios of the load: own work in flight and, of the reported queue, the part of the other balancers.
+    fn loads(&self, now: Micros, candidates: &[usize], freshness: &[f64]) -> Vec<f64> {
+        let lost_before = self.lost_before(now);
+        let sharing_balancers = self.subset_size().sharing_balancers;
+        let load = |(i, &index): (usize, &usize)| {
+            let endpoint = &self.endpoints[index];
+            match endpoint
+                .reported_in_flight
+                .filter(|_| self.settings.polls_loads())
+            {
+                Some(in_flight) => Some(IDLE_REPORTED_LOAD + in_flight * freshness[i]),
+                None => {
+                    let queue = endpoint.reported_queue.unwrap_or(0.0);
+                    let others = (1.0 - 1.0 / sharing_balancers) * freshness[i] * queue;
+                    let own = endpoint.in_flight_since(lost_before).work;
+                    Some(IDLE_OWN_LOAD + own + others)
+                }
+            }
+        };
+        let loads: Vec<_> = candidates.iter().enumerate().map(load).collect();
+        log_ratios(&loads, MAX_LOG_RATIO)
+    }
+
+    /// The listed weight; without weights the served rate per own request in flight, the inverse of the latency.
+    fn capacity_estimate(&self, endpoint: &Endpoint) -> Option<f64> {
+        match self.settings.weights_listed {
+            true => endpoint.weight.read(),
+            false => endpoint.long_term_latency.read().map(f64::recip),
+        }
+    }
+}
--- /dev/null
+++ b/crates/policy/src/decisions/key_order.rs
@@ -0,0 +1,129 @@
+//! Order by key: requests with one key, of classes that ask for it, run one at a time in the order of their arrival.
+//! See `state/key_queue.rs` for the invariant.
+
+use std::rc::Rc;
+
+use crate::balancer::Balancer;
+use crate::state::key_queue::KeyQueue;
+use crate::state::request::Request;
+use crate::state::timers::TimerPurpose;
+use crate::{AttemptOutcome, Host, Micros};
+
+impl<H: Host> Balancer<H> {
+    /// Places a request, or queues it behind others of its key. One that would wait too long is answered at once.
+    pub(crate) fn enter_key_queue(&mut self, now: Micros, request: Request) {
+        let Some(key) = request.order_key else {
+            return self.place_or_queue(now, request);
+        };
+        let expected = self.expected_latency(request.class);
+        let latest_start = self.latest_start(&request);
+        let queue = self.key_queues.queues.entry(key).or_default();
+        if queue.is_free(now) && queue.waiting.is_empty() {
+            queue.holder = Some(Rc::clone(&request.id));
+            return self.place_or_queue(now, request);
+        }
+        let wait = (queue.length() as f64 * expected) as Micros;
+        if now.max(queue.cooldown_until) + wait >= latest_start {
+            return self.reject_or_fail(now, request);
+        }
+        queue.waiting.push(request);
+        self.schedule_key_check(now, key, latest_start);
+    }
+
+    /// Sets the timer of a key queue, unless one expires earlier.
+    fn schedule_key_check(&mut self, now: Micros, key: u64, at: Micros) {
+        let Some(queue) = self.key_queues.queues.get_mut(&key) else {
+            return;
+        };
+        if queue.next_check_at <= now || at < queue.next_check_at {
+            queue.next_check_at = at.max(now + 1);
+            let after = at.saturating_sub(now);
+            let purpose = TimerPurpose::KeyQueue(key);
+            self.timers.schedule(&mut self.host, after, purpose);
+        }
+    }
+
+    /// Places the next request of a key if nothing of an earlier one can be running, and answers those that waited too
+    /// long.
+    pub(crate) fn advance_key_queue(&mut self, now: Micros, key: u64) {
+        let Some(mut queue) = self.key_queues.queues.remove(&key) else {
+            return;
+        };
+        let late: Vec<Request> = queue
+            .waiting
+            .extract_if(.., |request| self.latest_start(request) <= now)
+            .collect();
+        let next = queue.take_next(now);
+        // The queue of a key with nothing open is removed.
+        if !queue.is_free(now) {
+            self.restore_key_queue(now, key, queue);
+        }
+        for request in late {
+            self.reject_or_fail(now, request);
+        }
+        if let Some(next) = next {
+            self.place_or_queue(now, next);
+        }
+    }
+
+    /// Puts a key queue back, and sets the timer for the next time at which something can change.
+    fn restore_key_queue(&mut self, now: Micros, key: u64, mut queue: KeyQueue) {
+        let cooldown = Some(queue.cooldown_until).filter(|_| queue.is_idle());
+        let latest_starts = queue
+            .waiting
+            .iter()
+            .map(|request| self.latest_start(request));
+        let next_check = cooldown.into_iter().chain(latest_starts.min()).min();
+        queue.next_check_at = 0;
+        self.key_queues.queues.insert(key, queue);
+        if let Some(at) = next_check {
+            self.schedule_key_check(now, key, at);
+        }
+    }
+
+    /// Releases the key of a request that has its answer. An attempt in flight goes on blocking the key.
+    pub(crate) fn release_key(&mut self, now: Micros, request: &Request) {
+        let Some(key) = request.order_key else { return };
+        let Some(queue) = self.key_queues.queues.get_mut(&key) else {
+            return;
+        };
+        if queue.holder.as_ref() == Some(&request.id) {
+            queue.holder = None;
+            if request.outcome_pending {
+                let id = Rc::clone(&request.id);
+                self.key_queues.trailing.insert(id, key);
+            }
+            self.schedule_key_check(now, key, now);
+        }
+    }
+
+    /// An attempt of a key ended. After one that may still run, the key has a cooldown.
+    pub(crate) fn key_attempt_ended(&mut self, now: Micros, key: u64, outcome: AttemptOutcome) {
+        let Some(queue) = self.key_queues.queues.get_mut(&key) else {
+            return;
+        };
+        queue.in_flight = queue.in_flight.saturating_sub(1);
+        if matches!(
+            outcome,
+            AttemptOutcome::TimedOut | AttemptOutcome::ConnectionLost | AttemptOutcome::Cancelled
+        ) {
+            queue.cooldown_until = queue.cooldown_until.max(now + self.settings.key_cooldown);
+        }
+        if queue.is_idle() {
+            let at = queue.cooldown_until;
+            self.schedule_key_check(now, key, at);
+        }
+    }
+
+    /// An attempt of a request that has its answer ended.
+    pub(crate) fn trailing_attempt_ended(
+        &mut self,
+        now: Micros,
+        id: &str,
+        outcome: AttemptOutcome,
+    ) {
+        if let Some(key) = self.key_queues.trailing.remove(id) {
+            self.key_attempt_ended(now, key, outcome);
+        }
+    }
+}
--- /dev/null
+++ b/crates/policy/src/decisions/load_probing.rs
@@ -0,0 +1,141 @@
+//! Load probing: requesting the loads of some candidates before a request is placed.
+//!
+//! Invariant: each request that waits for loads has a timer, and is placed or answered when it expires.
+
+use std::rc::Rc;
+
+use crate::balancer::Balancer;
+use crate::gossip_message::GossipMessage;
+use crate::state::request::Request;
+use crate::state::timers::TimerPurpose;
+use crate::{Host, Micros};
+
+/// Endpoints whose load is requested for each request.
+const PROBED_ENDPOINTS: usize = 5;
+/// Part of the latency objective to wait for loads, and for which a load counts as fresh.
+const OBJECTIVE_PER_WAIT: Micros = 20;
+/// Waits for which loads stay fresh after a request found no endpoint, so that retries do not flood the balancers.
+const WAITS_FRESH_UNDER_LOAD: Micros = 4;
+/// Fraction of its remaining time that a request of the lowest priority weight may take; the highest may take all.
+const MIN_TIME_FRACTION: f64 = 0.3;
+
+impl<H: Host> Balancer<H> {
+    /// Requests the loads of some candidates. The request is placed when they were received.
+    pub(crate) fn poll_loads(&mut self, now: Micros, mut request: Request) {
+        let candidates = self.candidates(now, &request);
+        if candidates.is_empty() || request.answer_by() <= now {
+            self.last_unplaced_at = now;
+            return self.reject_or_fail(now, request);
+        }
+        let wait = self.settings.classes[request.class].latency_objective / OBJECTIVE_PER_WAIT;
+        let fresh_for = self.loads_fresh_for(now, wait);
+        (request.pending_loads, request.known_loads) = candidates
+            .into_iter()
+            .take(PROBED_ENDPOINTS)
+            .partition(|&index| !self.has_fresh_load(now, index, fresh_for));
+        for &index in &request.pending_loads {
+            self.request_load(index);
+        }
+        if request.pending_loads.is_empty() {
+            return self.place_by_load(now, request);
+        }
+        let wait = wait.min(request.deadline.saturating_sub(now) / 2);
+        let purpose = TimerPurpose::LoadsPolled(Rc::clone(&request.id));
+        self.timers.schedule(&mut self.host, wait, purpose);
+        self.awaiting_loads.push(request);
+    }
+
+    /// Time in microseconds for which a load counts as fresh.
+    fn loads_fresh_for(&self, now: Micros, wait: Micros) -> Micros {
+        let long = WAITS_FRESH_UNDER_LOAD * wait;
+        let under_load = now < self.last_unplaced_at + long;
+        match !self.settings.load_from_probes && under_load {
+            true => long,
+            false => wait,
+        }
+    }
+
+    /// Whether the load of an endpoint is known and fresh. Where this balancer owns the ledger, it reads it.
+    fn has_fresh_load(&mut self, now: Micros, index: usize, fresh_for: Micros) -> bool {
+        let owner = self.ledger_owner(index);
+        let endpoint = &mut self.endpoints[index];
+        if !self.settings.load_from_probes && owner == self.settings.own_index {
+            endpoint.refresh_from_ledger(now);
+        }
+        endpoint.reported_in_flight.is_some() && now < endpoint.reported_at + fresh_for
+    }
+
+    fn request_load(&mut self, index: usize) {
+        let endpoint = &self.endpoints[index];
+        if self.settings.load_from_probes {
+            return self.host.probe(&endpoint.id);
+        }
+        let endpoint = endpoint.gossip_id();
+        let message = GossipMessage::LoadRequest { endpoint };
+        let owner = self.ledger_owner(index);
+        self.host.send_gossip(Some(owner), &message.to_text());
+    }
+
+    /// The load of an endpoint was received, or cannot be.
+    pub(crate) fn load_received(&mut self, now: Micros, index: usize, answered: bool) {
+        for request in &mut self.awaiting_loads {
+            let mut pending = request.pending_loads.iter();
+            if let Some(position) = pending.position(|&pending| pending == index) {
+                request.pending_loads.swap_remove(position);
+                request.known_loads.extend(answered.then_some(index));
+            }
+        }
+        let is_complete = |request: &Request| request.pending_loads.is_empty();
+        while let Some(position) = self.awaiting_loads.iter().position(is_complete) {
+            let request = self.awaiting_loads.remove(position);
+            self.place_by_load(now, request);
+        }
+    }
+
+    /// A request has waited long enough for loads.
+    pub(crate) fn load_poll_timed_out(&mut self, now: Micros, id: &str) {
+        let waiting = |request: &Request| *request.id == *id;
+        if let Some(position) = self.awaiting_loads.iter().position(waiting) {
+            let request = self.awaiting_loads.remove(position);
+            self.place_by_load(now, request);
+        }
+    }
+
+    /// Places a request at one of the endpoints with known loads that would answer it in time.
+    fn place_by_load(&mut self, now: Micros, mut request: Request) {
+        let mut candidates = std::mem::take(&mut request.known_loads);
+        if candidates.is_empty() && !self.settings.load_from_probes {
+            // The owners of the ledgers are gone or slow.
+            candidates = std::mem::take(&mut request.pending_loads);
+        }
+        candidates.retain(|&index| {
+            self.attempt_permitted(now, &request, index)
+                && self.meets_objective(now, &request, index)
+        });
+        if !candidates.is_empty() && self.select_and_send(now, &mut request, &candidates) {
+            self.requests.insert(Rc::clone(&request.id), request);
+        } else {
+            self.last_unplaced_at = now;
+            self.reject_or_fail(now, request);
+        }
+    }
+
+    /// Whether an endpoint would answer a request within the part of its time that its priority weight allows.
+    pub(crate) fn meets_objective(&self, now: Micros, request: &Request, index: usize) -> bool {
+        let Some(in_flight) = self.endpoints[index].reported_in_flight else {
+            return true;
+        };
+        let latency = self.latency_per_request(now, index);
+        let remaining = request.answer_by().saturating_sub(now) as f64;
+        let weight = self.settings.classes[request.class].priority_weight;
+        let priority = weight / self.settings.highest_priority_weight();
+        let fraction = MIN_TIME_FRACTION + (1.0 - MIN_TIME_FRACTION) * priority;
+        // A request without a work hint may be a long one; once it was sent there is less to lose.
+        let margin = match request.is_unsent() {
+            true => self.class_latency[request.class].spread_margin(),
+            false => 0.0,
+        };
+        latency * in_flight * (1.0 + margin)
+            <= fraction * (remaining - latency * request.work * (1.0 + margin))
+    }
+}
--- /dev/null
+++ b/crates/policy/src/decisions/queueing.rs
@@ -0,0 +1,91 @@
+//! The queue of requests that wait for capacity.
+//!
+//! Invariant: a request waits only while an attempt could still be in time; otherwise it is answered at once.
+
+use std::rc::Rc;
+
+use crate::balancer::Balancer;
+use crate::state::decaying::{LONG_TERM_US, RECENT_US, SECOND_US};
+use crate::state::request::Request;
+use crate::state::timers::QUEUE_TIMER;
+use crate::{Host, Micros};
+
+/// Time between two looks at the queue.
+pub(crate) const QUEUE_INTERVAL_US: Micros = 10_000;
+/// Fewest endpoints per balancer at which requests are queued: with fewer, freed capacity goes to other balancers.
+const MIN_ENDPOINTS_PER_BALANCER: usize = 3;
+/// Fraction of a request's spare time that the queue ahead of it may take.
+const MAX_WAIT_FRACTION: f64 = 0.15;
+/// The same for a request beyond its tenant's quota.
+const MAX_WAIT_FRACTION_BEYOND_QUOTA: f64 = 0.04;
+/// Lowest service rate that waiting times are computed with, in requests per microsecond.
+const MIN_SERVICE_RATE: f64 = 1.0 / SECOND_US;
+/// Expected latencies that a request needs when it is sent.
+const LATENCIES_NEEDED: f64 = 2.0;
+
+impl<H: Host> Balancer<H> {
+    /// The time after which a response would probably come too late.
+    pub(crate) fn latest_start(&self, request: &Request) -> Micros {
+        let needed =
+            LATENCIES_NEEDED * self.expected_latency(request.class) * request.work.max(1.0);
+        request
+            .objective_at
+            .min(request.deadline.saturating_sub(QUEUE_INTERVAL_US))
+            .saturating_sub(needed as Micros)
+    }
+
+    /// Sends a request, queues it if it would be sent soon, or answers it at once.
+    pub(crate) fn place_or_queue(&mut self, now: Micros, mut request: Request) {
+        if self.settings.polls_loads() {
+            return self.poll_loads(now, request);
+        }
+        // Requests that were sent before may only go to some endpoints, and do not block the others.
+        let first = self.queue.all_sent_before();
+        if first && self.subset_has_capacity(now) && self.place(now, &mut request) {
+            self.requests.insert(Rc::clone(&request.id), request);
+            return;
+        }
+        self.subset.zone_crowded_until = now + LONG_TERM_US as Micros;
+        let position = self.queue.position(request.objective_at);
+        if !self.worth_queueing(now, &request, position) {
+            return self.reject_or_fail(now, request);
+        }
+        self.queue.requests.insert(position, request);
+        self.schedule_queue_timer();
+    }
+
+    /// Whether a request would be sent in time from that position of the queue.
+    fn worth_queueing(&self, now: Micros, request: &Request, position: usize) -> bool {
+        let rate = self.fleet.succeeded.read(now, RECENT_US) / self.recent_span(now);
+        let wait = self.queue.unsent_before(position) as f64 / rate.max(MIN_SERVICE_RATE);
+        let spare = self.latest_start(request) as f64 - now as f64;
+        let fraction = match request.within_quota {
+            true => MAX_WAIT_FRACTION,
+            false => MAX_WAIT_FRACTION_BEYOND_QUOTA,
+        };
+        let endpoints = self.subset.preference_order.len();
+        let own_capacity = endpoints >= MIN_ENDPOINTS_PER_BALANCER * self.settings.balancers;
+        spare > 0.0 && wait <= fraction * spare && own_capacity
+    }
+
+    fn schedule_queue_timer(&mut self) {
+        if !self.queue.timer_scheduled && !self.queue.requests.is_empty() {
+            self.queue.timer_scheduled = true;
+            self.host.set_timer(QUEUE_INTERVAL_US, QUEUE_TIMER);
+        }
+    }
+
+    /// Sends waiting requests while there is capacity, the most urgent first, and answers those that are too late.
+    pub(crate) fn process_queue(&mut self, now: Micros) {
+        for mut request in std::mem::take(&mut self.queue.requests) {
+            if self.latest_start(&request) < now || !self.may_be_attempted(now, &request) {
+                self.reject_or_fail(now, request);
+            } else if self.subset_has_capacity(now) && self.place(now, &mut request) {
+                self.requests.insert(Rc::clone(&request.id), request);
+            } else {
+                self.queue.requests.push(request);
+            }
+        }
+        self.schedule_queue_timer();
+    }
+}
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -119,4 +119,15 @@
             .map(|class| class.priority_weight)
             .fold(f64::MIN_POSITIVE, f64::max)
     }
+
+    /// Number of outlier groups: one for each class and each tenant.
+    pub(crate) fn outlier_groups(&self) -> usize {
+        self.classes.len() + self.tenant_quotas.len()
+    }
+
+    /// Whether loads are polled before each choice, from the endpoints or from the owners of their ledgers: a balancer
+    /// with a request or two per second cannot know them itself.
+    pub(crate) fn polls_loads(&self) -> bool {
+        self.load_from_probes || (self.load_unreported && self.gossip_allowed)
+    }
 }
--- a/crates/policy/src/decaying.rs
+++ b/crates/policy/src/state/decaying.rs
@@ -2,6 +2,13 @@
 
 use crate::Micros;
 
+/// One second in microseconds.
+pub(crate) const SECOND_US: f64 = 1e6;
+/// Horizon of statistics that describe the present.
+pub(crate) const RECENT_US: f64 = 2.0 * SECOND_US;
+/// Horizon of statistics that describe a machine or a class.
+pub(crate) const LONG_TERM_US: f64 = 15.0 * SECOND_US;
+
 /// A sum that decays with time. Decay is applied when the sum is read or added to.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct DecayingSum {
--- /dev/null
+++ b/crates/policy/src/state/request.rs
@@ -0,0 +1,132 @@
+//! Open requests and their attempts.
+
+use std::rc::Rc;
+
+use crate::scoring::score::DecisionSample;
+use crate::state::endpoint::InFlightAttempt;
+use crate::{AttemptOutcome, Micros};
+
+/// One attempt of a request.
+pub(crate) struct Attempt {
+    /// Index of the endpoint.
+    pub(crate) endpoint: usize,
+    pub(crate) sent_at: Micros,
+    pub(crate) in_flight: bool,
+    pub(crate) may_have_run: bool,
+    /// When its connection was lost.
+    pub(crate) connection_lost_at: Option<Micros>,
+    /// How long the endpoint had been idle when it was sent.
+    pub(crate) idle_for: Option<Micros>,
+    /// Requests that the endpoint was reported to have in flight when it was sent.
+    pub(crate) load_before: Option<f64>,
+    /// The decision that chose the endpoint, where learning takes it in.
+    pub(crate) sample: Option<DecisionSample>,
+}
+
+impl Attempt {
+    pub(crate) fn new(endpoint: usize, sent_at: Micros, sample: Option<DecisionSample>) -> Self {
+        Self {
+            endpoint,
+            sent_at,
+            in_flight: true,
+            may_have_run: true,
+            connection_lost_at: None,
+            idle_for: None,
+            load_before: None,
+            sample,
+        }
+    }
+
+    /// Takes in how the attempt ended.
+    pub(crate) fn end(&mut self, now: Micros, outcome: AttemptOutcome) {
+        self.in_flight = false;
+        self.may_have_run = !outcome.proves_not_run();
+        let connection_lost = outcome == AttemptOutcome::ConnectionLost;
+        self.connection_lost_at = connection_lost.then_some(now);
+    }
+}
+
+/// An open request.
+pub(crate) struct Request {
+    pub(crate) id: Rc<str>,
+    /// Index of its class.
+    pub(crate) class: usize,
+    /// Index of its tenant.
+    pub(crate) tenant: usize,
+    /// Time by which the latency objective asks for an answer.
+    pub(crate) objective_at: Micros,
+    /// Time after which the client no longer waits.
+    pub(crate) deadline: Micros,
+    /// Work relative to an average request of its class.
+    pub(crate) work: f64,
+    pub(crate) within_quota: bool,
+    /// Part of the response was received: no attempt may follow.
+    pub(crate) response_started: bool,
+    /// Most attempts by the strictest settings that held since its arrival.
+    pub(crate) max_attempts: usize,
+    pub(crate) attempts: Vec<Attempt>,
+    /// The key by which it is ordered, where its class asks for that.
+    pub(crate) order_key: Option<u64>,
+    /// The end of its last attempt was not reported yet. Two attempts are never in flight at once.
+    pub(crate) outcome_pending: bool,
+    /// Endpoints whose load was requested and not received yet.
+    pub(crate) pending_loads: Vec<usize>,
+    /// Endpoints whose load is known.
+    pub(crate) known_loads: Vec<usize>,
+}
+
+impl Request {
+    pub(crate) fn new(
+        id: Rc<str>,
+        class: usize,
+        objective_at: Micros,
+        deadline: Micros,
+        work: f64,
+        within_quota: bool,
+    ) -> Self {
+        Self {
+            id,
+            class,
+            tenant: 0,
+            objective_at,
+            deadline,
+            work,
+            within_quota,
+            response_started: false,
+            max_attempts: usize::MAX,
+            attempts: Vec::new(),
+            order_key: None,
+            outcome_pending: false,
+            pending_loads: Vec::new(),
+            known_loads: Vec::new(),
+        }
+    }
+
+    /// Whether nothing was ever sent for it.
+    pub(crate) fn is_unsent(&self) -> bool {
+        self.attempts.is_empty()
+    }
+
+    /// The position of the attempt in flight.
+    pub(crate) fn attempt_in_flight(&self) -> Option<usize> {
+        self.attempts.iter().position(|attempt| attempt.in_flight)
+    }
+
+    /// The attempts that may have run at an endpoint.
+    pub(crate) fn attempts_that_may_have_run(&self) -> impl Iterator<Item = &Attempt> {
+        self.attempts.iter().filter(|attempt| attempt.may_have_run)
+    }
+
+    /// One of its attempts as the endpoint counts it.
+    pub(crate) fn in_flight_attempt(&self, sent_at: Micros) -> InFlightAttempt {
+        InFlightAttempt {
+            sent_at,
+            work: self.work,
+        }
+    }
+
+    /// The earlier of latency objective and deadline.
+    pub(crate) fn answer_by(&self) -> Micros {
+        self.objective_at.min(self.deadline)
+    }
+}
--- /dev/null
+++ b/crates/policy/src/state/request_queue.rs
@@ -0,0 +1,36 @@
+//! The queue of requests that wait for capacity, by latency objective.
+
+use crate::Micros;
+use crate::state::request::Request;
+
+/// Waiting requests, the most urgent first.
+#[derive(Default)]
+pub(crate) struct RequestQueue {
+    pub(crate) requests: Vec<Request>,
+    pub(crate) timer_scheduled: bool,
+}
+
+impl RequestQueue {
+    /// The position at which a request with this objective enters the queue.
+    pub(crate) fn position(&self, objective_at: Micros) -> usize {
+        self.requests
+            .partition_point(|waiting| waiting.objective_at <= objective_at)
+    }
+
+    /// Number of requests before a position that were never sent. Others may only go to some endpoints.
+    pub(crate) fn unsent_before(&self, position: usize) -> usize {
+        self.requests[..position]
+            .iter()
+            .filter(|waiting| waiting.is_unsent())
+            .count()
+    }
+
+    /// Whether no request waits that was never sent.
+    pub(crate) fn all_sent_before(&self) -> bool {
+        self.requests.iter().all(|waiting| !waiting.is_unsent())
+    }
+
+    pub(crate) fn sort(&mut self) {
+        self.requests.sort_by_key(|request| request.objective_at);
+    }
+}
--- /dev/null
+++ b/crates/policy/src/state/subset.rs
@@ -0,0 +1,115 @@
+//! The subset of endpoints that this balancer sends to: the first of its own preference order.
+//!
+//! The order picks endpoints from a hash ring common to all balancers, in irrational steps from a start that follows
+//! from the balancer's index.
+//! Invariant: every endpoint is in about as many balancers' subsets as any other.
+
+use crate::state::endpoint::Endpoint;
+use crate::{Micros, Settings};
+
+/// Fewest balancers that share an endpoint.
+const MIN_SHARING_BALANCERS: usize = 2;
+/// Fewest endpoints in a subset.
+const MIN_SUBSET_SIZE: usize = 2;
+/// Fewest endpoints in a subset where loads are polled before each choice.
+const MIN_POLLED_SUBSET_SIZE: usize = 6;
+/// Number of balancers for which one more shares each endpoint.
+const BALANCERS_PER_EXTRA_SHARE: usize = 4;
+/// Fraction of the ring between the starts of neighbouring balancers: the golden ratio.
+const RING_START_STEP: f64 = 0.618_033_988_749_895;
+/// An irrational step spreads evenly on a ring of any size.
+const RING_STEP: f64 = std::f64::consts::SQRT_2;
+/// Endpoints of the own zone for each of another zone while the own zone is crowded.
+const SAME_ZONE_PER_REMOTE: usize = 2;
+
+/// This balancer's order of preference over the ready endpoints.
+#[derive(Default)]
+pub(crate) struct Subset {
+    /// All ready endpoints, those of other zones mixed in.
+    pub(crate) preference_order: Vec<usize>,
+    /// All ready endpoints, those of the own zone first.
+    pub(crate) zone_first_order: Vec<usize>,
+    /// Time until which the own zone is taken to have no capacity left.
+    pub(crate) zone_crowded_until: Micros,
+}
+
+/// Size of a subset.
+pub(crate) struct SubsetSize {
+    pub(crate) endpoints: usize,
+    /// Average number of balancers that share an endpoint.
+    pub(crate) sharing_balancers: f64,
+}
+
+impl Subset {
+    /// The order to go by now.
+    pub(crate) fn current_order(&self, now: Micros) -> &[usize] {
+        match now < self.zone_crowded_until {
+            true => &self.preference_order,
+            false => &self.zone_first_order,
+        }
+    }
+
+    /// Makes the next rebuild start from nothing, as after a change of settings.
+    pub(crate) fn clear(&mut self) {
+        self.preference_order.clear();
+        self.zone_first_order.clear();
+    }
+
+    /// The size of the subset.
+    pub(crate) fn size(&self, settings: &Settings) -> SubsetSize {
+        let (ready, balancers) = (self.preference_order.len(), settings.balancers);
+        let least = match settings.polls_loads() {
+            true => MIN_POLLED_SUBSET_SIZE,
+            false => MIN_SUBSET_SIZE,
+        };
+        let shares = MIN_SHARING_BALANCERS * balancers + BALANCERS_PER_EXTRA_SHARE;
+        let size = (shares * ready).div_ceil(balancers * balancers);
+        let endpoints = size.max(least).min(ready);
+        SubsetSize {
+            endpoints,
+            sharing_balancers: (endpoints * balancers) as f64 / ready.max(1) as f64,
+        }
+    }
+
+    /// Builds both orders anew where the set of ready endpoints has changed.
+    pub(crate) fn rebuild(&mut self, endpoints: &[Endpoint], settings: &Settings) {
+        let mut ring: Vec<usize> = (0..endpoints.len())
+            .filter(|&index| endpoints[index].ready)
+            .collect();
+        let all_ready = |order: &[usize]| order.iter().all(|&index| endpoints[index].ready);
+        if ring.len() == self.preference_order.len() && all_ready(&self.preference_order) {
+            return;
+        }
+        ring.sort_by_key(|&index| (endpoints[index].hash, index));
+        // Where loads are polled, the score weighs the zone against the load.
+        let same_zone =
+            |index: &usize| settings.polls_loads() || endpoints[*index].zone == settings.zone;
+        let (same, remote): (Vec<_>, Vec<_>) = ring.into_iter().partition(same_zone);
+        let start = settings.own_index as f64 * RING_START_STEP;
+        let [same, remote] = [same, remote].map(|ring| order_from(&ring, start));
+        self.zone_first_order = [same.as_slice(), &remote].concat();
+        self.preference_order = interleave(same, remote);
+    }
+}
+
+/// Some endpoints of the own zone for each remote one.
+fn interleave(same_zone: Vec<usize>, remote: Vec<usize>) -> Vec<usize> {
+    let mut order = Vec::new();
+    let (mut same_zone, mut remote) = (same_zone.into_iter(), remote.into_iter());
+    while same_zone.len() + remote.len() > 0 {
+        order.extend(same_zone.by_ref().take(SAME_ZONE_PER_REMOTE));
+        order.extend(remote.by_ref().take(1));
+    }
+    order
+}
+
+/// The ring from a starting point on, in irrational steps.
+fn order_from(ring: &[usize], start: f64) -> Vec<usize> {
+    let mut remaining: Vec<Option<usize>> = ring.iter().map(|&index| Some(index)).collect();
+    let position = |n: usize| ((start + n as f64 * RING_STEP).fract() * ring.len() as f64) as usize;
+    let mut order: Vec<usize> = (0..2 * ring.len())
+        .filter_map(|n| remaining[position(n)].take())
+        .collect();
+    order.extend(remaining.into_iter().flatten());
+    order
+}
--- /dev/null
+++ b/crates/policy/src/tests/admission.rs
@@ -0,0 +1,24 @@
+//! Tests of load shedding.
+
+use super::*;
+use crate::state::admission::INITIAL_ADMITTED_SHARE;
+
+/// No concurrency limit of less than one request could hold them back.
+#[rstest]
+#[case::late(3.0, true)]
+#[case::early(0.3, false)]
+fn large_fleet_admits_a_smaller_share_under_pressure(#[case] pressure: f64, #[case] reduced: bool) {
+    let mut balancer = one_of_many(0, 800, 100);
+    balancer.admission.admitted_share = INITIAL_ADMITTED_SHARE;
+    for n in 0..40 {
+        balancer
+            .fleet
+            .pressure
+            .add(START_AT, SECOND_US, pressure, 1.0);
+        arrive(&mut balancer, START_AT + n, &n.to_string());
+    }
+    assert_eq!(
+        balancer.admission.admitted_share < INITIAL_ADMITTED_SHARE,
+        reduced
+    );
+}
--- /dev/null
+++ b/crates/policy/src/tests/endpoint_list.rs
@@ -0,0 +1,98 @@
+//! Tests of the endpoint list.
+
+use super::*;
+
+#[rstest]
+#[case::draining(false)]
+#[case::unlisted(true)]
+fn nothing_is_sent_to_draining_or_removed_endpoints(#[case] complete: bool) {
+    let (mut balancer, _) = balancer(Idempotency::Idempotent, 2);
+    balancer.endpoint_list_begins(START_AT, complete);
+    match complete {
+        true => balancer.endpoint_listed(listed("u0", 0, 0, 0)),
+        false => balancer.endpoint_draining("u1"),
+    }
+    assert!(!balancer.attempt_permitted(START_AT, &request(&[], false), 1));
+    assert!(balancer.attempt_permitted(START_AT, &request(&[], false), 0));
+}
+
+/// The list's server does not grow with the fleet.
+#[rstest]
+fn large_fleet_spreads_its_first_polls() {
+    let spreads =
+        [1, 4, 900].map(|balancers| one_of_many(0, balancers, 0).list_poll_spread().unwrap());
+    assert_eq!(spreads[0], 0);
+    assert!(spreads[1] < 1_000 * MS && spreads[2] > 5_000 * MS && spreads[2] < 8_000 * MS);
+}
+
+#[rstest]
+fn list_is_polled_again_with_backoff_and_jitter() {
+    let (mut balancer, recorder) = balancer(Idempotency::Idempotent, 0);
+    for _ in 0..9 {
+        balancer.endpoint_list_failed();
+    }
+    let calls = recorder.calls.borrow();
+    let waits: Vec<Micros> = calls
+        .iter()
+        .filter_map(|call| call.strip_prefix("timer ")?.parse().ok())
+        .collect();
+    assert!(
+        waits[0] < waits[4]
+            && waits
+                .iter()
+                .all(|&wait| wait > 50 * MS && wait <= 2_000 * MS)
+    );
+}
+
+#[rstest]
+#[case::restarted(START_AT, 0)]
+#[case::not_restarted(0, START_AT + 5)]
+fn restart_of_an_endpoint_clears_its_backoff(
+    #[case] started_at: Micros,
+    #[case] backoff_until: Micros,
+) {
+    let (mut balancer, _) = balancer(Idempotency::Idempotent, 1);
+    balancer.endpoints[0].backoff_until = START_AT + 5;
+    balancer.endpoint_listed(listed("u0", 0, 0, started_at));
+    assert_eq!(balancer.endpoints[0].backoff_until, backoff_until);
+}
+
+#[rstest]
+#[case::long_ago(120_000, 0, 0)]
+#[case::just_now(1, 0, 1)]
+#[case::listed_again(120_000, 1, 1)]
+fn slot_of_an_unlisted_endpoint_is_used_again(
+    #[case] ago: u64,
+    #[case] entries: usize,
+    #[case] known: usize,
+) {
+    let (mut balancer, _) = balancer(Idempotency::Idempotent, 1);
+    balancer.endpoints[0].latest_deadline = START_AT;
+    balancer.endpoint_list_begins(START_AT, true);
+    (0..entries).for_each(|_| balancer.endpoint_listed(listed("u0", 0, 0, 0)));
+    balancer.endpoint_list_ends(START_AT + ago * MS);
+    assert_eq!(balancer.endpoints.index_by_id.len(), known);
+    balancer.endpoint_listed(listed("new", 0, 0, 0));
+    assert_eq!(balancer.endpoints.index_by_id["new"], known);
+}
+
+#[rstest]
+#[case::unlisting_binds(false, 0)]
+#[case::only_draining_binds(true, 1)]
+fn unlisted_endpoint_stays_usable_where_only_draining_binds(
+    #[case] stays_usable: bool,
+    #[case] sent: usize,
+) {
+    let (mut balancer, recorder) = balancer(Idempotency::Idempotent, 2);
+    balancer.settings.unlisted_stay_usable = stays_usable;
+    balancer.endpoint_list_begins(START_AT, true);
+    balancer.endpoint_listed(listed("u0", 0, 0, 0));
+    balancer.endpoint_removed(START_AT, "u0");
+    balancer.endpoint_list_ends(START_AT);
+    arrive(&mut balancer, START_AT, "a");
+    assert_eq!(recorder.count("attempt"), sent);
+    balancer.endpoint_draining("u0");
+    balancer.endpoint_draining("u1");
+    arrive(&mut balancer, START_AT, "b");
+    assert_eq!(recorder.count("attempt"), sent);
+}
--- a/crates/proxy/src/wire/answers.rs
+++ b/crates/proxy/src/wire/answers.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use httparse::{Header, Response, Status};
-use pinefront_policy::AttemptOutcome;
+use pinefront_policy::{AttemptOutcome, LoadReport};
 
 use crate::life::reasons;
 use crate::life::serve::Node;
@@ -88,8 +88,15 @@
         }
         drop(borrowed);
         if let Some((busy, queue, held)) = load {
-            self.balancer
-                .load_reported(now, &upstream, busy, queue, held);
+            self.balancer.load_reported(
+                now,
+                &upstream,
+                LoadReport {
+                    utilisation: busy,
+                    queue,
+                    in_flight: held,
+                },
+            );
         }
         if probe_completed {
             return self.probe_over(place, last);
--- a/crates/proxy/src/wire/discovery/lists.rs
+++ b/crates/proxy/src/wire/discovery/lists.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use pinefront_policy::Micros;
+use pinefront_policy::{ListedEndpoint, Micros};
 use pinefront_settings::fields::{Decoded, flag, list, number, optional, text, whole};
 use serde_json::Value;
 use slog::{info, warn};
@@ -94,8 +94,14 @@
                 desk.serves(id, address);
                 let launched = desk.started(id, stated, starts);
                 drop(desk);
-                self.balancer
-                    .endpoint_listed(id, zone, kind, group, weight, launched);
+                self.balancer.endpoint_listed(ListedEndpoint {
+                    id,
+                    zone,
+                    machine_type: kind,
+                    cell: group,
+                    weight,
+                    started_at: launched,
+                });
             }
             "leaving" => self.take_away(now, id),
             "left" => self.take_left(now, id),
--- a/crates/proxy/src/wire/tickets.rs
+++ b/crates/proxy/src/wire/tickets.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use httparse::{Header, Request, Status};
-use pinefront_policy::{Idempotency, Micros};
+use pinefront_policy::{Idempotency, Micros, RequestArrival};
 use siphasher::sip::SipHasher13;
 
 use crate::life::place::Place;
@@ -125,8 +125,15 @@
         let idempotency = desk.place.effects[use_case];
         let ticket = desk.open(slot, id, idempotency, &message, &asked, &body);
         drop(borrowed);
-        self.balancer
-            .request_arrived(now, &ticket, use_case, account, hard_stop, hint, key);
+        let arrival = RequestArrival {
+            id: &ticket,
+            class: use_case,
+            tenant: account,
+            deadline: hard_stop,
+            work_hint: hint,
+            key,
+        };
+        self.balancer.request_arrived(now, arrival);
     }
 }
 
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -9,7 +9,9 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 
-use pinefront_policy::{AttemptOutcome, Balancer, Host, Micros};
+use pinefront_policy::{
+    AttemptOutcome, Balancer, Host, ListedEndpoint, LoadReport, Micros, RequestArrival,
+};
 use pinefront_settings::decode_settings;
 use pinefront_settings::fields::Decoded;
 use serde::Deserialize;
@@ -181,14 +183,14 @@
     balancer.endpoint_list_begins(now, complete);
     for entry in need(event.members_list.as_ref(), "membersList")? {
         match entry.phase {
-            "IN" => balancer.endpoint_listed(
-                entry.upstream,
-                need(entry.site, "site")?,
-                need(entry.generation_hw, "generationHw")?,
-                need(entry.group, "group")?,
-                need(entry.weight, "weight")?,
-                entry.launched_us.unwrap_or(0),
-            ),
+            "IN" => balancer.endpoint_listed(ListedEndpoint {
+                id: entry.upstream,
+                zone: need(entry.site, "site")?,
+                machine_type: need(entry.generation_hw, "generationHw")?,
+                cell: need(entry.group, "group")?,
+                weight: need(entry.weight, "weight")?,
+                started_at: entry.launched_us.unwrap_or(0),
+            }),
             "LAME" => balancer.endpoint_draining(entry.upstream),
             "OUT" => balancer.endpoint_removed(now, entry.upstream),
             other => return Err(format!("field 'phase' holds unknown '{other}'")),
@@ -200,13 +202,12 @@
 
 fn take_load(balancer: &mut Balancer<Wire>, now: Micros, event: &Event) -> Decoded<()> {
     if let Some(load) = &event.server_stats {
-        balancer.load_reported(
-            now,
-            need(event.upstream, "upstream")?,
-            load.busy,
-            load.q,
-            load.rif,
-        );
+        let report = LoadReport {
+            utilisation: load.busy,
+            queue: load.q,
+            in_flight: load.rif,
+        };
+        balancer.load_reported(now, need(event.upstream, "upstream")?, report);
     }
     Ok(())
 }
@@ -240,14 +241,16 @@
         "Sync" => take_list(balancer, now, event)?,
         "Call" => balancer.request_arrived(
             now,
-            need(event.req, "req")?,
-            need(event.qos, "qos")?,
-            event.client_group.unwrap_or(0),
-            need(event.deadline_us, "deadlineUs")?,
-            event
-                .hint_us
-                .filter(|_| event.state_bits.unwrap_or(0) & 1 == 1),
-            event.target_key,
+            RequestArrival {
+                id: need(event.req, "req")?,
+                class: need(event.qos, "qos")?,
+                tenant: event.client_group.unwrap_or(0),
+                deadline: need(event.deadline_us, "deadlineUs")?,
+                work_hint: event
+                    .hint_us
+                    .filter(|_| event.state_bits.unwrap_or(0) & 1 == 1),
+                key: event.target_key,
+            },
         ),
         "Ended" => {
             take_load(balancer, now, event)?;
