--- a/crates/proxy/src/fleet/operator/tests.rs
+++ b/crates/proxy/src/fleet/operator/tests.rs
@@ -113,3 +113,79 @@
             .starts_with("o.toml:3: fleet.key_file: /nowhere/key: ")
     );
 }
+
+/// The file as it is delivered, its key file replaced by the test's own; with `uncommented`, commented settings too.
+fn delivered(key: &KeyFile, uncommented: bool) -> String {
+    let text = include_str!("../../../../../deploy/operator.toml");
+    let line = |line: &str| match line.strip_prefix("# ") {
+        Some(rest) if uncommented && (rest.contains(" = ") || rest.starts_with('[')) => {
+            rest.to_owned()
+        }
+        _ => line.to_owned(),
+    };
+    let text: String = text.lines().map(|text| line(text) + "\n").collect();
+    text.replace("/etc/pinefront/fleet.key", &key.0.display().to_string())
+}
+
+#[test]
+fn delivered_operator_file_is_read_as_it_stands() {
+    let key = KeyFile::new("delivered");
+    let terms = terms(&delivered(&key, false)).unwrap();
+    let part = &terms.part;
+    assert_eq!(part.fleet, "shop");
+    assert_eq!(terms.listen, "0.0.0.0:7400".parse().unwrap());
+    assert_eq!(part.address, "10.0.0.1:7400".parse().unwrap());
+    let seeds = ["10.0.0.1:7400", "10.0.0.2:7400", "10.0.0.3:7400"];
+    assert_eq!(part.seeds, seeds.map(|seed| seed.parse().unwrap()));
+    assert_eq!((part.name.as_str(), part.zone.as_str()), ("b1", "a"));
+    assert!(part.struck.is_empty() && terms.via.is_empty() && terms.rosters.is_empty());
+    assert!(terms.duties.is_none());
+}
+
+#[test]
+fn each_commented_setting_of_the_operator_file_is_read() {
+    let key = KeyFile::new("uncommented");
+    let text = delivered(&key, true)
+        .replace("\"400ms\"", "\"500ms\"")
+        .replace("\"100ms\"", "\"120ms\"")
+        .replace("\"800ms\"", "\"900ms\"")
+        .replace("\"1500ms\"", "\"1200ms\"")
+        .replace("member = \"b1\"", "member = \"b9\"")
+        .replace("zone = \"a\"", "zone = \"c\"");
+    let terms = terms(&text).unwrap();
+    let part = &terms.part;
+    assert_eq!((part.name.as_str(), part.zone.as_str()), ("b9", "c"));
+    assert_eq!(part.probe_every, 500_000);
+    assert_eq!(part.answer_within, 120_000);
+    assert_eq!(part.doubt_least, 900_000);
+    let life: Life = "1878a0c41c8c0-00c0ffee00c0ffee".parse().unwrap();
+    assert_eq!(part.struck, [(Rc::from("b7"), life)].into_iter().collect());
+    let told: SocketAddr = "10.0.0.2:7400".parse().unwrap();
+    let used: SocketAddr = "192.0.2.7:7400".parse().unwrap();
+    assert_eq!(terms.via, [(told, used)].into_iter().collect());
+    let (duty_terms, duties) = terms.duties.unwrap();
+    assert_eq!(duty_terms.voters, ["b1", "b2", "b3"].map(Rc::from));
+    assert_eq!(duty_terms.lease, 1_200_000);
+    let names: Vec<&str> = duties.iter().map(|duty| &*duty.name).collect();
+    assert_eq!(names, ["nightly-report", "roster/a"]);
+    let roster = (DutyId::of("roster/a"), Rc::from("a"));
+    assert_eq!(terms.rosters, [roster].into_iter().collect());
+}
+
+#[rstest]
+#[case::top("speed = 3\n", "", "speed")]
+#[case::table("", "[other]\nx = 1\n", "[other]")]
+#[case::duties("", "[duties]\nvoters = ['b1']\nspeed = 3\n", "speed")]
+fn unknown_keys_outside_of_fleet_are_refused(
+    #[case] above: &str,
+    #[case] below: &str,
+    #[case] field: &str,
+) {
+    let key = KeyFile::new(&format!("unknown-{}", above.len() + below.len()));
+    let text = format!("{above}{}\n{below}", key.text("listen = '127.0.0.1:1'"));
+    let problem = terms(&text).err().unwrap();
+    assert!(
+        problem.contains(&format!(": {field}: unknown field")),
+        "{problem}"
+    );
+}
