--- a/crates/proxy/src/fleet/page.rs
+++ b/crates/proxy/src/fleet/page.rs
@@ -103,3 +103,6 @@
         )
     }
 }
+
+#[cfg(test)]
+mod tests;
