--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -247,7 +247,7 @@
         .unwrap_or(End::Lost)
 }
 
-fn request(world: &World, ticket: &Ticket) -> Vec<u8> {
+pub fn request(world: &World, ticket: &Ticket) -> Vec<u8> {
     let class = world.day.use_cases[ticket.use_case].get_ref();
     let name = &class.name;
     let tenant = world
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -21,6 +21,8 @@
 mod standing;
 mod stopping;
 mod system;
+#[cfg(test)]
+mod tests;
 mod told;
 mod world;
 
--- a/crates/testbed/src/soak/mod.rs
+++ b/crates/testbed/src/soak/mod.rs
@@ -1,7 +1,7 @@
 //! The soak: days drawn from seeds, with two or three troubles that overlap in time on purpose, played with real
 //! processes and judged from what clients, servers and discovery saw.
 
-mod coverage;
+pub mod coverage;
 pub mod schedule;
 mod shrink;
 
--- a/crates/testbed/src/stand.rs
+++ b/crates/testbed/src/stand.rs
@@ -7,7 +7,7 @@
 use pinefront_model::Micros;
 use pinefront_model::day::Kind;
 use pinefront_model::judge::Seen;
-use pinefront_model::server::How;
+use pinefront_model::server::{How, Report};
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
@@ -214,12 +214,9 @@
     stream: &mut TcpStream,
     id: &str,
 ) -> io::Result<()> {
-    let load = stand.report(world.now()).map_or_else(String::new, |load| {
-        format!(
-            "X-Pressure: TEXT inflight={}, queue={}, util={:.2}\r\n",
-            load.in_flight, load.queue, load.utilisation
-        )
-    });
+    let load = stand
+        .report(world.now())
+        .map_or_else(String::new, |load| load_field(&load));
     if world.strikes(Kind::AnswersInPieces) {
         let text = http::answer_text("200 OK", &load, &body(id));
         http::in_pieces(stream, text.as_bytes(), PIECES).await?;
@@ -233,6 +230,14 @@
     Ok(())
 }
 
+/// The header field that reports a server's load.
+pub fn load_field(load: &Report) -> String {
+    format!(
+        "X-Pressure: TEXT inflight={}, queue={}, util={:.2}\r\n",
+        load.in_flight, load.queue, load.utilisation
+    )
+}
+
 /// An answer that states no length, and ends with its connection: in order, or by a reset on the way.
 async fn unended(stream: &mut TcpStream, id: &str, resets: bool) -> Over {
     let body = body(id);
--- a/crates/testbed/src/system.rs
+++ b/crates/testbed/src/system.rs
@@ -58,7 +58,7 @@
         }
     }
 
-    fn bytes(&self) -> Vec<u8> {
+    pub fn bytes(&self) -> Vec<u8> {
         let fields = [
             self.fails,
             self.is_short,
--- /dev/null
+++ b/crates/testbed/src/tests.rs
@@ -0,0 +1,423 @@
+//! What the testbed writes for others, held in place: schedules that a soak draws, JSON figures, what the stand-ins send,
+//! what a client sends, and the settings that a balancer is given, each compared byte for byte with what is recorded.
+//!
+//! `RECORD_TESTBED=1 cargo test -p pinefront-testbed` writes the recordings anew; only a change that is meant
+//! to alter one of these forms may do so.
+
+use std::collections::BTreeMap;
+use std::path::PathBuf;
+use std::sync::Arc;
+
+use pinefront_model::check;
+use pinefront_model::day::Day;
+use pinefront_model::service::Parts;
+use pinefront_model::traffic::Ticket;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+
+use crate::clients::Tickets;
+use crate::figures::{Figures, Second, Times};
+use crate::fleet::Known;
+use crate::fleet::duties::DutiesFound;
+use crate::soak::schedule::{self, Shape};
+use crate::world::World;
+use crate::{balancers, clients, discovery, load, overhead, soak, stand, system};
+
+const EVERY_KEY: &str = include_str!("../../model/tests/recorded/every_key.toml");
+
+fn compare(name: &str, text: &str) {
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR"))
+        .join("src/recorded")
+        .join(name);
+    if std::env::var_os("RECORD_TESTBED").is_some() {
+        std::fs::write(&path, text).unwrap();
+    }
+    let recorded = std::fs::read_to_string(&path).expect("the recording is there");
+    for (number, (line, recorded)) in text.lines().zip(recorded.lines()).enumerate() {
+        assert_eq!(line, recorded, "{name}:{}", number + 1);
+    }
+    assert_eq!(text, recorded, "{name}");
+}
+
+fn day(text: &str) -> Day {
+    check::read(text, "d.toml").unwrap()
+}
+
+#[test]
+fn a_soak_draws_the_recorded_schedules() {
+    let shapes = [
+        (None, vec![]),
+        (
+            Some(3),
+            vec!["spoilt".to_owned(), "balancer_killed".to_owned()],
+        ),
+    ];
+    let mut text = String::new();
+    for (balancers, with) in shapes {
+        let shape = Shape {
+            seconds: 20,
+            balancers,
+            rate: 200.0,
+            with,
+        };
+        for seed in [0, 1, 2, 3, 17, 40, 99, 1_000_003] {
+            let drawn = schedule::draw(seed, &shape);
+            let read = soak::day_of(&drawn).unwrap();
+            assert_eq!(read.faults.len(), drawn.matches("[[faults]]").count());
+            text += &drawn;
+            text += "# ----\n";
+        }
+    }
+    compare("soak_schedules.toml", &text);
+}
+
+fn times(from: f64) -> Times {
+    Times {
+        p50: from,
+        p90: from + 0.1,
+        p99: from + 0.2,
+        max: from + 0.3,
+    }
+}
+
+fn duties_found() -> DutiesFound {
+    DutiesFound {
+        overlaps: 1,
+        old_terms_taken: 2,
+        without_holder_ms: vec![3.5],
+        without_holder_by: BTreeMap::from([("killed", vec![4.5])]),
+        changes: 5,
+        changes_most_a_minute: 6,
+        vacant: 7,
+        duties: 8,
+        why: vec!["duty text".into()],
+    }
+}
+
+fn known() -> Known {
+    Known {
+        views_agree_after_ms: Some(9.5),
+        wrongly_gone: 10,
+        detected_ms: vec![11.5],
+        detected_by_all_ms: vec![12.5],
+        refuted: 13,
+        held_gone_while_running: 14,
+        looks: 15,
+        relayed: 16,
+        relay_lost: 17,
+        flooded: 18,
+        discovery_calls: 19,
+        discovery_calls_a_second: 20.5,
+        why: vec!["view text".into()],
+        duties: Some(duties_found()),
+    }
+}
+
+fn figures() -> Figures {
+    Figures {
+        day: "day name".into(),
+        who: "pinefront".into(),
+        seed: 21,
+        balancers: 22,
+        servers: 23,
+        tickets: Tickets {
+            asked: 24,
+            succeeded: 25,
+            dismissed: 26,
+            abandoned: 27,
+            unanswered: 28,
+            left: 29,
+            unreached: 30,
+        },
+        latency_ms: times(31.0),
+        lateness_ms: times(32.0),
+        valid: true,
+        why_invalid: vec!["late".into()],
+        service: 0.33,
+        service_parts: Parts {
+            whole: 0.34,
+            worst_10s: 0.35,
+            worst_use_case: 0.36,
+            worst_tenant: 0.37,
+            tail: 0.38,
+            total: 0.39,
+        },
+        rules_broken: vec!["rule 1".into()],
+        rules_broken_count: 40,
+        deaths: vec!["balancer 0 died".into()],
+        violations: 41,
+        cpu_us_per_ticket: 42.5,
+        memory_mb: 43.5,
+        lab_memory_mb: 44.5,
+        dispatches_per_ticket: 45.5,
+        sends: vec![46, 47],
+        seconds: vec![Second {
+            service: 0.48,
+            p50_ms: 49.5,
+            p90_ms: 50.5,
+            p99_ms: 51.5,
+        }],
+        known: Some(known()),
+        cut_short: true,
+    }
+}
+
+fn load_found() -> load::Found {
+    load::Found {
+        asked: 60,
+        succeeded: 61,
+        dismissed: 62,
+        abandoned: 63,
+        unanswered: 64,
+        dropped: 65,
+        rate_asked: 66.5,
+        rate_succeeded: 67.5,
+        latency_ms: times(68.0),
+        lateness_ms: times(69.0),
+        valid: true,
+        why_invalid: vec!["late".into()],
+    }
+}
+
+fn overhead_point() -> overhead::Point {
+    overhead::Point {
+        servers: 70,
+        clients: 71,
+        rate: 72.5,
+        direct_p50_ms: 73.5,
+        direct_p99_ms: 74.5,
+        through_p50_ms: 75.5,
+        through_p99_ms: 76.5,
+        p50_ratio: 77.5,
+        p99_ratio: 78.5,
+        added_p50_ms: 79.5,
+        added_p99_ms: 80.5,
+        cpu_us_per_ticket: 81.5,
+        highest_rate: 82.5,
+        memory_mb: 83.5,
+        members: Some(84),
+        cpu_part_at_rest: 85.5,
+        through: load_found(),
+        valid: true,
+    }
+}
+
+fn soak_found() -> soak::Found {
+    let mut found = soak::Found {
+        failed: 90,
+        doubtful: 91,
+        invalid: 92,
+        pairs: soak::coverage::pairs(&[(
+            100,
+            day(
+                "name = 'd'\nlength = '20s'\n[[faults]]\nkind = 'burst'\nat = '1s'\nfor = '2s'\n\
+                 [[faults]]\nkind = 'spoilt'\nat = '2s'\nfor = '2s'",
+            ),
+        )]),
+        not_played: vec!["seed 93".into()],
+        ..soak::Found::default()
+    };
+    found.played.push(soak::Played {
+        seed: 94,
+        troubles: vec!["burst".into()],
+        asked: 95,
+        succeeded: 96,
+        valid: true,
+        why_invalid: vec!["late".into()],
+        broken: vec!["rule 2".into()],
+        broken_count: 97,
+        violations: 98,
+        deaths: vec!["died".into()],
+        again: Some("run".into()),
+    });
+    found
+}
+
+#[test]
+fn figures_are_written_under_the_recorded_keys() {
+    let texts = [
+        serde_json::to_string_pretty(&figures()),
+        serde_json::to_string_pretty(&Figures::default()),
+        serde_json::to_string_pretty(&load_found()),
+        serde_json::to_string_pretty(&overhead_point()),
+        serde_json::to_string_pretty(&soak_found()),
+    ];
+    let text: String = texts.into_iter().map(|text| text.unwrap() + "\n").collect();
+    compare("figures.json", &text);
+}
+
+/// A world whose servers listen at fixed addresses; its clock stands at 0.
+fn world(rest: &str) -> Arc<World> {
+    let day = day(&format!(
+        "name = 'd'\nlength = '20s'\n[fleet]\nservers = 3\n[discovery]\ndelay = ['0s', '0s']\n{rest}"
+    ));
+    let world = Arc::new(World::new(day, 1));
+    for number in 0..3 {
+        let address = format!("10.0.0.{}:8000", number + 1).parse().unwrap();
+        world.listens(number, address, false);
+    }
+    world
+}
+
+/// Sends one text on a new connection and returns all that comes within a moment of silence.
+async fn answer_to(address: std::net::SocketAddr, text: &str) -> String {
+    let mut stream = TcpStream::connect(address).await.unwrap();
+    stream.write_all(text.as_bytes()).await.unwrap();
+    let mut received = Vec::new();
+    let quiet = std::time::Duration::from_millis(600);
+    while let Ok(Ok(count)) = tokio::time::timeout(quiet, stream.read_buf(&mut received)).await
+        && count > 0
+    {}
+    String::from_utf8_lossy(&received).into_owned()
+}
+
+fn exchange_text(title: &str, request: &str, answer: &str) -> String {
+    format!("== {title}\n{request:?}\n{answer:?}\n")
+}
+
+const ALL: &str = "GET /v1/targets HTTP/1.1\r\nHost: d\r\n\r\n";
+const SINCE: &str = "GET /v1/targets?since=3&timeout_ms=100 HTTP/1.1\r\nHost: d\r\n\r\n";
+const WATCH: &str = "GET /v1/targets?since=0&timeout_ms=50 HTTP/1.1\r\nHost: d\r\n\r\n";
+
+#[tokio::test]
+async fn discovery_answers_as_recorded() {
+    let fault = |kind: &str, factor: &str| {
+        format!("[[faults]]\nkind = '{kind}'\nat = '0s'\nfor = '20s'\n{factor}")
+    };
+    let cases = [
+        ("the whole list", String::new(), ALL),
+        ("a watch behind", String::new(), WATCH),
+        ("a watch without news", String::new(), SINCE),
+        ("refused", fault("lists_refused", "factor = 1.0"), ALL),
+        (
+            "the whole list on a watch",
+            fault("lists_whole", "factor = 1.0"),
+            WATCH,
+        ),
+        (
+            "a strange entry",
+            fault("lists_strange", "factor = 1.0"),
+            ALL,
+        ),
+        ("cut", fault("lists_cut", "factor = 1.0"), ALL),
+        ("gone", fault("discovery_gone", ""), ALL),
+    ];
+    let mut text = String::new();
+    for (title, rest, request) in cases {
+        let world = world(&rest);
+        let address = discovery::serve(&world, 0).await.unwrap();
+        text += &exchange_text(title, request, &answer_to(address, request).await);
+    }
+    let world = world("");
+    for what in [
+        pinefront_model::faults::What::Drains(0),
+        pinefront_model::faults::What::Dies(1),
+    ] {
+        world.happens(what);
+    }
+    let address = discovery::serve(&world, 0).await.unwrap();
+    text += &exchange_text("draining and gone", SINCE, &answer_to(address, SINCE).await);
+    text += &exchange_text("those that are left", ALL, &answer_to(address, ALL).await);
+    text += &format!("== given at a start\n{}\n", world.list_now());
+    compare("discovery_answers.txt", &text);
+}
+
+#[tokio::test]
+async fn servers_answer_as_recorded() {
+    let fault =
+        |kind: &str| format!("[[faults]]\nkind = '{kind}'\nat = '0s'\nfor = '20s'\nfactor = 1.0\n");
+    let request = "GET /look/1 HTTP/1.1\r\nX-Txn: 00000000000000ab\r\nX-Remaining-Ms: 900\r\n\r\n";
+    let usual = "[[use_cases]]\nname = 'look'\neffect = 'redoable'\nwork = '1us'\npromised_time = '1s'\nhard_stop = '2s'\n";
+    let cases = [
+        ("served", String::new(), request),
+        ("no identity", String::new(), "GET /look/1 HTTP/1.1\r\n\r\n"),
+        (
+            "no class",
+            String::new(),
+            "GET /nothing/1 HTTP/1.1\r\nX-Txn: ab\r\n\r\n",
+        ),
+        ("full", "queue = 0\n".into(), request),
+        ("failed", fault("errors"), request),
+        ("corrupted", fault("spoilt"), request),
+        ("reset", fault("reset"), request),
+        ("without a length", fault("answers_unended"), request),
+        ("in pieces", fault("answers_in_pieces"), request),
+        ("twice", fault("answers_twice"), request),
+    ];
+    let mut text = String::new();
+    for (title, rest, request) in cases {
+        let full = title == "full";
+        let head = "name = 'd'\nlength = '20s'\n[fleet]\nreports = '0s'\n";
+        let day = day(&format!("{head}{rest}{usual}"));
+        let world = Arc::new(World::new(day, 1));
+        world.clock.begin();
+        world.apply_conditions();
+        stand::server(&world, 0, false).await.unwrap();
+        let address = world.stand(0).unwrap().address().unwrap();
+        if full {
+            let occupied = Ticket {
+                number: 1,
+                work: 60_000_000.0,
+                ..Ticket::default()
+            };
+            let stand = world.stand(0).unwrap();
+            for _ in 0..stand.with(|server| server.spec.cores) {
+                let _ = world.sent(&stand, None, &occupied, 0, 0.0);
+            }
+        }
+        text += &exchange_text(title, request, &answer_to(address, request).await);
+    }
+    compare("server_answers.txt", &text);
+}
+
+#[test]
+fn a_server_tells_its_load_as_recorded() {
+    let text = stand::load_field(&pinefront_model::server::Report {
+        in_flight: 3,
+        queue: 2,
+        utilisation: 0.456,
+    });
+    assert_eq!(text, "X-Pressure: TEXT inflight=3, queue=2, util=0.46\r\n");
+}
+
+#[test]
+fn clients_and_balancers_are_told_as_recorded() {
+    let day = day(EVERY_KEY);
+    let world = World::new(day.clone(), 1);
+    let mut text = String::new();
+    for (use_case, tries, tenant) in [(0, 1, 0), (1, 1, 1), (1, 2, 0), (2, 3, 9)] {
+        let ticket = Ticket {
+            number: 0xabc,
+            tries,
+            use_case,
+            tenant,
+            key: 77,
+            label: 0xdef,
+            wait: 1_234_567,
+            ..Ticket::default()
+        };
+        let request = clients::request(&world, &ticket);
+        text += &format!("{:?}\n", String::from_utf8(request).unwrap());
+    }
+    text += &serde_json::to_string_pretty(&balancers::settings(&day, 4)).unwrap();
+    let plain = self::day("name = 'd'\nlength = '20s'\n[discovery]\nask_within = '0s'");
+    text += "\n";
+    text += &serde_json::to_string_pretty(&balancers::settings(&plain, 0)).unwrap();
+    text += "\n";
+    compare("clients_and_settings.txt", &text);
+}
+
+#[test]
+fn the_preloaded_library_is_told_as_recorded() {
+    let bytes: Vec<u8> = (1_i64..=7).flat_map(i64::to_ne_bytes).collect();
+    let control = system::Control {
+        fails: 1,
+        is_short: 2,
+        interrupted: 3,
+        held_up: 4,
+        held_up_us: 5,
+        clock_offset_us: 6,
+        breaks: 7,
+    };
+    assert_eq!(control.bytes(), bytes);
+}
