--- a/crates/policy/src/decide/tests/slow_start.rs
+++ b/crates/policy/src/decide/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! What many balancers together send a cold upstream, on one virtual clock: clocks apart, a burst, restarts within the
+//! What many balancers together send a cold endpoint, on one virtual clock: clocks apart, a burst, restarts within the
 //! ramp, attempts that fail and are repeated. The most that may come in one fall time is N + 2 √N + 2, N being what the
 //! settings allow then (N under 30: N + 3 √N + 3).
 
@@ -9,14 +9,14 @@
 
 use super::*;
 
-const UPSTREAMS: usize = 12;
+const ENDPOINTS: usize = 12;
 const COLD_ONE: usize = 0;
-/// Usual requests a second that a warm upstream bears, and the part of it that is asked for.
+/// Usual requests a second that a warm endpoint bears, and the part of it that is asked for.
 const CAPACITY: f64 = 30.0;
 const LOAD: f64 = 0.7;
 const TICK: Micros = 5 * MS;
 const TOOK: Micros = 60 * MS;
-/// A colder start than usual: what comes to an upstream anyhow would push it over.
+/// A colder start than usual: what comes to an endpoint anyhow would push it over.
 const WARMING: SlowStart = SlowStart {
     initial_capacity: 0.05,
     duration: 10_000 * MS,
@@ -29,19 +29,19 @@
 
 struct Sent {
     balancer: usize,
-    ticket: String,
+    request: String,
     number: usize,
     at: Micros,
 }
 
 /// A fleet of balancers; each believes that there are so many.
 struct Fleet {
-    balancers: Vec<Balancer<Diary>>,
+    balancers: Vec<Balancer<RecordingHost>>,
     believed: usize,
-    chance: WyRand,
+    random: WyRand,
     under_way: BTreeMap<(Micros, usize), Sent>,
     attempts: BTreeMap<String, usize>,
-    /// When the cold upstream was sent something.
+    /// When the cold endpoint was sent something.
     cold: Vec<Micros>,
     next: usize,
 }
@@ -51,7 +51,7 @@
         let mut fleet = Self {
             balancers: Vec::new(),
             believed,
-            chance: WyRand::new_seed(seed),
+            random: WyRand::new_seed(seed),
             under_way: BTreeMap::new(),
             attempts: BTreeMap::new(),
             cold: Vec::new(),
@@ -65,33 +65,36 @@
     }
 
     /// One that has served for long, or that has just begun.
-    fn balancer(&mut self, number: usize, now: Micros, served: bool) -> Balancer<Diary> {
-        let mut balancer = one_of_many(number % self.believed, self.believed, UPSTREAMS);
-        balancer.chance = WyRand::new_seed(self.chance.generate());
-        balancer.terms.slow_start = WARMING;
-        (balancer.salt, balancer.let_through) = (self.chance.generate(), 1.0);
+    fn balancer(&mut self, number: usize, now: Micros, served: bool) -> Balancer<RecordingHost> {
+        let mut balancer = one_of_many(number % self.believed, self.believed, ENDPOINTS);
+        balancer.random = WyRand::new_seed(self.random.generate());
+        balancer.settings.slow_start = WARMING;
+        (balancer.instance_seed, balancer.admitted_share) = (self.random.generate(), 1.0);
         // Clocks apart by some milliseconds.
-        let apart = self.chance.generate_range(0..=20 * MS);
+        let apart = self.random.generate_range(0..=20 * MS);
         balancer.endpoint_listed("u0", 0, 0, 0, 1.0, START_AT - apart);
         balancer.endpoint_list_ends(now);
         balancer.started = now;
         if served {
             balancer.started = START_AT - 20_000 * MS;
-            let rate = LOAD * CAPACITY * UPSTREAMS as f64 / self.believed as f64 / SECOND;
-            balancer.seen.served.add(START_AT, LASTING, rate * LASTING);
+            let rate = LOAD * CAPACITY * ENDPOINTS as f64 / self.believed as f64 / SECOND_US;
             balancer
-                .seen
+                .fleet
+                .served
+                .add(START_AT, LONG_TERM_US, rate * LONG_TERM_US);
+            balancer
+                .fleet
                 .arrivals
-                .add(START_AT, LASTING, rate * LASTING);
+                .add(START_AT, LONG_TERM_US, rate * LONG_TERM_US);
         }
         balancer
     }
 
     fn arrivals(&mut self, now: Micros, rate: f64) {
-        let mut owed = rate * TICK as f64 / SECOND;
+        let mut owed = rate * TICK as f64 / SECOND_US;
         while owed > 0.0 {
-            if self.chance.generate::<f64>() < owed {
-                let number = self.chance.generate_range(0..self.balancers.len());
+            if self.random.generate::<f64>() < owed {
+                let number = self.random.generate_range(0..self.balancers.len());
                 self.next += 1;
                 let id = format!("t{}", self.next);
                 self.balancers[number].request_arrived(
@@ -114,23 +117,23 @@
         let acts = std::mem::take(&mut *self.balancers[balancer].host.0.borrow_mut());
         for act in acts {
             let mut words = act.split(' ');
-            let (Some("dispatch"), Some(ticket), Some(upstream)) =
+            let (Some("attempt"), Some(request), Some(endpoint)) =
                 (words.next(), words.next(), words.next())
             else {
                 continue;
             };
-            if upstream == format!("u{COLD_ONE}") {
+            if endpoint == format!("u{COLD_ONE}") {
                 self.cold.push(now);
             }
-            let attempt = self.attempts.entry(ticket.to_owned()).or_insert(0);
-            let (number, ticket) = (*attempt, ticket.to_owned());
+            let attempt = self.attempts.entry(request.to_owned()).or_insert(0);
+            let (number, request) = (*attempt, request.to_owned());
             *attempt += 1;
             let place = (now + TOOK, self.attempts.len() * 8 + number);
             self.under_way.insert(
                 place,
                 Sent {
                     balancer,
-                    ticket,
+                    request,
                     number,
                     at: now,
                 },
@@ -145,20 +148,20 @@
             .filter(|first| first.key().0 <= now)
         {
             let sent = first.remove();
-            let away = self.chance.generate::<f64>() < TURNED_AWAY;
+            let away = self.random.generate::<f64>() < TURNED_AWAY;
             let how = if away {
                 AttemptOutcome::Rejected
             } else {
                 AttemptOutcome::Succeeded
             };
             let balancer = &mut self.balancers[sent.balancer];
-            balancer.attempt_ended(now, &sent.ticket, sent.number, !away, how, now - sent.at);
+            balancer.attempt_ended(now, &sent.request, sent.number, !away, how, now - sent.at);
             self.took_down(now, sent.balancer);
         }
     }
 
     fn play(&mut self) {
-        let usual = LOAD * CAPACITY * UPSTREAMS as f64;
+        let usual = LOAD * CAPACITY * ENDPOINTS as f64;
         let mut now = START_AT;
         while now < START_AT + LASTS {
             let since = now - START_AT;
@@ -176,8 +179,8 @@
             self.answers(now);
             self.arrivals(now, usual * burst);
             for number in 0..self.balancers.len() {
-                if since.is_multiple_of(PUMP_EVERY) {
-                    self.balancers[number].timer_expired(now, PUMP_ALARM);
+                if since.is_multiple_of(QUEUE_INTERVAL_US) {
+                    self.balancers[number].timer_expired(now, QUEUE_TIMER);
                     self.took_down(now, number);
                 }
             }
@@ -190,11 +193,13 @@
         let slow_start = WARMING;
         let allowed = |at: Micros| {
             let age = (at - START_AT) as f64 / slow_start.duration as f64;
-            let grown =
+            let slow_start_capacity =
                 slow_start.initial_capacity + (1.0 - slow_start.initial_capacity) * age.min(1.0);
-            let n =
-                slow_start.overload_multiple * grown * CAPACITY * slow_start.overload_window as f64
-                    / SECOND;
+            let n = slow_start.overload_multiple
+                * slow_start_capacity
+                * CAPACITY
+                * slow_start.overload_window as f64
+                / SECOND_US;
             if n < 30.0 {
                 n + 3.0 * n.sqrt() + 3.0
             } else {
@@ -215,7 +220,7 @@
 }
 
 #[rstest]
-fn many_balancers_together_keep_to_the_budget_of_a_cold_upstream(
+fn many_balancers_together_keep_to_the_budget_of_a_cold_endpoint(
     #[values(1, 3, 20, 30)] balancers: usize,
     #[values(1, 2, 3, 4, 5)] seed: u64,
 ) {
