--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -1,5 +1,6 @@
-//! A balancer and the events that it handles, in the order in which a request meets them. Each event is a few calls of
-//! the modules in `decisions`. The events of the endpoint list are in `decisions/endpoint_list.rs`.
+//! A balancer and the events that it handles, in the order in which a request meets them. Each
+//! event is a few calls of the modules in `decisions`. The events of the endpoint list are in
+//! `decisions/endpoint_list.rs`.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -122,10 +123,11 @@
         &self.settings
     }
 
-    /// Puts new settings in force. Open requests keep their class and objective, and the lower limit of attempts.
+    /// Puts new settings in force. Open requests keep their class and objective, and the lower
+    /// limit of attempts.
     ///
-    /// Classes keep their indices: the earlier ones come first, unchanged, stricter, or with a priority weight of 0
-    /// if clients can no longer request them.
+    /// Classes keep their indices: the earlier ones come first, unchanged, stricter, or with a
+    /// priority weight of 0 if clients can no longer request them.
     pub fn settings_changed(&mut self, settings: Settings) {
         let max_attempts = self.settings.max_attempts;
         for request in self.waiting_lists().flatten() {
@@ -144,7 +146,8 @@
         self.rebuild_preference_order();
     }
 
-    /// A request arrived: it is shed, queued behind others of its key, queued for capacity, or sent.
+    /// A request arrived: it is shed, queued behind others of its key, queued for capacity, or
+    /// sent.
     pub fn request_arrived(&mut self, now: Micros, arrival: RequestArrival<'_>) {
         let Some(class) = self.settings.classes.get(arrival.class) else {
             return self.host.reject(arrival.id, 0);
@@ -210,8 +213,8 @@
         }
     }
 
-    /// Attempt `number` of a request, counted from 0, ended after `elapsed` microseconds. `last` says that the request
-    /// has its answer.
+    /// Attempt `number` of a request, counted from 0, ended after `elapsed` microseconds. `last`
+    /// says that the request has its answer.
     pub fn attempt_ended(
         &mut self,
         now: Micros,
--- a/crates/policy/src/decisions/admission.rs
+++ b/crates/policy/src/decisions/admission.rs
@@ -7,7 +7,8 @@
 use crate::{Host, Micros};
 
 impl<H: Host> Balancer<H> {
-    /// Whether a request is admitted, by the admitted share and unless it belongs to an outlier group.
+    /// Whether a request is admitted, by the admitted share and unless it belongs to an outlier
+    /// group.
     pub(crate) fn admits(&mut self, now: Micros, request: &Request) -> bool {
         self.admission.update(now, &self.fleet.pressure);
         let endpoints = match self.settings.polls_loads() {
--- a/crates/policy/src/decisions/attempt_end.rs
+++ b/crates/policy/src/decisions/attempt_end.rs
@@ -1,4 +1,5 @@
-//! The end of an attempt: what its outcome says of the endpoint, the class, the fleet and the decision that chose it.
+//! The end of an attempt: what its outcome says of the endpoint, the class, the fleet and the
+//! decision that chose it.
 
 use crate::balancer::Balancer;
 use crate::gossip_message::GossipMessage;
@@ -12,7 +13,8 @@
 
 /// Latency relative to the shortest from which on it counts as late.
 const LATE_PER_SHORTEST: f64 = 2.5;
-/// Bounds of that latency as fractions of the latency objective, as a fleet may never be seen without load.
+/// Bounds of that latency as fractions of the latency objective, as a fleet may never be seen
+/// without load.
 const MIN_LATE_FRACTION: f64 = 0.4;
 const MAX_LATE_FRACTION: f64 = 0.7;
 /// Fraction of a class's latency for which an endpoint is avoided after it did not run a request.
@@ -26,6 +28,8 @@
     endpoint: usize,
     outcome: AttemptOutcome,
     elapsed: Micros,
+    /// Latency scaled to a request of average work.
+    latency: f64,
     latency_objective: Micros,
     /// Horizon of the endpoint's recent latency.
     latency_horizon: f64,
@@ -77,6 +81,7 @@
             endpoint: attempt.endpoint,
             outcome,
             elapsed,
+            latency: elapsed.max(1) as f64 / request.work,
             latency_objective: self.settings.classes[request.class].latency_objective,
             latency_horizon: self.latency_horizon(now),
             in_slow_start: self.in_slow_start(now, attempt.endpoint),
@@ -95,20 +100,16 @@
         let of_outlier = ended.is_late() && self.outlier_group(now, request).is_some();
         // Neither an outlier nor a client that disconnected early says anything of the endpoint.
         if of_outlier || matches!(outcome, AttemptOutcome::Cancelled | AttemptOutcome::NotSent) {
-            let endpoint = &mut self.endpoints[ended.endpoint];
-            if !endpoint.has_in_flight() {
-                endpoint.unanswered_since = None;
-            }
-            return;
+            return self.endpoints[ended.endpoint].forget_unanswered_if_idle();
         }
-        let latency = elapsed.max(1) as f64 / request.work;
-        self.record_pressure(now, request, &ended, latency);
-        let reward = self.record_latency(now, request, number, &ended, latency);
+        self.record_pressure(now, request, &ended);
+        let reward = self.record_latency(now, request, number, &ended);
         let sample = request.attempts[number].sample.take();
         self.learning.record(now, sample, reward);
     }
 
-    /// A connection lost at once after a time without use shows that the network drops idle connections.
+    /// A connection lost at once after a time without use shows that the network drops idle
+    /// connections.
     fn detect_idle_drop(&mut self, now: Micros, ended: &EndedAttempt, idle_for: Option<Micros>) {
         let lost = ended.outcome == AttemptOutcome::ConnectionLost;
         let Some(idle_for) = idle_for.filter(|_| lost) else {
@@ -140,20 +141,15 @@
             .add(now, RECENT_US, lost, weight);
     }
 
-    /// Records how late a response came. Other outcomes are no pressure: a hung endpoint says nothing of the load.
-    fn record_pressure(
-        &mut self,
-        now: Micros,
-        request: &Request,
-        ended: &EndedAttempt,
-        latency: f64,
-    ) {
+    /// Records how late a response came. Other outcomes are no pressure: a hung endpoint says nothing
+    /// of the load.
+    fn record_pressure(&mut self, now: Micros, request: &Request, ended: &EndedAttempt) {
         let objective = ended.latency_objective as f64;
         let shortest = self.class_latency[request.class].shortest;
         let late = (LATE_PER_SHORTEST * shortest.unwrap_or(f64::INFINITY))
             .clamp(MIN_LATE_FRACTION * objective, MAX_LATE_FRACTION * objective);
         let pressure = match ended.outcome {
-            AttemptOutcome::Succeeded => (latency / late).min(MAX_PRESSURE),
+            AttemptOutcome::Succeeded => (ended.latency / late).min(MAX_PRESSURE),
             AttemptOutcome::Rejected => REJECTION_PRESSURE,
             _ => return,
         };
@@ -169,46 +165,57 @@
         request: &Request,
         number: usize,
         ended: &EndedAttempt,
-        latency: f64,
     ) -> f64 {
+        let latency = ended.latency;
         let fleet_latency = self.fleet.latency.read().unwrap_or(latency);
-        let class = &self.class_latency[request.class];
         // The classes' usual latencies put all requests on one scale.
-        let usual = class.long_term.read().unwrap_or(latency).max(1.0);
-        let mut normalized = latency * fleet_latency / usual;
-        let class_latency = class.recent.read().unwrap_or(0.0);
+        let usual = self.class_latency[request.class].long_term.read();
+        let normalized = latency * fleet_latency / usual.unwrap_or(latency).max(1.0);
         let endpoint = &mut self.endpoints[ended.endpoint];
         if !ended.timed_out() {
             endpoint.unanswered_since = None;
         }
-        let mut reward = 0.0;
         if ended.succeeded() {
             (endpoint.unlisted_since, endpoint.last_success) = (None, now);
-            reward = (fleet_latency / normalized).min(MAX_REWARD);
-            let in_slow_start = ended.in_slow_start;
             let measured = AttemptLatency {
                 latency,
                 normalized,
-                in_slow_start,
+                in_slow_start: ended.in_slow_start,
             };
             self.record_success(now, request, number, &measured);
-        } else {
-            let not_run = ended.outcome.proves_not_run();
-            let backoff = if not_run { BACKOFF_FRACTION } else { 0.0 };
-            endpoint.backoff_until = now + (backoff * class_latency) as Micros;
-            // How long a lost response was waited for says nothing of the endpoint's speed.
-            normalized = match ended.timed_out() {
-                true => 0.0,
-                false => normalized,
-            }
-            .max(FAILURE_LATENCY * fleet_latency);
+            self.record_endpoint_latency(now, request.work, ended, normalized);
+            return (fleet_latency / normalized).min(MAX_REWARD);
         }
+        self.back_off(now, request.class, ended);
+        // How long a lost response was waited for says nothing of the endpoint's speed.
+        let measured = if ended.timed_out() { 0.0 } else { normalized };
+        let as_failure = measured.max(FAILURE_LATENCY * fleet_latency);
+        self.record_endpoint_latency(now, request.work, ended, as_failure);
+        0.0
+    }
+
+    /// Avoids an endpoint for a while after an attempt that did not run there.
+    fn back_off(&mut self, now: Micros, class: usize, ended: &EndedAttempt) {
+        let not_run = ended.outcome.proves_not_run();
+        let fraction = if not_run { BACKOFF_FRACTION } else { 0.0 };
+        let class_latency = self.class_latency[class].recent.read().unwrap_or(0.0);
+        let backoff = (fraction * class_latency) as Micros;
+        self.endpoints[ended.endpoint].backoff_until = now + backoff;
+    }
+
+    fn record_endpoint_latency(
+        &mut self,
+        now: Micros,
+        work: f64,
+        ended: &EndedAttempt,
+        latency: f64,
+    ) {
         let endpoint = &mut self.endpoints[ended.endpoint];
-        let (work, horizon) = (request.work, ended.latency_horizon);
-        endpoint.recent_latency.add(now, horizon, normalized, work);
+        endpoint
+            .recent_latency
+            .add(now, ended.latency_horizon, latency, work);
         endpoint
             .long_term_latency
-            .add(now, LONG_TERM_US, normalized, work);
-        reward
+            .add(now, LONG_TERM_US, latency, work);
     }
 }
--- a/crates/policy/src/decisions/concurrency.rs
+++ b/crates/policy/src/decisions/concurrency.rs
@@ -1,14 +1,17 @@
-//! Concurrency limits: how many requests this balancer may have in flight at an endpoint, and at its whole subset.
+//! Concurrency limits: how many requests this balancer may have in flight at an endpoint, and at
+//! its whole subset.
 //!
-//! Invariant: an attempt in flight for longer than [`Balancer::unresponsive_after`] is lost and takes up no capacity;
-//! its endpoint gets one request at a time, which shows whether it responds again.
+//! Invariant: an attempt in flight for longer than [`Balancer::unresponsive_after`] is lost and
+//! takes up no capacity; its endpoint gets one request at a time, which shows whether it responds
+//! again.
 
 use crate::balancer::Balancer;
 use crate::state::decaying::RECENT_US;
 use crate::state::endpoint::Endpoint;
 use crate::{Host, Micros};
 
-/// Expected latencies without any response after which an endpoint is unresponsive: beyond the spread of work.
+/// Expected latencies without any response after which an endpoint is unresponsive: beyond the
+/// spread of work.
 const UNRESPONSIVE_LATENCIES: f64 = 4.0;
 /// In-flight work allowed, relative to what the served rate needs at the shortest latency.
 pub(crate) const LIMIT_PER_SHORTEST_LATENCY: f64 = 1.5;
@@ -22,8 +25,8 @@
 const LIMIT_ROUNDING: f64 = 0.4;
 
 impl<H: Host> Balancer<H> {
-    /// Time in microseconds without any response after which an endpoint is unresponsive. Attempts in flight may be of
-    /// the slowest class.
+    /// Time in microseconds without any response after which an endpoint is unresponsive. Attempts
+    /// in flight may be of the slowest class.
     pub(crate) fn unresponsive_after(&self) -> f64 {
         let classes = &self.settings.classes;
         let configured =
@@ -37,8 +40,8 @@
         now.saturating_sub(self.unresponsive_after() as Micros)
     }
 
-    /// Requests that this balancer may have in flight at an endpoint: what its served rate needs, times shortest over
-    /// present latency.
+    /// Requests that this balancer may have in flight at an endpoint: what its served rate needs,
+    /// times shortest over present latency.
     pub(crate) fn concurrency_limit(&self, now: Micros, index: usize) -> f64 {
         let endpoint = &self.endpoints[index];
         let concurrency = endpoint.busy_time.read(now, RECENT_US) / self.recent_span(now);
@@ -58,8 +61,8 @@
                 || in_flight + LIMIT_ROUNDING < self.concurrency_limit(now, index))
     }
 
-    /// Whether the limits of the subset together allow another request. Each alone may be less than one request, so
-    /// their root is added for random variation.
+    /// Whether the limits of the subset together allow another request. Each alone may be less than
+    /// one request, so their root is added for random variation.
     pub(crate) fn subset_has_capacity(&self, now: Micros) -> bool {
         let lost_before = self.lost_before(now);
         let order = self.subset.current_order(now);
--- a/crates/policy/src/decisions/endpoint_list.rs
+++ b/crates/policy/src/decisions/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! The endpoint list: when it is polled, and its events.
 //!
-//! Invariant: an endpoint that drains, or that a complete list does not name, is sent nothing more. Where only draining
-//! binds, an unlisted one stays usable for a time.
+//! Invariant: an endpoint that drains, or that a complete list does not name, is sent nothing more.
+//! Where only draining binds, an unlisted one stays usable for a time.
 
 use nanorand::Rng;
 
@@ -14,11 +14,13 @@
 const MAX_SPREAD_FRACTION: f64 = 0.8;
 /// Other balancers at which half of that spread is used.
 const BALANCERS_AT_HALF_SPREAD: f64 = 32.0;
-/// Part of the longest poll interval that the first retry waits; each further one waits twice as long.
+/// Part of the longest poll interval that the first retry waits; each further one waits twice as
+/// long.
 const INTERVAL_PER_FIRST_RETRY: Micros = 64;
 /// Retries that double the wait.
 const MAX_RETRY_DOUBLINGS: u32 = 4;
-/// What an earlier weight counts beside a new one: lists may be late, and balancers that follow each would oscillate.
+/// What an earlier weight counts beside a new one: lists may be late, and balancers that follow
+/// each would oscillate.
 const WEIGHT_RETENTION: f64 = 0.9;
 
 /// An endpoint on the list.
@@ -32,7 +34,8 @@
     pub machine_type: u64,
     /// Its cell.
     pub cell: u64,
-    /// Its listed weight; used where [`Settings::weights_listed`](crate::Settings::weights_listed) is set.
+    /// Its listed weight; used where [`Settings::weights_listed`](crate::Settings::weights_listed)
+    /// is set.
     pub weight: f64,
     /// Start of its process; 0 if it is not known.
     pub started_at: Micros,
@@ -51,7 +54,8 @@
         }
     }
 
-    /// Time in microseconds over which the balancers spread their polls, as the list's server does not grow with them.
+    /// Time in microseconds over which the balancers spread their polls, as the list's server does
+    /// not grow with them.
     pub(crate) fn list_poll_spread(&self) -> Option<Micros> {
         let interval = self.settings.max_poll_interval? as f64;
         let others = self.settings.balancers as f64 - 1.0;
@@ -59,7 +63,8 @@
         Some(spread as Micros)
     }
 
-    /// A poll failed or its subscription was lost: the list stays, and the next poll follows after a random backoff.
+    /// A poll failed or its subscription was lost: the list stays, and the next poll follows after
+    /// a random backoff.
     pub fn endpoint_list_failed(&mut self) {
         let interval = self.settings.max_poll_interval;
         let Some((interval, spread)) = interval.zip(self.list_poll_spread()) else {
--- a/crates/policy/src/decisions/features.rs
+++ b/crates/policy/src/decisions/features.rs
@@ -49,7 +49,8 @@
         candidates.iter().enumerate().map(row).collect()
     }
 
-    /// How much the latest report of each candidate counts: an old one describes a load that is gone.
+    /// How much the latest report of each candidate counts: an old one describes a load that is
+    /// gone.
     fn report_freshness(&self, now: Micros, candidates: &[usize]) -> Vec<f64> {
         let horizon = self.latency_horizon(now);
         let freshness = |index: &usize| {
@@ -59,7 +60,8 @@
         candidates.iter().map(freshness).collect()
     }
 
-    /// Log ratios of the load: own work in flight and, of the reported queue, the part of the other balancers.
+    /// Log ratios of the load: own work in flight and, of the reported queue, the part of the other
+    /// balancers.
     fn loads(&self, now: Micros, candidates: &[usize], freshness: &[f64]) -> Vec<f64> {
         let lost_before = self.lost_before(now);
         let sharing_balancers = self.subset_size().sharing_balancers;
@@ -82,7 +84,8 @@
         log_ratios(&loads, MAX_LOG_RATIO)
     }
 
-    /// The listed weight; without weights the served rate per own request in flight, the inverse of the latency.
+    /// The listed weight; without weights the served rate per own request in flight, the inverse of
+    /// the latency.
     fn capacity_estimate(&self, endpoint: &Endpoint) -> Option<f64> {
         match self.settings.weights_listed {
             true => endpoint.weight.read(),
--- a/crates/policy/src/decisions/gossip.rs
+++ b/crates/policy/src/decisions/gossip.rs
@@ -1,5 +1,5 @@
-//! Gossip between balancers: each endpoint has one balancer that owns its load ledger. The others report their attempts
-//! to the owner and request the endpoint's load from it.
+//! Gossip between balancers: each endpoint has one balancer that owns its load ledger. The others
+//! report their attempts to the owner and request the endpoint's load from it.
 
 use crate::balancer::Balancer;
 use crate::gossip_message::{GossipMessage, PeerOutcome};
--- a/crates/policy/src/decisions/key_order.rs
+++ b/crates/policy/src/decisions/key_order.rs
@@ -1,5 +1,5 @@
-//! Order by key: requests with one key, of classes that ask for it, run one at a time in the order of their arrival.
-//! See `state/key_queue.rs` for the invariant.
+//! Order by key: requests with one key, of classes that ask for it, run one at a time in the order
+//! of their arrival. See `state/key_queue.rs` for the invariant.
 
 use std::rc::Rc;
 
@@ -10,7 +10,8 @@
 use crate::{AttemptOutcome, Host, Micros};
 
 impl<H: Host> Balancer<H> {
-    /// Places a request, or queues it behind others of its key. One that would wait too long is answered at once.
+    /// Places a request, or queues it behind others of its key. One that would wait too long is
+    /// answered at once.
     pub(crate) fn enter_key_queue(&mut self, now: Micros, request: Request) {
         let Some(key) = request.order_key else {
             return self.place_or_queue(now, request);
@@ -43,8 +44,8 @@
         }
     }
 
-    /// Places the next request of a key if nothing of an earlier one can be running, and answers those that waited too
-    /// long.
+    /// Places the next request of a key if nothing of an earlier one can be running, and answers
+    /// those that waited too long.
     pub(crate) fn advance_key_queue(&mut self, now: Micros, key: u64) {
         let Some(mut queue) = self.key_queues.queues.remove(&key) else {
             return;
@@ -81,7 +82,8 @@
         }
     }
 
-    /// Releases the key of a request that has its answer. An attempt in flight goes on blocking the key.
+    /// Releases the key of a request that has its answer. An attempt in flight goes on blocking the
+    /// key.
     pub(crate) fn release_key(&mut self, now: Micros, request: &Request) {
         let Some(key) = request.order_key else { return };
         let Some(queue) = self.key_queues.queues.get_mut(&key) else {
--- a/crates/policy/src/decisions/latency.rs
+++ b/crates/policy/src/decisions/latency.rs
@@ -48,7 +48,8 @@
             .unwrap_or(1.0)
     }
 
-    /// Horizon in microseconds of an endpoint's recent latency: the time in which some responses are expected.
+    /// Horizon in microseconds of an endpoint's recent latency: the time in which some responses
+    /// are expected.
     pub(crate) fn latency_horizon(&self, now: Micros) -> f64 {
         let arrivals = self.fleet.arrivals.read(now, LONG_TERM_US);
         let rate = arrivals / self.long_term_span(now);
@@ -62,7 +63,8 @@
         (now.saturating_sub(self.started_at) as f64).clamp(RECENT_US, LONG_TERM_US)
     }
 
-    /// Time in microseconds that sums over `RECENT_US` cover: less after a start, or rates would look low.
+    /// Time in microseconds that sums over `RECENT_US` cover: less after a start, or rates would
+    /// look low.
     pub(crate) fn recent_span(&self, now: Micros) -> f64 {
         RECENT_US
             .min(now.saturating_sub(self.started_at) as f64)
--- a/crates/policy/src/decisions/load_probing.rs
+++ b/crates/policy/src/decisions/load_probing.rs
@@ -1,6 +1,7 @@
 //! Load probing: requesting the loads of some candidates before a request is placed.
 //!
-//! Invariant: each request that waits for loads has a timer, and is placed or answered when it expires.
+//! Invariant: each request that waits for loads has a timer, and is placed or answered when it
+//! expires.
 
 use std::rc::Rc;
 
@@ -14,9 +15,11 @@
 const PROBED_ENDPOINTS: usize = 5;
 /// Part of the latency objective to wait for loads, and for which a load counts as fresh.
 const OBJECTIVE_PER_WAIT: Micros = 20;
-/// Waits for which loads stay fresh after a request found no endpoint, so that retries do not flood the balancers.
+/// Waits for which loads stay fresh after a request found no endpoint, so that retries do not flood
+/// the balancers.
 const WAITS_FRESH_UNDER_LOAD: Micros = 4;
-/// Fraction of its remaining time that a request of the lowest priority weight may take; the highest may take all.
+/// Fraction of its remaining time that a request of the lowest priority weight may take; the
+/// highest may take all.
 const MIN_TIME_FRACTION: f64 = 0.3;
 
 impl<H: Host> Balancer<H> {
@@ -55,7 +58,8 @@
         }
     }
 
-    /// Whether the load of an endpoint is known and fresh. Where this balancer owns the ledger, it reads it.
+    /// Whether the load of an endpoint is known and fresh. Where this balancer owns the ledger, it
+    /// reads it.
     fn has_fresh_load(&mut self, now: Micros, index: usize, fresh_for: Micros) -> bool {
         let owner = self.ledger_owner(index);
         let endpoint = &mut self.endpoints[index];
@@ -120,7 +124,8 @@
         }
     }
 
-    /// Whether an endpoint would answer a request within the part of its time that its priority weight allows.
+    /// Whether an endpoint would answer a request within the part of its time that its priority
+    /// weight allows.
     pub(crate) fn meets_objective(&self, now: Micros, request: &Request, index: usize) -> bool {
         let Some(in_flight) = self.endpoints[index].reported_in_flight else {
             return true;
--- a/crates/policy/src/decisions/outliers.rs
+++ b/crates/policy/src/decisions/outliers.rs
@@ -1,5 +1,5 @@
-//! Requests of outlier groups are rejected but for trials: one that is slow at every endpoint says nothing against any,
-//! and takes capacity from the others.
+//! Requests of outlier groups are rejected but for trials: one that is slow at every endpoint says
+//! nothing against any, and takes capacity from the others.
 
 use crate::balancer::Balancer;
 use crate::state::request::Request;
@@ -21,7 +21,8 @@
             .find(|&group| self.outliers.is_outlier(now, group))
     }
 
-    /// Whether a request is rejected for its group. Now and then one passes, to see whether the group recovered.
+    /// Whether a request is rejected for its group. Now and then one passes, to see whether the
+    /// group recovered.
     pub(crate) fn excluded_as_outlier(&mut self, now: Micros, request: &Request) -> bool {
         let Some(group) = self.outlier_group(now, request) else {
             return false;
--- a/crates/policy/src/decisions/placement.rs
+++ b/crates/policy/src/decisions/placement.rs
@@ -10,7 +10,8 @@
 use crate::state::request::{Attempt, Request};
 use crate::{Host, Micros};
 
-/// Candidates up to which every outcome is learned from; beyond it samples would grow with the fleet.
+/// Candidates up to which every outcome is learned from; beyond it samples would grow with the
+/// fleet.
 pub(crate) const MAX_SAMPLED_CANDIDATES: usize = 32;
 
 /// A candidate of a decision and its priority.
--- a/crates/policy/src/decisions/queueing.rs
+++ b/crates/policy/src/decisions/queueing.rs
@@ -1,6 +1,7 @@
 //! The queue of requests that wait for capacity.
 //!
-//! Invariant: a request waits only while an attempt could still be in time; otherwise it is answered at once.
+//! Invariant: a request waits only while an attempt could still be in time; otherwise it is
+//! answered at once.
 
 use std::rc::Rc;
 
@@ -12,7 +13,8 @@
 
 /// Time between two looks at the queue.
 pub(crate) const QUEUE_INTERVAL_US: Micros = 10_000;
-/// Fewest endpoints per balancer at which requests are queued: with fewer, freed capacity goes to other balancers.
+/// Fewest endpoints per balancer at which requests are queued: with fewer, freed capacity goes to
+/// other balancers.
 const MIN_ENDPOINTS_PER_BALANCER: usize = 3;
 /// Fraction of a request's spare time that the queue ahead of it may take.
 const MAX_WAIT_FRACTION: f64 = 0.15;
@@ -39,7 +41,8 @@
         if self.settings.polls_loads() {
             return self.poll_loads(now, request);
         }
-        // Requests that were sent before may only go to some endpoints, and do not block the others.
+        // Requests that were sent before may only go to some endpoints, and do not block the
+        // others.
         let first = self.queue.all_sent_before();
         if first && self.subset_has_capacity(now) && self.place(now, &mut request) {
             self.requests.insert(Rc::clone(&request.id), request);
@@ -75,7 +78,8 @@
         }
     }
 
-    /// Sends waiting requests while there is capacity, the most urgent first, and answers those that are too late.
+    /// Sends waiting requests while there is capacity, the most urgent first, and answers those
+    /// that are too late.
     pub(crate) fn process_queue(&mut self, now: Micros) {
         for mut request in std::mem::take(&mut self.queue.requests) {
             if self.latest_start(&request) < now || !self.may_be_attempted(now, &request) {
--- a/crates/policy/src/decisions/retry.rs
+++ b/crates/policy/src/decisions/retry.rs
@@ -1,8 +1,8 @@
-//! Whether a request may be attempted (again), how long an attempt may take, and the answer to a request that is not
-//! served.
+//! Whether a request may be attempted (again), how long an attempt may take, and the answer to a
+//! request that is not served.
 //!
-//! Invariants: never two attempts of a request in flight; no second run where idempotency forbids it; a rejection only
-//! where a retry by the client is harmless.
+//! Invariants: never two attempts of a request in flight; no second run where idempotency forbids
+//! it; a rejection only where a retry by the client is harmless.
 
 use crate::balancer::Balancer;
 use crate::state::request::{Attempt, Request};
@@ -11,7 +11,8 @@
 
 use super::queueing::QUEUE_INTERVAL_US;
 
-/// Endpoints that may lose their connections under a request: it may be the cause, so there is no third.
+/// Endpoints that may lose their connections under a request: it may be the cause, so there is no
+/// third.
 const MAX_LOST_CONNECTIONS: usize = 2;
 /// Expected latencies after which a rejected request may be retried.
 const RETRY_AFTER_LATENCIES: f64 = 0.5;
@@ -81,7 +82,8 @@
         }
     }
 
-    /// Time at which an attempt times out. Where responses are lost, it leaves time for another attempt.
+    /// Time at which an attempt times out. Where responses are lost, it leaves time for another
+    /// attempt.
     pub(crate) fn attempt_deadline(&self, now: Micros, request: &Request, index: usize) -> Micros {
         let endpoint_loses = self.endpoints[index].failure_percent > MAX_FAILURE_PERCENT
             && !self.settings.can_cancel;
@@ -97,7 +99,8 @@
         (now + timeout.max(QUEUE_INTERVAL_US)).min(request.deadline)
     }
 
-    /// Answers a request that is not served: rejects it where a retry by the client is harmless, else fails it.
+    /// Answers a request that is not served: rejects it where a retry by the client is harmless,
+    /// else fails it.
     pub(crate) fn reject_or_fail(&mut self, now: Micros, request: Request) {
         let may_have_run = request.attempts_that_may_have_run().next().is_some();
         let discarded_everywhere = matches!(
--- a/crates/policy/src/decisions/slow_start.rs
+++ b/crates/policy/src/decisions/slow_start.rs
@@ -1,7 +1,7 @@
 //! Slow start: the budget of work for an endpoint whose process has just started.
 //!
-//! Invariant: the budgets of all balancers for one endpoint sum to less than the load that would overload it, in each
-//! overload window of its slow start.
+//! Invariant: the budgets of all balancers for one endpoint sum to less than the load that would
+//! overload it, in each overload window of its slow start.
 
 use crate::balancer::Balancer;
 use crate::hashing::hash_pair;
@@ -30,7 +30,8 @@
             + (1.0 - slow_start.initial_capacity) * age as f64 / slow_start.duration as f64
     }
 
-    /// The budget of an endpoint in the present interval of its slow start. What is not spent expires.
+    /// The budget of an endpoint in the present interval of its slow start. What is not spent
+    /// expires.
     pub(crate) fn slow_start_budget(&self, now: Micros, index: usize) -> SlowStartBudget {
         if !self.in_slow_start(now, index) {
             return SlowStartBudget::UNLIMITED;
@@ -44,7 +45,8 @@
             * self.slow_start_capacity(now, index)
             * self.warm_throughput(now)
             * slow_start.overload_window as f64;
-        // A budget of part of a request is granted to some of the balancers, so lone requests never add up.
+        // A budget of part of a request is granted to some of the balancers, so lone requests never
+        // add up.
         let instance_hash = hash_pair(self.instance_seed, endpoint.hash);
         let rounding = hash_pair(instance_hash, interval) as f64 / u64::MAX as f64;
         let spent = endpoint.slow_start_spent;
@@ -58,8 +60,9 @@
         }
     }
 
-    /// Work per microsecond that each warm endpoint serves for this balancer. The capacity of a new endpoint is not
-    /// known: it is taken to be the same, or the initial part of the arrivals where no endpoint is warm.
+    /// Work per microsecond that each warm endpoint serves for this balancer. The capacity of a new
+    /// endpoint is not known: it is taken to be the same, or the initial part of the arrivals where
+    /// no endpoint is warm.
     fn warm_throughput(&self, now: Micros) -> f64 {
         let served = match self.warm_endpoints {
             0 => {
@@ -72,8 +75,8 @@
         served / self.long_term_span(now) / endpoints.max(1) as f64
     }
 
-    /// Fraction of the budget that this balancer has: the balancers with the endpoint in their subset share one half of
-    /// what it bears, all the others the other half.
+    /// Fraction of the budget that this balancer has: the balancers with the endpoint in their
+    /// subset share one half of what it bears, all the others the other half.
     fn subset_fraction(&self, index: usize) -> f64 {
         let (size, order) = (self.subset_size().endpoints, &self.subset.preference_order);
         let in_subset = || order.iter().take(size).any(|&member| member == index);
--- a/crates/policy/src/gossip_message.rs
+++ b/crates/policy/src/gossip_message.rs
@@ -1,5 +1,6 @@
-//! Gossip messages between balancers, short lines of text. An endpoint is named by the first bits of its hash, which are
-//! the same at all balancers. Messages may be lost, late or corrupted; a malformed one is ignored.
+//! Gossip messages between balancers, short lines of text. An endpoint is named by the first bits
+//! of its hash, which are the same at all balancers. Messages may be lost, late or corrupted; a
+//! malformed one is ignored.
 
 use crate::{AttemptOutcome, Micros};
 
--- a/crates/policy/src/host.rs
+++ b/crates/policy/src/host.rs
@@ -2,7 +2,8 @@
 
 use crate::Micros;
 
-/// The actions of a balancer. Each takes effect at the time of the event that the balancer is handling.
+/// The actions of a balancer. Each takes effect at the time of the event that the balancer is
+/// handling.
 pub trait Host {
     /// Sends the request to the endpoint. The attempt times out by itself at `expire_at`.
     fn start_attempt(&mut self, request: &str, endpoint: &str, expire_at: Micros);
@@ -12,13 +13,13 @@
     fn reject(&mut self, request: &str, retry_after: Micros);
     /// Answers the request as failed. It may have run, so a retry is not known to be harmless.
     fn fail(&mut self, request: &str);
-    /// Requests a call of [`Balancer::timer_expired`](crate::Balancer::timer_expired) with `timer` after the
-    /// given time.
+    /// Requests a call of [`Balancer::timer_expired`](crate::Balancer::timer_expired) with `timer`
+    /// after the given time.
     fn set_timer(&mut self, after: Micros, timer: u64);
     /// Polls the endpoint list, or subscribes to its changes.
     fn poll_endpoint_list(&mut self);
-    /// Requests the load of an endpoint. [`Balancer::probe_completed`](crate::Balancer::probe_completed) takes
-    /// the result.
+    /// Requests the load of an endpoint.
+    /// [`Balancer::probe_completed`](crate::Balancer::probe_completed) takes the result.
     fn probe(&mut self, endpoint: &str);
     /// Closes the idle connections to an endpoint.
     fn close_idle_connections(&mut self, endpoint: &str);
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,8 +1,8 @@
-//! Load-balancing decisions of a proxy. A [`Balancer`] receives events and acts through a [`Host`]; it reads no clock
-//! and opens no sockets.
+//! Load-balancing decisions of a proxy. A [`Balancer`] receives events and acts through a [`Host`];
+//! it reads no clock and opens no sockets.
 //!
-//! `balancer.rs` holds the events in the order in which a request meets them, `decisions` what they decide, `scoring`
-//! the learned choice of an endpoint, and `state` what a balancer remembers.
+//! `balancer.rs` holds the events in the order in which a request meets them, `decisions` what they
+//! decide, `scoring` the learned choice of an endpoint, and `state` what a balancer remembers.
 
 #![warn(missing_docs)]
 
--- a/crates/policy/src/scoring/learning.rs
+++ b/crates/policy/src/scoring/learning.rs
@@ -1,7 +1,8 @@
-//! Online learning of the score's weights: a clipped policy step over the latest rewards (equations 5, 6 and 9 of the
-//! paper in `docs/design.md`).
+//! Online learning of the score's weights: a clipped policy step over the latest rewards (equations
+//! 5, 6 and 9 of the paper in `docs/design.md`).
 //!
-//! Invariant: no weight changes its sign, and each stays within `MIN_WEIGHT_RATIO` and its inverse of its initial value.
+//! Invariant: no weight changes its sign, and each stays within `MIN_WEIGHT_RATIO` and its inverse
+//! of its initial value.
 
 use crate::Micros;
 use crate::scoring::projection::selectable;
@@ -54,7 +55,8 @@
         }
     }
 
-    /// Records the reward of a decision, and updates the weights when enough were recorded or time has passed.
+    /// Records the reward of a decision, and updates the weights when enough were recorded or time
+    /// has passed.
     pub(crate) fn record(&mut self, now: Micros, sample: Option<DecisionSample>, reward: f64) {
         self.samples
             .extend(sample.map(|sample| RewardedSample { sample, reward }));
@@ -86,8 +88,8 @@
     }
 }
 
-/// Gradient of the selected candidate's probability under the present weights, through softplus, normalisation and
-/// projection; `None` where the candidate is no longer selectable.
+/// Gradient of the selected candidate's probability under the present weights, through softplus,
+/// normalisation and projection; `None` where the candidate is no longer selectable.
 pub(crate) fn selection_gradient(
     weights: &FeatureRow,
     sample: &DecisionSample,
--- a/crates/policy/src/scoring/score.rs
+++ b/crates/policy/src/scoring/score.rs
@@ -1,16 +1,18 @@
-//! Scores of the candidates for a request: one row of features for each candidate, weighted and passed through softplus.
+//! Scores of the candidates for a request: one row of features for each candidate, weighted and
+//! passed through softplus.
 //!
-//! Ratios to the candidates' mean make one set of weights serve endpoints of any speed and fleets of any size. An
-//! endpoint without a value counts as the mean, 0.
+//! Ratios to the candidates' mean make one set of weights serve endpoints of any speed and fleets
+//! of any size. An endpoint without a value counts as the mean, 0.
 
 /// Number of features of a candidate.
 pub(crate) const FEATURE_COUNT: usize = 7;
 
-/// Features of one candidate, or their weights: constant, own latency, reported utilisation, requests in flight,
-/// capacity, same zone, reported queue.
+/// Features of one candidate, or their weights: constant, own latency, reported utilisation,
+/// requests in flight, capacity, same zone, reported queue.
 pub(crate) type FeatureRow = [f64; FEATURE_COUNT];
 
-/// The constant puts an average endpoint on the exponential part of softplus, where weights act as exponents.
+/// The constant puts an average endpoint on the exponential part of softplus, where weights act as
+/// exponents.
 pub(crate) const INITIAL_WEIGHTS: FeatureRow = [-4.0, -3.0, -0.3, -3.0, 1.0, 0.4, -0.3];
 /// Bound of the logarithm of a ratio, so that no single reading decides.
 pub(crate) const MAX_LOG_RATIO: f64 = 3.0;
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -1,4 +1,5 @@
-//! Settings of one balancer: request classes, quotas, slow start and the capabilities that the deployment allows.
+//! Settings of one balancer: request classes, quotas, slow start and the capabilities that the
+//! deployment allows.
 
 use crate::Micros;
 
@@ -18,7 +19,8 @@
 pub enum Idempotency {
     /// A second run does no harm.
     Idempotent,
-    /// Endpoints within `scope` discard a second run that begins within `window` microseconds of the first.
+    /// Endpoints within `scope` discard a second run that begins within `window` microseconds of
+    /// the first.
     IdempotencyKey {
         /// The endpoints that share the key.
         scope: IdempotencyScope,
@@ -43,13 +45,16 @@
     pub latency_objective: Micros,
     /// The effect of a second run.
     pub idempotency: Idempotency,
-    /// Value of one unit of work relative to the other classes; 0 for a class that is no longer configured.
+    /// Value of one unit of work relative to the other classes; 0 for a class that is no longer
+    /// configured.
     pub priority_weight: f64,
-    /// Requests with the same key run one at a time, in the order of their arrival at this balancer.
+    /// Requests with the same key run one at a time, in the order of their arrival at this
+    /// balancer.
     pub ordered_by_key: bool,
 }
 
-/// Slow start of an endpoint whose process has just started, and the overload that would bring it down.
+/// Slow start of an endpoint whose process has just started, and the overload that would bring it
+/// down.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SlowStart {
     /// Capacity at the start, as a fraction of the full capacity.
@@ -71,7 +76,8 @@
     pub own_index: usize,
     /// Zone of this balancer.
     pub zone: u64,
-    /// Longest time in microseconds between two polls of the endpoint list; `None` where it is pushed.
+    /// Longest time in microseconds between two polls of the endpoint list; `None` where it is
+    /// pushed.
     pub max_poll_interval: Option<Micros>,
     /// The endpoint list holds weights.
     pub weights_listed: bool,
@@ -87,7 +93,8 @@
     pub max_attempts: usize,
     /// Longest `retry_after` of a rejection, in microseconds.
     pub max_retry_after: Micros,
-    /// Time in microseconds that a key is blocked after an attempt that may still run though it ended here.
+    /// Time in microseconds that a key is blocked after an attempt that may still run though it
+    /// ended here.
     pub key_cooldown: Micros,
     /// Endpoints stay usable after the list drops them, unless they drain.
     pub unlisted_stay_usable: bool,
@@ -125,8 +132,8 @@
         self.classes.len() + self.tenant_quotas.len()
     }
 
-    /// Whether loads are polled before each choice, from the endpoints or from the owners of their ledgers: a balancer
-    /// with a request or two per second cannot know them itself.
+    /// Whether loads are polled before each choice, from the endpoints or from the owners of their
+    /// ledgers: a balancer with a request or two per second cannot know them itself.
     pub(crate) fn polls_loads(&self) -> bool {
         self.load_from_probes || (self.load_unreported && self.gossip_allowed)
     }
--- a/crates/policy/src/state/admission.rs
+++ b/crates/policy/src/state/admission.rs
@@ -44,8 +44,8 @@
             .clamp(MIN_ADMITTED_SHARE, 1.0);
     }
 
-    /// Probability of admitting a request. A balancer with several endpoints to itself knows their load and needs no
-    /// share; requests beyond their tenant's quota are shed first.
+    /// Probability of admitting a request. A balancer with several endpoints to itself knows their
+    /// load and needs no share; requests beyond their tenant's quota are shed first.
     pub(crate) fn probability(&self, endpoints_per_balancer: f64, within_quota: bool) -> f64 {
         let shed = (1.0 - self.admitted_share) / (1.0 + endpoints_per_balancer.powi(4));
         let admitted = 1.0 - shed;
--- a/crates/policy/src/state/class_latency.rs
+++ b/crates/policy/src/state/class_latency.rs
@@ -28,7 +28,8 @@
     pub(crate) shortest: Option<f64>,
     /// Work hints of its requests.
     pub(crate) work_hint: DecayingAverage,
-    /// Of the attempts in flight for longer than `unresponsive_after`, the fraction that was never answered.
+    /// Of the attempts in flight for longer than `unresponsive_after`, the fraction that was never
+    /// answered.
     pub(crate) overdue: DecayingAverage,
 }
 
@@ -65,8 +66,8 @@
         })
     }
 
-    /// The spread to allow for where no hint tells the work of requests. There is none before the first response,
-    /// or a new balancer would never send and never learn.
+    /// The spread to allow for where no hint tells the work of requests. There is none before the
+    /// first response, or a new balancer would never send and never learn.
     pub(crate) fn spread_margin(&self) -> f64 {
         let unhinted = self.work_hint.read().is_none() && self.long_term.read().is_some();
         match unhinted {
--- a/crates/policy/src/state/endpoint.rs
+++ b/crates/policy/src/state/endpoint.rs
@@ -107,13 +107,21 @@
         self.unanswered_since.is_some_and(|sent_at| sent_at < time)
     }
 
+    /// Forgets since when it has not answered, unless attempts are in flight.
+    pub(crate) fn forget_unanswered_if_idle(&mut self) {
+        if !self.has_in_flight() {
+            self.unanswered_since = None;
+        }
+    }
+
     /// Time in microseconds since the first unanswered attempt; 0 where there is none.
     pub(crate) fn unanswered_for(&self, now: Micros) -> f64 {
         self.unanswered_since
             .map_or(0.0, |since| now.saturating_sub(since) as f64)
     }
 
-    /// Recent latency, or the time without an answer if that is longer, so that a hung endpoint does not look idle.
+    /// Recent latency, or the time without an answer if that is longer, so that a hung endpoint
+    /// does not look idle.
     pub(crate) fn latency(&self, now: Micros) -> Option<f64> {
         self.recent_latency
             .read()
--- a/crates/policy/src/state/endpoint_table.rs
+++ b/crates/policy/src/state/endpoint_table.rs
@@ -10,7 +10,8 @@
 use crate::hashing::hash_name;
 use crate::state::endpoint::Endpoint;
 
-/// How long an unlisted endpoint is remembered: one that comes back from a crash is as fast as before.
+/// How long an unlisted endpoint is remembered: one that comes back from a crash is as fast as
+/// before.
 const REMEMBERED_FOR_US: Micros = 60_000_000;
 
 /// All endpoints. Reads as a slice; free slots have an empty id.
@@ -85,7 +86,8 @@
         })
     }
 
-    /// Frees the slots of endpoints that were unlisted long ago and that no open request can have been sent to.
+    /// Frees the slots of endpoints that were unlisted long ago and that no open request can have
+    /// been sent to.
     pub(crate) fn evict_unlisted(&mut self, now: Micros) {
         for endpoint in &mut self.slots {
             endpoint.ready &= endpoint
--- a/crates/policy/src/state/idle_drops.rs
+++ b/crates/policy/src/state/idle_drops.rs
@@ -1,4 +1,5 @@
-//! Idle connections that the network drops without notice, as seen from attempts that lost theirs at once.
+//! Idle connections that the network drops without notice, as seen from attempts that lost theirs
+//! at once.
 
 use crate::Micros;
 
@@ -22,7 +23,8 @@
         now < self.assumed_until && idle_for >= self.idle_for
     }
 
-    /// Whether an attempt that lost its connection after `elapsed` shows a drop that is not assumed yet.
+    /// Whether an attempt that lost its connection after `elapsed` shows a drop that is not assumed
+    /// yet.
     pub(crate) fn shows_new_drop(
         &self,
         now: Micros,
--- a/crates/policy/src/state/key_queue.rs
+++ b/crates/policy/src/state/key_queue.rs
@@ -1,7 +1,8 @@
 //! Queues of the requests with one key, of classes that are ordered by key.
 //!
-//! Invariant: one request of a key at a time may be sent. The next one follows when the holder has its answer, no
-//! attempt for the key is in flight, and the cooldown of attempts that may still run has passed.
+//! Invariant: one request of a key at a time may be sent. The next one follows when the holder has
+//! its answer, no attempt for the key is in flight, and the cooldown of attempts that may still run
+//! has passed.
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
--- a/crates/policy/src/state/load_ledger.rs
+++ b/crates/policy/src/state/load_ledger.rs
@@ -49,7 +49,8 @@
         }
     }
 
-    /// Percentage of the reported attempts that failed. The added 1 keeps one failure among few from counting.
+    /// Percentage of the reported attempts that failed. The added 1 keeps one failure among few
+    /// from counting.
     pub(crate) fn failure_percent(&self, now: Micros) -> u64 {
         let failed = self.failed.read(now, GOSSIP_HORIZON_US);
         let succeeded = self.succeeded.read(now, GOSSIP_HORIZON_US);
--- a/crates/policy/src/state/outliers.rs
+++ b/crates/policy/src/state/outliers.rs
@@ -1,4 +1,5 @@
-//! Outlier groups: classes and tenants whose requests are late far more often than all others, at any endpoint.
+//! Outlier groups: classes and tenants whose requests are late far more often than all others, at
+//! any endpoint.
 
 use crate::Micros;
 use crate::state::decaying::DecayingSum;
--- a/crates/policy/src/state/request_queue.rs
+++ b/crates/policy/src/state/request_queue.rs
@@ -17,7 +17,8 @@
             .partition_point(|waiting| waiting.objective_at <= objective_at)
     }
 
-    /// Number of requests before a position that were never sent. Others may only go to some endpoints.
+    /// Number of requests before a position that were never sent. Others may only go to some
+    /// endpoints.
     pub(crate) fn unsent_before(&self, position: usize) -> usize {
         self.requests[..position]
             .iter()
--- a/crates/policy/src/state/slow_start_budget.rs
+++ b/crates/policy/src/state/slow_start_budget.rs
@@ -30,8 +30,8 @@
         limit: f64::INFINITY,
     };
 
-    /// Whether a request of that work fits. Without any budget the overrun is not granted either: those of many
-    /// balancers would add up.
+    /// Whether a request of that work fits. Without any budget the overrun is not granted either:
+    /// those of many balancers would add up.
     pub(crate) fn allows(&self, work: f64) -> bool {
         self.limit >= 1.0 && self.spent + work <= self.limit + MAX_BUDGET_OVERRUN
     }
--- a/crates/policy/src/state/subset.rs
+++ b/crates/policy/src/state/subset.rs
@@ -1,7 +1,7 @@
 //! The subset of endpoints that this balancer sends to: the first of its own preference order.
 //!
-//! The order picks endpoints from a hash ring common to all balancers, in irrational steps from a start that follows
-//! from the balancer's index.
+//! The order picks endpoints from a hash ring common to all balancers, in irrational steps from a
+//! start that follows from the balancer's index.
 //! Invariant: every endpoint is in about as many balancers' subsets as any other.
 
 use crate::state::endpoint::Endpoint;
--- a/crates/policy/src/tests.rs
+++ b/crates/policy/src/tests.rs
@@ -1,5 +1,5 @@
-//! Tests of the decisions, a file for each module, and what they share: a recording host, balancers and requests. Most
-//! tests build the state they need and call one function.
+//! Tests of the decisions, a file for each module, and what they share: a recording host, balancers
+//! and requests. Most tests build the state they need and call one function.
 
 use std::cell::RefCell;
 use std::rc::Rc;
--- a/crates/policy/src/tests/key_order.rs
+++ b/crates/policy/src/tests/key_order.rs
@@ -85,7 +85,8 @@
     assert_eq!(sent, ["a", "b", "c"]);
 }
 
-/// An attempt that timed out or lost its connection may still run, also after its request was answered.
+/// An attempt that timed out or lost its connection may still run, also after its request was
+/// answered.
 #[rstest]
 #[case::reset(AttemptOutcome::ConnectionLost, true)]
 #[case::timed_out(AttemptOutcome::TimedOut, true)]
@@ -107,7 +108,8 @@
     assert_eq!(recorder.count("attempt b"), 1);
 }
 
-/// The client of the first one disconnected: its attempt is cancelled, but its end was not reported.
+/// The client of the first one disconnected: its attempt is cancelled, but its end was not
+/// reported.
 #[rstest]
 fn attempt_in_flight_of_a_closed_request_blocks_its_key() {
     let (mut balancer, recorder) = ordered_by_key(Idempotency::NonIdempotent);
--- a/crates/policy/src/tests/queueing.rs
+++ b/crates/policy/src/tests/queueing.rs
@@ -19,8 +19,8 @@
     assert_eq!(recorder.count("reject"), 1);
 }
 
-/// Numbers of queued and of rejected requests when one arrives behind another that waits, with so many recently
-/// admitted of its tenant.
+/// Numbers of queued and of rejected requests when one arrives behind another that waits, with so
+/// many recently admitted of its tenant.
 fn queued_and_rejected(endpoints: usize, admitted: f64) -> (usize, usize) {
     let (mut balancer, recorder) = balancer(Idempotency::Idempotent, endpoints);
     balancer.admission.tenants[0].add(START_AT, RECENT_US, admitted);
--- a/crates/policy/src/tests/slow_start_fleet.rs
+++ b/crates/policy/src/tests/slow_start_fleet.rs
@@ -1,6 +1,7 @@
-//! Requests of many balancers to one endpoint in slow start, on one virtual clock: clock skew, a burst, restarts of
-//! balancers during slow start, and retries. In one overload window N + 2 √N + 2 requests may arrive, where N is what
-//! the settings allow at that time (N + 3 √N + 3 for N under 30).
+//! Requests of many balancers to one endpoint in slow start, on one virtual clock: clock skew, a
+//! burst, restarts of balancers during slow start, and retries. In one overload window N + 2 √N + 2
+//! requests may arrive, where N is what the settings allow at that time (N + 3 √N + 3 for N under
+//! 30).
 
 use std::collections::BTreeMap;
 
