--- a/crates/proxy/src/life/place.rs
+++ b/crates/proxy/src/life/place.rs
@@ -178,7 +178,7 @@
         let names = |object: &Value, name: &str| -> Decoded<Vec<String>> {
             list(object, name)?
                 .iter()
-                .map(|entry| text(entry, "name").map(str::to_owned))
+                .map(|entry| Ok(text(entry, "name")?.to_owned()))
                 .collect()
         };
         let words = |name: &str| -> Decoded<Vec<String>> {
@@ -334,7 +334,7 @@
 fn named(told: &Value, variables: &Variables, name: &str) -> Decoded<String> {
     match variables.get(&name.to_uppercase()) {
         Some(value) => Ok(value.clone()),
-        None => text(told, name).map(str::to_owned),
+        None => Ok(text(told, name)?.to_owned()),
     }
 }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,35 +1,174 @@
-//! The settings of a deployment, decoded once into [`Terms`]: the simulator's wire and the real balancer are
-//! told the same ones.
+//! Decodes the settings of a deployment from JSON. The simulator adapter and the proxy receive the
+//! same document.
+//!
+//! The keys are those of the document; the decoded [`Settings`] have the names of the policy.
+
+#![warn(missing_docs)]
 
 pub mod fields;
 
-use fields::{Decoded, count, flag, list, number, optional, part, text, whole};
-use pinefront_policy::{Idempotency, IdempotencyScope, RequestClass, Settings, SlowStart};
+use fields::{FieldError, count, flag, list, number, optional, part, text, whole};
+use pinefront_policy::{Idempotency, IdempotencyScope, Micros, RequestClass, Settings, SlowStart};
 use serde_json::Value;
+use thiserror::Error;
 
-/// The longest rest of a key, an hour: no ticket waits that long, and beyond it lies only overflow.
-const TURN_GAP_MOST: u64 = 3_600_000_000;
-
-fn use_case(class: &Value) -> Decoded<RequestClass> {
-    let idempotency = match text(class, "effect")? {
-        "safe" => Idempotency::Idempotent,
-        "unsafe" => Idempotency::NonIdempotent,
-        "keyed" => Idempotency::IdempotencyKey {
-            scope: match text(class, "dedupScope")? {
-                "all" => IdempotencyScope::All,
-                "zone" => IdempotencyScope::Zone,
-                "cell" => IdempotencyScope::Cell,
-                other => return Err(format!("field 'dedupScope' holds unknown '{other}'")),
-            },
-            window: whole(class, "dedupWindowUs")?,
+/// Longest cooldown of a key: one hour. No request waits that long, and beyond it times could
+/// overflow.
+const MAX_KEY_COOLDOWN_US: Micros = 3_600_000_000;
+/// Priority weight of a class that states none.
+const DEFAULT_PRIORITY_WEIGHT: f64 = 1.0;
+
+/// Why settings were refused.
+#[derive(Clone, Debug, Error, PartialEq)]
+pub enum SettingsError {
+    /// A field could not be read.
+    #[error(transparent)]
+    Field(#[from] FieldError),
+    /// The fleet has no balancers.
+    #[error("field 'fleetSize' is 0")]
+    EmptyFleet,
+    /// The balancer's index is not below the number of balancers.
+    #[error("field 'me' is {own_index} in a fleet of {balancers}")]
+    NotInFleet {
+        /// Index of this balancer.
+        own_index: usize,
+        /// Number of balancers.
+        balancers: usize,
+    },
+    /// The cooldown of a key is too long.
+    #[error("field 'turnGapUs' is {cooldown}, and {MAX_KEY_COOLDOWN_US} is the longest")]
+    KeyCooldownTooLong {
+        /// The cooldown in microseconds.
+        cooldown: Micros,
+    },
+    /// The priority weight of a class is not above 0.
+    #[error("field 'earnings' is {weight}, not above 0")]
+    PriorityWeightNotPositive {
+        /// The weight.
+        weight: f64,
+    },
+}
+
+impl From<SettingsError> for String {
+    fn from(error: SettingsError) -> Self {
+        error.to_string()
+    }
+}
+
+/// How the endpoints report their load.
+#[derive(Clone, Copy, PartialEq)]
+enum LoadReports {
+    WithResponses,
+    OnProbe,
+    Off,
+}
+
+/// The size of the fleet and the place of this balancer in it.
+struct FleetPosition {
+    balancers: usize,
+    own_index: usize,
+}
+
+/// Decodes the settings of one balancer.
+///
+/// # Errors
+///
+/// A key is missing, has the wrong type, or holds a value that no balancer can run with. The error
+/// names the key.
+pub fn decode_settings(document: &Value) -> Result<Settings, SettingsError> {
+    let capabilities = part(document, "caps")?;
+    let rules = part(document, "rules")?;
+    let tenants = optional(document, "accounts", Value::as_array)?;
+    let fleet = fleet_position(document)?;
+    let load_reports = load_reports(document)?;
+    Ok(Settings {
+        balancers: fleet.balancers,
+        own_index: fleet.own_index,
+        zone: whole(document, "zone")?,
+        max_poll_interval: match text(document, "registryMode")? {
+            "ask" => Some(whole(rules, "askWithinUs")?),
+            _ => None,
         },
-        other => return Err(format!("field 'effect' holds unknown '{other}'")),
+        weights_listed: text(document, "weightKind")? != "off",
+        can_cancel: flag(capabilities, "cancel")?,
+        load_from_probes: load_reports == LoadReports::OnProbe && flag(capabilities, "probes")?,
+        load_unreported: load_reports == LoadReports::Off,
+        gossip_allowed: flag(capabilities, "peers")?,
+        max_attempts: count(capabilities, "maxDispatches")?,
+        max_retry_after: match flag(capabilities, "retryAfter")? {
+            true => whole(capabilities, "maxRetryAfterUs")?,
+            false => 0,
+        },
+        key_cooldown: key_cooldown(rules)?,
+        unlisted_stay_usable: flag(rules, "droppedStayOpen")?,
+        slow_start: slow_start(rules)?,
+        classes: list(document, "useCases")?
+            .iter()
+            .map(request_class)
+            .collect::<Result<_, _>>()?,
+        tenant_quotas: tenants
+            .into_iter()
+            .flatten()
+            .map(|tenant| number(tenant, "allowancePerS"))
+            .collect::<Result<_, _>>()?,
+    })
+}
+
+fn fleet_position(document: &Value) -> Result<FleetPosition, SettingsError> {
+    let balancers = count(document, "fleetSize")?;
+    let own_index = count(document, "me")?;
+    if balancers == 0 {
+        return Err(SettingsError::EmptyFleet);
+    }
+    if own_index >= balancers {
+        return Err(SettingsError::NotInFleet {
+            own_index,
+            balancers,
+        });
+    }
+    Ok(FleetPosition {
+        balancers,
+        own_index,
+    })
+}
+
+fn load_reports(document: &Value) -> Result<LoadReports, FieldError> {
+    let Some(report) = optional(document, "report", Some)? else {
+        return Ok(LoadReports::WithResponses);
     };
-    let priority_weight = optional(class, "earnings", Value::as_f64)?.unwrap_or(1.0);
+    match text(report, "source")? {
+        "inline" => Ok(LoadReports::WithResponses),
+        "on_probe" => Ok(LoadReports::OnProbe),
+        "off" => Ok(LoadReports::Off),
+        other => Err(FieldError::unknown("source", other)),
+    }
+}
+
+fn key_cooldown(rules: &Value) -> Result<Micros, SettingsError> {
+    let cooldown = optional(rules, "turnGapUs", Value::as_u64)?.unwrap_or(0);
+    match cooldown > MAX_KEY_COOLDOWN_US {
+        true => Err(SettingsError::KeyCooldownTooLong { cooldown }),
+        false => Ok(cooldown),
+    }
+}
+
+fn slow_start(rules: &Value) -> Result<SlowStart, FieldError> {
+    Ok(SlowStart {
+        initial_capacity: number(rules, "coldFrom")?,
+        duration: whole(rules, "warmUpUs")?,
+        overload_multiple: number(rules, "tipMultiple")?,
+        overload_window: whole(rules, "fallUs")?,
+    })
+}
+
+fn request_class(class: &Value) -> Result<RequestClass, SettingsError> {
+    let idempotency = idempotency(class)?;
+    let weight = optional(class, "earnings", Value::as_f64)?;
+    let priority_weight = weight.unwrap_or(DEFAULT_PRIORITY_WEIGHT);
     if !(priority_weight > 0.0 && priority_weight.is_finite()) {
-        return Err(format!(
-            "field 'earnings' is {priority_weight}, not above 0"
-        ));
+        return Err(SettingsError::PriorityWeightNotPositive {
+            weight: priority_weight,
+        });
     }
     let ordered_by_key = flag(class, "inOrder")?;
     Ok(RequestClass {
@@ -40,69 +179,23 @@
     })
 }
 
-/// What the deployment lays down, from the object that the settings are.
-pub fn decode_settings(conf: &Value) -> Decoded<Settings> {
-    let (caps, rules) = (part(conf, "caps")?, part(conf, "rules")?);
-    let accounts = optional(conf, "accounts", Value::as_array)?;
-    let (balancers, own_index) = (count(conf, "fleetSize")?, count(conf, "me")?);
-    if balancers == 0 {
-        return Err("field 'fleetSize' is 0".into());
-    }
-    if own_index >= balancers {
-        return Err(format!(
-            "field 'me' is {own_index} in a fleet of {balancers}"
-        ));
+fn idempotency(class: &Value) -> Result<Idempotency, FieldError> {
+    match text(class, "effect")? {
+        "safe" => Ok(Idempotency::Idempotent),
+        "unsafe" => Ok(Idempotency::NonIdempotent),
+        "keyed" => Ok(Idempotency::IdempotencyKey {
+            scope: idempotency_scope(class)?,
+            window: whole(class, "dedupWindowUs")?,
+        }),
+        other => Err(FieldError::unknown("effect", other)),
     }
-    let source = match optional(conf, "report", Some)? {
-        Some(report) => text(report, "source")?,
-        None => "inline",
-    };
-    if !["inline", "on_probe", "off"].contains(&source) {
-        return Err(format!("field 'source' holds unknown '{source}'"));
+}
+
+fn idempotency_scope(class: &Value) -> Result<IdempotencyScope, FieldError> {
+    match text(class, "dedupScope")? {
+        "all" => Ok(IdempotencyScope::All),
+        "zone" => Ok(IdempotencyScope::Zone),
+        "cell" => Ok(IdempotencyScope::Cell),
+        other => Err(FieldError::unknown("dedupScope", other)),
     }
-    Ok(Settings {
-        balancers,
-        own_index,
-        zone: whole(conf, "zone")?,
-        max_poll_interval: match text(conf, "registryMode")? {
-            "ask" => Some(whole(rules, "askWithinUs")?),
-            _ => None,
-        },
-        weights_listed: text(conf, "weightKind")? != "off",
-        can_cancel: flag(caps, "cancel")?,
-        load_from_probes: source == "on_probe" && flag(caps, "probes")?,
-        load_unreported: source == "off",
-        gossip_allowed: flag(caps, "peers")?,
-        max_attempts: count(caps, "maxDispatches")?,
-        max_retry_after: match flag(caps, "retryAfter")? {
-            true => whole(caps, "maxRetryAfterUs")?,
-            false => 0,
-        },
-        key_cooldown: match optional(rules, "turnGapUs", Value::as_u64)?.unwrap_or(0) {
-            gap if gap > TURN_GAP_MOST => {
-                return Err(format!(
-                    "field 'turnGapUs' is {gap}, and {TURN_GAP_MOST} is the longest"
-                ));
-            }
-            gap => gap,
-        },
-        unlisted_stay_usable: flag(rules, "droppedStayOpen")?,
-        slow_start: SlowStart {
-            initial_capacity: number(rules, "coldFrom")?,
-            duration: whole(rules, "warmUpUs")?,
-            overload_multiple: number(rules, "tipMultiple")?,
-            overload_window: whole(rules, "fallUs")?,
-        },
-        classes: list(conf, "useCases")?
-            .iter()
-            .map(use_case)
-            .collect::<Decoded<_>>()?,
-        tenant_quotas: match accounts {
-            None => Vec::new(),
-            Some(accounts) => accounts
-                .iter()
-                .map(|account| number(account, "allowancePerS"))
-                .collect::<Decoded<_>>()?,
-        },
-    })
 }
