--- /dev/null
+++ b/crates/simulator-adapter/src/error.rs
@@ -0,0 +1,36 @@
+//! Errors of the adapter.
+
+use std::io;
+
+use pinefront_policy::Micros;
+use pinefront_settings::SettingsError;
+use pinefront_settings::fields::FieldError;
+use thiserror::Error;
+
+/// Why a message was refused.
+#[derive(Debug, Error)]
+pub enum MessageError {
+    #[error(transparent)]
+    Field(#[from] FieldError),
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+}
+
+/// Why the adapter stopped.
+#[derive(Debug, Error)]
+pub enum AdapterError {
+    #[error("cannot read: {0}")]
+    Read(#[source] io::Error),
+    #[error("cannot write: {0}")]
+    Write(#[source] io::Error),
+    #[error("not a batch: {0}")]
+    Batch(#[source] serde_json::Error),
+    #[error("message {position} of batch {time}: {error}")]
+    Message {
+        /// Position of the message in its batch, counted from 0.
+        position: usize,
+        /// Time of the batch.
+        time: Micros,
+        error: MessageError,
+    },
+}
--- /dev/null
+++ b/crates/simulator-adapter/src/instances.rs
@@ -0,0 +1,115 @@
+//! The instances of the simulator, one balancer each; they share nothing.
+
+use std::collections::HashMap;
+
+use pinefront_policy::{AttemptOutcome, Balancer, Micros};
+use pinefront_settings::decode_settings;
+
+use crate::actions::{Reply, SimulatorHost};
+use crate::error::MessageError;
+use crate::events::{EndpointState, Event, ListScope};
+
+/// All running instances.
+pub struct Instances {
+    balancers: HashMap<u64, Balancer<SimulatorHost>>,
+    reply: Reply,
+}
+
+impl Instances {
+    /// No instances. Their actions will go into `reply`.
+    pub fn new(reply: Reply) -> Self {
+        Self {
+            balancers: HashMap::new(),
+            reply,
+        }
+    }
+
+    /// Passes an event to its instance. Unknown kinds and events of unknown instances are ignored.
+    pub fn handle(&mut self, now: Micros, event: &Event) -> Result<(), MessageError> {
+        match event.kind {
+            "Enlist" => self.start(now, event),
+            "Killed" => {
+                self.balancers.remove(&event.instance);
+                Ok(())
+            }
+            _ => match self.balancers.get_mut(&event.instance) {
+                Some(balancer) => pass_on(balancer, now, event),
+                None => Ok(()),
+            },
+        }
+    }
+
+    fn start(&mut self, now: Micros, event: &Event) -> Result<(), MessageError> {
+        let host = SimulatorHost::new(event.instance, self.reply.clone());
+        let settings = decode_settings(event.settings()?)?;
+        let balancer = Balancer::start(host, event.seed()?, settings, now);
+        self.balancers.insert(event.instance, balancer);
+        Ok(())
+    }
+}
+
+/// Passes an event to the balancer.
+fn pass_on(
+    balancer: &mut Balancer<SimulatorHost>,
+    now: Micros,
+    event: &Event,
+) -> Result<(), MessageError> {
+    match event.kind {
+        "Sync" => pass_endpoint_list(balancer, now, event)?,
+        "Call" => balancer.request_arrived(now, event.arrival()?),
+        "Ended" => {
+            pass_load(balancer, now, event)?;
+            let (request, attempt) = (event.request()?, event.attempt()?);
+            let (outcome, elapsed) = (event.outcome()?, event.elapsed()?);
+            let answered = event.is_answered();
+            balancer.attempt_ended(now, request, attempt, answered, outcome, elapsed);
+        }
+        "FirstByte" => balancer.response_started(event.request()?),
+        "Gone" => balancer.client_disconnected(now, event.request()?),
+        "Elapsed" => balancer.timer_expired(now, event.timer()?),
+        "CheckResult" => {
+            pass_load(balancer, now, event)?;
+            let answered = event.outcome()? == AttemptOutcome::Succeeded;
+            balancer.probe_completed(now, event.endpoint()?, answered);
+        }
+        "Datagram" => {
+            let message = event.message()?;
+            balancer.gossip_received(now, event.sender()?, message);
+        }
+        _ => {}
+    }
+    Ok(())
+}
+
+fn pass_endpoint_list(
+    balancer: &mut Balancer<SimulatorHost>,
+    now: Micros,
+    event: &Event,
+) -> Result<(), MessageError> {
+    let scope = event.list_scope()?;
+    if scope == ListScope::Failed {
+        balancer.endpoint_list_failed();
+        return Ok(());
+    }
+    balancer.endpoint_list_begins(now, scope == ListScope::Complete);
+    for entry in event.endpoints()? {
+        match entry.state()? {
+            EndpointState::Listed(endpoint) => balancer.endpoint_listed(endpoint),
+            EndpointState::Draining(id) => balancer.endpoint_draining(id),
+            EndpointState::Removed(id) => balancer.endpoint_removed(now, id),
+        }
+    }
+    balancer.endpoint_list_ends(now);
+    Ok(())
+}
+
+fn pass_load(
+    balancer: &mut Balancer<SimulatorHost>,
+    now: Micros,
+    event: &Event,
+) -> Result<(), MessageError> {
+    if let Some(reported) = event.reported_load()? {
+        balancer.load_reported(now, reported.endpoint, reported.load);
+    }
+    Ok(())
+}
