--- /dev/null
+++ b/crates/proxy/tests/edges/peers.rs
@@ -0,0 +1,84 @@
+//! What peers receive: the short texts between balancers, a datagram each.
+
+use std::net::UdpSocket;
+use std::thread;
+
+use rstest::rstest;
+use serde_json::json;
+
+use crate::harness::{
+    Balancer, Recording, Reply, STEP_TIMEOUT, StandIn, config, free_port, http_answer, own_address,
+    six_entries,
+};
+
+const DATAGRAM_BYTES: usize = 512;
+/// How one of the endpoints is called in the texts between balancers.
+const ENDPOINT_SHORT_NAME: &str = "ba9f1";
+
+/// One request each: where a second one goes depends on how long the first took.
+#[rstest]
+#[case::succeeded("GET /look/1", 200, "peer-succeeded.txt")]
+#[case::failed("GET /look/1", 500, "peer-failed.txt")]
+#[case::rejected("GET /look/1", 503, "peer-rejected.txt")]
+#[case::of_another_class("POST /swap/1", 200, "peer-other-class.txt")]
+fn datagrams_to_peers_are_as_recorded(
+    #[case] target: &str,
+    #[case] status: u16,
+    #[case] recorded: &str,
+) {
+    let ip = own_address();
+    let answer =
+        format!("HTTP/1.1 {status} Answer\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
+    let endpoint = StandIn::start(ip, move |_, _| Reply::Answer(answer.clone().into()));
+    let list = json!({"rev": 3, "all": true, "targets": six_entries(endpoint.address)});
+    let discovery = StandIn::start(ip, move |number, _| match number {
+        0 => Reply::Answer(http_answer(&list)),
+        _ => Reply::Hold,
+    });
+    let peer = UdpSocket::bind((ip, 0)).unwrap();
+    peer.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
+    let own = UdpSocket::bind((ip, 0)).unwrap().local_addr().unwrap();
+    let mut config = config(free_port(ip), discovery.address);
+    config["peers"] = json!([own.to_string(), peer.local_addr().unwrap().to_string()]);
+    config["settings"]["fleetSize"] = 2.into();
+    config["settings"]["report"]["source"] = "off".into();
+    config["settings"]["caps"]["peers"] = true.into();
+    // What an endpoint holds is asked again after a twentieth of this.
+    for class in [1, 2] {
+        config["settings"]["useCases"][class]["promisedTimeUs"] = 400_000_000.into();
+    }
+    let balancer = Balancer::start(recorded, &config);
+    balancer.wait_for("/health/ready");
+    // The peer holds nothing at any endpoint, and says so when it is asked.
+    let answering = peer.try_clone().unwrap();
+    let received = thread::spawn(move || {
+        let mut texts = Vec::new();
+        loop {
+            let mut datagram = [0; DATAGRAM_BYTES];
+            let (length, from) = answering.recv_from(&mut datagram).unwrap();
+            assert_eq!(from, own);
+            let text = String::from_utf8(datagram[..length].to_vec()).unwrap();
+            let asked = text.strip_prefix("? ").map(str::to_owned);
+            let is_last = text.starts_with("= ");
+            texts.push(text);
+            if let Some(endpoint) = asked {
+                let holds = format!("= {endpoint} 0 0");
+                answering.send_to(holds.as_bytes(), own).unwrap();
+            }
+            if is_last {
+                return texts;
+            }
+        }
+    });
+    let request =
+        format!("{target} HTTP/1.1\r\nHost: app\r\nX-Txn: t1\r\nX-Remaining-Ms: 15000\r\n\r\n");
+    balancer.ask(request.as_bytes());
+    // What a peer asks of an endpoint is answered, and ends the test.
+    let question = format!("? {ENDPOINT_SHORT_NAME}");
+    peer.send_to(question.as_bytes(), own).unwrap();
+    let mut recording = Recording::new(&[]);
+    for (number, text) in received.join().unwrap().iter().enumerate() {
+        recording.add(&format!("datagram {number}"), text.as_bytes());
+    }
+    recording.compare(recorded);
+}
