--- a/crates/proxy/src/life/place/tests.rs
+++ b/crates/proxy/src/config/tests.rs
@@ -2,10 +2,14 @@
 use serde_json::json;
 
 use super::*;
-use crate::stand::{moved, told};
+use crate::test_harness::{document, moved};
 
-fn decoded(told: &Value, variables: &Variables, most_open: u64) -> Result<Place, String> {
-    Place::decode(told, variables, most_open).map(|(place, _)| place)
+fn decoded(
+    document: &Value,
+    variables: &Variables,
+    open_file_limit: u64,
+) -> Result<Config, String> {
+    Config::decode(document, variables, open_file_limit).map(|(config, _)| config)
 }
 
 #[rstest]
@@ -17,11 +21,11 @@
 #[case("/settings/dcs", json!([1]), "field 'dcs' holds what is no text")]
 #[case("/settings/caps/connIdleUs", json!(-1), "field 'connIdleUs' has the wrong type")]
 #[case("/settings/useCases/0/effect", json!("odd"), "in 'settings': field 'effect' holds unknown 'odd'")]
-fn a_bad_field_is_named(#[case] place: &str, #[case] value: Value, #[case] expected: &str) {
-    let mut told = told("127.0.0.1:1", "127.0.0.1:2");
-    *told.pointer_mut(place).unwrap() = value;
+fn a_bad_field_is_named(#[case] config: &str, #[case] value: Value, #[case] expected: &str) {
+    let mut document = document("127.0.0.1:1", "127.0.0.1:2");
+    *document.pointer_mut(config).unwrap() = value;
     assert_eq!(
-        decoded(&told, &Variables::new(), 1024).err().as_deref(),
+        decoded(&document, &Variables::new(), 1024).err().as_deref(),
         Some(expected)
     );
 }
@@ -39,21 +43,21 @@
 #[case("/settings/report/source", json!("odd"), "in 'settings': field 'source' holds unknown 'odd'")]
 #[case("/settings/useCases/0/earnings", json!(0), "in 'settings': field 'earnings' is 0, not above 0")]
 fn a_bad_field_of_the_new_ones_is_named(
-    #[case] place: &str,
+    #[case] config: &str,
     #[case] value: Value,
     #[case] expected: &str,
 ) {
-    let mut told = told("127.0.0.1:1", "127.0.0.1:2");
+    let mut document = document("127.0.0.1:1", "127.0.0.1:2");
     moved(
-        &mut told,
+        &mut document,
         &[
             "127.0.0.1:7".parse().unwrap(),
             "127.0.0.1:8".parse().unwrap(),
         ],
     );
-    *told.pointer_mut(place).unwrap() = value;
+    *document.pointer_mut(config).unwrap() = value;
     assert_eq!(
-        decoded(&told, &Variables::new(), 1024).err().as_deref(),
+        decoded(&document, &Variables::new(), 1024).err().as_deref(),
         Some(expected)
     );
 }
@@ -61,15 +65,19 @@
 /// What settat is told says nothing of these.
 #[test]
 fn what_is_new_is_off_where_nothing_is_said_of_it() {
-    let (place, terms) =
-        Place::decode(&told("127.0.0.1:1", "127.0.0.1:2"), &Variables::new(), 1024).unwrap();
-    assert!(!terms.load_from_probes && !terms.load_unreported && !terms.gossip_allowed);
-    assert!(place.peers.is_empty() && place.probe_path.is_none());
+    let (config, settings) = Config::decode(
+        &document("127.0.0.1:1", "127.0.0.1:2"),
+        &Variables::new(),
+        1024,
+    )
+    .unwrap();
+    assert!(!settings.load_from_probes && !settings.load_unreported && !settings.gossip_allowed);
+    assert!(config.peers.is_empty() && config.probe_path.is_none());
     assert!(
-        terms
+        settings
             .classes
             .iter()
-            .all(|use_case| use_case.priority_weight == 1.0)
+            .all(|class| class.priority_weight == 1.0)
     );
 }
 
@@ -79,42 +87,45 @@
         ("LISTEN".into(), "127.0.0.1:9".into()),
         ("NAME".into(), "n9".into()),
     ]);
-    let place = decoded(&told("127.0.0.1:1", "127.0.0.1:2"), &variables, 1024).unwrap();
+    let config = decoded(&document("127.0.0.1:1", "127.0.0.1:2"), &variables, 1024).unwrap();
     assert_eq!(
         (
-            place.name.as_str(),
-            place.listen.port(),
-            place.discovery.port()
+            config.name.as_str(),
+            config.listen.port(),
+            config.discovery.port()
         ),
         ("n9", 9, 2)
     );
 }
 
 #[rstest]
-#[case::told(4096, 1024)]
+#[case::document(4096, 1024)]
 #[case::by_the_system(256, 256)]
 fn descriptors_are_shared_out_below_the_lower_limit(#[case] system: u64, #[case] least: usize) {
-    let place = decoded(
-        &told("127.0.0.1:1", "127.0.0.1:2"),
+    let config = decoded(
+        &document("127.0.0.1:1", "127.0.0.1:2"),
         &Variables::new(),
         system,
     )
     .unwrap();
-    assert!(place.clients_most + place.links_most + KEPT_BACK as usize <= least);
-    assert!(place.links_most > least / 4);
+    assert!(
+        config.max_client_connections + config.max_endpoint_connections + KEPT_BACK as usize
+            <= least
+    );
+    assert!(config.max_endpoint_connections > least / 4);
 }
 
 #[rstest]
-#[case::told(json!(32), 8 * 1024 * 1024)]
+#[case::document(json!(32), 8 * 1024 * 1024)]
 #[case::not_told(json!(null), usize::MAX)]
-fn messages_take_a_part_of_the_memory(#[case] memory: Value, #[case] most: usize) {
-    let mut told = told("127.0.0.1:1", "127.0.0.1:2");
-    told["limits"]["memory_mb"] = memory;
+fn messages_take_a_part_of_the_memory(#[case] memory: Value, #[case] max: usize) {
+    let mut document = document("127.0.0.1:1", "127.0.0.1:2");
+    document["limits"]["memory_mb"] = memory;
     assert_eq!(
-        decoded(&told, &Variables::new(), 1024)
+        decoded(&document, &Variables::new(), 1024)
             .unwrap()
-            .messages_most,
-        most
+            .max_message_bytes,
+        max
     );
 }
 
@@ -156,34 +167,34 @@
     assert_eq!((stricter(one, other), stricter(other, one)), (both, both));
 }
 
-/// A ticket may be open under the old effect; told back again, the old one holds for it as before.
+/// A request may be open under the old effect; told back again, the old one holds for it as before.
 #[test]
-fn a_use_case_told_otherwise_is_another_and_its_open_tickets_keep_to_both() {
-    let told = told("127.0.0.1:1", "127.0.0.1:2");
-    let decode = |told: &Value| Place::decode(told, &Variables::new(), 1024).unwrap();
-    let (mut place, terms) = decode(&told);
-    let mut changed = told.clone();
+fn a_use_case_told_otherwise_is_another_and_its_open_requests_keep_to_both() {
+    let document = document("127.0.0.1:1", "127.0.0.1:2");
+    let decode = |document: &Value| Config::decode(document, &Variables::new(), 1024).unwrap();
+    let (mut config, settings) = decode(&document);
+    let mut changed = document.clone();
     changed["settings"]["useCases"][1]["effect"] = json!("unsafe");
     let (new, new_terms) = decode(&changed);
-    let after = place.renew(new, new_terms, &terms).unwrap();
-    let effects: Vec<_> = after
+    let after = config.renew(new, new_terms, &settings).unwrap();
+    let idempotencies: Vec<_> = after
         .classes
         .iter()
-        .map(|use_case| (use_case.idempotency, use_case.priority_weight))
+        .map(|class| (class.idempotency, class.priority_weight))
         .collect();
     assert_eq!(
-        effects[1..],
+        idempotencies[1..],
         [
             (Idempotency::NonIdempotent, 0.0),
             (Idempotency::NonIdempotent, 1.0)
         ]
     );
-    assert_eq!(place.classes, ["pay", "", "look"]);
-    let (old, old_terms) = decode(&told);
-    let back = place.renew(old, old_terms, &after).unwrap();
+    assert_eq!(config.classes, ["pay", "", "look"]);
+    let (old, old_terms) = decode(&document);
+    let back = config.renew(old, old_terms, &after).unwrap();
     assert_eq!(
         (back.classes[1].idempotency, back.classes.len()),
         (Idempotency::Idempotent, 3)
     );
-    assert_eq!(place.classes, ["pay", "look", ""]);
+    assert_eq!(config.classes, ["pay", "look", ""]);
 }
--- a/crates/proxy/src/wire/accepting.rs
+++ b/crates/proxy/src/connections/accept.rs
@@ -8,11 +8,12 @@
 use rustix::io::Errno;
 use slog::warn;
 
-use crate::life::reasons;
-use crate::life::serve::Node;
-use crate::memory::buffers::{Inbox, Outbox, ready};
-use crate::memory::deadlines::Due;
-use crate::memory::desk::{Client, Desk, Wired};
+use crate::close_reason;
+use crate::state::buffers::{ReadBuffer, WriteBuffer};
+use crate::state::client_connection::ClientConnection;
+use crate::state::proxy::{Proxy, ProxyState};
+use crate::state::socket::{RegisteredSocket, ready};
+use crate::state::timers::TimerEvent;
 
 #[cfg(test)]
 mod tests;
@@ -61,32 +62,32 @@
     }
 }
 
-impl Node {
+impl Proxy {
     /// Takes in what the listener has; true where more may be waiting and can be had.
     pub fn accept(&mut self) -> bool {
-        let (mut made_room, mut accepted) = (false, false);
+        let (mut freed, mut accepted) = (false, false);
         for _ in 0..ACCEPT_AT_ONCE {
-            let mut desk = self.desk.borrow_mut();
-            let Some(listener) = desk
+            let mut state = self.state.borrow_mut();
+            let Some(listener) = state
                 .listener
                 .as_ref()
                 .map(|(listener, _)| Rc::clone(listener))
             else {
                 return false;
             };
-            if desk.clients.len() >= desk.place.clients_most {
+            if state.clients.len() >= state.config.max_client_connections {
                 // Nobody has to go for one that is not there.
-                if !one_waits(&listener) {
+                if !has_pending_connection(&listener) {
                     return false;
                 }
-                if !desk.end_resting_client() {
-                    desk.rest_accepting();
+                if !state.close_idle_client() {
+                    state.pause_accepting();
                     return false;
                 }
             }
             let problem = match listener.accept() {
                 Ok((stream, peer)) => {
-                    desk.welcome(stream, peer);
+                    state.register_client(stream, peer);
                     accepted = true;
                     continue;
                 }
@@ -94,17 +95,17 @@
             };
             match accept_failure(&problem) {
                 AcceptFailure::Nobody => return false,
-                AcceptFailure::Passing => desk.counters.accepts_failed += 1,
+                AcceptFailure::Passing => state.counters.accepts_failed += 1,
                 failure => {
-                    desk.counters.accepts_failed += 1;
-                    warn!(desk.log, "accept failed"; "problem" => %problem);
+                    state.counters.accepts_failed += 1;
+                    warn!(state.log, "accept failed"; "error" => %problem);
                     // What lies in the backlog counts as taken, so an idle connection gives way for it. If that did
                     // not help, ending more of them would not either.
-                    if made_room || failure == AcceptFailure::System || !desk.make_room() {
-                        desk.rest_accepting();
+                    if freed || failure == AcceptFailure::System || !state.free_descriptor() {
+                        state.pause_accepting();
                         return false;
                     }
-                    made_room = true;
+                    freed = true;
                 }
             }
         }
@@ -112,73 +113,78 @@
     }
 }
 
-impl Desk {
-    fn welcome(&mut self, stream: TcpStream, peer: SocketAddr) {
+impl ProxyState {
+    fn register_client(&mut self, stream: TcpStream, peer: SocketAddr) {
         let now = self.clock.now();
         let ready = stream.set_nonblocking(true);
         // Answers go out in one write mostly; without it a further one may only be later.
         let _ = stream.set_nodelay(true);
         let made = ready.and_then(|()| {
-            self.clients.try_insert_with_key(|slot| {
-                Ok(Client {
-                    wired: Wired::new(&self.handle, stream, move |node| node.client_ready(slot))?,
+            self.clients.try_insert_with_key(|key| {
+                Ok(ClientConnection {
+                    socket: RegisteredSocket::new(&self.handle, stream, move |proxy| {
+                        proxy.client_ready(key)
+                    })?,
                     peer,
-                    inbox: Inbox::default(),
-                    outbox: Outbox::default(),
-                    ticket: None,
-                    last: false,
+                    read_buffer: ReadBuffer::default(),
+                    write_buffer: WriteBuffer::default(),
+                    request: None,
+                    no_keep_alive: false,
                     answered: 0,
                     opened: now,
-                    waited: self.turn.late(now),
-                    tickets: 0,
-                    partial: None,
-                    read_away: 0,
-                    ending: None,
-                    lingers: false,
-                    continued: false,
-                    due: None,
+                    waited: self.loop_iteration.late(now),
+                    requests_received: 0,
+                    partial_request: None,
+                    discarded_bytes: 0,
+                    close_reason: None,
+                    is_lingering: false,
+                    sent_continue: false,
+                    timer: None,
                     since: 0,
                 })
             })
         });
         match made {
-            Ok(slot) => {
-                self.counters.clients_accepted += 1;
-                self.client_stands(slot);
+            Ok(key) => {
+                self.counters.client_connections_accepted += 1;
+                self.client_idle(key);
             }
             Err(problem) => {
                 self.counters.accepts_failed += 1;
-                warn!(self.log, "connection lost at once"; "reason" => reasons::NOT_WIRED, "peer" => %peer,
-                    "problem" => %problem);
+                warn!(self.log, "client connection not registered"; "reason" => close_reason::NOT_REGISTERED, "peer" => %peer,
+                    "error" => %problem);
             }
         }
     }
 
-    /// Frees a descriptor: a client's connection that keeps us waiting, or else an idle one to an upstream.
-    fn make_room(&mut self) -> bool {
-        self.end_resting_client() || self.drop_idle_link()
+    /// Frees a descriptor: a client's connection that keeps us waiting, or else an idle one to an endpoint.
+    fn free_descriptor(&mut self) -> bool {
+        self.close_idle_client() || self.close_one_idle_endpoint_connection()
     }
 
-    /// Closes the client's connection that has kept us waiting for longest, between tickets or with part of a request.
-    fn end_resting_client(&mut self) -> bool {
+    /// Closes the client's connection that has kept us waiting for longest, between requests or with part of a request.
+    fn close_idle_client(&mut self) -> bool {
         // What lies unread in the socket may be a whole request, and then it is taken.
-        let unread = |client: &Client| {
+        let unread = |client: &ClientConnection| {
             client
-                .wired
+                .socket
                 .stream
                 .peek(&mut [0])
                 .is_ok_and(|count| count > 0)
         };
         let now = self.clock.now();
         // Whoever opened a connection or began a request just now is about to go on with it.
-        let begun = |client: &Client| client.answered == 0 || !client.inbox.kept().is_empty();
-        let last = |client: &Client| {
+        let begun = |client: &ClientConnection| {
+            client.answered == 0 || !client.read_buffer.bytes().is_empty()
+        };
+        let last = |client: &ClientConnection| {
             (
                 begun(client) && now < client.since + ABOUT_TO_SEND,
                 client.since,
             )
         };
-        let rests = |client: &Client| !client.is_owed() && !client.holds_unseen();
+        let rests =
+            |client: &ClientConnection| !client.awaits_response() && !client.has_unread_bytes();
         let mut waiting: Vec<_> = self
             .clients
             .iter()
@@ -188,38 +194,38 @@
         let first = waiting
             .into_iter()
             .find(|(_, client)| !unread(client))
-            .map(|(slot, _)| slot);
+            .map(|(key, _)| key);
         first
-            .inspect(|slot| self.end_client(*slot, reasons::MADE_ROOM))
+            .inspect(|key| self.close_client(*key, close_reason::EVICTED))
             .is_some()
     }
 
-    fn rest_accepting(&mut self) {
-        let Some((_, token)) = self.listener.as_ref().filter(|_| !self.accept_rests) else {
+    fn pause_accepting(&mut self) {
+        let Some((_, token)) = self.listener.as_ref().filter(|_| !self.accept_paused) else {
             return;
         };
         if let Err(problem) = self.handle.disable(token) {
-            warn!(self.log, "cannot rest accepting"; "problem" => %problem);
+            warn!(self.log, "cannot pause accepting"; "error" => %problem);
         }
-        self.accept_rests = true;
-        self.deadlines
-            .hang(self.clock.now() + ACCEPT_REST, Due::Accept);
+        self.accept_paused = true;
+        self.timers
+            .schedule(self.clock.now() + ACCEPT_REST, TimerEvent::ResumeAccepting);
     }
 
-    pub fn accept_again(&mut self) {
-        let rested = std::mem::take(&mut self.accept_rests);
+    pub fn resume_accepting(&mut self) {
+        let rested = std::mem::take(&mut self.accept_paused);
         if let Some((_, token)) = self.listener.as_ref().filter(|_| rested)
             && let Err(problem) = self.handle.enable(token)
         {
-            warn!(self.log, "cannot accept again"; "problem" => %problem);
+            warn!(self.log, "cannot resume accepting"; "error" => %problem);
         }
     }
 
     /// Whether somebody waits to be accepted.
-    pub fn backlog_waits(&self) -> bool {
+    pub fn backlog_has_connections(&self) -> bool {
         self.listener
             .as_ref()
-            .is_some_and(|(listener, _)| one_waits(listener))
+            .is_some_and(|(listener, _)| has_pending_connection(listener))
     }
 
     pub fn close_listener(&mut self) {
@@ -230,6 +236,6 @@
 }
 
 /// Whether a connection waits to be accepted.
-fn one_waits(listener: &TcpListener) -> bool {
+fn has_pending_connection(listener: &TcpListener) -> bool {
     !ready(listener, PollFlags::IN).is_empty()
 }
--- /dev/null
+++ b/crates/proxy/src/connections/accept/tests.rs
@@ -0,0 +1,190 @@
+use std::time::Duration;
+
+use rstest::rstest;
+
+use super::*;
+use crate::state::keys::ClientKey;
+use crate::test_harness::{TestHarness, say};
+
+const SECOND: Micros = 1_000_000;
+
+/// How a client stands: what it was answered, what it sent of a request, and how long it has kept us waiting.
+type Standing = (u64, &'static str, Micros);
+
+fn stands(harness: &mut TestHarness, (answered, sent, waited): Standing) -> (TcpStream, ClientKey) {
+    let (stream, key) = harness.client();
+    say(&stream, sent);
+    harness.until(|proxy| {
+        (proxy.state.borrow().clients[key].read_buffer.bytes().len() == sent.len()).then_some(())
+    });
+    let mut state = harness.proxy.state.borrow_mut();
+    let now = state.now();
+    let client = &mut state.clients[key];
+    (client.answered, client.since) = (answered, now - waited);
+    drop(state);
+    (stream, key)
+}
+
+#[rstest]
+#[case::the_longest_idle((1, "", 3 * SECOND), (1, "", 2 * SECOND))]
+#[case::a_silent_one_before_a_used_one((0, "", 3 * SECOND), (1, "", 2 * SECOND))]
+#[case::a_trickling_one_before_a_used_one((0, "POST /p", 3 * SECOND), (1, "", 2 * SECOND))]
+#[case::a_used_one_before_one_just_opened((1, "", 0), (0, "", SECOND / 2))]
+#[case::a_used_one_before_one_just_begun((1, "", 0), (1, "POST /p", SECOND / 2))]
+fn room_is_made_by_whoever_keeps_us_waiting(#[case] gives_way: Standing, #[case] stays: Standing) {
+    let mut harness = TestHarness::new();
+    let (kept, key) = stands(&mut harness, stays);
+    let (ended, _) = stands(&mut harness, gives_way);
+    assert!(harness.proxy.state.borrow_mut().free_descriptor());
+    harness.ends(&ended);
+    assert!(harness.proxy.state.borrow().clients.contains_key(key));
+    drop(kept);
+}
+
+#[test]
+fn what_lies_unread_is_not_closed() {
+    let mut harness = TestHarness::new();
+    let (client, key) = harness.client();
+    say(&client, "POST /p");
+    let unread = |proxy: &Proxy| {
+        proxy.state.borrow().clients[key]
+            .socket
+            .stream
+            .peek(&mut [0])
+            .is_ok()
+    };
+    while !unread(&harness.proxy) {}
+    assert!(!harness.proxy.state.borrow_mut().free_descriptor());
+}
+
+#[test]
+fn nobody_gives_way_where_nobody_waits() {
+    let mut harness = TestHarness::new();
+    let (_client, key) = stands(&mut harness, (1, "", 3 * SECOND));
+    harness
+        .proxy
+        .state
+        .borrow_mut()
+        .config
+        .max_client_connections = 1;
+    assert!(!harness.proxy.accept());
+    assert!(harness.proxy.state.borrow().clients.contains_key(key));
+}
+
+#[test]
+fn without_room_accepting_rests_and_goes_on() {
+    let mut harness = TestHarness::new();
+    harness
+        .proxy
+        .state
+        .borrow_mut()
+        .config
+        .max_client_connections = 0;
+    let waiting = TcpStream::connect(harness.address).unwrap();
+    harness.until(|proxy| {
+        let next = proxy.state.borrow().timers.next();
+        let soon = proxy.state.borrow().now() + 2 * ACCEPT_REST;
+        next.filter(|at| *at < soon).map(|_| ())
+    });
+    assert_eq!(harness.proxy.state.borrow().clients.len(), 0);
+    harness
+        .proxy
+        .state
+        .borrow_mut()
+        .config
+        .max_client_connections = 1;
+    harness.until(|proxy| (proxy.state.borrow().clients.len() == 1).then_some(()));
+    harness
+        .event_loop
+        .dispatch(Some(Duration::ZERO), &mut harness.proxy)
+        .unwrap();
+    drop(waiting);
+}
+
+#[test]
+fn a_full_house_takes_a_new_client_for_an_idle_one() {
+    let mut harness = TestHarness::new();
+    harness
+        .proxy
+        .state
+        .borrow_mut()
+        .config
+        .max_client_connections = 2;
+    let (first, _) = harness.client();
+    let (_second, _) = harness.client();
+    let (third, _) = harness.client();
+    harness.ends(&first);
+    say(&third, "GET /health/live HTTP/1.1\r\n\r\n");
+    assert!(harness.heard(&third, "live\n").starts_with("HTTP/1.1 200 "));
+}
+
+/// A request that was read and not yet looked at is owed its answer.
+#[test]
+fn who_has_sent_what_nobody_has_looked_at_does_not_give_way() {
+    let mut harness = TestHarness::new();
+    let (client, key) = stands(&mut harness, (1, "", 3 * SECOND));
+    say(&client, "GET /health/live HTTP/1.1\r\n\r\n");
+    let mut state = harness.proxy.state.borrow_mut();
+    while state.clients[key].read_buffer.bytes().is_empty() {
+        let client = &mut state.clients[key];
+        let _ = client.read_buffer.fill(&client.socket.stream, 4096);
+    }
+    assert!(!state.free_descriptor());
+    drop(state);
+    harness.proxy.client_ready(key);
+    assert!(
+        harness
+            .heard(&client, "live\n")
+            .starts_with("HTTP/1.1 200 ")
+    );
+}
+
+/// Idle connections to endpoints are room for others of these only: for each that gave way to a client beyond the most, a
+/// new one was opened later, and all together went over the limit of descriptors.
+#[test]
+fn idle_connections_to_endpoints_make_no_room_for_clients_beyond_the_most() {
+    let mut harness = TestHarness::new();
+    let endpoint = harness.endpoint("s1");
+    let (_client, _) = harness.start_attempt("t0", "s1", 60 * SECOND);
+    let connection = harness.accepted(&endpoint);
+    harness.heard(&connection, "body");
+    say(&connection, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
+    harness.until(|proxy| (proxy.state.borrow().counters.attempts_failed == 1).then_some(()));
+    let (_busy, _) = harness.start_attempt("t1", "s1", 60 * SECOND);
+    let (busy, _) = harness.start_attempt("t2", "s1", 60 * SECOND);
+    let most = harness.proxy.state.borrow().clients.len();
+    harness
+        .proxy
+        .state
+        .borrow_mut()
+        .config
+        .max_client_connections = most;
+    let waiting = TcpStream::connect(harness.address).unwrap();
+    let endpoint_connections = harness.proxy.state.borrow().endpoint_connections.len();
+    // The first client's request is open too: nobody rests.
+    while !has_pending_connection(&harness.proxy.state.borrow().listener.as_ref().unwrap().0) {}
+    assert!(!harness.proxy.accept());
+    let state = harness.proxy.state.borrow();
+    assert_eq!(
+        (state.clients.len(), state.endpoint_connections.len()),
+        (most, endpoint_connections)
+    );
+    drop((waiting, busy));
+}
+
+#[rstest]
+#[case::nobody(Errno::AGAIN, AcceptFailure::Nobody)]
+#[case::left_the_queue(Errno::CONNABORTED, AcceptFailure::Passing)]
+#[case::network_down(Errno::NETDOWN, AcceptFailure::Passing)]
+#[case::protocol(Errno::PROTO, AcceptFailure::Passing)]
+#[case::signal(Errno::INTR, AcceptFailure::Passing)]
+#[case::own_limit(Errno::MFILE, AcceptFailure::OwnLimit)]
+#[case::files_of_all(Errno::NFILE, AcceptFailure::System)]
+#[case::buffers(Errno::NOBUFS, AcceptFailure::System)]
+#[case::memory(Errno::NOMEM, AcceptFailure::System)]
+fn only_the_limit_of_our_own_ends_connections_of_ours(
+    #[case] code: Errno,
+    #[case] wanted: AcceptFailure,
+) {
+    assert_eq!(accept_failure(&code.into()), wanted);
+}
--- a/crates/proxy/src/wire/heads.rs
+++ b/crates/proxy/src/connections/http_message.rs
@@ -15,7 +15,7 @@
 pub const BODY_MOST: usize = 64 * 1024;
 /// What the framing of a chunked body may take beside it.
 const CHUNKING_MOST: usize = 16 * 1024;
-/// What a whole message may take in an inbox.
+/// What a whole message may take in a read buffer.
 pub const MESSAGE_MOST: usize = HEAD_MOST + BODY_MOST + CHUNKING_MOST;
 /// Longest line that tells the size of a chunk, extensions included.
 const CHUNK_LINE_MOST: usize = 256;
@@ -26,7 +26,7 @@
     Length(usize),
     Chunked,
     /// Nothing says it; a request then has no body and an answer goes on to the connection's end.
-    Unsaid,
+    UntilClose,
 }
 
 /// Framings that contradict each other or themselves: what follows could be read in two ways.
@@ -36,10 +36,10 @@
 /// A body as far as it has come: the slices that hold it and where the message ends.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Body {
-    Whole(Vec<Range<usize>>, usize),
+    Complete(Vec<Range<usize>>, usize),
     Partial,
     TooLong,
-    Nonsense,
+    Malformed,
 }
 
 /// A field's value without blanks around it, where it is text.
@@ -50,7 +50,7 @@
     std::str::from_utf8(named.value).ok().map(str::trim)
 }
 
-/// A field that may stand only once: of two, nobody can tell which is meant.
+/// A field that may harness only once: of two, nobody can tell which is meant.
 pub fn only_field<'a>(fields: &[Header<'a>], name: &str) -> Option<&'a str> {
     let count = fields
         .iter()
@@ -68,14 +68,14 @@
 }
 
 /// Whether a field that lists words holds one.
-pub fn lists(fields: &[Header], name: &str, word: &str) -> bool {
+pub fn contains_token(fields: &[Header], name: &str, word: &str) -> bool {
     texts(fields, name)
         .flat_map(|text| text.split(','))
         .any(|listed| listed.trim().eq_ignore_ascii_case(word))
 }
 
 pub fn framing(fields: &[Header]) -> Result<Framing, Conflicting> {
-    let mut found = Framing::Unsaid;
+    let mut found = Framing::UntilClose;
     for field in fields {
         let text = std::str::from_utf8(field.value).map(str::trim);
         let next = if field.name.eq_ignore_ascii_case("content-length") {
@@ -93,7 +93,7 @@
         };
         match next {
             Some(next)
-                if found == Framing::Unsaid || (found == next && next != Framing::Chunked) =>
+                if found == Framing::UntilClose || (found == next && next != Framing::Chunked) =>
             {
                 found = next;
             }
@@ -104,10 +104,10 @@
 }
 
 /// Whether every line of a head ends as it must: others may take a bare line feed for part of a line.
-pub fn lines_end(head: &[u8]) -> bool {
+pub fn has_only_crlf(head: &[u8]) -> bool {
     head.iter()
         .enumerate()
-        .all(|(place, byte)| *byte != b'\n' || (place > 0 && head[place - 1] == b'\r'))
+        .all(|(index, byte)| *byte != b'\n' || (index > 0 && head[index - 1] == b'\r'))
 }
 
 /// The body that starts at `from`; `ended` tells that nothing more will come.
@@ -115,15 +115,15 @@
     match framing {
         Framing::Length(length) if length > most => Body::TooLong,
         Framing::Length(length) if bytes.len() < from + length => Body::Partial,
-        Framing::Length(length) => Body::Whole(
+        Framing::Length(length) => Body::Complete(
             std::iter::once(from..from + length).collect(),
             from + length,
         ),
-        Framing::Unsaid if bytes.len() - from > most => Body::TooLong,
-        Framing::Unsaid if ended => {
-            Body::Whole(std::iter::once(from..bytes.len()).collect(), bytes.len())
+        Framing::UntilClose if bytes.len() - from > most => Body::TooLong,
+        Framing::UntilClose if ended => {
+            Body::Complete(std::iter::once(from..bytes.len()).collect(), bytes.len())
         }
-        Framing::Unsaid => Body::Partial,
+        Framing::UntilClose => Body::Partial,
         Framing::Chunked => chunks(bytes, from, most),
     }
 }
@@ -134,7 +134,7 @@
         Framing::Length(length) => {
             std::iter::once(from..bytes.len().min(from.saturating_add(length))).collect()
         }
-        Framing::Unsaid => std::iter::once(from..bytes.len()).collect(),
+        Framing::UntilClose => std::iter::once(from..bytes.len()).collect(),
         Framing::Chunked => chunks_so_far(bytes, from),
     }
 }
@@ -168,13 +168,13 @@
                 let (from, to) = (at + line, at + line + size);
                 match bytes.get(to..to + 2) {
                     Some(b"\r\n") => slices.push(from..to),
-                    Some(_) => return Body::Nonsense,
+                    Some(_) => return Body::Malformed,
                     None => return Body::Partial,
                 }
                 at = to + 2;
             }
             Ok(httparse::Status::Partial) if rest.len() < CHUNK_LINE_MOST => return Body::Partial,
-            Ok(httparse::Status::Partial) | Err(_) => return Body::Nonsense,
+            Ok(httparse::Status::Partial) | Err(_) => return Body::Malformed,
         }
     }
 }
@@ -183,21 +183,21 @@
 fn trailers(bytes: &[u8], at: usize, slices: Vec<Range<usize>>) -> Body {
     let mut fields = [httparse::EMPTY_HEADER; FIELDS_MOST];
     match httparse::parse_headers(&bytes[at..], &mut fields) {
-        Ok(httparse::Status::Complete((length, _))) => Body::Whole(slices, at + length),
+        Ok(httparse::Status::Complete((length, _))) => Body::Complete(slices, at + length),
         Ok(httparse::Status::Partial) if bytes.len() - at < HEAD_MOST => Body::Partial,
-        Ok(httparse::Status::Partial) | Err(_) => Body::Nonsense,
+        Ok(httparse::Status::Partial) | Err(_) => Body::Malformed,
     }
 }
 
 /// Whether an answer leaves its connection fit for another.
-pub fn lasts(answer: &Response, framing: Framing) -> bool {
+pub fn is_keep_alive(answer: &Response, framing: Framing) -> bool {
     answer.version == Some(1)
-        && framing != Framing::Unsaid
-        && !lists(answer.headers, "connection", "close")
+        && framing != Framing::UntilClose
+        && !contains_token(answer.headers, "connection", "close")
 }
 
 /// Fields that speak of one connection only, or that the sender words anew.
-pub fn goes_on(name: &str) -> bool {
+pub fn is_end_to_end(name: &str) -> bool {
     const STAY: [&str; 9] = [
         "connection",
         "content-length",
@@ -212,8 +212,8 @@
     !STAY.iter().any(|stays| name.eq_ignore_ascii_case(stays))
 }
 
-/// Where a part of a message lies in it: a slice of the buffer in place of a copy.
-pub fn place(message: &[u8], part: &[u8]) -> Range<usize> {
+/// Where a part of a message lies in it: a slice of the buffer in config of a copy.
+pub fn byte_range(message: &[u8], part: &[u8]) -> Range<usize> {
     let from = (part.as_ptr() as usize).saturating_sub(message.as_ptr() as usize);
     from.min(message.len())..(from + part.len()).min(message.len())
 }
@@ -222,9 +222,9 @@
 pub fn lines(message: &Bytes, fields: &[Header], goes: impl Fn(&str) -> bool) -> Vec<Bytes> {
     let mut slices = Vec::with_capacity(4 * fields.len());
     for field in fields.iter().filter(|field| goes(field.name)) {
-        slices.push(message.slice(place(message, field.name.as_bytes())));
+        slices.push(message.slice(byte_range(message, field.name.as_bytes())));
         slices.push(Bytes::from_static(b": "));
-        slices.push(message.slice(place(message, field.value)));
+        slices.push(message.slice(byte_range(message, field.value)));
         slices.push(Bytes::from_static(b"\r\n"));
     }
     slices
--- a/crates/proxy/src/wire/heads/tests.rs
+++ b/crates/proxy/src/connections/http_message/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[rstest]
-#[case::none(&[], Ok(Framing::Unsaid))]
+#[case::none(&[], Ok(Framing::UntilClose))]
 #[case::length(&[("Content-Length", "12")], Ok(Framing::Length(12)))]
 #[case::said_twice(&[("Content-Length", "12"), ("content-length", "12")], Ok(Framing::Length(12)))]
 #[case::chunked(&[("Transfer-Encoding", "Chunked")], Ok(Framing::Chunked))]
@@ -36,21 +36,21 @@
 }
 
 #[rstest]
-#[case::whole("abcdef", Framing::Length(4), false, Body::Whole(Vec::from_iter(Some(2..6)), 6))]
+#[case::whole("abcdef", Framing::Length(4), false, Body::Complete(Vec::from_iter(Some(2..6)), 6))]
 #[case::part("abcde", Framing::Length(4), false, Body::Partial)]
 #[case::too_long("ab", Framing::Length(11), false, Body::TooLong)]
 #[case::no_overflow("ab", Framing::Length(usize::MAX), false, Body::TooLong)]
-#[case::to_the_end("abcdef", Framing::Unsaid, true, Body::Whole(Vec::from_iter(Some(2..6)), 6))]
-#[case::not_ended("abcdef", Framing::Unsaid, false, Body::Partial)]
-#[case::endless("ab01234567890", Framing::Unsaid, false, Body::TooLong)]
-#[case::chunks("ab3\r\nxyz\r\n1;e\r\nw\r\n0\r\n\r\n", Framing::Chunked, true, Body::Whole(vec![5..8, 15..16], 23))]
-#[case::trailers("ab0\r\nA: b\r\n\r\nmore", Framing::Chunked, false, Body::Whole(vec![], 13))]
+#[case::to_the_end("abcdef", Framing::UntilClose, true, Body::Complete(Vec::from_iter(Some(2..6)), 6))]
+#[case::not_ended("abcdef", Framing::UntilClose, false, Body::Partial)]
+#[case::endless("ab01234567890", Framing::UntilClose, false, Body::TooLong)]
+#[case::chunks("ab3\r\nxyz\r\n1;e\r\nw\r\n0\r\n\r\n", Framing::Chunked, true, Body::Complete(vec![5..8, 15..16], 23))]
+#[case::trailers("ab0\r\nA: b\r\n\r\nmore", Framing::Chunked, false, Body::Complete(vec![], 13))]
 #[case::half_a_chunk("ab3\r\nxy", Framing::Chunked, false, Body::Partial)]
 #[case::no_last_chunk("ab3\r\nxyz\r\n", Framing::Chunked, true, Body::Partial)]
 #[case::long_chunk("abb\r\n", Framing::Chunked, false, Body::TooLong)]
 #[case::longest_chunk("abffffffffffffffff\r\n", Framing::Chunked, false, Body::TooLong)]
-#[case::wrong_end("ab3\r\nxyzab", Framing::Chunked, false, Body::Nonsense)]
-#[case::no_size("abzz\r\n", Framing::Chunked, false, Body::Nonsense)]
+#[case::wrong_end("ab3\r\nxyzab", Framing::Chunked, false, Body::Malformed)]
+#[case::no_size("abzz\r\n", Framing::Chunked, false, Body::Malformed)]
 fn a_body_is_found_by_its_framing(
     #[case] bytes: &str,
     #[case] framing: Framing,
@@ -66,7 +66,7 @@
 #[case("closer", false)]
 fn a_word_is_found_in_a_list(#[case] value: &str, #[case] expected: bool) {
     assert_eq!(
-        lists(&[named("Connection", value)], "connection", "close"),
+        contains_token(&[named("Connection", value)], "connection", "close"),
         expected
     );
 }
@@ -90,7 +90,7 @@
     let mut fields = [EMPTY_HEADER; 8];
     let mut request = httparse::Request::new(&mut fields);
     request.parse(&message).unwrap();
-    let lines = lines(&message, request.headers, goes_on);
+    let lines = lines(&message, request.headers, is_end_to_end);
     assert_eq!(lines.concat(), b"A: b c\r\nX: y\r\n");
     assert_eq!(lines[0].as_ptr(), message[16..].as_ptr(), "copied");
 }
--- a/crates/proxy/src/wire/tickets.rs
+++ b/crates/proxy/src/connections/request.rs
@@ -1,22 +1,22 @@
-//! Requests: what clients ask is checked and decoded, and goes to the module as a ticket.
+//! Requests: what clients ask is checked and decoded, and goes to the module as a request.
 
 use std::ops::Range;
 use std::rc::Rc;
 
 use bytes::Bytes;
-use httparse::{Header, Request, Status};
+use httparse::{Header, Status};
 use pinefront_policy::{Idempotency, Micros};
 use siphasher::sip::SipHasher13;
 
-use crate::life::place::Place;
-use crate::life::reasons;
-use crate::life::serve::Node;
-use crate::memory::desk::{Client, Desk, Ticket};
-use crate::memory::slots::ClientSlot;
-use crate::wire::clients::READ_AHEAD;
-use crate::wire::heads::{
+use crate::close_reason;
+use crate::config::Config;
+use crate::connections::http_message::{
     self, BODY_MOST, Body, Conflicting, FIELDS_MOST, Framing, HEAD_MOST, MESSAGE_MOST,
 };
+use crate::state::client_connection::{ClientConnection, READ_AHEAD_BYTES};
+use crate::state::keys::ClientKey;
+use crate::state::proxy::{Proxy, ProxyState};
+use crate::state::request::Request;
 
 #[cfg(test)]
 mod tests;
@@ -32,155 +32,165 @@
 /// The longest wait believed of a client: beyond it lies no use case, only overflow.
 const WAIT_MOST_MS: u64 = 3_600_000;
 
-impl Node {
-    /// Takes the first whole message out of a client's inbox, if there is one.
-    pub fn take_message(&mut self, slot: ClientSlot) {
-        let mut borrowed = self.desk.borrow_mut();
-        let desk = &mut *borrowed;
-        let long = |client: &Client| client.inbox.kept().len() > READ_AHEAD;
-        if desk.clients.get(slot).is_some_and(long) && desk.kept() > desk.place.messages_most {
+impl Proxy {
+    /// Takes the first whole message out of a client's read buffer, if there is one.
+    pub fn read_request(&mut self, key: ClientKey) {
+        let mut borrowed = self.state.borrow_mut();
+        let state = &mut *borrowed;
+        let long = |client: &ClientConnection| client.read_buffer.bytes().len() > READ_AHEAD_BYTES;
+        if state.clients.get(key).is_some_and(long)
+            && state.buffered_bytes() > state.config.max_message_bytes
+        {
             // Nothing of it was sent on. Small messages go on being taken: they are bounded by their number.
-            return desk.turn_off(slot, 503, reasons::NO_ROOM);
+            return state.reject_and_close(key, 503, close_reason::MEMORY_LIMIT);
         }
-        let Some(client) = desk.clients.get_mut(slot) else {
+        let Some(client) = state.clients.get_mut(key) else {
             return;
         };
-        let (head, body, end) = match whole_message(client.inbox.kept()) {
+        let (head, body, end) = match parse_request(client.read_buffer.bytes()) {
             Ok(Some(found)) => found,
             Ok(None) => {
-                if !client.continued && expects_word(client.inbox.kept()) {
-                    client.continued = true;
+                if !client.sent_continue && expects_continue(client.read_buffer.bytes()) {
+                    client.sent_continue = true;
                     client
-                        .outbox
+                        .write_buffer
                         .push(Bytes::from_static(b"HTTP/1.1 100 Continue\r\n\r\n"));
                     // A broken connection shows itself when it is next read.
-                    let _ = client.outbox.drain(&client.wired.stream);
+                    let _ = client.write_buffer.drain(&client.socket.stream);
                 }
-                return desk.wait_for_rest(slot);
+                return state.wait_for_rest(key);
             }
             Err((status, reason)) => {
-                return desk.turn_off(slot, status, reason);
+                return state.reject_and_close(key, status, reason);
             }
         };
-        let message = client.inbox.take(end);
-        (client.continued, client.partial) = (false, None);
+        let message = client.read_buffer.take(end);
+        (client.sent_continue, client.partial_request) = (false, None);
         let mut fields = [httparse::EMPTY_HEADER; FIELDS_MOST];
-        let mut asked = Request::new(&mut fields);
+        let mut asked = httparse::Request::new(&mut fields);
         let (Ok(_), Some(method), Some(target)) =
             (asked.parse(&message[..head]), asked.method, asked.path)
         else {
             // Cannot be: it was parsed a moment ago.
-            return desk.turn_off(slot, 400, reasons::MALFORMED);
+            return state.reject_and_close(key, 400, close_reason::MALFORMED);
         };
         let fields = &*asked.headers;
         // HTTP/1.0 has no connection that lasts unless both sides say so, and we do not.
-        client.last = heads::lists(fields, "connection", "close") || asked.version == Some(0);
+        client.no_keep_alive =
+            http_message::contains_token(fields, "connection", "close") || asked.version == Some(0);
         let path = path(target);
         // A class may be named like a page: what carries an id is a client's request.
-        if heads::field(fields, "x-txn").is_none() && desk.own_page(slot, method, path) {
+        if http_message::field(fields, "x-txn").is_none() && state.serve_own_page(key, method, path)
+        {
             return;
         }
-        let Some(use_case) = use_case(&desk.place, fields, path) else {
-            return desk.reject(slot, 404);
+        let Some(class) = class(&state.config, fields, path) else {
+            return state.reject(key, 404);
         };
-        let wanted = if desk.place.effects[use_case] == Idempotency::Idempotent {
+        let wanted = if state.config.idempotencies[class] == Idempotency::Idempotent {
             "GET"
         } else {
             "POST"
         };
         if method != wanted {
-            return desk.reject(slot, 405);
+            return state.reject(key, 405);
         }
         let labelled = matches!(
-            desk.place.effects[use_case],
+            state.config.idempotencies[class],
             Idempotency::IdempotencyKey { .. }
         );
-        let (id, wait) = (ticket_id(fields), remaining(fields));
+        let (id, wait) = (request_id(fields), remaining(fields));
         let (Some(id), Some(wait)) = (id, wait) else {
-            return desk.reject(slot, 400);
+            return state.reject(key, 400);
         };
-        if labelled && heads::only_field(fields, "idempotency-key").is_none_or(str::is_empty) {
-            return desk.reject(slot, 400);
+        if labelled && http_message::only_field(fields, "idempotency-key").is_none_or(str::is_empty)
+        {
+            return state.reject(key, 400);
         }
-        if desk.by_id.contains_key(id) {
-            // A second ticket under one id would push out the first, which then had no answer.
-            return desk.reject(slot, 409);
+        if state.request_by_id.contains_key(id) {
+            // A second request under one id would push out the first, which then had no answer.
+            return state.reject(key, 409);
         }
-        let now = desk.now();
+        let now = state.now();
         // What a new connection brings is read a turn after it was accepted, and may have lain as long as that waited.
-        let waited = desk
+        let waited = state
             .clients
-            .get(slot)
+            .get(key)
             .filter(|client| now < client.opened + AT_ONCE);
-        let late = desk
-            .turn
+        let late = state
+            .loop_iteration
             .late(now)
             .max(waited.map_or(0, |client| client.waited));
         let spent = WAY_BACK.min(wait / WAY_BACK_PART) + late;
         let hard_stop = (now + wait).saturating_sub(spent).max(now);
-        let account = heads::field(fields, "x-org")
-            .map_or(desk.place.accounts.len(), |name| desk.place.account(name));
-        let hint = heads::field(fields, "x-estimate").and_then(|hint| hint.parse().ok());
-        let key = heads::field(fields, "x-entity").map(key_number);
-        let idempotency = desk.place.effects[use_case];
-        let ticket = desk.open(slot, id, idempotency, &message, &asked, &body);
+        let account = http_message::field(fields, "x-org")
+            .map_or(state.config.tenants.len(), |name| {
+                state.config.tenant_index(name)
+            });
+        let hint = http_message::field(fields, "x-estimate").and_then(|hint| hint.parse().ok());
+        let ordering_key = http_message::field(fields, "x-entity").map(ordering_key_hash);
+        let idempotency = state.config.idempotencies[class];
+        let request = state.add_request(key, id, idempotency, &message, &asked, &body);
         drop(borrowed);
         self.balancer
-            .request_arrived(now, &ticket, use_case, account, hard_stop, hint, key);
+            .request_arrived(now, &request, class, account, hard_stop, hint, ordering_key);
     }
 }
 
-impl Desk {
-    pub fn open(
+impl ProxyState {
+    pub fn add_request(
         &mut self,
-        slot: ClientSlot,
+        key: ClientKey,
         id: &str,
         idempotency: Idempotency,
         message: &Bytes,
-        asked: &Request,
+        asked: &httparse::Request,
         body: &[Range<usize>],
     ) -> Rc<str> {
         let part = |text: Option<&str>| {
-            message.slice(heads::place(message, text.unwrap_or("").as_bytes()))
+            message.slice(http_message::byte_range(
+                message,
+                text.unwrap_or("").as_bytes(),
+            ))
         };
         let (space, version) = (
             Bytes::from_static(b" "),
             Bytes::from_static(b" HTTP/1.1\r\n"),
         );
         let mut head = vec![part(asked.method), space, part(asked.path), version];
-        head.extend(heads::lines(message, asked.headers, |name| {
-            heads::goes_on(name) && !name.eq_ignore_ascii_case("x-remaining-ms")
+        head.extend(http_message::lines(message, asked.headers, |name| {
+            http_message::is_end_to_end(name) && !name.eq_ignore_ascii_case("x-remaining-ms")
         }));
         let body = body
             .iter()
             .map(|range| message.slice(range.clone()))
             .collect();
         let id: Rc<str> = Rc::from(id);
-        let ticket = Ticket {
+        let request = Request {
             id: Rc::clone(&id),
-            client: Some(slot),
+            client: Some(key),
             head,
             body,
-            has_host: heads::field(asked.headers, "host").is_some(),
+            has_host: http_message::field(asked.headers, "host").is_some(),
             has_body: asked.method != Some("GET"),
             length: message.len(),
-            dispatches: Vec::new(),
+            attempts: Vec::new(),
             idempotency,
             may_have_run_since: None,
         };
-        let ticket = self.tickets.insert(ticket);
-        self.by_id.insert(Rc::clone(&id), ticket);
-        self.counters.tickets_taken += 1;
-        if let Some(client) = self.clients.get_mut(slot) {
-            client.ticket = Some(ticket);
-            client.tickets += 1;
-            self.deadlines.clear(&mut client.due);
+        let request = self.requests.insert(request);
+        self.request_by_id.insert(Rc::clone(&id), request);
+        self.counters.requests_received += 1;
+        if let Some(client) = self.clients.get_mut(key) {
+            client.request = Some(request);
+            client.requests_received += 1;
+            self.timers.clear(&mut client.timer);
         }
         id
     }
 
     /// Pages about the balancer itself.
-    fn own_page(&mut self, slot: ClientSlot, method: &str, path: &str) -> bool {
+    fn serve_own_page(&mut self, key: ClientKey, method: &str, path: &str) -> bool {
         let (status, text) = match path {
             "/health/ready" if self.stopping.is_some() || !self.discovery.stands() => {
                 (503, "not ready\n".into())
@@ -199,49 +209,55 @@
             _ => return false,
         };
         match method {
-            "GET" => self.write_answer(slot, status, Vec::new(), vec![Bytes::from(text)]),
-            _ => self.reject(slot, 405),
+            "GET" => self.write_answer(key, status, Vec::new(), vec![Bytes::from(text)]),
+            _ => self.reject(key, 405),
         }
         true
     }
 }
 
 /// Whether a whole head asks for word before its sender goes on with the body.
-fn expects_word(kept: &[u8]) -> bool {
+fn expects_continue(kept: &[u8]) -> bool {
     let mut fields = [httparse::EMPTY_HEADER; FIELDS_MOST];
-    let mut asked = Request::new(&mut fields);
+    let mut asked = httparse::Request::new(&mut fields);
     let whole = asked.parse(kept).is_ok_and(|status| status.is_complete());
-    whole && heads::lists(asked.headers, "expect", "100-continue")
+    whole && http_message::contains_token(asked.headers, "expect", "100-continue")
 }
 
 type Found = (usize, Vec<Range<usize>>, usize);
 
 /// The length of the head, where the body lies and where the message ends; nothing while part is missing.
-fn whole_message(kept: &[u8]) -> Result<Option<Found>, (u16, &'static str)> {
+fn parse_request(kept: &[u8]) -> Result<Option<Found>, (u16, &'static str)> {
     let mut fields = [httparse::EMPTY_HEADER; FIELDS_MOST];
-    let mut asked = Request::new(&mut fields);
+    let mut asked = httparse::Request::new(&mut fields);
     let head = match asked.parse(kept) {
         Ok(Status::Complete(head)) if head <= HEAD_MOST => head,
         Ok(Status::Partial) if kept.len() < HEAD_MOST => return Ok(None),
-        Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err((431, reasons::HEAD_TOO_LARGE)),
-        Err(_) => return Err((400, reasons::MALFORMED)),
+        Ok(_) | Err(httparse::Error::TooManyHeaders) => {
+            return Err((431, close_reason::HEAD_TOO_LARGE));
+        }
+        Err(_) => return Err((400, close_reason::MALFORMED)),
     };
-    if !heads::lines_end(&kept[..head]) {
-        return Err((400, reasons::MALFORMED));
+    if !http_message::has_only_crlf(&kept[..head]) {
+        return Err((400, close_reason::MALFORMED));
     }
-    let framing = match heads::framing(asked.headers) {
-        Ok(Framing::Unsaid) => Framing::Length(0),
+    let framing = match http_message::framing(asked.headers) {
+        Ok(Framing::UntilClose) => Framing::Length(0),
         // HTTP/1.0 knows no chunks: others would read this body otherwise.
-        Ok(Framing::Chunked) if asked.version == Some(0) => return Err((400, reasons::MALFORMED)),
+        Ok(Framing::Chunked) if asked.version == Some(0) => {
+            return Err((400, close_reason::MALFORMED));
+        }
         Ok(framing) => framing,
-        Err(Conflicting) => return Err((400, reasons::MALFORMED)),
+        Err(Conflicting) => return Err((400, close_reason::MALFORMED)),
     };
-    match heads::body(kept, head, framing, false, BODY_MOST) {
-        // One that fills the inbox would leave the next unread in the socket, and nothing would call us back.
-        Body::Whole(ranges, end) if end < MESSAGE_MOST => Ok(Some((head, ranges, end))),
+    match http_message::body(kept, head, framing, false, BODY_MOST) {
+        // One that fills the read buffer would leave the next unread in the socket, and nothing would call us back.
+        Body::Complete(ranges, end) if end < MESSAGE_MOST => Ok(Some((head, ranges, end))),
         Body::Partial if kept.len() < MESSAGE_MOST => Ok(None),
-        Body::Whole(..) | Body::Partial | Body::TooLong => Err((413, reasons::BODY_TOO_LARGE)),
-        Body::Nonsense => Err((400, reasons::MALFORMED)),
+        Body::Complete(..) | Body::Partial | Body::TooLong => {
+            Err((413, close_reason::BODY_TOO_LARGE))
+        }
+        Body::Malformed => Err((400, close_reason::MALFORMED)),
     }
 }
 
@@ -257,31 +273,31 @@
 }
 
 /// The use case named by the first part of the path and, where it is given, by the class field.
-fn use_case(place: &Place, fields: &[Header], path: &str) -> Option<usize> {
+fn class(config: &Config, fields: &[Header], path: &str) -> Option<usize> {
     let named = path.strip_prefix('/')?.split('/').next()?;
-    match heads::field(fields, "x-lane") {
+    match http_message::field(fields, "x-lane") {
         Some(lane) if lane != named => None,
-        _ => place
+        _ => config
             .classes
             .iter()
             .position(|name| name == named && !name.is_empty()),
     }
 }
 
-fn ticket_id<'a>(fields: &[Header<'a>]) -> Option<&'a str> {
-    let id = heads::only_field(fields, "x-txn")?;
+fn request_id<'a>(fields: &[Header<'a>]) -> Option<&'a str> {
+    let id = http_message::only_field(fields, "x-txn")?;
     (!id.is_empty() && id.len() <= ID_MOST && id.bytes().all(|byte| byte.is_ascii_graphic()))
         .then_some(id)
 }
 
 /// A key as a number, alike at all balancers whatever its length. Keys that meet in one only wait for each other.
-fn key_number(text: &str) -> u64 {
+fn ordering_key_hash(text: &str) -> u64 {
     SipHasher13::new().hash(text.as_bytes())
 }
 
 /// How long the client waits, in microseconds.
 fn remaining(fields: &[Header]) -> Option<Micros> {
-    let text = heads::only_field(fields, "x-remaining-ms")?;
+    let text = http_message::only_field(fields, "x-remaining-ms")?;
     let digits = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
     digits.then(|| 1000 * text.parse().unwrap_or(WAIT_MOST_MS).min(WAIT_MOST_MS))
 }
--- a/crates/proxy/src/wire/tickets/tests.rs
+++ b/crates/proxy/src/connections/request/tests.rs
@@ -1,9 +1,9 @@
 use rstest::rstest;
 
 use super::*;
-use crate::stand::{Stand, message, say};
+use crate::test_harness::{TestHarness, message, say};
 
-/// A request with one line put in place of another.
+/// A request with one line put in config of another.
 fn with(line: &str, other: &str) -> String {
     message("t1", "body").replace(line, other)
 }
@@ -41,13 +41,13 @@
 #[case::lane_and_path_differ(with("X-Lane: pay", "X-Lane: look"), 404)]
 #[case::wrong_method(with("POST", "GET"), 405)]
 #[case::wrong_method_of_redoable(with("/pay/", "/look/").replace("Lane: pay", "Lane: look"), 405)]
-fn what_is_no_ticket_is_answered_so(#[case] text: String, #[case] status: u16) {
-    let mut stand = Stand::new();
-    let (stream, _) = stand.client();
+fn what_is_no_request_is_answered_so(#[case] text: String, #[case] status: u16) {
+    let mut harness = TestHarness::new();
+    let (stream, _) = harness.client();
     say(&stream, &text);
-    let heard = stand.heard(&stream, "\r\n\r\n");
+    let heard = harness.heard(&stream, "\r\n\r\n");
     assert!(heard.starts_with(&format!("HTTP/1.1 {status} ")), "{heard}");
-    assert_eq!(stand.node.desk.borrow().counters.tickets_taken, 0);
+    assert_eq!(harness.proxy.state.borrow().counters.requests_received, 0);
 }
 
 #[rstest]
@@ -74,14 +74,14 @@
     assert_eq!(remaining(&fields), expected);
 }
 
-/// A balancer whose labelled tickets run in order for each key; times are long, so that a slow test changes nothing.
-fn ordered_by_key() -> Stand {
-    Stand::with(|told| {
+/// A balancer whose labelled requests run in order for each key; times are long, so that a slow test changes nothing.
+fn ordered_by_key() -> TestHarness {
+    TestHarness::with(|told| {
         let settings = &mut told["settings"];
         settings["rules"]["turnGapUs"] = 20_000.into();
-        for use_case in settings["useCases"].as_array_mut().unwrap() {
-            use_case["inOrder"] = true.into();
-            use_case["promisedTimeUs"] = 60_000_000.into();
+        for class in settings["useCases"].as_array_mut().unwrap() {
+            class["inOrder"] = true.into();
+            class["promisedTimeUs"] = 60_000_000.into();
         }
     })
 }
@@ -93,83 +93,101 @@
     )
 }
 
-/// The next ticket comes on a connection of its own.
+/// The next request comes on a connection of its own.
 const DONE: &str = "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
-/// The second ticket of a key comes after the first is over, however that ends; one of another key does not wait.
+/// The second request of a key comes after the first is over, however that ends; one of another key does not wait.
 #[rstest]
 #[case::answered(Some(DONE))]
 #[case::failed(Some("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"))]
 #[case::reset(None)]
-fn tickets_of_one_key_reach_upstreams_one_at_a_time(#[case] end: Option<&str>) {
-    let mut stand = ordered_by_key();
-    let upstream = stand.upstreams();
+fn requests_of_one_key_reach_endpoints_one_at_a_time(#[case] end: Option<&str>) {
+    let mut harness = ordered_by_key();
+    let endpoint = harness.endpoints();
     let clients = [("t1", "k"), ("t2", "k"), ("t3", "other")].map(|(id, key)| {
-        let (client, _) = stand.client();
+        let (client, _) = harness.client();
         say(&client, &of_key(id, key));
-        stand.until(|node| node.desk.borrow().by_id.contains_key(id).then_some(()));
+        harness.until(|proxy| {
+            proxy
+                .state
+                .borrow()
+                .request_by_id
+                .contains_key(id)
+                .then_some(())
+        });
         client
     });
-    let first = stand.accepted(&upstream);
-    assert!(stand.heard(&first, "body").contains("X-Txn: t1\r\n"));
-    let other = stand.accepted(&upstream);
-    assert!(stand.heard(&other, "body").contains("X-Txn: t3\r\n"));
-    assert_eq!(stand.node.desk.borrow().counters.dispatches, 2);
+    let first = harness.accepted(&endpoint);
+    assert!(harness.heard(&first, "body").contains("X-Txn: t1\r\n"));
+    let other = harness.accepted(&endpoint);
+    assert!(harness.heard(&other, "body").contains("X-Txn: t3\r\n"));
+    assert_eq!(harness.proxy.state.borrow().counters.attempts, 2);
     match end {
         Some(end) => say(&first, end),
         None => drop(first),
     }
     // What failed or was reset is labelled and goes on; until it is over nothing of t2 may come.
-    let mut link = stand.accepted(&upstream);
-    let mut heard = stand.heard(&link, "body");
+    let mut connection = harness.accepted(&endpoint);
+    let mut heard = harness.heard(&connection, "body");
     let mut again = 0;
     while heard.contains("X-Txn: t1\r\n") {
         again += 1;
-        say(&link, DONE);
-        link = stand.accepted(&upstream);
-        heard = stand.heard(&link, "body");
+        say(&connection, DONE);
+        connection = harness.accepted(&endpoint);
+        heard = harness.heard(&connection, "body");
     }
     assert!(heard.contains("X-Txn: t2\r\n"), "{heard}");
     assert_eq!(again, usize::from(end != Some(DONE)));
-    say(&link, DONE);
+    say(&connection, DONE);
     assert!(
-        stand
+        harness
             .heard(&clients[0], "\r\n\r\n")
             .starts_with("HTTP/1.1 200 ")
     );
     assert!(
-        stand
+        harness
             .heard(&clients[1], "\r\n\r\n")
             .starts_with("HTTP/1.1 200 ")
     );
 }
 
-/// A drain moves later tickets elsewhere, but does not let them overtake what still runs where it drains.
+/// A drain moves later requests elsewhere, but does not let them overtake what still runs where it drains.
 #[test]
 fn a_drain_does_not_let_a_key_overtake_itself() {
-    let mut stand = ordered_by_key();
-    let draining = stand.upstream("s1");
+    let mut harness = ordered_by_key();
+    let draining = harness.endpoint("s1");
     let clients = ["t1", "t2"].map(|id| {
-        let (client, _) = stand.client();
+        let (client, _) = harness.client();
         say(&client, &of_key(id, "k"));
-        stand.until(|node| node.desk.borrow().by_id.contains_key(id).then_some(()));
+        harness.until(|proxy| {
+            proxy
+                .state
+                .borrow()
+                .request_by_id
+                .contains_key(id)
+                .then_some(())
+        });
         client
     });
-    let first = stand.accepted(&draining);
-    assert!(stand.heard(&first, "body").contains("X-Txn: t1\r\n"));
-    let fresh = crate::stand::listener();
-    stand.list(&[
-        crate::stand::entry("s1", draining.local_addr().unwrap(), "draining"),
-        crate::stand::entry("s2", fresh.local_addr().unwrap(), "active"),
+    let first = harness.accepted(&draining);
+    assert!(harness.heard(&first, "body").contains("X-Txn: t1\r\n"));
+    let fresh = crate::test_harness::listener();
+    harness.list(&[
+        crate::test_harness::entry("s1", draining.local_addr().unwrap(), "draining"),
+        crate::test_harness::entry("s2", fresh.local_addr().unwrap(), "active"),
     ]);
-    assert_eq!(stand.node.desk.borrow().counters.dispatches, 1);
+    assert_eq!(harness.proxy.state.borrow().counters.attempts, 1);
     say(&first, DONE);
-    let second = stand.accepted(&fresh);
-    assert!(stand.heard(&second, "body").contains("X-Txn: t2\r\n"));
+    let second = harness.accepted(&fresh);
+    assert!(harness.heard(&second, "body").contains("X-Txn: t2\r\n"));
     say(&second, DONE);
-    clients
-        .iter()
-        .for_each(|client| assert!(stand.heard(client, "\r\n\r\n").starts_with("HTTP/1.1 200 ")));
+    clients.iter().for_each(|client| {
+        assert!(
+            harness
+                .heard(client, "\r\n\r\n")
+                .starts_with("HTTP/1.1 200 ")
+        )
+    });
 }
 
 /// deploy/sites/harrow-permits.toml, calm+brink, seed 1: with a class named `stats` 1,840 requests were answered with the
@@ -180,49 +198,53 @@
 #[case::health("health", "/health/ready")]
 #[case::duty("duty", "/duty/1")]
 fn a_class_may_be_named_like_a_page(#[case] class: &str, #[case] path: &str) {
-    let mut stand = Stand::with(|told| told["settings"]["useCases"][1]["name"] = class.into());
-    let upstream = stand.upstreams();
-    let (client, _) = stand.client();
+    let mut harness =
+        TestHarness::with(|told| told["settings"]["useCases"][1]["name"] = class.into());
+    let endpoint = harness.endpoints();
+    let (client, _) = harness.client();
     say(
         &client,
         &format!(
             "GET {path} HTTP/1.1\r\nHost: app\r\nX-Txn: t1\r\nX-Lane: {class}\r\nX-Remaining-Ms: 900\r\n\r\n"
         ),
     );
-    let link = stand.accepted(&upstream);
+    let connection = harness.accepted(&endpoint);
     assert!(
-        stand
-            .heard(&link, "\r\n\r\n")
+        harness
+            .heard(&connection, "\r\n\r\n")
             .starts_with(&format!("GET {path} HTTP/1.1\r\n"))
     );
-    say(&link, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-    assert!(stand.heard(&client, "ok").starts_with("HTTP/1.1 200 "));
+    say(
+        &connection,
+        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
+    );
+    assert!(harness.heard(&client, "ok").starts_with("HTTP/1.1 200 "));
     // Without an id the page stays a page.
-    let (operator, _) = stand.client();
+    let (operator, _) = harness.client();
     say(&operator, "GET /stats HTTP/1.1\r\nHost: app\r\n\r\n");
-    assert!(stand.heard(&operator, "\n").starts_with("HTTP/1.1 200 "));
+    assert!(harness.heard(&operator, "\n").starts_with("HTTP/1.1 200 "));
 }
 
-/// Soak, seed 201: balancers stopped for half a second told upstreams 2.48 s where 1.97 s were left, of requests on
+/// Soak, seed 201: balancers stopped for half a second told endpoints 2.48 s where 1.97 s were left, of requests on
 /// connections that had waited to be accepted meanwhile.
 #[test]
 fn a_request_on_a_connection_that_waited_to_be_accepted_has_waited_as_long() {
-    let mut stand = Stand::new();
-    let upstream = stand.upstreams();
-    let client = std::net::TcpStream::connect(stand.address).unwrap();
+    let mut harness = TestHarness::new();
+    let endpoint = harness.endpoints();
+    let client = std::net::TcpStream::connect(harness.address).unwrap();
     client.set_nonblocking(true).unwrap();
     say(&client, &message("t1", "body"));
     {
-        let mut desk = stand.node.desk.borrow_mut();
+        let mut state = harness.proxy.state.borrow_mut();
         // This turn should have begun 0.4 s ago.
-        desk.turn.until = desk.now() - 400_000;
+        state.loop_iteration.until = state.now() - 400_000;
     }
-    while stand.node.desk.borrow().clients.is_empty() {
-        stand.node.accept();
+    while harness.proxy.state.borrow().clients.is_empty() {
+        harness.proxy.accept();
     }
-    stand.node.desk.borrow_mut().turn.until = Micros::MAX;
-    let link = stand.accepted(&upstream);
-    let sent = stand.heard(&link, "body");
+    harness.proxy.state.borrow_mut().loop_iteration.until = Micros::MAX;
+    let connection = harness.accepted(&endpoint);
+    let sent = harness.heard(&connection, "body");
     let told = sent
         .split("X-Remaining-Ms: ")
         .nth(1)
--- a/crates/proxy/src/wire/discovery/lists.rs
+++ b/crates/proxy/src/discovery/lists.rs
@@ -7,72 +7,72 @@
 use serde_json::Value;
 use slog::{info, warn};
 
-use crate::life::reasons;
-use crate::life::serve::Node;
-use crate::memory::desk::{Desk, Upstream};
-use crate::memory::slots::UpstreamSlot;
-use crate::wire::discovery::partial::PartialList;
-use crate::wire::discovery::schedule::Told;
-use crate::wire::starts::{Source, StartTimes};
+use crate::close_reason;
+use crate::discovery::partial::PartialList;
+use crate::discovery::schedule::ListSummary;
+use crate::discovery::start_times::{Source, StartTimes};
+use crate::state::endpoint::Endpoint;
+use crate::state::keys::EndpointKey;
+use crate::state::proxy::{Proxy, ProxyState};
 
-/// How long an upstream that is no longer listed keeps its address where only draining binds: longer than the module
+/// How long an endpoint that is no longer listed keeps its address where only draining binds: longer than the module
 /// would try it.
 const KEPT_FOR: Micros = 90_000_000;
 
-impl Node {
+impl Proxy {
     /// Takes the list that we were started with, as the ground for what changed since or where there is no other.
     pub fn take_known(&mut self) {
-        let Some(held) = self.desk.borrow_mut().discovery.held.take() else {
+        let Some(held) = self.state.borrow_mut().discovery.held.take() else {
             return;
         };
         let taken = self.take_entries(&held);
-        let mut desk = self.desk.borrow_mut();
+        let mut state = self.state.borrow_mut();
         match taken {
-            Ok(_) => desk.discovery.known = true,
-            Err(problem) => warn!(desk.log, "known list not understood"; "problem" => problem),
+            Ok(_) => state.discovery.known = true,
+            Err(problem) => warn!(state.log, "cached endpoint list malformed"; "error" => problem),
         }
     }
 
     /// Takes a whole list or what changed, as discovery words it.
-    pub fn take_list(&mut self, list: &Value) -> Decoded<Told> {
+    pub fn take_list(&mut self, list: &Value) -> Decoded<ListSummary> {
         self.take_known();
         let told = self.take_entries(list)?;
-        let mut desk = self.desk.borrow_mut();
-        desk.counters.lists_taken += 1;
-        info!(desk.log, "list taken"; "version" => told.version, "whole" => told.is_whole, "news" => told.has_entries);
+        let mut state = self.state.borrow_mut();
+        state.counters.list_updates += 1;
+        info!(state.log, "endpoint list received"; "version" => told.version, "complete" => told.is_whole, "has_entries" => told.has_entries);
         Ok(told)
     }
 
     /// Takes down what a list names.
-    fn take_entries(&mut self, told: &Value) -> Decoded<Told> {
+    fn take_entries(&mut self, told: &Value) -> Decoded<ListSummary> {
         let version = whole(told, "rev")?;
         let (now, log) = {
-            let desk = self.desk.borrow();
-            (desk.now(), desk.log.clone())
+            let state = self.state.borrow();
+            (state.now(), state.log.clone())
         };
         let entries = list(told, "targets")?;
         let is_whole = flag(told, "all")?;
         if is_whole {
-            self.desk
+            self.state
                 .borrow_mut()
-                .all_gone(now, self.balancer.settings().unlisted_stay_usable);
+                .mark_all_removed(now, self.balancer.settings().unlisted_stay_usable);
         }
         self.balancer.endpoint_list_begins(now, is_whole);
-        let starts = self.desk.borrow_mut().start_times(now, entries);
+        let starts = self.state.borrow_mut().start_times(now, entries);
         for entry in entries {
             if let Err(problem) = self.take_entry(now, entry, starts) {
                 // One bad entry must not hide the others; what it names gets nothing new.
-                warn!(log, "entry not understood"; "problem" => problem);
+                warn!(log, "endpoint list entry malformed"; "error" => problem);
                 if let Ok(id) = text(entry, "uid") {
-                    self.take_away(now, id);
+                    self.mark_draining(now, id);
                 }
             }
         }
         self.balancer.endpoint_list_ends(now);
-        let mut desk = self.desk.borrow_mut();
-        desk.drop_left();
-        desk.discovery.listed_at = now;
-        Ok(Told {
+        let mut state = self.state.borrow_mut();
+        state.remove_departed_endpoints();
+        state.discovery.listed_at = now;
+        Ok(ListSummary {
             version,
             is_whole,
             has_entries: !entries.is_empty(),
@@ -89,31 +89,31 @@
                 let stated = stated_start(entry)?;
                 let (group, weight) = (whole(entry, "pod_group")?, number(entry, "capacity_hint")?);
                 let (zone, kind) = (text(entry, "az")?, text(entry, "model")?);
-                let mut desk = self.desk.borrow_mut();
-                let (zone, kind) = (desk.place.zone(zone), desk.place.kind(kind));
-                desk.serves(id, address);
-                let launched = desk.started(id, stated, starts);
-                drop(desk);
+                let mut state = self.state.borrow_mut();
+                let (zone, kind) = (state.config.zone(zone), state.config.machine_type(kind));
+                state.endpoint_active(id, address);
+                let launched = state.started(id, stated, starts);
+                drop(state);
                 self.balancer
                     .endpoint_listed(id, zone, kind, group, weight, launched);
             }
-            "leaving" => self.take_away(now, id),
-            "left" => self.take_left(now, id),
+            "leaving" => self.mark_draining(now, id),
+            "left" => self.mark_removed(now, id),
             other => return Err(format!("field 'state' holds unknown '{other}'")),
         }
         Ok(())
     }
 
     /// It drains: it gets nothing new.
-    fn take_away(&mut self, now: Micros, id: &str) {
-        self.desk.borrow_mut().drains(id, now);
+    fn mark_draining(&mut self, now: Micros, id: &str) {
+        self.state.borrow_mut().endpoint_draining(id, now);
         self.balancer.endpoint_draining(id);
     }
 
     /// It is gone.
-    fn take_left(&mut self, now: Micros, id: &str) {
+    fn mark_removed(&mut self, now: Micros, id: &str) {
         let stays = self.balancer.settings().unlisted_stay_usable;
-        self.desk.borrow_mut().drops(id, now, stays);
+        self.state.borrow_mut().endpoint_removed(id, now, stays);
         self.balancer.endpoint_removed(now, id);
     }
 
@@ -121,9 +121,9 @@
     /// rest arrives. What it adds waits for the whole. An entry of a change that was cut before its state is of a
     /// server that most likely goes; until the whole change is here it gets nothing new either.
     pub fn take_partial(&mut self, partial: &PartialList, of_changes: bool) {
-        let now = self.desk.borrow().now();
+        let now = self.state.borrow().now();
         let changes = partial.is_whole.map_or(of_changes, |is_whole| !is_whole);
-        let known = |id: &str| self.desk.borrow().by_name.contains_key(id);
+        let known = |id: &str| self.state.borrow().endpoint_by_id.contains_key(id);
         let takes_away = |state: Option<&str>| match state {
             Some(state) => matches!(state, "leaving" | "left"),
             None => changes,
@@ -139,21 +139,21 @@
         self.balancer.endpoint_list_begins(now, false);
         for entry in &going {
             match entry.state.as_deref() {
-                Some("left") => self.take_left(now, &entry.id),
-                _ => self.take_away(now, &entry.id),
+                Some("left") => self.mark_removed(now, &entry.id),
+                _ => self.mark_draining(now, &entry.id),
             }
         }
         self.balancer.endpoint_list_ends(now);
-        let mut desk = self.desk.borrow_mut();
+        let mut state = self.state.borrow_mut();
         // One whose state did not come may serve on: what is known of it stays.
         let stated = going.iter().filter(|entry| entry.state.is_some());
-        stated.for_each(|entry| desk.drop_drained(&entry.id));
-        desk.counters.lists_taken_early += 1;
-        info!(desk.log, "part of a list taken"; "version" => partial.version, "drained" => going.len());
+        stated.for_each(|entry| state.remove_if_draining(&entry.id));
+        state.counters.list_updates_partial += 1;
+        info!(state.log, "partial endpoint list received"; "version" => partial.version, "draining" => going.len());
     }
 }
 
-impl Desk {
+impl ProxyState {
     /// What bounds the ages of what a list names for the first time.
     fn start_times(&mut self, now: Micros, entries: &[Value]) -> StartTimes {
         let discovery = &self.discovery;
@@ -168,9 +168,9 @@
         };
         let is_new = |id: &str, stated: Micros| {
             let known = self
-                .by_name
+                .endpoint_by_id
                 .get(id)
-                .and_then(|slot| self.upstreams.get(*slot)?.started);
+                .and_then(|key| self.endpoints.get(*key)?.started);
             known.is_none_or(|known| known.0 != stated)
         };
         let newcomer = |entry: &Value| {
@@ -183,104 +183,107 @@
         starts
     }
 
-    /// When the process of an upstream started; of one that is known it is not asked again, whatever clocks did since.
+    /// When the process of an endpoint started; of one that is known it is not asked again, whatever clocks did since.
     fn started(&mut self, id: &str, stated: Micros, starts: StartTimes) -> Micros {
-        let slot = self.upstream(id);
-        let Some(upstream) = self.upstreams.get_mut(slot) else {
+        let key = self.endpoint(id);
+        let Some(endpoint) = self.endpoints.get_mut(key) else {
             return 0;
         };
-        match upstream.started {
+        match endpoint.started {
             Some((known, at)) if known == stated => at,
             _ => {
                 let at = starts.started(stated);
-                upstream.started = Some((stated, at));
+                endpoint.started = Some((stated, at));
                 at
             }
         }
     }
 
     /// Before a whole list: what it does not name is gone.
-    fn all_gone(&mut self, now: Micros, stays_open: bool) {
-        for upstream in self.upstreams.values_mut() {
+    fn mark_all_removed(&mut self, now: Micros, stays_open: bool) {
+        for endpoint in self.endpoints.values_mut() {
             match stays_open {
-                true => upstream.left.get_or_insert(now),
-                false => upstream.drains.get_or_insert(now),
+                true => endpoint.removed_at.get_or_insert(now),
+                false => endpoint.draining_since.get_or_insert(now),
             };
         }
     }
 
     /// It is listed as gone. Where only draining binds, its address is kept for as long as the module may use it.
-    fn drops(&mut self, id: &str, now: Micros, stays_open: bool) {
-        let slot = self.upstream(id);
-        match self.upstreams.get_mut(slot) {
-            Some(upstream) if stays_open => _ = upstream.left.get_or_insert(now),
-            _ => self.drains(id, now),
+    fn endpoint_removed(&mut self, id: &str, now: Micros, stays_open: bool) {
+        let key = self.endpoint(id);
+        match self.endpoints.get_mut(key) {
+            Some(endpoint) if stays_open => _ = endpoint.removed_at.get_or_insert(now),
+            _ => self.endpoint_draining(id, now),
         }
     }
 
-    fn drains(&mut self, id: &str, now: Micros) {
-        let slot = self.upstream(id);
-        if let Some(upstream) = self.upstreams.get_mut(slot)
-            && upstream.drains.is_none()
+    fn endpoint_draining(&mut self, id: &str, now: Micros) {
+        let key = self.endpoint(id);
+        if let Some(endpoint) = self.endpoints.get_mut(key)
+            && endpoint.draining_since.is_none()
         {
-            upstream.drains = Some(now);
-            info!(self.log, "server drains"; "upstream" => id);
+            endpoint.draining_since = Some(now);
+            info!(self.log, "endpoint draining"; "endpoint" => id);
         }
     }
 
-    fn serves(&mut self, id: &str, address: SocketAddr) {
-        let slot = self.upstream(id);
-        let Some(upstream) = self.upstreams.get_mut(slot) else {
+    fn endpoint_active(&mut self, id: &str, address: SocketAddr) {
+        let key = self.endpoint(id);
+        let Some(endpoint) = self.endpoints.get_mut(key) else {
             return;
         };
-        (upstream.drains, upstream.left) = (None, None);
-        if upstream
+        (endpoint.draining_since, endpoint.removed_at) = (None, None);
+        if endpoint
             .address
             .replace(address)
             .is_some_and(|before| before != address)
         {
-            self.drop_idle_links(slot, reasons::MOVED);
+            self.close_idle_endpoint_connections(key, close_reason::ADDRESS_CHANGED);
         }
     }
 
     /// Idle connections to what drains or is gone carry nothing any more, and without any it is forgotten: the
     /// list names ever new ones.
-    fn drop_left(&mut self) {
+    fn remove_departed_endpoints(&mut self) {
         let long_ago = self.now().saturating_sub(KEPT_FOR);
-        let over = |upstream: &Upstream| upstream.left.is_some_and(|left| left < long_ago);
+        let over = |endpoint: &Endpoint| endpoint.removed_at.is_some_and(|left| left < long_ago);
         let left = self
-            .upstreams
+            .endpoints
             .iter()
-            .filter(|(_, up)| up.drains.is_some() || over(up));
-        let left: Vec<_> = left.map(|(slot, _)| slot).collect();
-        left.into_iter().for_each(|slot| self.drop_upstream(slot));
+            .filter(|(_, up)| up.draining_since.is_some() || over(up));
+        let left: Vec<_> = left.map(|(key, _)| key).collect();
+        left.into_iter().for_each(|key| self.remove_endpoint(key));
     }
 
     /// The same for one that drains.
-    fn drop_drained(&mut self, id: &str) {
-        let Some(&slot) = self.by_name.get(id) else {
+    fn remove_if_draining(&mut self, id: &str) {
+        let Some(&key) = self.endpoint_by_id.get(id) else {
             return;
         };
         if self
-            .upstreams
-            .get(slot)
-            .is_some_and(|upstream| upstream.drains.is_some())
+            .endpoints
+            .get(key)
+            .is_some_and(|endpoint| endpoint.draining_since.is_some())
         {
-            self.drop_upstream(slot);
+            self.remove_endpoint(key);
         }
     }
 
-    fn drop_upstream(&mut self, slot: UpstreamSlot) {
-        self.drop_idle_links(slot, reasons::DRAINED);
-        if self.links.values().all(|link| link.upstream != slot)
-            && let Some(upstream) = self.upstreams.remove(slot)
+    fn remove_endpoint(&mut self, key: EndpointKey) {
+        self.close_idle_endpoint_connections(key, close_reason::DRAINING);
+        if self
+            .endpoint_connections
+            .values()
+            .all(|connection| connection.endpoint != key)
+            && let Some(endpoint) = self.endpoints.remove(key)
         {
-            self.by_name.remove(&upstream.id);
+            self.endpoint_by_id.remove(&endpoint.id);
         }
     }
 }
 
-/// The start of an upstream's process as the list states it, in microseconds of Unix time.
+/// The start of an endpoint's process as the list states it, in microseconds of Unix time.
 fn stated_start(entry: &Value) -> Decoded<Micros> {
     Ok(optional(entry, "boot_ms", Value::as_u64)?
         .unwrap_or(0)
--- a/crates/proxy/src/wire/discovery/schedule.rs
+++ b/crates/proxy/src/discovery/schedule.rs
@@ -123,7 +123,7 @@
 
 /// What an answer held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Told {
+pub struct ListSummary {
     pub version: u64,
     pub is_whole: bool,
     /// Whether it named any server.
@@ -132,14 +132,14 @@
 
 /// What the schedule needs to know of the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Settings {
+pub struct ScheduleSettings {
     /// Within which time discovery wants to be asked; nothing where it pushes lists.
     pub max_poll_interval: Option<Micros>,
     /// How many balancers share discovery.
     pub balancers: usize,
 }
 
-impl Settings {
+impl ScheduleSettings {
     fn watch_wait(self) -> Micros {
         let apart = self.balancers as u64 * RUN_OUT_APART;
         let part = |within: Micros| {
@@ -180,7 +180,7 @@
 }
 
 impl Call {
-    /// When another call is to be made in its place.
+    /// When another call is to be made instead of it.
     fn overdue_at(&self) -> Micros {
         match (self.stage, self.query) {
             (Stage::Connecting, _) => self.sent + CONNECT_WITHIN,
@@ -276,7 +276,7 @@
     /// The first call of a process. What it was started with may be old, so it asks soon; those that are started at one
     /// moment ask scattered, as discovery works through calls in turn. Where lists are pushed, what discovery has counts
     /// as told from the first moment.
-    pub fn begin(&mut self, now: Micros, settings: Settings) {
+    pub fn begin(&mut self, now: Micros, settings: ScheduleSettings) {
         let most = if settings.max_poll_interval.is_some() {
             FIRST_MOST
         } else {
@@ -305,7 +305,7 @@
     }
 
     /// Another balancer told the list.
-    pub fn told_by_peer(&mut self, told: Told) {
+    pub fn updated_by_peer(&mut self, told: ListSummary) {
         self.news = told.has_entries;
         self.version = Some(told.version);
         self.unverified &= !told.is_whole;
@@ -348,7 +348,7 @@
         self.calls().any(|call| call.connection == connection)
     }
 
-    /// How long the call on a connection has been out, and whether another was made in its place.
+    /// How long the call on a connection has been out, and whether another was made instead of it.
     pub fn call_age(&self, connection: ConnectionId, now: Micros) -> Option<(Micros, bool)> {
         let call = self.calls().find(|call| call.connection == connection)?;
         let awaited = self
@@ -376,7 +376,7 @@
     }
 
     /// What is to be done now; asked again until it is nothing.
-    pub fn poll(&mut self, now: Micros, settings: Settings) -> Option<Action> {
+    pub fn poll(&mut self, now: Micros, settings: ScheduleSettings) -> Option<Action> {
         let expired = self.heard.iter().position(|call| now >= call.heard_until());
         if let Some(expired) = expired {
             let call = self.heard.remove(expired);
@@ -391,8 +391,8 @@
             // What changed counts as told from here on: a scattered wait as after a failed call comes too late.
             self.next = Some(now);
         }
-        if let Some((connection, is_owed)) = self.closing.pop() {
-            return Some(Action::Close(connection, is_owed));
+        if let Some((connection, awaits_response)) = self.closing.pop() {
+            return Some(Action::Close(connection, awaits_response));
         }
         if self.is_call_due(now) {
             return Some(self.call(now, settings));
@@ -428,9 +428,9 @@
     }
 
     fn close(&mut self, call: &Call) {
-        let is_owed =
+        let awaits_response =
             call.stage == Stage::Sent && (call.discovery == self.discovery || !self.has_answered);
-        self.closing.push((call.connection, is_owed));
+        self.closing.push((call.connection, awaits_response));
     }
 
     fn close_idle_connections(&mut self) {
@@ -438,7 +438,7 @@
             .extend(self.idle.take().map(|connection| (connection, false)));
     }
 
-    fn call(&mut self, now: Micros, settings: Settings) -> Action {
+    fn call(&mut self, now: Micros, settings: ScheduleSettings) -> Action {
         let continues = self.idle.is_some()
             || self
                 .watch_answered
@@ -495,7 +495,7 @@
     }
 
     /// How long the next watch waits.
-    fn next_wait(&mut self, settings: Settings) -> Micros {
+    fn next_wait(&mut self, settings: ScheduleSettings) -> Micros {
         let (least, most) = match (self.watched, self.news) {
             (false, _) => FIRST_SCATTERED,
             (true, true) => (SCATTERED, 1.0),
@@ -505,7 +505,7 @@
         (settings.watch_wait() as f64 * part) as Micros
     }
 
-    /// A check of the list that we were started with may be made beside a watch, never in its place.
+    /// A check of the list that we were started with may be made beside a watch, never instead of it.
     fn may_verify(&self) -> bool {
         self.unverified && self.is_watching() && self.heard.is_empty()
     }
@@ -558,12 +558,12 @@
     /// A call that came about late is awaited where no other is.
     fn await_again(&mut self, connection: ConnectionId) {
         if self.awaited.is_none()
-            && let Some(place) = self
+            && let Some(index) = self
                 .heard
                 .iter()
                 .position(|call| call.connection == connection)
         {
-            self.awaited = Some(self.heard.remove(place));
+            self.awaited = Some(self.heard.remove(index));
         }
     }
 
@@ -596,7 +596,7 @@
     }
 
     /// A list was read from a connection that is being closed.
-    pub fn overheard(&mut self, told: Told) {
+    pub fn overheard(&mut self, told: ListSummary) {
         (self.version, self.news) = (Some(told.version), told.has_entries);
         self.unverified &= !told.is_whole;
     }
@@ -607,9 +607,9 @@
         &mut self,
         connection: ConnectionId,
         now: Micros,
-        told: Told,
+        told: ListSummary,
         lasts: bool,
-        settings: Settings,
+        settings: ScheduleSettings,
     ) {
         let accepted = self.accepts(connection, Some(told.version), told.is_whole);
         let Some((call, was_awaited)) = self.take_call(connection) else {
@@ -646,7 +646,13 @@
         self.next = Some(now.max(call.sent + ASK_APART));
     }
 
-    fn listed(&mut self, now: Micros, told: Told, was_awaited: bool, settings: Settings) {
+    fn listed(
+        &mut self,
+        now: Micros,
+        told: ListSummary,
+        was_awaited: bool,
+        settings: ScheduleSettings,
+    ) {
         self.news = told.has_entries;
         let went_back = self.version.is_some_and(|here| told.version < here);
         if !told.is_whole && went_back && was_awaited {
@@ -670,7 +676,7 @@
         connection: ConnectionId,
         now: Micros,
         failure: Failure,
-        settings: Settings,
+        settings: ScheduleSettings,
     ) -> bool {
         if self.idle == Some(connection) {
             self.idle = None;
@@ -695,14 +701,14 @@
         if let Some(call) = self.awaited.take_if(|call| call.connection == connection) {
             return Some((call, true));
         }
-        let place = self
+        let index = self
             .heard
             .iter()
             .position(|call| call.connection == connection)?;
-        Some((self.heard.remove(place), false))
+        Some((self.heard.remove(index), false))
     }
 
-    fn retry_wait(&mut self, now: Micros, failure: Failure, settings: Settings) -> Micros {
+    fn retry_wait(&mut self, now: Micros, failure: Failure, settings: ScheduleSettings) -> Micros {
         let is_broken = matches!(failure, Failure::Cut | Failure::Ended);
         if is_broken
             && self
--- a/crates/proxy/src/wire/discovery/schedule/tests.rs
+++ b/crates/proxy/src/discovery/schedule/tests.rs
@@ -27,23 +27,23 @@
     }
 }
 
-fn settings(balancers: usize) -> Settings {
-    Settings {
+fn settings(balancers: usize) -> ScheduleSettings {
+    ScheduleSettings {
         max_poll_interval: Some(WITHIN),
         balancers,
     }
 }
 
-fn changes(version: u64, has_entries: bool) -> Told {
-    Told {
+fn changes(version: u64, has_entries: bool) -> ListSummary {
+    ListSummary {
         version,
         is_whole: false,
         has_entries,
     }
 }
 
-fn whole_list(version: u64) -> Told {
-    Told {
+fn whole_list(version: u64) -> ListSummary {
+    ListSummary {
         version,
         is_whole: true,
         has_entries: true,
@@ -98,7 +98,7 @@
 struct World {
     now: Micros,
     schedule: Schedule,
-    settings: Settings,
+    settings: ScheduleSettings,
     chance: WyRand,
     way: Way,
     /// Since when calls are taken, and when the way changes next.
@@ -178,20 +178,20 @@
         }
         if self.now >= self.silence {
             self.silence = self.some(0, 25 * SECOND);
-            for place in 0..self.lines.len() {
-                if self.lines[place]
+            for index in 0..self.lines.len() {
+                if self.lines[index]
                     .call
                     .as_ref()
                     .is_some_and(|call| call.wait() > FIRST_WAIT)
                 {
-                    self.lose(place);
+                    self.lose(index);
                 }
             }
         }
     }
 
-    fn lose(&mut self, place: usize) {
-        let line = &mut self.lines[place];
+    fn lose(&mut self, index: usize) {
+        let line = &mut self.lines[index];
         line.lost = true;
         if let Some(call) = line.call.as_ref().filter(|call| call.wait() > FIRST_WAIT) {
             // What it misses counts as told two seconds after its wait.
@@ -211,9 +211,9 @@
         call.since().is_some() && self.answered.is_some_and(|at| call.sent <= at + GOES_ON)
     }
 
-    /// What comes of the connection at that place: when its call is admitted, and when it has its turn then.
-    fn serve(&mut self, place: usize, admit: &mut impl FnMut(&mut Self, bool) -> Option<Micros>) {
-        let line = &self.lines[place];
+    /// What comes of the connection at that index: when its call is admitted, and when it has its turn then.
+    fn serve(&mut self, index: usize, admit: &mut impl FnMut(&mut Self, bool) -> Option<Micros>) {
+        let line = &self.lines[index];
         let (id, Some(call)) = (line.id, &line.call) else {
             return;
         };
@@ -223,33 +223,33 @@
         if !line.connected {
             match self.way {
                 Way::Refused => return self.fail(id, Failure::Unreached),
-                Way::Cut => return self.lose(place),
+                Way::Cut => return self.lose(index),
                 Way::Open | Way::Crowded => {}
             }
-            self.lines[place].connected = true;
+            self.lines[index].connected = true;
             return self.schedule.connected(id);
         }
         if call.turn.is_none() {
             let goes_on = self.goes_on(call);
             match self.way {
-                Way::Cut => return self.lose(place),
+                Way::Cut => return self.lose(index),
                 Way::Refused => return self.fail(id, Failure::Ended),
                 Way::Crowded => return self.fail(id, Failure::Refused { retry_after: None }),
                 Way::Open => {}
             }
             return match admit(self, goes_on) {
-                Some(turn) => self.lines[place]
+                Some(turn) => self.lines[index]
                     .call
                     .iter_mut()
                     .for_each(|call| call.turn = Some(turn)),
                 None => self.fail(id, Failure::Refused { retry_after: None }),
             };
         }
-        self.answer(place);
+        self.answer(index);
     }
 
-    fn answer(&mut self, place: usize) {
-        let line = &self.lines[place];
+    fn answer(&mut self, index: usize) {
+        let line = &self.lines[index];
         let (id, Some(call)) = (line.id, &line.call) else {
             return;
         };
@@ -259,7 +259,7 @@
             return;
         }
         if self.way == Way::Cut {
-            return self.lose(place);
+            return self.lose(index);
         }
         self.answered = since.map(|_| self.now);
         let cuts = self.cuts;
@@ -268,7 +268,7 @@
             self.excused = self.excused.max(self.now + TURN + SECOND);
             return self.fail(id, Failure::Cut);
         }
-        let told = Told {
+        let told = ListSummary {
             version: self.version,
             is_whole: since.is_none(),
             has_entries: news,
@@ -276,12 +276,12 @@
         if self.schedule.accepts(id, Some(told.version), told.is_whole) {
             (self.here, self.stale) = (Some(self.version), None);
         }
-        self.lines[place].call = None;
+        self.lines[index].call = None;
         self.schedule
             .answered(id, self.now, told, true, self.settings);
     }
 
-    /// As `Node::carry_out_schedule` does it.
+    /// As `Proxy::carry_out_schedule` does it.
     fn step(&mut self) {
         while let Some(action) = self.schedule.poll(self.now, self.settings) {
             let (id, query) = match action {
@@ -321,8 +321,8 @@
     fn serve_all(&mut self, admit: &mut impl FnMut(&mut Self, bool) -> Option<Micros>) {
         let ids: Vec<ConnectionId> = self.lines.iter().map(|line| line.id).collect();
         for id in ids {
-            if let Some(place) = self.lines.iter().position(|line| line.id == id) {
-                self.serve(place, admit);
+            if let Some(index) = self.lines.iter().position(|line| line.id == id) {
+                self.serve(index, admit);
             }
             self.step();
         }
@@ -522,7 +522,7 @@
 
 /// Brink, throng, settat-main seed 3: 32 balancers before a discovery of three and a half calls a second, which turns
 /// away whom it would keep for over two seconds. With watches of 7.5 s and the whole list first, balancers were turned
-/// away for 13 s, and 23 requests went to an upstream that had gone.
+/// away for 13 s, and 23 requests went to an endpoint that had gone.
 #[rstest]
 #[case(11)]
 #[case(12)]
@@ -568,7 +568,7 @@
     #[case] wait: Micros,
 ) {
     assert_eq!(
-        Settings {
+        ScheduleSettings {
             max_poll_interval,
             balancers
         }
@@ -595,7 +595,7 @@
 }
 
 /// The list that we were started with may be another discovery's: the whole of it is asked for when there is time, beside
-/// the watch. In its place the watch was lost where discovery was crowded.
+/// the watch. Instead the watch was lost where discovery was crowded.
 #[test]
 fn the_known_list_is_followed_first_and_checked_beside_the_watch() {
     let mut schedule = Schedule::new(1);
@@ -676,7 +676,7 @@
     assert!(!world.schedule.is_unheard());
 }
 
-/// A connection that comes about after another was tried in its place is used.
+/// A connection that comes about after another was tried instead of it is used.
 #[rstest]
 #[case(900)]
 #[case(1_500)]
@@ -689,7 +689,7 @@
     assert_eq!(world.lines.len(), 1, "the others were closed unused");
 }
 
-/// A watch that is overdue may still be answered, and what it tells counts: it is heard beside the call in its place, and
+/// A watch that is overdue may still be answered, and what it tells counts: it is heard beside the call instead of it, and
 /// goes on while that one waits for its turn.
 #[test]
 fn a_replaced_watch_is_heard_and_goes_on() {
--- a/crates/proxy/src/wire/starts.rs
+++ b/crates/proxy/src/discovery/start_times.rs
@@ -1,4 +1,4 @@
-//! When upstreams started, in the balancer's own time. Discovery states it as a wall clock read, and ours may be wrong:
+//! When endpoints started, in the balancer's own time. Discovery states it as a wall clock read, and ours may be wrong:
 //! stepped before this process began, by seconds or by an hour. What is known without it bounds what is believed.
 
 use pinefront_policy::Micros;
--- a/crates/proxy/src/wire/starts/tests.rs
+++ b/crates/proxy/src/discovery/start_times/tests.rs
@@ -6,7 +6,7 @@
 const HOUR: Micros = 3600 * SECOND;
 const NOW: Micros = 1_000 * HOUR;
 
-/// `wrong` is how far our clock is from what upstreams state, `age` how long ago it truly started; the answer is how
+/// `wrong` is how far our clock is from what endpoints state, `age` how long ago it truly started; the answer is how
 /// long ago we take it to have started.
 #[rstest]
 #[case::right(Source::Later { since: NOW - SECOND }, 0, 2 * SECOND, 2 * SECOND)]
--- a/crates/proxy/src/wire/discovery/tests.rs
+++ b/crates/proxy/src/discovery/tests.rs
@@ -2,35 +2,40 @@
 use serde_json::json;
 
 use super::*;
-use crate::stand::{Stand, answer, entry, listener, message, say};
+use crate::discovery::schedule::ScheduleSettings;
+use crate::discovery::state::Discovery;
+use crate::test_harness::{TestHarness, answer, entry, listener, message, say};
 
 /// The first call for the list, taken by discovery.
-fn call(stand: &mut Stand) -> std::net::TcpStream {
-    let discovery = stand.discovery.try_clone().unwrap();
-    let call = stand.accepted(&discovery);
-    stand.heard(&call, "\r\n\r\n");
+fn call(harness: &mut TestHarness) -> std::net::TcpStream {
+    let discovery = harness.discovery.try_clone().unwrap();
+    let call = harness.accepted(&discovery);
+    harness.heard(&call, "\r\n\r\n");
     call
 }
 
 #[test]
 fn a_list_is_followed_by_a_watch_from_its_version() {
-    let mut stand = Stand::new();
-    let call = call(&mut stand);
+    let mut harness = TestHarness::new();
+    let call = call(&mut harness);
     let address = listener().local_addr().unwrap();
     say(
         &call,
         &answer(&json!({"rev": 41, "all": true, "targets": [entry("s1", address, "active")]})),
     );
-    let watch = stand.heard(&call, "\r\n\r\n");
+    let watch = harness.heard(&call, "\r\n\r\n");
     let wait = watch.strip_prefix("GET /registry/instances?since=41&timeout_ms=");
     let wait: u64 = wait
         .and_then(|rest| rest.split(' ').next()?.parse().ok())
         .unwrap_or_else(|| panic!("{watch}"));
     // All that were started now would otherwise ask again at one moment.
     assert!((750..=4_500).contains(&wait), "{watch}");
-    let desk = stand.node.desk.borrow();
-    assert_eq!(desk.upstreams[desk.by_name["s1"]].address, Some(address));
-    assert!(desk.discovery.stands());
+    let state = harness.proxy.state.borrow();
+    assert_eq!(
+        state.endpoints[state.endpoint_by_id["s1"]].address,
+        Some(address)
+    );
+    assert!(state.discovery.stands());
 }
 
 #[rstest]
@@ -41,17 +46,17 @@
 #[case::no_entries(answer(&json!({"rev": 1, "all": true})))]
 #[case::cut_short("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{".into())]
 fn a_call_that_fails_leaves_the_list_and_is_made_again(#[case] heard: String) {
-    let mut stand = Stand::new();
-    let _upstream = stand.upstream("s1");
-    let first = call(&mut stand);
+    let mut harness = TestHarness::new();
+    let _endpoint = harness.endpoint("s1");
+    let first = call(&mut harness);
     say(&first, &heard);
     drop(first);
-    call(&mut stand);
-    let desk = stand.node.desk.borrow();
+    call(&mut harness);
+    let state = harness.proxy.state.borrow();
     assert_eq!(
         (
-            desk.counters.lists_failed,
-            desk.upstreams[desk.by_name["s1"]].drains
+            state.counters.list_polls_failed,
+            state.endpoints[state.endpoint_by_id["s1"]].draining_since
         ),
         (1, None)
     );
@@ -59,74 +64,75 @@
 
 #[test]
 fn a_discovery_that_closes_between_calls_is_asked_on() {
-    let mut stand = Stand::new();
-    let first = call(&mut stand);
+    let mut harness = TestHarness::new();
+    let first = call(&mut harness);
     say(
         &first,
         &answer(&json!({"rev": 41, "all": true, "targets": []})),
     );
     // The next call is not made at once: the close comes before it.
-    stand.until(|node| node.desk.borrow().discovery.taken.then_some(()));
+    harness.until(|proxy| proxy.state.borrow().discovery.taken.then_some(()));
     drop(first);
-    stand.until(|node| {
-        node.desk
+    harness.until(|proxy| {
+        proxy
+            .state
             .borrow()
             .discovery
             .connections
             .is_empty()
             .then_some(())
     });
-    let discovery = stand.discovery.try_clone().unwrap();
-    let next = stand.accepted(&discovery);
-    assert!(stand.heard(&next, "\r\n\r\n").contains("since=41"));
-    assert_eq!(stand.node.desk.borrow().counters.lists_failed, 0);
+    let discovery = harness.discovery.try_clone().unwrap();
+    let next = harness.accepted(&discovery);
+    assert!(harness.heard(&next, "\r\n\r\n").contains("since=41"));
+    assert_eq!(harness.proxy.state.borrow().counters.list_polls_failed, 0);
 }
 
 #[test]
 fn a_call_without_an_answer_is_given_up_and_made_again() {
-    let mut stand = Stand::new();
-    let silent = call(&mut stand);
-    stand
-        .node
-        .desk
+    let mut harness = TestHarness::new();
+    let silent = call(&mut harness);
+    harness
+        .proxy
+        .state
         .borrow_mut()
         .discovery
         .schedule
         .made_before(60_000_000);
-    stand.node.discovery_due();
-    stand.ends(&silent);
-    call(&mut stand);
+    harness.proxy.discovery_due();
+    harness.ends(&silent);
+    call(&mut harness);
 }
 
 /// Whole fleet, join: 36 of 273 watches fell silent, and the next call came 5 to 7 s after they were given up.
 #[test]
 fn a_watch_that_fell_silent_is_opened_anew_at_once() {
-    let mut stand = Stand::new();
-    let first = call(&mut stand);
+    let mut harness = TestHarness::new();
+    let first = call(&mut harness);
     say(
         &first,
         &answer(&json!({"rev": 41, "all": true, "targets": []})),
     );
-    assert!(stand.heard(&first, "\r\n\r\n").contains("since=41&"));
-    let began = stand.node.desk.borrow().now();
-    stand
-        .node
-        .desk
+    assert!(harness.heard(&first, "\r\n\r\n").contains("since=41&"));
+    let began = harness.proxy.state.borrow().now();
+    harness
+        .proxy
+        .state
         .borrow_mut()
         .discovery
         .schedule
         .made_before(60_000_000);
-    stand.node.discovery_due();
-    stand.ends(&first);
-    let discovery = stand.discovery.try_clone().unwrap();
-    let next = stand.accepted(&discovery);
-    assert!(stand.heard(&next, "\r\n\r\n").contains("since=41&"));
-    let desk = stand.node.desk.borrow();
+    harness.proxy.discovery_due();
+    harness.ends(&first);
+    let discovery = harness.discovery.try_clone().unwrap();
+    let next = harness.accepted(&discovery);
+    assert!(harness.heard(&next, "\r\n\r\n").contains("since=41&"));
+    let state = harness.proxy.state.borrow();
     // Far less than the module waits after a failed call (a quarter of the span at least, where ten ask).
     assert_eq!(
         (
-            desk.counters.lists_failed,
-            desk.discovery.schedule.asked() - began < 200_000
+            state.counters.list_polls_failed,
+            state.discovery.schedule.asked() - began < 200_000
         ),
         (0, true)
     );
@@ -134,15 +140,15 @@
 
 #[test]
 fn what_a_whole_list_does_not_name_is_gone() {
-    let mut stand = Stand::new();
-    let (_first, second) = (stand.upstream("s1"), stand.upstream("s2"));
+    let mut harness = TestHarness::new();
+    let (_first, second) = (harness.endpoint("s1"), harness.endpoint("s2"));
     let entries = [entry("s2", second.local_addr().unwrap(), "active")];
-    stand
-        .node
+    harness
+        .proxy
         .take_list(&json!({"rev": 2, "all": true, "targets": entries}))
         .unwrap();
-    let desk = stand.node.desk.borrow();
-    let drains = |id: &str| !desk.by_name.contains_key(id);
+    let state = harness.proxy.state.borrow();
+    let drains = |id: &str| !state.endpoint_by_id.contains_key(id);
     assert_eq!((drains("s1"), drains("s2")), (true, false));
 }
 
@@ -151,14 +157,14 @@
 #[case::state("state", json!("resting"))]
 #[case::weight("capacity_hint", json!("much"))]
 fn one_bad_entry_hides_no_other_and_gets_nothing_new(#[case] field: &str, #[case] value: Value) {
-    let mut stand = Stand::new();
-    let upstream = stand.upstream("s1");
-    let address = upstream.local_addr().unwrap();
+    let mut harness = TestHarness::new();
+    let endpoint = harness.endpoint("s1");
+    let address = endpoint.local_addr().unwrap();
     let mut bad = entry("s1", address, "active");
     bad[field] = value;
-    stand.list(&[bad, entry("s2", address, "active")]);
-    let desk = stand.node.desk.borrow();
-    let drains = |id: &str| !desk.by_name.contains_key(id);
+    harness.list(&[bad, entry("s2", address, "active")]);
+    let state = harness.proxy.state.borrow();
+    let drains = |id: &str| !state.endpoint_by_id.contains_key(id);
     assert_eq!((drains("s1"), drains("s2")), (true, false));
 }
 
@@ -169,7 +175,7 @@
     let mut discovery = Discovery::new(1);
     assert!(!discovery.stands(), "without any list");
     discovery.known = true;
-    let settings = Settings {
+    let settings = ScheduleSettings {
         max_poll_interval: None,
         balancers: 1,
     };
@@ -186,78 +192,85 @@
 
 #[test]
 fn names_that_no_setting_holds_are_numbered_on() {
-    let stand = Stand::new();
-    let mut desk = stand.node.desk.borrow_mut();
-    let zones = ["a", "b", "c", "b"].map(|name| desk.place.zone(name));
+    let harness = TestHarness::new();
+    let mut state = harness.proxy.state.borrow_mut();
+    let zones = ["a", "b", "c", "b"].map(|name| state.config.zone(name));
     assert_eq!(zones, [0, 1, 2, 1]);
 }
 
 #[test]
 fn what_left_is_forgotten_once_nothing_is_out_there() {
-    let mut stand = Stand::new();
-    let upstream = stand.upstream("s1");
-    let (_client, _) = stand.dispatched("t1", "s1", 60_000_000);
-    let link = stand.accepted(&upstream);
-    stand.heard(&link, "body");
-    let left = [entry("s1", upstream.local_addr().unwrap(), "left")];
-    stand.list(&left);
-    assert_eq!(stand.node.desk.borrow().upstreams.len(), 1);
-    say(&link, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
-    stand.until(|node| node.desk.borrow().links.is_empty().then_some(()));
-    stand.list(&left);
-    let desk = stand.node.desk.borrow();
-    assert_eq!((desk.upstreams.len(), desk.by_name.len()), (0, 0));
+    let mut harness = TestHarness::new();
+    let endpoint = harness.endpoint("s1");
+    let (_client, _) = harness.start_attempt("t1", "s1", 60_000_000);
+    let connection = harness.accepted(&endpoint);
+    harness.heard(&connection, "body");
+    let left = [entry("s1", endpoint.local_addr().unwrap(), "left")];
+    harness.list(&left);
+    assert_eq!(harness.proxy.state.borrow().endpoints.len(), 1);
+    say(&connection, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
+    harness.until(|proxy| {
+        proxy
+            .state
+            .borrow()
+            .endpoint_connections
+            .is_empty()
+            .then_some(())
+    });
+    harness.list(&left);
+    let state = harness.proxy.state.borrow();
+    assert_eq!((state.endpoints.len(), state.endpoint_by_id.len()), (0, 0));
 }
 
-/// Upstreams that went refuse connections of all balancers before discovery says so. A watch that was ended for that was
+/// Endpoints that went refuse connections of all balancers before discovery says so. A watch that was ended for that was
 /// mostly sound: what was told on it in that moment was lost (throng+brink, settat-main, seed 6: a request 1.01 s after
 /// the drain was told), and all asked anew at once.
 #[test]
 fn a_refused_connection_leaves_a_sound_watch_alone() {
-    let mut stand = Stand::new();
-    let first = call(&mut stand);
+    let mut harness = TestHarness::new();
+    let first = call(&mut harness);
     let gone = listener().local_addr().unwrap();
     say(
         &first,
         &answer(&json!({"rev": 41, "all": true, "targets": [entry("s1", gone, "active")]})),
     );
-    assert!(stand.heard(&first, "\r\n\r\n").contains("since=41&"));
-    stand
-        .node
-        .desk
+    assert!(harness.heard(&first, "\r\n\r\n").contains("since=41&"));
+    harness
+        .proxy
+        .state
         .borrow_mut()
         .discovery
         .schedule
         .made_before(3_000_000);
-    let _client = stand.dispatched("t1", "s1", 60_000_000);
-    stand.until(|node| (node.desk.borrow().counters.dispatches_unreachable > 0).then_some(()));
-    let asked = stand.node.desk.borrow().counters.lists_asked;
+    let _client = harness.start_attempt("t1", "s1", 60_000_000);
+    harness.until(|proxy| (proxy.state.borrow().counters.attempts_unreachable > 0).then_some(()));
+    let asked = harness.proxy.state.borrow().counters.list_polls;
     say(
         &first,
         &answer(&json!({"rev": 42, "all": false, "targets": [entry("s1", gone, "leaving")]})),
     );
-    stand.until(|node| (!node.desk.borrow().by_name.contains_key("s1")).then_some(()));
+    harness.until(|proxy| (!proxy.state.borrow().endpoint_by_id.contains_key("s1")).then_some(()));
     // The watch goes on where it was, and no other call was made.
-    assert!(stand.heard(&first, "\r\n\r\n").contains("since=42&"));
-    assert_eq!(stand.node.desk.borrow().counters.lists_asked, asked + 1);
+    assert!(harness.heard(&first, "\r\n\r\n").contains("since=42&"));
+    assert_eq!(harness.proxy.state.borrow().counters.list_polls, asked + 1);
 }
 
 /// Zone+mass of lakeshore-skips, seed 70941: balancers that came back at 11.9 s served by the list that they were started
 /// with and asked for another up to 5.4 s later; what had changed at 8.75 s counted as told at 14.75 s.
 #[test]
 fn a_process_with_an_old_list_asks_before_it_serves() {
-    let mut stand = Stand::with(|told| {
+    let mut harness = TestHarness::with(|told| {
         let old = entry("old", listener().local_addr().unwrap(), "active");
         told["settings"]["fleetSize"] = 300.into();
         told["known"] = json!({"rev": 1, "all": true, "targets": [old]});
     });
     let began = std::time::Instant::now();
-    let status = |stand: &mut Stand| {
-        let (asks, _) = stand.client();
+    let status = |harness: &mut TestHarness| {
+        let (asks, _) = harness.client();
         say(&asks, "GET /health/ready HTTP/1.1\r\n\r\n");
-        stand.heard(&asks, "ready\n")[..12].to_owned()
+        harness.heard(&asks, "ready\n")[..12].to_owned()
     };
-    let call = call(&mut stand);
+    let call = call(&mut harness);
     assert!(
         began.elapsed() < std::time::Duration::from_secs(3),
         "{:?}",
@@ -265,13 +278,13 @@
     );
     // Discovery may take a while to answer, being asked by many.
     std::thread::sleep(std::time::Duration::from_millis(300));
-    assert_eq!(status(&mut stand), "HTTP/1.1 503");
+    assert_eq!(status(&mut harness), "HTTP/1.1 503");
     say(
         &call,
         &answer(&json!({"rev": 2, "all": false, "targets": []})),
     );
-    stand.until(|node| node.desk.borrow().discovery.taken.then_some(()));
-    assert_eq!(status(&mut stand), "HTTP/1.1 200");
+    harness.until(|proxy| proxy.state.borrow().discovery.taken.then_some(()));
+    assert_eq!(status(&mut harness), "HTTP/1.1 200");
 }
 
 /// Whoever asks before discovery has told what changed is not served by the old list; where discovery can't be asked, it
@@ -280,20 +293,24 @@
 #[case::told(true)]
 #[case::not_to_be_asked(false)]
 fn nothing_is_sent_by_an_old_list_before_discovery_was_asked(#[case] told: bool) {
-    let upstream = listener();
-    let address = upstream.local_addr().unwrap();
-    let mut stand = Stand::with(|told| {
+    let endpoint = listener();
+    let address = endpoint.local_addr().unwrap();
+    let mut harness = TestHarness::with(|told| {
         let entries = ["s1", "s2", "s3", "s4", "s5", "s6"].map(|id| entry(id, address, "active"));
         told["known"] = json!({"rev": 7, "all": true, "targets": entries});
     });
-    let ask = |stand: &mut Stand, id| {
-        let (asks, _) = stand.client();
+    let ask = |harness: &mut TestHarness, id| {
+        let (asks, _) = harness.client();
         say(&asks, &message(id, "body"));
         asks
     };
-    let early = ask(&mut stand, "t1");
-    assert!(stand.heard(&early, "\r\n\r\n").starts_with("HTTP/1.1 503 "));
-    let call = call(&mut stand);
+    let early = ask(&mut harness, "t1");
+    assert!(
+        harness
+            .heard(&early, "\r\n\r\n")
+            .starts_with("HTTP/1.1 503 ")
+    );
+    let call = call(&mut harness);
     if told {
         say(
             &call,
@@ -301,52 +318,52 @@
         );
     }
     drop(call);
-    stand.until(|node| node.desk.borrow().discovery.stands().then_some(()));
-    let _served = ask(&mut stand, "t2");
-    let link = stand.accepted(&upstream);
-    stand.heard(&link, "body");
+    harness.until(|proxy| proxy.state.borrow().discovery.stands().then_some(()));
+    let _served = ask(&mut harness, "t2");
+    let connection = harness.accepted(&endpoint);
+    harness.heard(&connection, "body");
 }
 
 /// Incident "lost list changes": discovery wrote that a server drains, and the connection ended before the answer was
 /// whole. What was written counts as told, so the entries that came whole hold.
 #[test]
 fn a_drain_in_an_answer_that_is_cut_short_holds() {
-    let mut stand = Stand::new();
-    let watch = watch_of(&mut stand, &["s1", "s2"]);
+    let mut harness = TestHarness::new();
+    let watch = watch_of(&mut harness, &["s1", "s2"]);
     let gone = listener().local_addr().unwrap();
     let whole = answer(&json!({"rev": 42, "all": false,
         "targets": [entry("s1", gone, "leaving"), entry("s2", gone, "leaving")]}));
     let second = whole.find("s2").unwrap();
     say(&watch, &whole[..second - 10]);
     drop(watch);
-    stand.until(|node| (!node.desk.borrow().by_name.contains_key("s1")).then_some(()));
+    harness.until(|proxy| (!proxy.state.borrow().endpoint_by_id.contains_key("s1")).then_some(()));
 }
 
 /// The same incident: an answer that lies in the socket when its call is replaced was written, and counts as told.
 #[test]
 fn an_answer_that_is_here_when_its_call_is_replaced_is_taken() {
-    let mut stand = Stand::new();
-    let watch = watch_of(&mut stand, &["s1"]);
+    let mut harness = TestHarness::new();
+    let watch = watch_of(&mut harness, &["s1"]);
     let gone = listener().local_addr().unwrap();
     say(
         &watch,
         &answer(&json!({"rev": 42, "all": false, "targets": [entry("s1", gone, "leaving")]})),
     );
-    stand
-        .node
-        .desk
+    harness
+        .proxy
+        .state
         .borrow_mut()
         .discovery
         .schedule
         .made_before(60_000_000);
-    stand.node.discovery_due();
-    let _silent = stand.accepted_discovery();
-    stand.until(|node| (!node.desk.borrow().by_name.contains_key("s1")).then_some(()));
+    harness.proxy.discovery_due();
+    let _silent = harness.accepted_discovery();
+    harness.until(|proxy| (!proxy.state.borrow().endpoint_by_id.contains_key("s1")).then_some(()));
 }
 
 /// A watch of discovery on servers that it named.
-fn watch_of(stand: &mut Stand, servers: &[&str]) -> std::net::TcpStream {
-    let first = call(stand);
+fn watch_of(harness: &mut TestHarness, servers: &[&str]) -> std::net::TcpStream {
+    let first = call(harness);
     let address = listener().local_addr().unwrap();
     let entries: Vec<Value> = servers
         .iter()
@@ -356,6 +373,6 @@
         &first,
         &answer(&json!({"rev": 41, "all": true, "targets": entries})),
     );
-    assert!(stand.heard(&first, "\r\n\r\n").contains("since=41&"));
+    assert!(harness.heard(&first, "\r\n\r\n").contains("since=41&"));
     first
 }
--- /dev/null
+++ b/crates/proxy/src/gossip/tests.rs
@@ -0,0 +1,134 @@
+use std::net::UdpSocket;
+
+use pinefront_policy::Host;
+use rstest::rstest;
+
+use crate::state::proxy::ProxyHost;
+use crate::test_harness::{TestHarness, moved, say};
+use std::net::SocketAddr;
+
+/// A balancer that hears, and one that is no more than a socket.
+fn two() -> (TestHarness, UdpSocket, SocketAddr) {
+    let other = UdpSocket::bind("127.0.0.1:0").unwrap();
+    other.set_nonblocking(true).unwrap();
+    // Free a moment ago: nobody else here asks for ports by their number.
+    let own = UdpSocket::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
+    let harness = TestHarness::with(|told| moved(told, &[own, other.local_addr().unwrap()]));
+    (harness, other, own)
+}
+
+fn hears(harness: &mut TestHarness, other: &UdpSocket) -> String {
+    let mut word = [0; 512];
+    let length = harness.until(|_| other.recv(&mut word).ok());
+    String::from_utf8(word[..length].to_vec()).unwrap()
+}
+
+#[rstest]
+#[case::all(None, true)]
+#[case::the_other(Some(1), true)]
+#[case::itself(Some(0), false)]
+#[case::nobody(Some(7), false)]
+fn words_go_to_whom_they_are_for(#[case] to: Option<usize>, #[case] reached: bool) {
+    let (mut harness, other, _) = two();
+    ProxyHost(harness.proxy.state.clone()).send_gossip(to, "~ 5");
+    ProxyHost(harness.proxy.state.clone()).send_gossip(Some(1), "end");
+    assert_eq!(hears(&mut harness, &other) == "~ 5", reached);
+}
+
+/// Strangers may send anything to a socket, and so may a balancer that is broken.
+#[rstest]
+#[case::known(true, "~ 186a0", 1, 0)]
+#[case::stranger(false, "~ 186a0", 0, 1)]
+#[case::too_long(true, &"x".repeat(300), 0, 1)]
+#[case::no_sense(true, "~ ~ ~", 1, 0)]
+fn only_balancers_are_heard(
+    #[case] known: bool,
+    #[case] word: &str,
+    #[case] heard: u64,
+    #[case] passed: u64,
+) {
+    let (mut harness, other, own) = two();
+    let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
+    if known { &other } else { &stranger }
+        .send_to(word.as_bytes(), own)
+        .unwrap();
+    let counted = harness.until(|proxy| {
+        let counters = &proxy.state.borrow().counters;
+        let counted = (counters.gossip_received, counters.gossip_ignored);
+        (counted != (0, 0)).then_some(counted)
+    });
+    assert_eq!(counted, (heard, passed));
+}
+
+/// The module asks before it places a request: the probe goes out, its answer comes in, and then the request goes.
+#[rstest]
+#[case::told(
+    "HTTP/1.1 200 OK\r\nX-Pressure: TEXT inflight=0, queue=0\r\nContent-Length: 0\r\n\r\n",
+    1
+)]
+#[case::broken("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", 0)]
+fn a_request_waits_for_the_probe(#[case] answer: &str, #[case] answered: u64) {
+    let (mut harness, _other, _) = two();
+    let endpoint = harness.endpoint("s1");
+    let (client, _) = harness.client();
+    say(
+        &client,
+        "GET /status/1 HTTP/1.1\r\nHost: app\r\nX-Txn: t1\r\nX-Remaining-Ms: 20000\r\n\r\n",
+    );
+    let connection = harness.accepted(&endpoint);
+    let asked = harness.heard(&connection, "\r\n\r\n");
+    assert!(asked.starts_with("GET /load HTTP/1.1\r\n") && !asked.contains("X-Txn"));
+    say(&connection, answer);
+    if answered == 1 {
+        harness.until(|proxy| (proxy.state.borrow().counters.probes_answered == 1).then_some(()));
+        assert_eq!(harness.proxy.state.borrow().counters.load_reports, 1);
+        // The connection rests after an answer, so the request comes on another.
+        let connection = harness.accepted(&endpoint);
+        assert!(
+            harness
+                .heard(&connection, "\r\n\r\n")
+                .starts_with("GET /status/1 HTTP/1.1\r\n")
+        );
+    } else {
+        // A request asks once: with nobody left to go to it is told to come back, and not left to wait.
+        harness.until(|proxy| (proxy.state.borrow().counters.requests_rejected == 1).then_some(()));
+        let state = harness.proxy.state.borrow();
+        assert_eq!(
+            (
+                state.counters.probes,
+                state.counters.probes_answered,
+                state.counters.attempts
+            ),
+            (1, 0, 0)
+        );
+    }
+}
+
+/// A refused connection must not leave the request waiting for a probe that nobody answers.
+#[test]
+fn a_probe_that_reaches_nobody_is_told() {
+    let (mut harness, _other, _) = two();
+    let gone = crate::test_harness::listener().local_addr().unwrap();
+    harness.list(&[crate::test_harness::entry("s1", gone, "active")]);
+    ProxyHost(harness.proxy.state.clone()).probe("s1");
+    harness.until(|proxy| {
+        proxy
+            .state
+            .borrow()
+            .endpoint_connections
+            .is_empty()
+            .then_some(())
+    });
+    let state = harness.proxy.state.borrow();
+    assert_eq!(
+        (
+            state.counters.probes,
+            state.counters.probes_answered,
+            state.counters.attempts
+        ),
+        (1, 0, 0)
+    );
+}
--- /dev/null
+++ b/crates/proxy/src/lifecycle/mod.rs
@@ -0,0 +1,6 @@
+//! Startup, reload and shutdown of the process.
+
+pub mod reload;
+pub mod retry;
+pub mod shutdown;
+pub mod startup;
--- a/crates/proxy/src/life/reread/tests.rs
+++ b/crates/proxy/src/lifecycle/reload/tests.rs
@@ -11,8 +11,8 @@
 
 use super::*;
 use crate::fleet::carrier::Fleet;
-use crate::memory::desk::Desk;
-use crate::stand::{Stand, answer, entry, listener, message, moved, say, told};
+use crate::state::proxy::ProxyState;
+use crate::test_harness::{TestHarness, answer, document, entry, listener, message, moved, say};
 
 /// What BALANCER_* variables said at the start.
 fn variables() -> Variables {
@@ -28,65 +28,68 @@
 
 #[test]
 fn the_list_is_asked_for_whole_at_the_new_address_again_and_again() {
-    let mut stand = Stand::new();
-    let upstream = stand.upstream("s1");
-    let (client, ticket) = stand.dispatched("t1", "s1", 5_000_000);
-    let link = stand.accepted(&upstream);
-    stand.heard(&link, "body");
+    let mut harness = TestHarness::new();
+    let endpoint = harness.endpoint("s1");
+    let (client, request) = harness.start_attempt("t1", "s1", 5_000_000);
+    let connection = harness.accepted(&endpoint);
+    harness.heard(&connection, "body");
     for round in 0..3 {
-        let old = stand.discovery.try_clone().unwrap();
-        let old = stand.accepted(&old);
-        stand.heard(&old, "\r\n\r\n");
+        let old = harness.discovery.try_clone().unwrap();
+        let old = harness.accepted(&old);
+        harness.heard(&old, "\r\n\r\n");
         let new = listener();
         let address = new.local_addr().unwrap().to_string();
         let path = file(
             &format!("round-{round}"),
-            &told("127.0.0.1:0", &address).to_string(),
+            &document("127.0.0.1:0", &address).to_string(),
         );
-        stand.node.reread(Some(&path), &variables());
+        harness.proxy.reload(Some(&path), &variables());
         std::fs::remove_file(path).unwrap();
-        let call = stand.accepted(&new);
+        let call = harness.accepted(&new);
         assert!(
-            stand
+            harness
                 .heard(&call, "\r\n\r\n")
                 .starts_with("GET /registry/instances HTTP/1.1\r\n")
         );
         let list = json!({"rev": 1, "all": true,
-            "targets": [entry("s1", upstream.local_addr().unwrap(), "active")]});
+            "targets": [entry("s1", endpoint.local_addr().unwrap(), "active")]});
         say(&call, &answer(&list));
         // What the former discovery told until then counts, so it is heard as long.
-        stand.ends(&old);
-        assert!(stand.heard(&call, "\r\n\r\n").contains("since=1&"));
+        harness.ends(&old);
+        assert!(harness.heard(&call, "\r\n\r\n").contains("since=1&"));
         // The next round finds a watch of this one.
-        stand.discovery = new;
+        harness.discovery = new;
         drop(call);
     }
     assert!(
-        stand.node.desk.borrow().tickets.contains_key(ticket),
+        harness.proxy.state.borrow().requests.contains_key(request),
         "a ticket under way is untouched"
     );
-    say(&link, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-    stand.heard(&client, "ok");
+    say(
+        &connection,
+        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
+    );
+    harness.heard(&client, "ok");
 }
 
 #[rstest]
 #[case::missing(None)]
 #[case::no_json(Some("{".to_owned()))]
-#[case::no_address(Some(told("127.0.0.1:0", "nowhere").to_string()))]
+#[case::no_address(Some(document("127.0.0.1:0", "nowhere").to_string()))]
 fn a_file_that_cannot_be_read_changes_nothing(#[case] text: Option<String>) {
-    let mut stand = Stand::new();
-    let asked = stand.discovery.try_clone().unwrap();
-    let call = stand.accepted(&asked);
+    let mut harness = TestHarness::new();
+    let asked = harness.discovery.try_clone().unwrap();
+    let call = harness.accepted(&asked);
     let path = text.map_or("/nowhere/at/all".to_owned(), |text| {
         file(&format!("bad-{}", text.len()), &text)
     });
-    let before = stand.node.desk.borrow().place.discovery;
-    stand.node.reread(Some(&path), &variables());
+    let before = harness.proxy.state.borrow().config.discovery;
+    harness.proxy.reload(Some(&path), &variables());
     _ = std::fs::remove_file(path);
-    stand.heard(&call, "\r\n\r\n");
-    let desk = stand.node.desk.borrow();
+    harness.heard(&call, "\r\n\r\n");
+    let state = harness.proxy.state.borrow();
     assert_eq!(
-        (desk.place.discovery, desk.counters.rereads_failed),
+        (state.config.discovery, state.counters.reloads_failed),
         (before, 1)
     );
 }
@@ -99,79 +102,85 @@
 }
 
 /// Asks as a client that opens a connection for it, and hears the status.
-fn status(stand: &mut Stand, request: &str) -> String {
-    let (client, _) = stand.client();
+fn status(harness: &mut TestHarness, request: &str) -> String {
+    let (client, _) = harness.client();
     say(&client, request);
-    let head = stand.heard(&client, "\r\n\r\n");
+    let head = harness.heard(&client, "\r\n\r\n");
     head.split(' ').nth(1).unwrap().to_owned()
 }
 
-/// The move and the way back are one step: tickets under way are answered once and sent once, what clients can ask
+/// The move and the way back are one step: requests under way are answered once and sent once, what clients can ask
 /// for changes with the file, and going back and forth leaves nothing behind.
 #[test]
-fn settings_change_while_a_ticket_is_under_way_and_back_again() {
-    let mut stand = Stand::new();
+fn settings_change_while_a_request_is_under_way_and_back_again() {
+    let mut harness = TestHarness::new();
     let other = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
     let own = std::net::UdpSocket::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
     let peers = [own, other.local_addr().unwrap()];
-    let address = stand.discovery.local_addr().unwrap().to_string();
-    let [old, mut new] = [0, 1].map(|_| told("127.0.0.1:0", &address));
+    let address = harness.discovery.local_addr().unwrap().to_string();
+    let [old, mut new] = [0, 1].map(|_| document("127.0.0.1:0", &address));
     moved(&mut new, &peers);
-    let upstream = stand.upstream("s1");
-    let (client, ticket) = stand.dispatched("t1", "s1", 5_000_000);
-    let link = stand.accepted(&upstream);
-    stand.heard(&link, "body");
+    let endpoint = harness.endpoint("s1");
+    let (client, request) = harness.start_attempt("t1", "s1", 5_000_000);
+    let connection = harness.accepted(&endpoint);
+    harness.heard(&connection, "body");
     for round in 0..3 {
-        for (told, taken, gone) in [
+        for (document, taken, gone) in [
             (&new, swap("n"), message("o", "b")),
             (&old, message("o", "b"), swap("n")),
         ] {
-            let path = file(&format!("switch-{round}"), &told.to_string());
-            stand.node.reread(Some(&path), &variables());
+            let path = file(&format!("switch-{round}"), &document.to_string());
+            harness.proxy.reload(Some(&path), &variables());
             std::fs::remove_file(path).unwrap();
-            assert_eq!(status(&mut stand, &gone), "404");
-            let (asking, _) = stand.client();
+            assert_eq!(status(&mut harness, &gone), "404");
+            let (asking, _) = harness.client();
             say(&asking, &taken);
-            let taken = |desk: &Desk| desk.counters.tickets_taken;
-            let before = 2 * round + u64::from(std::ptr::eq(told, &old));
-            stand.until(|node| (taken(&node.desk.borrow()) > before).then_some(()));
+            let taken = |state: &ProxyState| state.counters.requests_received;
+            let before = 2 * round + u64::from(std::ptr::eq(document, &old));
+            harness.until(|proxy| (taken(&proxy.state.borrow()) > before).then_some(()));
         }
     }
-    let desk = stand.node.desk.borrow();
+    let state = harness.proxy.state.borrow();
     assert_eq!(
-        (desk.counters.settings_changed, desk.counters.rereads_failed),
+        (
+            state.counters.settings_changed,
+            state.counters.reloads_failed
+        ),
         (6, 0)
     );
-    let known: Vec<_> = desk
-        .place
-        .known_use_cases
+    let known: Vec<_> = state
+        .config
+        .known_classes
         .iter()
         .map(|known| known.0.as_str())
         .collect();
     assert_eq!(known, ["pay", "look", "swap", "status"]);
     assert!(
-        desk.tickets.contains_key(ticket),
+        state.requests.contains_key(request),
         "a ticket under way is untouched"
     );
-    drop(desk);
-    say(&link, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-    stand.heard(&client, "ok");
+    drop(state);
+    say(
+        &connection,
+        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
+    );
+    harness.heard(&client, "ok");
     let mut again = [0; 64];
-    let more = std::io::Read::read(&mut &link, &mut again);
+    let more = std::io::Read::read(&mut &connection, &mut again);
     assert!(more.is_err(), "nothing of it was sent a second time");
 }
 
 #[rstest]
-#[case::no_path(|told: &mut Value| told["probe_path"] = json!(null))]
-#[case::push(|told: &mut Value| told["settings"]["registryMode"] = json!("push"))]
-#[case::address_taken(|told: &mut Value| told["peers"] = json!(["192.0.2.1:9", "192.0.2.2:9"]))]
+#[case::no_path(|document: &mut Value| document["probe_path"] = json!(null))]
+#[case::push(|document: &mut Value| document["settings"]["registryMode"] = json!("push"))]
+#[case::address_taken(|document: &mut Value| document["peers"] = json!(["192.0.2.1:9", "192.0.2.2:9"]))]
 fn settings_that_cannot_be_taken_change_nothing(#[case] spoil: fn(&mut Value)) {
-    let mut stand = Stand::new();
-    let address = stand.discovery.local_addr().unwrap().to_string();
-    let mut new = told("127.0.0.1:0", &address);
+    let mut harness = TestHarness::new();
+    let address = harness.discovery.local_addr().unwrap().to_string();
+    let mut new = document("127.0.0.1:0", &address);
     moved(
         &mut new,
         &[
@@ -184,21 +193,21 @@
         &format!("spoilt-{}", new.to_string().len()),
         &new.to_string(),
     );
-    let before = stand.node.balancer.settings().clone();
-    stand.node.reread(Some(&path), &variables());
+    let before = harness.proxy.balancer.settings().clone();
+    harness.proxy.reload(Some(&path), &variables());
     std::fs::remove_file(path).unwrap();
-    let desk = stand.node.desk.borrow();
+    let state = harness.proxy.state.borrow();
     assert_eq!(
-        (desk.counters.rereads_failed, desk.ear.is_none()),
+        (state.counters.reloads_failed, state.gossip_socket.is_none()),
         (1, true)
     );
     assert_eq!(
-        (stand.node.balancer.settings(), &*desk.place.classes),
+        (harness.proxy.balancer.settings(), &*state.config.classes),
         (&before, &["pay".to_owned(), "look".to_owned()][..])
     );
 }
 
-/// How often each ticket ran at the upstreams, by its id.
+/// How often each request ran at the endpoints, by its id.
 type Runs = Arc<Mutex<HashMap<String, usize>>>;
 
 /// A message as far as its body; nothing once the other side has gone.
@@ -219,8 +228,8 @@
     Some((head, String::from_utf8(body).unwrap()))
 }
 
-/// Upstreams on threads of their own: they tell their load to probes, and each fifth ticket takes a while.
-fn upstreams(runs: &Runs) -> SocketAddr {
+/// Endpoints on threads of their own: they tell their load to probes, and each fifth request takes a while.
+fn endpoints(runs: &Runs) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (address, runs) = (listener.local_addr().unwrap(), Arc::clone(runs));
     std::thread::spawn(move || {
@@ -250,12 +259,12 @@
     address
 }
 
-/// A client that asks for all use cases in turn, and how each ticket was answered.
+/// A client that asks for all use cases in turn, and how each request was answered.
 fn client(balancer: SocketAddr, name: usize, answered: &Arc<Mutex<Vec<(String, String)>>>) {
     let answered = Arc::clone(answered);
     std::thread::spawn(move || {
         let mut open = None;
-        for n in 0..TICKETS {
+        for n in 0..REQUESTS {
             let (lane, method) = [("pay", "POST"), ("swap", "POST"), ("status", "GET")][n % 3];
             let id = format!("{lane}-{name}-{n}");
             let body = if method == "POST" {
@@ -277,7 +286,7 @@
                         }
                         break head.split(' ').nth(1).unwrap().to_owned();
                     }
-                    // It closed between tickets: as clients do, once more on a new connection.
+                    // It closed between requests: as clients do, once more on a new connection.
                     None => open = None,
                 }
             };
@@ -287,38 +296,41 @@
 }
 
 const CLIENTS: usize = 6;
-const TICKETS: usize = 60;
+const REQUESTS: usize = 60;
 
-/// Settings change under load, again and again: every ticket is answered exactly once, no irreversible one runs
+/// Settings change under load, again and again: every request is answered exactly once, no irreversible one runs
 /// twice, and what was dismissed with a promise never ran.
 #[rstest]
-#[case::there_and_back(|_: &mut Stand, _: SocketAddr| {})]
-#[case::during_a_drain(|stand: &mut Stand, at: SocketAddr| stand.list(&[entry("s1", at, "leaving")]))]
-fn settings_change_under_load(#[case] trouble: fn(&mut Stand, SocketAddr)) {
-    let mut stand = Stand::new();
+#[case::there_and_back(|_: &mut TestHarness, _: SocketAddr| {})]
+#[case::during_a_drain(|harness: &mut TestHarness, at: SocketAddr| harness.list(&[entry("s1", at, "leaving")]))]
+fn settings_change_under_load(#[case] trouble: fn(&mut TestHarness, SocketAddr)) {
+    let mut harness = TestHarness::new();
     let (runs, answered) = (Runs::default(), Arc::new(Mutex::new(Vec::new())));
-    let at = upstreams(&runs);
-    stand.list(&["s1", "s2", "s3", "s4", "s5", "s6"].map(|id| entry(id, at, "active")));
+    let at = endpoints(&runs);
+    harness.list(&["s1", "s2", "s3", "s4", "s5", "s6"].map(|id| entry(id, at, "active")));
     let other = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
     let own = std::net::UdpSocket::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
-    let address = stand.discovery.local_addr().unwrap().to_string();
-    let [old, mut new] = [0, 1].map(|_| told("127.0.0.1:0", &address));
+    let address = harness.discovery.local_addr().unwrap().to_string();
+    let [old, mut new] = [0, 1].map(|_| document("127.0.0.1:0", &address));
     moved(&mut new, &[own, other.local_addr().unwrap()]);
-    (0..CLIENTS).for_each(|name| client(stand.address, name, &answered));
-    for (round, told) in [&new, &old, &new, &old, &new].into_iter().enumerate() {
-        let enough = (round + 1) * CLIENTS * TICKETS / 6;
-        stand.until(|_| (answered.lock().unwrap().len() >= enough).then_some(()));
+    (0..CLIENTS).for_each(|name| client(harness.address, name, &answered));
+    for (round, document) in [&new, &old, &new, &old, &new].into_iter().enumerate() {
+        let enough = (round + 1) * CLIENTS * REQUESTS / 6;
+        harness.until(|_| (answered.lock().unwrap().len() >= enough).then_some(()));
         if round == 2 {
-            trouble(&mut stand, at);
+            trouble(&mut harness, at);
         }
-        let path = file(&format!("load-{round}-{}", own.port()), &told.to_string());
-        stand.node.reread(Some(&path), &variables());
+        let path = file(
+            &format!("load-{round}-{}", own.port()),
+            &document.to_string(),
+        );
+        harness.proxy.reload(Some(&path), &variables());
         std::fs::remove_file(path).unwrap();
     }
-    stand.until(|_| (answered.lock().unwrap().len() == CLIENTS * TICKETS).then_some(()));
+    harness.until(|_| (answered.lock().unwrap().len() == CLIENTS * REQUESTS).then_some(()));
     let (answered, runs) = (answered.lock().unwrap(), runs.lock().unwrap());
     for (id, answer) in answered.iter() {
         let ran = runs.get(id).copied().unwrap_or(0);
@@ -340,65 +352,73 @@
             .count()
     };
     assert!(served("pay") > 0 && served("swap") > 0 && served("status") > 0);
-    let desk = stand.node.desk.borrow();
-    assert_eq!((desk.counters.settings_changed, desk.tickets.len()), (5, 0));
+    let state = harness.proxy.state.borrow();
+    assert_eq!(
+        (state.counters.settings_changed, state.requests.len()),
+        (5, 0)
+    );
 }
 
 /// Told to stop, a balancer still answers what it has, under whichever settings.
 #[test]
 fn a_switch_during_a_stop_loses_nothing() {
-    let mut stand = Stand::new();
-    let upstream = stand.upstream("s1");
-    let (client, _) = stand.dispatched("t1", "s1", 5_000_000);
-    let link = stand.accepted(&upstream);
-    stand.heard(&link, "body");
-    stand.node.signalled(Signal::SIGTERM);
+    let mut harness = TestHarness::new();
+    let endpoint = harness.endpoint("s1");
+    let (client, _) = harness.start_attempt("t1", "s1", 5_000_000);
+    let connection = harness.accepted(&endpoint);
+    harness.heard(&connection, "body");
+    harness.proxy.signalled(Signal::SIGTERM);
     let other = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
     let own = std::net::UdpSocket::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
-    let mut new = told(
+    let mut new = document(
         "127.0.0.1:0",
-        &stand.discovery.local_addr().unwrap().to_string(),
+        &harness.discovery.local_addr().unwrap().to_string(),
     );
     moved(&mut new, &[own, other.local_addr().unwrap()]);
     let path = file(&format!("stop-{}", own.port()), &new.to_string());
-    stand.node.reread(Some(&path), &variables());
+    harness.proxy.reload(Some(&path), &variables());
     std::fs::remove_file(path).unwrap();
-    assert!(!stand.node.over);
-    say(&link, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-    stand.heard(&client, "ok");
+    assert!(!harness.proxy.is_finished);
+    say(
+        &connection,
+        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
+    );
+    harness.heard(&client, "ok");
     drop(client);
-    stand.until(|node| node.over.then_some(()));
+    harness.until(|proxy| proxy.is_finished.then_some(()));
 }
 
 /// The operator file too is read anew: what can be taken holds at once, what can't be changes nothing.
 #[test]
 fn an_operator_file_that_cannot_be_taken_changes_nothing() {
-    let mut stand = Stand::new();
+    let mut harness = TestHarness::new();
     let key = file("operator-key", "0123456789abcdef");
     let fleet = format!(
         "[fleet]\nname = 'f'\nkey_file = '{key}'\nlisten = '127.0.0.1:0'\nadvertise = '127.0.0.1:9'\n"
     );
     let path = file("operator", &fleet);
     let opened = {
-        let desk = stand.node.desk.borrow();
-        let terms = fleet_terms(&path, &desk.place, stand.node.balancer.settings()).unwrap();
-        Fleet::open(&desk.handle, terms, 1, &desk.log).unwrap()
+        let state = harness.proxy.state.borrow();
+        let settings =
+            fleet_terms(&path, &state.config, harness.proxy.balancer.settings()).unwrap();
+        Fleet::open(&state.handle, settings, 1, &state.log).unwrap()
     };
-    stand.node.desk.borrow_mut().fleet = Some(opened);
+    harness.proxy.state.borrow_mut().fleet = Some(opened);
     let mut duties = |text: &str| {
         std::fs::write(&path, format!("{fleet}{text}")).unwrap();
-        stand.node.reread_operator(Some(&path));
-        let desk = stand.node.desk.borrow();
+        harness.proxy.reload_operator_file(Some(&path));
+        let state = harness.proxy.state.borrow();
         let duties = |fleet: &Fleet| {
             fleet
                 .accord
                 .duties()
                 .map_or(0, |duties| duties.wanted().count())
         };
-        desk.fleet
+        state
+            .fleet
             .as_ref()
             .map_or(0, |fleet| duties(&fleet.borrow()))
     };
@@ -423,24 +443,32 @@
 /// same.
 #[test]
 fn a_file_that_could_not_be_read_for_a_moment_is_read_again() {
-    let mut stand = Stand::new();
+    let mut harness = TestHarness::new();
     let elsewhere = listener();
-    let new = told("127.0.0.1:0", &elsewhere.local_addr().unwrap().to_string());
+    let new = document("127.0.0.1:0", &elsewhere.local_addr().unwrap().to_string());
     let path = file("again", &new.to_string());
-    stand.node.desk.borrow_mut().reread_later(Some(&path), true);
-    let call = stand.accepted(&elsewhere);
-    stand.heard(&call, "\r\n\r\n");
+    harness
+        .proxy
+        .state
+        .borrow_mut()
+        .schedule_reload(Some(&path), true);
+    let call = harness.accepted(&elsewhere);
+    harness.heard(&call, "\r\n\r\n");
     std::fs::remove_file(&path).unwrap();
-    assert!(stand.node.desk.borrow().reread_again.is_none());
+    assert!(harness.proxy.state.borrow().pending_reload.is_none());
     // What is wrong with the file itself is not tried again, and nothing is for ever.
-    stand
-        .node
-        .desk
+    harness
+        .proxy
+        .state
         .borrow_mut()
-        .reread_later(Some(&path), false);
-    assert!(stand.node.desk.borrow().reread_again.is_none());
+        .schedule_reload(Some(&path), false);
+    assert!(harness.proxy.state.borrow().pending_reload.is_none());
     for _ in 0..=TRIES {
-        stand.node.desk.borrow_mut().reread_later(Some(&path), true);
+        harness
+            .proxy
+            .state
+            .borrow_mut()
+            .schedule_reload(Some(&path), true);
     }
-    assert!(stand.node.desk.borrow().reread_again.is_none());
+    assert!(harness.proxy.state.borrow().pending_reload.is_none());
 }
--- a/crates/proxy/src/life/start/tests.rs
+++ b/crates/proxy/src/lifecycle/retry/tests.rs
@@ -14,7 +14,7 @@
 #[case::not_allowed(Errno::ACCESS, false)]
 fn only_what_passes_is_tried_again(#[case] code: Errno, #[case] again: bool) {
     let mut tries = 0;
-    let done = patiently(passes, || -> io::Result<u32> {
+    let done = retry_transient(is_transient, || -> io::Result<u32> {
         tries += 1;
         if tries < 3 {
             Err(code.into())
--- /dev/null
+++ b/crates/proxy/src/lifecycle/shutdown/tests.rs
@@ -0,0 +1,170 @@
+use rstest::rstest;
+
+use super::*;
+use crate::test_harness::{TestHarness, message, say};
+
+#[test]
+fn a_stop_answers_what_was_taken_then_closes_what_is_idle() {
+    let mut harness = TestHarness::new();
+    let endpoint = harness.endpoints();
+    let (busy, _) = harness.client();
+    let (idle, key) = harness.client();
+    harness.proxy.state.borrow_mut().clients[key].answered = 1;
+    say(&busy, &message("t1", "body"));
+    let connection = harness.accepted(&endpoint);
+    harness.heard(&connection, "body");
+    harness.proxy.signalled(Signal::SIGTERM);
+    // The only balancer's clients have no other to go to (re6c252): until then it serves on.
+    let (late, _) = harness.client();
+    say(&late, "GET /health/ready HTTP/1.1\r\n\r\n");
+    let told = harness.heard(&late, "not ready\n");
+    assert!(told.starts_with("HTTP/1.1 503 ") && !told.contains("Connection: close"));
+    say(&idle, "GET /health/live HTTP/1.1\r\n\r\n");
+    assert!(!harness.heard(&idle, "live\n").contains("Connection: close"));
+    let began = harness.proxy.state.borrow().now() - SERVE_ON;
+    harness.proxy.state.borrow_mut().stopping = Some(began);
+    harness.ends(&idle);
+    assert!(!harness.proxy.is_finished);
+    say(
+        &connection,
+        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
+    );
+    assert!(harness.heard(&busy, "ok").contains("Connection: close\r\n"));
+    drop((busy, late));
+    harness.until(|proxy| proxy.is_finished.then_some(()));
+    assert!(harness.proxy.state.borrow().listener.is_none());
+}
+
+#[rstest]
+#[case::accepting(0, true, false)]
+#[case::no_longer(ACCEPT_ON, false, false)]
+#[case::done(SERVE_ON, false, true)]
+fn a_stop_goes_on_accepting_for_a_while(
+    #[case] since: Micros,
+    #[case] listens: bool,
+    #[case] over: bool,
+) {
+    let mut harness = TestHarness::new();
+    let began = harness.proxy.state.borrow().now() - since;
+    harness.proxy.state.borrow_mut().stopping = Some(began);
+    harness.proxy.continue_shutdown();
+    assert_eq!(
+        (
+            harness.proxy.state.borrow().listener.is_some(),
+            harness.proxy.is_finished
+        ),
+        (listens, over)
+    );
+}
+
+#[test]
+fn what_lies_in_the_backlog_is_not_dropped_for_want_of_room() {
+    let mut harness = TestHarness::new();
+    harness
+        .proxy
+        .state
+        .borrow_mut()
+        .config
+        .max_client_connections = 0;
+    let waiting = std::net::TcpStream::connect(harness.address).unwrap();
+    let began = harness.proxy.state.borrow().now() - SERVE_ON;
+    harness.proxy.state.borrow_mut().stopping = Some(began);
+    harness.proxy.continue_shutdown();
+    assert!(harness.proxy.state.borrow().listener.is_some() && !harness.proxy.is_finished);
+    harness
+        .proxy
+        .state
+        .borrow_mut()
+        .config
+        .max_client_connections = 1;
+    harness.proxy.continue_shutdown();
+    assert!(harness.proxy.state.borrow().listener.is_none());
+    drop(waiting);
+}
+
+/// Between the last look at a resting connection and its close comes a request: it is not acted on, and the answer
+/// before it is not lost to a reset.
+#[test]
+fn a_request_that_crosses_the_close_is_read_away_and_resets_nothing() {
+    let mut harness = TestHarness::new();
+    let (mut client, key) = harness.client();
+    say(&client, "GET /health/live HTTP/1.1\r\n\r\n");
+    harness.until(|proxy| (proxy.state.borrow().clients[key].answered == 1).then_some(()));
+    {
+        let mut state = harness.proxy.state.borrow_mut();
+        (state.stopping, state.closing) = (Some(state.now() - SERVE_ON), true);
+        state.close_idle_clients();
+    }
+    say(&client, &message("t1", "body"));
+    harness.proxy.continue_shutdown();
+    assert!(!harness.proxy.is_finished, "its end is under way");
+    harness.until(|proxy| proxy.is_finished.then_some(()));
+    let mut heard = String::new();
+    std::io::Read::read_to_string(&mut client, &mut heard).unwrap();
+    assert!(heard.ends_with("live\n"), "{heard}");
+    assert_eq!(harness.proxy.state.borrow().counters.requests_received, 0);
+}
+
+/// Half a request when the connections close is read on; what never comes whole is answered, and nothing is left open.
+#[rstest]
+#[case::goes_on(true)]
+#[case::stops_there(false)]
+fn a_stop_waits_for_requests_that_have_begun(#[case] goes_on: bool) {
+    let mut harness = TestHarness::new();
+    let endpoint = harness.endpoints();
+    let (client, key) = harness.client();
+    let text = message("t1", "body");
+    say(&client, &text[..40]);
+    harness.until(|proxy| {
+        proxy.state.borrow().clients[key]
+            .partial_request
+            .map(|_| ())
+    });
+    harness.proxy.signalled(Signal::SIGTERM);
+    let began = harness.proxy.state.borrow().now() - SERVE_ON;
+    harness.proxy.state.borrow_mut().stopping = Some(began);
+    harness.until(|proxy| proxy.state.borrow().closing.then_some(()));
+    assert!(!harness.proxy.is_finished);
+    if goes_on {
+        say(&client, &text[40..]);
+        let connection = harness.accepted(&endpoint);
+        harness.heard(&connection, "body");
+        say(
+            &connection,
+            "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
+        );
+        assert!(harness.heard(&client, "ok").contains("Connection: close"));
+    } else {
+        harness.proxy.state.borrow_mut().stopping = Some(began - REST_WITHIN);
+        let heard = harness.heard(&client, "\r\n\r\n");
+        assert!(
+            heard.starts_with("HTTP/1.1 503 ") && heard.contains("Connection: close"),
+            "{heard}"
+        );
+    }
+    harness.ends(&client);
+    drop(client);
+    harness.until(|proxy| proxy.is_finished.then_some(()));
+}
+
+/// Other customers' requests may take longer than any stop of ours: they have their own deadlines.
+#[test]
+fn a_stop_does_not_give_up_requests_whose_deadline_is_far() {
+    let mut harness = TestHarness::new();
+    let endpoint = harness.endpoint("s1");
+    let (client, _) = harness.start_attempt("t1", "s1", 30_000_000);
+    let connection = harness.accepted(&endpoint);
+    harness.heard(&connection, "body");
+    harness.proxy.signalled(Signal::SIGTERM);
+    let began = harness.proxy.state.borrow().now() - GIVE_UP;
+    harness.proxy.state.borrow_mut().stopping = Some(began);
+    harness.proxy.continue_shutdown();
+    assert!(!harness.proxy.is_finished);
+    say(
+        &connection,
+        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
+    );
+    harness.heard(&client, "ok");
+    drop(client);
+    harness.until(|proxy| proxy.is_finished.then_some(()));
+}
--- a/crates/proxy/src/life/log.rs
+++ b/crates/proxy/src/logging.rs
@@ -7,7 +7,7 @@
 use rustix::event::PollFlags;
 use slog::{Drain, KV, Logger, Never, OwnedKVList, Record, Serializer, o};
 
-use crate::memory::buffers::ready;
+use crate::state::socket::ready;
 
 #[cfg(test)]
 mod tests;
@@ -25,9 +25,9 @@
 
 /// Lines not yet written.
 #[derive(Clone, Default)]
-pub struct Pipe(Arc<Mutex<Kept>>);
+pub struct LogBuffer(Arc<Mutex<Kept>>);
 
-impl Pipe {
+impl LogBuffer {
     pub fn logger(&self, level: slog::Level) -> Logger {
         Logger::root(self.clone().filter_level(level).fuse(), o!())
     }
@@ -80,7 +80,7 @@
     }
 }
 
-impl Drain for Pipe {
+impl Drain for LogBuffer {
     type Ok = ();
     type Err = Never;
 
--- /dev/null
+++ b/crates/proxy/src/logging/tests.rs
@@ -0,0 +1,28 @@
+use slog::info;
+
+use super::*;
+
+fn lines(log_buffer: &LogBuffer) -> String {
+    String::from_utf8(log_buffer.0.lock().unwrap().lines.clone()).unwrap()
+}
+
+#[test]
+fn what_comes_from_outside_stays_in_its_field() {
+    let log_buffer = LogBuffer::default();
+    info!(log_buffer.logger(slog::Level::Info), "closed"; "endpoint" => "a b\nINFO x", "reason" => "timed_out");
+    assert_eq!(
+        lines(&log_buffer),
+        "INFO closed reason=timed_out endpoint=\"a b\\nINFO x\"\n"
+    );
+}
+
+#[test]
+fn a_full_pipe_drops_lines_and_counts_them() {
+    let log_buffer = LogBuffer::default();
+    let line = "x".repeat(1000);
+    for _ in 0..100 {
+        log_buffer.keep(&line);
+    }
+    let kept = log_buffer.0.lock().unwrap();
+    assert_eq!((kept.lines.len() / 1000, kept.dropped), (65, 35));
+}
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,11 +1,18 @@
 //! `pinefront`: the balancer's command line.
 
+mod close_reason;
+mod config;
+mod connections;
+mod discovery;
+mod event_loop;
 mod fleet;
-mod life;
-mod memory;
+mod gossip;
+mod lifecycle;
+mod logging;
+mod policy_host;
+mod state;
 #[cfg(test)]
-mod stand;
-mod wire;
+mod test_harness;
 
 use std::process::ExitCode;
 
@@ -51,15 +58,15 @@
         }
     }
     match command.as_deref() {
-        Some("serve") => life::start::run(file.as_deref(), operator.as_deref()),
+        Some("serve") => lifecycle::startup::run(file.as_deref(), operator.as_deref()),
         Some("fleet") => {
             let at = at.ok_or("no balancer named: give --at ADDRESS, where clients reach it")?;
             fleet::show::show(&at, watch, json)
         }
         Some("check") => {
-            let (_, place, terms) = life::place::read(file.as_deref(), &life::place::variables())?;
+            let (_, config, settings) = config::read(file.as_deref(), &config::variables())?;
             if let Some(operator) = &operator {
-                life::start::fleet_terms(operator, &place, &terms)?;
+                lifecycle::startup::fleet_terms(operator, &config, &settings)?;
             }
             println!("well-formed");
             Ok(())
--- a/crates/proxy/src/memory/buffers.rs
+++ b/crates/proxy/src/state/buffers.rs
@@ -4,10 +4,8 @@
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind, IoSlice, Read, Write};
 use std::net::TcpStream;
-use std::os::fd::AsFd;
 
 use bytes::{Buf, Bytes, BytesMut};
-use rustix::event::{PollFd, PollFlags, Timespec, poll};
 
 #[cfg(test)]
 mod tests;
@@ -19,37 +17,24 @@
 
 /// How reading stopped.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Inflow {
+pub enum ReadOutcome {
     /// Nothing more for now.
-    Dry,
+    WouldBlock,
     /// As much as may be kept; more may be waiting in the socket.
     Full,
     /// The other side ended its sending.
-    Ended,
-    Broken,
-}
-
-/// What a descriptor is ready for, of what is wanted or gone wrong, without waiting.
-pub fn ready(of: &impl AsFd, wanted: PollFlags) -> PollFlags {
-    let mut fds = [PollFd::new(of, wanted)];
-    let at_once = Timespec {
-        tv_sec: 0,
-        tv_nsec: 0,
-    };
-    match poll(&mut fds, Some(&at_once)) {
-        Ok(_) => fds[0].revents(),
-        Err(_) => PollFlags::empty(),
-    }
+    Closed,
+    Failed,
 }
 
 #[derive(Default)]
-pub struct Inbox {
+pub struct ReadBuffer {
     bytes: BytesMut,
 }
 
-impl Inbox {
+impl ReadBuffer {
     /// Reads until nothing more is there or `most` is kept.
-    pub fn fill(&mut self, mut stream: &TcpStream, most: usize) -> Inflow {
+    pub fn fill(&mut self, mut stream: &TcpStream, most: usize) -> ReadOutcome {
         while self.bytes.len() < most {
             let kept = self.bytes.len();
             self.bytes.resize(kept + READ_AT_ONCE.min(most - kept), 0);
@@ -57,17 +42,19 @@
             self.bytes
                 .truncate(kept + read.as_ref().map_or(0, |count| *count));
             match read {
-                Ok(0) => return Inflow::Ended,
+                Ok(0) => return ReadOutcome::Closed,
                 Ok(_) => {}
                 Err(problem) if problem.kind() == ErrorKind::Interrupted => {}
-                Err(problem) if problem.kind() == ErrorKind::WouldBlock => return Inflow::Dry,
-                Err(_) => return Inflow::Broken,
+                Err(problem) if problem.kind() == ErrorKind::WouldBlock => {
+                    return ReadOutcome::WouldBlock;
+                }
+                Err(_) => return ReadOutcome::Failed,
             }
         }
-        Inflow::Full
+        ReadOutcome::Full
     }
 
-    pub fn kept(&self) -> &[u8] {
+    pub fn bytes(&self) -> &[u8] {
         &self.bytes
     }
 
@@ -82,11 +69,11 @@
 }
 
 #[derive(Default)]
-pub struct Outbox {
+pub struct WriteBuffer {
     slices: VecDeque<Bytes>,
 }
 
-impl Outbox {
+impl WriteBuffer {
     pub fn push(&mut self, slice: Bytes) {
         if !slice.is_empty() {
             self.slices.push_back(slice);
--- /dev/null
+++ b/crates/proxy/src/state/buffers/tests.rs
@@ -0,0 +1,58 @@
+use super::*;
+use crate::test_harness::listener;
+
+fn pair() -> (TcpStream, TcpStream) {
+    let listener = listener();
+    let ours = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    listener.set_nonblocking(false).unwrap();
+    let theirs = listener.accept().unwrap().0;
+    theirs.set_nonblocking(false).unwrap();
+    ours.set_nonblocking(true).unwrap();
+    (ours, theirs)
+}
+
+#[test]
+fn an_read_buffer_keeps_no_more_than_it_may() {
+    let (ours, mut theirs) = pair();
+    theirs.write_all(&[7; 5000]).unwrap();
+    drop(theirs);
+    let mut read_buffer = ReadBuffer::default();
+    let first = std::iter::repeat_with(|| read_buffer.fill(&ours, 4500))
+        .find(|outcome| *outcome != ReadOutcome::WouldBlock);
+    assert_eq!(
+        (first, read_buffer.bytes().len()),
+        (Some(ReadOutcome::Full), 4500)
+    );
+    assert_eq!(read_buffer.take(4500).len(), 4500);
+    let last = std::iter::repeat_with(|| read_buffer.fill(&ours, 4500))
+        .find(|outcome| *outcome != ReadOutcome::WouldBlock);
+    assert_eq!(
+        (last, read_buffer.bytes().len()),
+        (Some(ReadOutcome::Closed), 500)
+    );
+}
+
+#[test]
+fn an_write_buffer_goes_on_where_a_write_stopped() {
+    let (ours, mut theirs) = pair();
+    let sent: Vec<u8> = (0..8_000_000_u32).map(|n| (n % 251) as u8).collect();
+    let mut write_buffer = WriteBuffer::default();
+    for part in sent.chunks(70_001) {
+        write_buffer.push(Bytes::copy_from_slice(part));
+    }
+    write_buffer.drain(&ours).unwrap();
+    assert!(
+        !write_buffer.is_empty(),
+        "a socket took eight megabytes at once"
+    );
+    let reader = std::thread::spawn(move || {
+        let mut heard = Vec::new();
+        theirs.read_to_end(&mut heard).map(|_| heard)
+    });
+    while !write_buffer.is_empty() {
+        write_buffer.drain(&ours).unwrap();
+        std::thread::yield_now();
+    }
+    drop(ours);
+    assert!(reader.join().unwrap().unwrap() == sent, "the bytes differ");
+}
--- /dev/null
+++ b/crates/proxy/src/state/client_connection.rs
@@ -0,0 +1,74 @@
+//! A client's connection.
+
+use std::net::SocketAddr;
+
+use pinefront_policy::Micros;
+
+use crate::state::buffers::{ReadBuffer, WriteBuffer};
+use crate::state::keys::RequestKey;
+use crate::state::socket::RegisteredSocket;
+use crate::state::timers::TimerKey;
+
+/// Bytes read ahead while a request is in flight or its response is not taken: enough to notice a disconnect,
+/// too little to keep a second message beside the first.
+pub const READ_AHEAD_BYTES: usize = 4 * 1024;
+
+/// The state of one client's connection.
+pub struct ClientConnection {
+    /// The stream in the event loop.
+    pub socket: RegisteredSocket,
+    /// The client's address.
+    pub peer: SocketAddr,
+    /// Bytes received and not parsed yet.
+    pub read_buffer: ReadBuffer,
+    /// Bytes to be sent.
+    pub write_buffer: WriteBuffer,
+    /// The request in flight.
+    pub request: Option<RequestKey>,
+    /// The client asked for the connection to be closed after this response.
+    pub no_keep_alive: bool,
+    /// Responses written so far.
+    pub answered: u64,
+    /// When it was accepted, in microseconds.
+    pub opened: Micros,
+    /// How long it may have waited in the backlog while the process was busy or not scheduled, in microseconds.
+    pub waited: Micros,
+    /// Requests received so far.
+    pub requests_received: u64,
+    /// An incomplete request at the front of the read buffer.
+    pub partial_request: Option<PartialRequest>,
+    /// Bytes discarded since our side was shut down.
+    pub discarded_bytes: usize,
+    /// Why the connection closes once everything is written.
+    pub close_reason: Option<&'static str>,
+    /// Our side is shut down. What the client still sends is discarded: closing over unread bytes would reset the
+    /// connection and lose the end of the last response.
+    pub is_lingering: bool,
+    /// When the present wait began, in microseconds.
+    pub since: Micros,
+    /// `100 Continue` was sent for the request being received.
+    pub sent_continue: bool,
+    /// The connection's timer.
+    pub timer: Option<TimerKey>,
+}
+
+/// An incomplete request as it was last seen.
+#[derive(Clone, Copy)]
+pub struct PartialRequest {
+    /// Bytes received so far.
+    pub length: usize,
+    /// When its first bytes were seen, in microseconds.
+    pub began: Micros,
+}
+
+impl ClientConnection {
+    /// Whether the client waits for a response or for the rest of one.
+    pub fn awaits_response(&self) -> bool {
+        self.request.is_some() || !self.write_buffer.is_empty()
+    }
+
+    /// Whether bytes were received that were not parsed yet; they may hold a complete request.
+    pub fn has_unread_bytes(&self) -> bool {
+        !self.read_buffer.bytes().is_empty() && self.partial_request.is_none()
+    }
+}
--- a/crates/proxy/src/memory/clock.rs
+++ b/crates/proxy/src/state/clock.rs
@@ -34,14 +34,14 @@
 
 /// What is known of the present turn's beginning.
 #[derive(Default)]
-pub struct Turn {
+pub struct LoopIteration {
     /// How long the turn before went on after its wait should have ended.
     pub busy: Micros,
     /// When this turn's wait should have ended.
     pub until: Micros,
 }
 
-impl Turn {
+impl LoopIteration {
     /// The next turn waits from `now` to `until`.
     pub fn begin(&mut self, now: Micros, until: Micros) {
         self.busy = if self.until == 0 {
--- /dev/null
+++ b/crates/proxy/src/state/clock/tests.rs
@@ -0,0 +1,26 @@
+use rstest::rstest;
+
+use super::*;
+
+#[rstest]
+#[case::in_time(LoopIteration { busy: 0, until: 100_000 }, 90_000, 0)]
+#[case::as_usual(LoopIteration { busy: 2_000, until: 100_000 }, 102_000, 0)]
+#[case::stopped_in_the_wait(LoopIteration { busy: 0, until: 100_000 }, 400_000, 300_000)]
+#[case::busy_before(LoopIteration { busy: 50_000, until: 100_000 }, 90_000, 50_000)]
+fn what_is_read_may_have_lain_while_we_were_not_let_run(
+    #[case] loop_iteration: LoopIteration,
+    #[case] now: Micros,
+    #[case] late: Micros,
+) {
+    assert_eq!(loop_iteration.late(now), late);
+}
+
+#[test]
+fn a_turn_that_goes_on_for_long_makes_the_next_one_late() {
+    let mut iteration = LoopIteration {
+        busy: 0,
+        until: 100_000,
+    };
+    iteration.begin(180_000, 230_000);
+    assert_eq!((iteration.busy, iteration.until), (80_000, 230_000));
+}
--- /dev/null
+++ b/crates/proxy/src/state/gossip_socket.rs
@@ -0,0 +1,62 @@
+//! The datagram socket on which balancers exchange gossip messages.
+
+use std::io;
+use std::net::{SocketAddr, UdpSocket};
+use std::rc::Rc;
+
+use calloop::generic::Generic;
+use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
+
+/// This balancer's gossip socket in the event loop.
+pub struct GossipSocket {
+    /// The socket, shared with the event source that watches it.
+    pub socket: Rc<UdpSocket>,
+    address: SocketAddr,
+    token: RegistrationToken,
+}
+
+impl GossipSocket {
+    /// Binds a socket and registers it: `ready` is called with the loop's data while datagrams wait.
+    fn open<D: 'static>(
+        handle: &LoopHandle<'static, D>,
+        address: SocketAddr,
+        ready: impl Fn(&mut D) + 'static,
+    ) -> io::Result<Self> {
+        let socket = UdpSocket::bind(address)?;
+        socket.set_nonblocking(true)?;
+        let socket = Rc::new(socket);
+        let source = Generic::new(Rc::clone(&socket), Interest::READ, Mode::Level);
+        let token = handle.insert_source(source, move |_, _, data: &mut D| {
+            ready(data);
+            Ok(PostAction::Continue)
+        });
+        Ok(Self {
+            socket,
+            address,
+            token: token.map_err(|problem| io::Error::other(problem.error))?,
+        })
+    }
+
+    /// Opens a socket at `address`, or none where `current` is bound there already or no address is given.
+    ///
+    /// # Errors
+    ///
+    /// Fails when the address cannot be bound or the loop cannot watch the socket.
+    pub fn open_if_changed<D: 'static>(
+        current: Option<&Self>,
+        handle: &LoopHandle<'static, D>,
+        address: Option<SocketAddr>,
+        ready: impl Fn(&mut D) + 'static,
+    ) -> io::Result<Option<Self>> {
+        match (current, address) {
+            (Some(current), Some(address)) if current.address == address => Ok(None),
+            (_, Some(address)) => Self::open(handle, address, ready).map(Some),
+            (_, None) => Ok(None),
+        }
+    }
+
+    /// Removes the socket from the event loop and closes it.
+    pub fn close<D>(self, handle: &LoopHandle<'static, D>) {
+        handle.remove(self.token);
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/state/mod.rs
@@ -0,0 +1,14 @@
+//! The proxy's state: connections, requests, endpoints, timers and counters. Nothing here handles an event.
+
+pub mod buffers;
+pub mod client_connection;
+pub mod clock;
+pub mod counters;
+pub mod endpoint;
+pub mod endpoint_connection;
+pub mod gossip_socket;
+pub mod keys;
+pub mod proxy;
+pub mod request;
+pub mod socket;
+pub mod timers;
--- /dev/null
+++ b/crates/proxy/src/state/socket.rs
@@ -0,0 +1,84 @@
+//! Sockets of the event loop: registration, connecting without waiting, and readiness checks.
+
+use std::io;
+use std::net::{SocketAddr, TcpStream};
+use std::os::fd::AsFd;
+use std::rc::Rc;
+
+use calloop::generic::Generic;
+use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
+use rustix::event::{PollFd, PollFlags, Timespec, poll};
+use rustix::io::Errno;
+use socket2::{Domain, Protocol, Socket, Type};
+
+/// A stream and its registration in the event loop.
+pub struct RegisteredSocket {
+    /// The stream, shared with the event source that watches it.
+    pub stream: Rc<TcpStream>,
+    /// Removes the source from the loop when the connection is closed.
+    pub token: RegistrationToken,
+}
+
+impl RegisteredSocket {
+    /// Registers a stream, edge-triggered: `ready` is called with the loop's data whenever the stream becomes
+    /// readable or writable.
+    ///
+    /// # Errors
+    ///
+    /// Fails when the loop cannot watch the stream.
+    pub fn new<D: 'static>(
+        handle: &LoopHandle<'static, D>,
+        stream: TcpStream,
+        ready: impl Fn(&mut D) + 'static,
+    ) -> io::Result<Self> {
+        let stream = Rc::new(stream);
+        let source = Generic::new(Rc::clone(&stream), Interest::BOTH, Mode::Edge);
+        let token = handle.insert_source(source, move |_, _, data: &mut D| {
+            ready(data);
+            Ok(PostAction::Continue)
+        });
+        Ok(Self {
+            stream,
+            token: token.map_err(|problem| io::Error::other(problem.error))?,
+        })
+    }
+}
+
+/// Returns the events among `wanted` (and errors) that a descriptor is ready for now, without waiting.
+pub fn ready(of: &impl AsFd, wanted: PollFlags) -> PollFlags {
+    const NO_WAIT: Timespec = Timespec {
+        tv_sec: 0,
+        tv_nsec: 0,
+    };
+    let mut fds = [PollFd::new(of, wanted)];
+    match poll(&mut fds, Some(&NO_WAIT)) {
+        Ok(_) => fds[0].revents(),
+        Err(_) => PollFlags::empty(),
+    }
+}
+
+/// Whether the peer has closed its side, also where the end lies behind bytes that were not read yet.
+pub fn is_hung_up(stream: &TcpStream) -> bool {
+    ready(stream, PollFlags::RDHUP).intersects(PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR)
+}
+
+/// Starts to connect without waiting; a later failure shows on the socket.
+///
+/// # Errors
+///
+/// Fails when the socket cannot be made or the connection attempt cannot be started.
+pub fn connect(address: SocketAddr) -> io::Result<TcpStream> {
+    let socket = Socket::new(
+        Domain::for_address(address),
+        Type::STREAM.nonblocking(),
+        Some(Protocol::TCP),
+    )?;
+    socket.set_tcp_nodelay(true)?;
+    match socket.connect(&address.into()) {
+        Ok(()) => {}
+        Err(problem) if Errno::from_io_error(&problem) == Some(Errno::INPROGRESS) => {}
+        // Anything else, EAGAIN too, has started nothing.
+        Err(problem) => return Err(problem),
+    }
+    Ok(socket.into())
+}
--- /dev/null
+++ b/crates/proxy/src/state/timers/tests.rs
@@ -0,0 +1,37 @@
+use super::*;
+
+#[test]
+fn what_falls_due_comes_by_time_and_then_by_order() {
+    let mut timers = Timers::default();
+    let keys = [(20, 1), (10, 2), (10, 3), (10, 4)]
+        .map(|(at, timer_id)| timers.schedule(at, TimerEvent::PolicyTimer(timer_id)));
+    timers.cancel(keys[2]);
+    let mark = timers.mark();
+    let due: Vec<_> = std::iter::from_fn(|| timers.due(20, mark)).collect();
+    assert_eq!(
+        due,
+        [
+            TimerEvent::PolicyTimer(2),
+            TimerEvent::PolicyTimer(4),
+            TimerEvent::PolicyTimer(1)
+        ]
+    );
+}
+
+#[test]
+fn what_a_turn_hangs_waits_for_the_next() {
+    let mut timers = Timers::default();
+    let mark = timers.mark();
+    timers.schedule(10, TimerEvent::ResumeAccepting);
+    assert_eq!((timers.due(10, mark), timers.next()), (None, Some(10)));
+}
+
+#[test]
+fn a_deadline_that_moved_stands_only_once() {
+    let (mut timers, mut key) = (Timers::default(), None);
+    timers.move_to(&mut key, 10, TimerEvent::Shutdown);
+    timers.move_to(&mut key, 30, TimerEvent::Shutdown);
+    assert_eq!(timers.next(), Some(30));
+    timers.clear(&mut key);
+    assert_eq!((timers.next(), key), (None, None));
+}
--- a/crates/proxy/src/stand.rs
+++ b/crates/proxy/src/test_harness.rs
@@ -8,17 +8,17 @@
 use pinefront_policy::{Host, Micros};
 use serde_json::{Value, json};
 
-use crate::life::log::Pipe;
-use crate::life::place::{Place, Variables};
-use crate::life::serve::{Hands, Node};
-use crate::life::start::open;
-use crate::memory::slots::{ClientSlot, TicketSlot};
+use crate::config::{Config, Variables};
+use crate::lifecycle::startup::open;
+use crate::logging::LogBuffer;
+use crate::state::keys::{ClientKey, RequestKey};
+use crate::state::proxy::{Proxy, ProxyHost};
 
 /// Far more than anything here takes: beyond it a test has failed.
 const LONG: Duration = Duration::from_secs(20);
 
 /// What a balancer is told, with one labelled use case.
-pub fn told(listen: &str, discovery: &str) -> Value {
+pub fn document(listen: &str, discovery: &str) -> Value {
     json!({
         "name": "n0", "listen": listen, "discovery": discovery, "seed": "8c1f30d27a5be964",
         "limits": {"sockets": 1024},
@@ -60,14 +60,14 @@
     )
 }
 
-pub struct Stand {
-    pub event_loop: EventLoop<'static, Node>,
-    pub node: Node,
+pub struct TestHarness {
+    pub event_loop: EventLoop<'static, Proxy>,
+    pub proxy: Proxy,
     pub discovery: TcpListener,
     pub address: SocketAddr,
 }
 
-impl Stand {
+impl TestHarness {
     pub fn new() -> Self {
         Self::with(|_| {})
     }
@@ -75,15 +75,22 @@
     /// A balancer that is told so much else.
     pub fn with(change: impl FnOnce(&mut Value)) -> Self {
         let discovery = listener();
-        let mut told = told("127.0.0.1:0", &discovery.local_addr().unwrap().to_string());
-        change(&mut told);
-        let (place, terms) = Place::decode(&told, &Variables::new(), 1024).unwrap();
+        let mut document = document("127.0.0.1:0", &discovery.local_addr().unwrap().to_string());
+        change(&mut document);
+        let (config, settings) = Config::decode(&document, &Variables::new(), 1024).unwrap();
         let event_loop = EventLoop::try_new().unwrap();
-        let node = open(event_loop.handle(), &Pipe::default(), &told, place, terms).unwrap();
+        let proxy = open(
+            event_loop.handle(),
+            &LogBuffer::default(),
+            &document,
+            config,
+            settings,
+        )
+        .unwrap();
         // However slow a test is, it counts as in time.
-        node.desk.borrow_mut().turn.until = Micros::MAX;
-        let address = node
-            .desk
+        proxy.state.borrow_mut().loop_iteration.until = Micros::MAX;
+        let address = proxy
+            .state
             .borrow()
             .listener
             .as_ref()
@@ -93,22 +100,22 @@
             .unwrap();
         Self {
             event_loop,
-            node,
+            proxy,
             discovery,
             address,
         }
     }
 
-    /// An upstream of the test's own, named in the list.
-    pub fn upstream(&mut self, id: &str) -> TcpListener {
+    /// An endpoint of the test's own, named in the list.
+    pub fn endpoint(&mut self, id: &str) -> TcpListener {
         let listener = listener();
         self.list(&[entry(id, listener.local_addr().unwrap(), "active")]);
         listener
     }
 
-    /// Many upstreams at one address: with so many to itself, a balancer that knows nothing yet lets through
+    /// Many endpoints at one address: with so many to itself, a balancer that knows nothing yet lets through
     /// what comes.
-    pub fn upstreams(&mut self) -> TcpListener {
+    pub fn endpoints(&mut self) -> TcpListener {
         let listener = listener();
         let address = listener.local_addr().unwrap();
         self.list(&["s1", "s2", "s3", "s4", "s5", "s6"].map(|id| entry(id, address, "active")));
@@ -116,42 +123,43 @@
     }
 
     pub fn list(&mut self, entries: &[Value]) {
-        self.node
+        self.proxy
             .take_list(&json!({"rev": 1, "all": false, "targets": entries}))
             .unwrap();
     }
 
     /// Turns until there is what must come.
-    pub fn until<T>(&mut self, mut look: impl FnMut(&mut Node) -> Option<T>) -> T {
+    pub fn until<T>(&mut self, mut look: impl FnMut(&mut Proxy) -> Option<T>) -> T {
         let began = Instant::now();
         loop {
-            if let Some(found) = look(&mut self.node) {
+            if let Some(found) = look(&mut self.proxy) {
                 return found;
             }
             assert!(
                 began.elapsed() < LONG,
                 "it never came; {}",
-                node_state(&self.node)
+                node_state(&self.proxy)
             );
             self.event_loop
-                .dispatch(Some(Duration::from_millis(1)), &mut self.node)
+                .dispatch(Some(Duration::from_millis(1)), &mut self.proxy)
                 .unwrap();
-            self.node.deadlines();
+            self.proxy.timers();
         }
     }
 
-    pub fn client(&mut self) -> (TcpStream, ClientSlot) {
-        let known: Vec<_> = self.node.desk.borrow().clients.keys().collect();
+    pub fn client(&mut self) -> (TcpStream, ClientKey) {
+        let known: Vec<_> = self.proxy.state.borrow().clients.keys().collect();
         let stream = TcpStream::connect(self.address).unwrap();
         stream.set_nonblocking(true).unwrap();
-        let slot = self.until(|node| {
-            node.desk
+        let key = self.until(|proxy| {
+            proxy
+                .state
                 .borrow()
                 .clients
                 .keys()
-                .find(|slot| !known.contains(slot))
+                .find(|key| !known.contains(key))
         });
-        (stream, slot)
+        (stream, key)
     }
 
     pub fn accepted(&mut self, listener: &TcpListener) -> TcpStream {
@@ -189,39 +197,39 @@
         });
     }
 
-    /// A ticket whose client waits, unknown to the module, and its first dispatch.
-    pub fn dispatched(
+    /// A request whose client waits, unknown to the module, and its first dispatch.
+    pub fn start_attempt(
         &mut self,
         id: &str,
-        upstream: &str,
+        endpoint: &str,
         wait: Micros,
-    ) -> (TcpStream, TicketSlot) {
-        let (stream, slot) = self.client();
+    ) -> (TcpStream, RequestKey) {
+        let (stream, key) = self.client();
         let text = bytes::Bytes::from(message(id, "body"));
         let mut fields = [httparse::EMPTY_HEADER; 16];
         let mut head = httparse::Request::new(&mut fields);
         let length = head.parse(&text).unwrap().unwrap();
         let body = std::iter::once(length..text.len()).collect::<Vec<_>>();
-        let idempotency = self.node.desk.borrow().place.effects[0];
-        self.node
-            .desk
+        let idempotency = self.proxy.state.borrow().config.idempotencies[0];
+        self.proxy
+            .state
             .borrow_mut()
-            .open(slot, id, idempotency, &text, &head, &body);
-        let ticket = self.node.desk.borrow().by_id[id];
-        self.again(id, upstream, wait);
-        (stream, ticket)
+            .add_request(key, id, idempotency, &text, &head, &body);
+        let request = self.proxy.state.borrow().request_by_id[id];
+        self.again(id, endpoint, wait);
+        (stream, request)
     }
 
-    pub fn again(&mut self, id: &str, upstream: &str, wait: Micros) {
-        let expire_at = self.node.desk.borrow().now() + wait;
-        Hands(self.node.desk.clone()).start_attempt(id, upstream, expire_at);
+    pub fn again(&mut self, id: &str, endpoint: &str, wait: Micros) {
+        let expire_at = self.proxy.state.borrow().now() + wait;
+        ProxyHost(self.proxy.state.clone()).start_attempt(id, endpoint, expire_at);
     }
 }
 
 /// Makes of what a balancer is told that of a fleet of another build: use cases of its own, loads told to probes, no
 /// second copies, and two balancers that hear each other at these addresses.
-pub fn moved(told: &mut Value, peers: &[SocketAddr]) {
-    let settings = &mut told["settings"];
+pub fn moved(document: &mut Value, peers: &[SocketAddr]) {
+    let settings = &mut document["settings"];
     settings["useCases"] = json!([
         {"name": "swap", "effect": "unsafe", "promisedTimeUs": 280_000, "earnings": 5.0},
         {"name": "status", "effect": "safe", "promisedTimeUs": 280_000, "earnings": 2.0}]);
@@ -231,8 +239,8 @@
     for (name, allowed) in [("probes", true), ("peers", true), ("secondCopies", false)] {
         settings["caps"][name] = allowed.into();
     }
-    told["probe_path"] = "/load".into();
-    told["peers"] = peers.iter().map(SocketAddr::to_string).collect();
+    document["probe_path"] = "/load".into();
+    document["peers"] = peers.iter().map(SocketAddr::to_string).collect();
 }
 
 pub fn listener() -> TcpListener {
@@ -246,8 +254,8 @@
 }
 
 /// What a test that failed wants to know.
-fn node_state(node: &Node) -> String {
-    let text = node.desk.borrow().counters.to_string();
+fn node_state(proxy: &Proxy) -> String {
+    let text = proxy.state.borrow().counters.to_string();
     text.lines()
         .filter(|line| !line.ends_with(" 0"))
         .collect::<Vec<_>>()
