--- a/crates/proxy/src/connections/request.rs
+++ b/crates/proxy/src/connections/request.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use httparse::{Header, Status};
-use pinefront_policy::{Idempotency, Micros};
+use pinefront_policy::{Idempotency, Micros, RequestArrival};
 use siphasher::sip::SipHasher13;
 
 use crate::close_reason;
@@ -132,8 +132,15 @@
         let idempotency = state.config.idempotencies[class];
         let request = state.add_request(key, id, idempotency, &message, &asked, &body);
         drop(borrowed);
-        self.balancer
-            .request_arrived(now, &request, class, account, hard_stop, hint, ordering_key);
+        let arrival = RequestArrival {
+            id: &request,
+            class,
+            tenant: account,
+            deadline: hard_stop,
+            work_hint: hint,
+            key: ordering_key,
+        };
+        self.balancer.request_arrived(now, arrival);
     }
 }
 
--- a/crates/proxy/src/connections/response.rs
+++ b/crates/proxy/src/connections/response.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use httparse::{Header, Response, Status};
-use pinefront_policy::AttemptOutcome;
+use pinefront_policy::{AttemptOutcome, LoadReport};
 
 use crate::close_reason;
 use crate::connections::http_message::{
@@ -104,9 +104,13 @@
             state.answer(exchange.request, 200, lines, body);
         }
         drop(borrowed);
-        if let Some((busy, queue, held)) = load {
-            self.balancer
-                .load_reported(now, &endpoint, busy, queue, held);
+        if let Some((utilisation, queue, in_flight)) = load {
+            let report = LoadReport {
+                utilisation,
+                queue,
+                in_flight,
+            };
+            self.balancer.load_reported(now, &endpoint, report);
         }
         if probe_completed {
             return self.probe_finished(endpoint_key, last);
--- a/crates/proxy/src/discovery/lists.rs
+++ b/crates/proxy/src/discovery/lists.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use pinefront_policy::Micros;
+use pinefront_policy::{ListedEndpoint, Micros};
 use pinefront_settings::fields::{Decoded, flag, list, number, optional, text, whole};
 use serde_json::Value;
 use slog::{info, warn};
@@ -94,8 +94,14 @@
                 state.endpoint_active(id, address);
                 let launched = state.started(id, stated, starts);
                 drop(state);
-                self.balancer
-                    .endpoint_listed(id, zone, kind, group, weight, launched);
+                self.balancer.endpoint_listed(ListedEndpoint {
+                    id,
+                    zone,
+                    machine_type: kind,
+                    cell: group,
+                    weight,
+                    started_at: launched,
+                });
             }
             "leaving" => self.mark_draining(now, id),
             "left" => self.mark_removed(now, id),
