--- a/crates/cluster/src/duties/plan.rs
+++ b/crates/cluster/src/leases/assignment.rs
@@ -4,16 +4,16 @@
 
 use std::rc::Rc;
 
-use super::Duty;
+use super::Lease;
 
 /// Members that may ask for one duty; the second and third stand by.
-pub const RANKS: usize = 3;
+pub const CANDIDATES_PER_LEASE: usize = 3;
 /// One member's duties at most, against the mean.
-const UNEVEN: f64 = 1.3;
+const MAX_LOAD_OVER_MEAN: f64 = 1.3;
 
 /// A member as far as duties are concerned.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Place {
+pub struct Candidate {
     pub name: Rc<str>,
     pub zone: Rc<str>,
 }
@@ -35,76 +35,77 @@
 }
 
 /// For each duty the members in the order in which they ask for it, as places in `members`.
-pub fn plan(duties: &[Duty], members: &[Place]) -> Vec<Vec<usize>> {
+pub fn assign(leases: &[Lease], members: &[Candidate]) -> Vec<Vec<usize>> {
     let hashes: Vec<u64> = members.iter().map(|member| hashed(&member.name)).collect();
-    let mean = duties.len() as f64 / members.len().max(1) as f64;
-    let most = mean.ceil().max((UNEVEN * mean).floor()) as usize;
+    let mean = leases.len() as f64 / members.len().max(1) as f64;
+    let most = mean.ceil().max((MAX_LOAD_OVER_MEAN * mean).floor()) as usize;
     let mut loads = vec![0; members.len()];
-    let mut plans = Vec::with_capacity(duties.len());
-    for duty in duties {
-        let seed = mixed(u64::from(duty.id.0) ^ 0x9e37_79b9_7f4a_7c15);
+    let mut assignments = Vec::with_capacity(leases.len());
+    for lease in leases {
+        let seed = mixed(u64::from(lease.id.0) ^ 0x9e37_79b9_7f4a_7c15);
         let mut order: Vec<usize> = (0..members.len()).collect();
-        let far = |place: usize| {
-            duty.zone
+        let far = |index: usize| {
+            lease
+                .zone
                 .as_ref()
-                .is_some_and(|zone| *zone != members[place].zone)
+                .is_some_and(|zone| *zone != members[index].zone)
         };
-        order.sort_by_key(|&place| {
+        order.sort_by_key(|&index| {
             (
-                far(place),
-                mixed(seed ^ hashes[place]),
-                members[place].name.clone(),
+                far(index),
+                mixed(seed ^ hashes[index]),
+                members[index].name.clone(),
             )
         });
         // The first that has room; the others keep their order behind it.
         let first = order
             .iter()
-            .position(|&place| loads[place] < most)
+            .position(|&index| loads[index] < most)
             .unwrap_or(0);
         if let Some(ahead) = order.get_mut(..=first) {
             // The one found goes before those that it was found behind.
             ahead.rotate_right(1);
         }
-        order.truncate(RANKS);
+        order.truncate(CANDIDATES_PER_LEASE);
         order
             .first()
             .into_iter()
-            .for_each(|&place| loads[place] += 1);
-        plans.push(order);
+            .for_each(|&index| loads[index] += 1);
+        assignments.push(order);
     }
-    plans
+    assignments
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn places(names: impl Iterator<Item = usize>) -> Vec<Place> {
+    fn indices(names: impl Iterator<Item = usize>) -> Vec<Candidate> {
         names
-            .map(|n| Place {
+            .map(|n| Candidate {
                 name: format!("b{n}").into(),
                 zone: ["a", "b"][n % 2].into(),
             })
             .collect()
     }
 
-    fn duties(count: usize) -> Vec<Duty> {
+    fn leases(count: usize) -> Vec<Lease> {
         (0..count)
-            .map(|n| Duty::new(&format!("scout/{n}"), None))
+            .map(|n| Lease::new(&format!("scout/{n}"), None))
             .collect()
     }
 
     #[test]
     fn duties_are_even_and_few_move_when_one_comes() {
-        let duties = duties(200);
-        let before = plan(&duties, &places(0..30));
+        let leases = leases(200);
+        let before = assign(&leases, &indices(0..30));
         let mut loads = vec![0; 30];
         before.iter().for_each(|order| loads[order[0]] += 1);
         assert!(
             loads.iter().all(|&load| load as f64 <= 1.3 * 200.0 / 30.0),
             "{loads:?}"
         );
-        let after = plan(&duties, &places(0..31));
+        let after = assign(&leases, &indices(0..31));
         let moved = before
             .iter()
             .zip(&after)
@@ -115,15 +116,15 @@
 
     #[test]
     fn a_zone_has_its_own_first_and_each_order_names_no_member_twice() {
-        let duties = [
-            Duty::new("roster/a", Some("a".into())),
-            Duty::new("roster/b", Some("b".into())),
+        let leases = [
+            Lease::new("roster/a", Some("a".into())),
+            Lease::new("roster/b", Some("b".into())),
         ];
-        let (members, empty) = (places(0..7), plan(&duties, &[]));
-        for (duty, order) in duties.iter().zip(plan(&duties, &members)) {
-            assert_eq!(Some(&members[order[0]].zone), duty.zone.as_ref());
+        let (members, empty) = (indices(0..7), assign(&leases, &[]));
+        for (lease, order) in leases.iter().zip(assign(&leases, &members)) {
+            assert_eq!(Some(&members[order[0]].zone), lease.zone.as_ref());
             assert!(
-                order.len() == RANKS
+                order.len() == CANDIDATES_PER_LEASE
                     && (order[0] != order[1])
                     && (order[1] != order[2])
                     && order[0] != order[2]
--- a/crates/cluster/src/duties/tenure.rs
+++ b/crates/cluster/src/leases/state.rs
@@ -1,6 +1,6 @@
 //! How one member stands to one duty.
 
-use super::VOTERS_MOST;
+use super::MAX_VOTERS;
 use super::term::Term;
 use crate::Micros;
 
@@ -8,54 +8,54 @@
 pub type Votes = u8;
 
 /// Rounds of renewal whose grants are still counted.
-const ROUNDS_KEPT: usize = 4;
+const MAX_COUNTED_ROUNDS: usize = 4;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Tenure {
+pub enum LeaseState {
     /// Asks at that moment, if it is among those who may.
     Idle {
         next: Micros,
     },
-    Asking(Asked),
-    Claiming(Claimed),
-    Holding(Held),
+    Querying(Query),
+    Bidding(Bid),
+    Held(Held),
 }
 
 /// What voters have said so far of a duty that is asked for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Asked {
+pub struct Query {
     pub round: u32,
     pub since: Micros,
     pub heard: Votes,
     /// Those that would grant a claim at once.
-    pub free: Votes,
-    left: [Micros; VOTERS_MOST],
+    pub available: Votes,
+    left: [Micros; MAX_VOTERS],
 }
 
-impl Asked {
+impl Query {
     pub fn new(round: u32, since: Micros) -> Self {
         Self {
             round,
             since,
             heard: 0,
-            free: 0,
-            left: [0; VOTERS_MOST],
+            available: 0,
+            left: [0; MAX_VOTERS],
         }
     }
 
-    pub fn told(&mut self, place: usize, left: Micros) {
-        self.heard |= 1 << place;
+    pub fn told(&mut self, index: usize, left: Micros) {
+        self.heard |= 1 << index;
         if left == 0 {
-            self.free |= 1 << place;
+            self.available |= 1 << index;
         }
-        self.left[place] = left;
+        self.left[index] = left;
     }
 
     /// How long until so many of those heard are free.
-    pub fn free_in(&self, majority: u32) -> Micros {
-        let mut left: Vec<Micros> = (0..VOTERS_MOST)
-            .filter(|place| self.heard >> place & 1 == 1)
-            .map(|place| self.left[place])
+    pub fn available_in(&self, majority: u32) -> Micros {
+        let mut left: Vec<Micros> = (0..MAX_VOTERS)
+            .filter(|index| self.heard >> index & 1 == 1)
+            .map(|index| self.left[index])
             .collect();
         left.sort_unstable();
         left.get(majority as usize - 1)
@@ -67,7 +67,7 @@
 
 /// A claim under way.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Claimed {
+pub struct Bid {
     pub term: Term,
     pub round: u32,
     pub since: Micros,
@@ -75,7 +75,7 @@
     pub refused: Votes,
 }
 
-impl Claimed {
+impl Bid {
     pub fn new(term: Term, round: u32, since: Micros) -> Self {
         Self {
             term,
@@ -110,18 +110,18 @@
     }
 
     pub fn begin_round(&mut self, round: u32) {
-        if self.rounds.len() >= ROUNDS_KEPT {
+        if self.rounds.len() >= MAX_COUNTED_ROUNDS {
             self.rounds.remove(0);
         }
         self.rounds.push((round, 0));
     }
 
     /// Voters that granted in that round, this one with them. Grants of different rounds are never added up.
-    pub fn grants(&mut self, round: u32, place: usize) -> u32 {
+    pub fn grants(&mut self, round: u32, index: usize) -> u32 {
         let Some(entry) = self.rounds.iter_mut().find(|entry| entry.0 == round) else {
             return 0;
         };
-        entry.1 |= 1 << place;
+        entry.1 |= 1 << index;
         entry.1.count_ones()
     }
 }
--- a/crates/cluster/src/duties/term.rs
+++ b/crates/cluster/src/leases/term.rs
@@ -4,9 +4,9 @@
 
 /// A duty's number: the head of its name's hash. Two names with one number share a holder, which does no harm.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct DutyId(pub u32);
+pub struct LeaseId(pub u32);
 
-impl DutyId {
+impl LeaseId {
     pub fn of(name: &str) -> Self {
         let hash = blake3::hash(name.as_bytes());
         let head = hash
@@ -23,5 +23,5 @@
 pub struct Term {
     pub number: u64,
     /// Chance of the life that claimed it, so that two that chose one number are told apart.
-    pub life: u64,
+    pub incarnation: u64,
 }
--- a/crates/cluster/src/duties/tests.rs
+++ b/crates/cluster/src/leases/tests.rs
@@ -8,27 +8,30 @@
 /// Members with voters among them, and all that lies between them.
 struct Fleet {
     now: Micros,
-    all: Vec<Duties>,
+    all: Vec<Leases>,
     names: Vec<Rc<str>>,
     /// Nobody hears these, and they hear nobody.
     cut: Vec<usize>,
-    present: Vec<usize>,
-    events: Vec<(usize, DutyEvent)>,
+    alive: Vec<usize>,
+    events: Vec<(usize, LeaseEvent)>,
 }
 
-fn terms() -> DutyTerms {
-    DutyTerms {
+fn lease_config() -> LeaseConfig {
+    LeaseConfig {
         voters: ["b0", "b1", "b2"].map(Rc::from).into(),
-        lease: LEASE_USUAL,
+        duration: DEFAULT_LEASE_US,
     }
 }
 
 impl Fleet {
-    fn new(members: usize, duties: &[&str]) -> Self {
+    fn new(members: usize, leases: &[&str]) -> Self {
         let names: Vec<Rc<str>> = (0..members).map(|n| Rc::from(format!("b{n}"))).collect();
         let all = names.iter().enumerate().map(|(n, name)| {
-            let mut one = Duties::new(0, terms(), Rc::clone(name), n as u64 + 1, 1_000);
-            one.want(0, duties.iter().map(|name| Duty::new(name, None)).collect());
+            let mut one = Leases::new(0, lease_config(), Rc::clone(name), n as u64 + 1, 1_000);
+            one.track(
+                0,
+                leases.iter().map(|name| Lease::new(name, None)).collect(),
+            );
             one
         });
         let all = all.collect();
@@ -37,7 +40,7 @@
             all,
             names,
             cut: Vec::new(),
-            present: (0..members).collect(),
+            alive: (0..members).collect(),
             events: Vec::new(),
         }
     }
@@ -45,31 +48,31 @@
     fn run(&mut self, span: Micros) {
         for _ in 0..span / MS {
             self.now += MS;
-            let place = |n: &usize| Place {
+            let index = |n: &usize| Candidate {
                 name: Rc::clone(&self.names[*n]),
                 zone: "a".into(),
             };
-            let present: Vec<Place> = self.present.iter().map(place).collect();
+            let alive: Vec<Candidate> = self.alive.iter().map(index).collect();
             for n in 0..self.all.len() {
                 if self.all[n].next_due() <= self.now && !self.cut.contains(&n) {
-                    self.all[n].due(self.now, &present, true);
+                    self.all[n].due(self.now, &alive, true);
                 }
-                let (frames, events) = (self.all[n].take_frames(), self.all[n].take_events());
+                let (messages, events) = (self.all[n].take_messages(), self.all[n].take_events());
                 self.events
                     .extend(events.into_iter().map(|event| (n, event)));
-                for (to, frame) in frames {
+                for (to, message) in messages {
                     let to = self.names.iter().position(|name| *name == to).unwrap();
                     if !self.cut.contains(&n) && !self.cut.contains(&to) {
-                        let (name, life) = (Rc::clone(&self.names[n]), n as u64 + 1);
-                        self.all[to].heard(self.now, &name, life, &frame);
+                        let (name, incarnation) = (Rc::clone(&self.names[n]), n as u64 + 1);
+                        self.all[to].receive(self.now, &name, incarnation, &message);
                     }
                 }
             }
         }
     }
 
-    fn holders(&self, duty: &str) -> Vec<usize> {
-        let id = DutyId::of(duty);
+    fn holders(&self, lease: &str) -> Vec<usize> {
+        let id = LeaseId::of(lease);
         (0..self.all.len())
             .filter(|&n| self.all[n].holds(self.now, id, 0).is_some())
             .collect()
@@ -84,25 +87,27 @@
     assert!(
         ["a", "b", "c", "d"]
             .iter()
-            .all(|duty| fleet.holders(duty).is_empty())
+            .all(|lease| fleet.holders(lease).is_empty())
     );
     fleet.run(3_000 * MS);
-    let first: Vec<_> = ["a", "b", "c", "d"].map(|duty| fleet.holders(duty)).into();
+    let first: Vec<_> = ["a", "b", "c", "d"]
+        .map(|lease| fleet.holders(lease))
+        .into();
     assert!(first.iter().all(|holders| holders.len() == 1), "{first:?}");
     fleet.run(30 * SECOND);
     let taken = fleet
         .events
         .iter()
-        .filter(|(_, event)| matches!(event, DutyEvent::Taken { .. }))
+        .filter(|(_, event)| matches!(event, LeaseEvent::Acquired { .. }))
         .count();
     assert_eq!(taken, 4);
     // All others know the term, by what the holder announced.
-    let term = fleet.all[first[0][0]].holds(fleet.now, DutyId::of("a"), 0);
+    let term = fleet.all[first[0][0]].holds(fleet.now, LeaseId::of("a"), 0);
     assert!(
         fleet
             .all
             .iter()
-            .all(|one| one.known(DutyId::of("a")) == term)
+            .all(|one| one.known(LeaseId::of("a")) == term)
     );
 }
 
@@ -116,9 +121,9 @@
     while fleet.holders("a") == [first] {
         fleet.run(MS);
     }
-    assert!(fleet.now - cut_at <= LEASE_USUAL);
+    assert!(fleet.now - cut_at <= DEFAULT_LEASE_US);
     let lost_at = fleet.now;
-    fleet.present.retain(|n| *n != first);
+    fleet.alive.retain(|n| *n != first);
     while fleet.holders("a").is_empty() {
         fleet.run(MS);
     }
@@ -144,34 +149,34 @@
     let mut fleet = Fleet::new(5, &["a"]);
     fleet.run(5 * SECOND);
     fleet.cut = vec![0, 1];
-    fleet.present = vec![2, 3, 4];
+    fleet.alive = vec![2, 3, 4];
     fleet.run(6 * SECOND);
-    assert!((2..5).all(|n| fleet.all[n].holds(fleet.now, DutyId::of("a"), 0).is_none()));
+    assert!((2..5).all(|n| fleet.all[n].holds(fleet.now, LeaseId::of("a"), 0).is_none()));
     assert!(
         fleet
             .events
             .iter()
-            .any(|(_, event)| *event == DutyEvent::NoMajority)
+            .any(|(_, event)| *event == LeaseEvent::QuorumLost)
     );
     // Both come back with nothing kept: silent at first, then one holds it, by a later term.
-    let before = fleet.all[2].known(DutyId::of("a")).unwrap();
+    let before = fleet.all[2].known(LeaseId::of("a")).unwrap();
     for n in [0, 1] {
-        fleet.all[n] = Duties::new(
+        fleet.all[n] = Leases::new(
             fleet.now,
-            terms(),
+            lease_config(),
             Rc::clone(&fleet.names[n]),
             n as u64 + 50,
             1_000,
         );
-        fleet.all[n].want(fleet.now, vec![Duty::new("a", None)]);
+        fleet.all[n].track(fleet.now, vec![Lease::new("a", None)]);
     }
-    (fleet.cut, fleet.present) = (vec![], (0..5).collect());
+    (fleet.cut, fleet.alive) = (vec![], (0..5).collect());
     fleet.run(2 * SECOND);
     assert!(fleet.holders("a").is_empty());
     fleet.run(6 * SECOND);
     let holder = fleet.holders("a");
     assert_eq!(holder.len(), 1);
-    assert!(fleet.all[holder[0]].holds(fleet.now, DutyId::of("a"), 0) > Some(before));
+    assert!(fleet.all[holder[0]].holds(fleet.now, LeaseId::of("a"), 0) > Some(before));
 }
 
 #[test]
@@ -186,11 +191,11 @@
     }
     fleet.run(2 * SECOND);
     assert!(fleet.holders("a").len() == 1 && fleet.holders("a") != [first]);
-    let why = |event: &DutyEvent| {
+    let reason = |event: &LeaseEvent| {
         matches!(
             event,
-            DutyEvent::Lost {
-                why: Why::Pauses,
+            LeaseEvent::Lost {
+                reason: LossReason::ProcessPaused,
                 ..
             }
         )
@@ -199,7 +204,7 @@
         fleet
             .events
             .iter()
-            .any(|(n, event)| *n == first && why(event))
+            .any(|(n, event)| *n == first && reason(event))
     );
 }
 
@@ -207,103 +212,139 @@
 #[test]
 fn a_voter_grants_nothing_to_who_has_other_voters_in_its_file() {
     let mut fleet = Fleet::new(4, &["a"]);
-    let other = DutyTerms {
+    let other = LeaseConfig {
         voters: ["b0", "b1", "b3"].map(Rc::from).into(),
-        lease: LEASE_USUAL,
+        duration: DEFAULT_LEASE_US,
     };
-    fleet.all[3] = Duties::new(0, other, "b3".into(), 4, 1_000);
-    fleet.all[3].want(0, vec![Duty::new("a", None)]);
+    fleet.all[3] = Leases::new(0, other, "b3".into(), 4, 1_000);
+    fleet.all[3].track(0, vec![Lease::new("a", None)]);
     fleet.run(8 * SECOND);
-    assert!(fleet.all[3].holds(fleet.now, DutyId::of("a"), 0).is_none());
+    assert!(fleet.all[3].holds(fleet.now, LeaseId::of("a"), 0).is_none());
     assert!(
         fleet
             .events
             .iter()
-            .any(|(_, event)| *event == DutyEvent::VotersDiffer("b3".into()))
+            .any(|(_, event)| *event == LeaseEvent::VotersDiffer("b3".into()))
     );
 }
 
 #[rstest]
 #[case::not_asked_yet(0, 0, Err(()))]
-#[case::silent_at_first(0, guarded(LEASE_MOST) - 1, Err(()))]
-#[case::then_granted(0, guarded(LEASE_MOST), Ok(()))]
-#[case::longer_than_any_lease(LEASE_MOST, guarded(LEASE_MOST), Err(()))]
+#[case::silent_at_first(0, with_clock_margin(MAX_LEASE_US) - 1, Err(()))]
+#[case::then_granted(0, with_clock_margin(MAX_LEASE_US), Ok(()))]
+#[case::longer_than_any_lease(MAX_LEASE_US, with_clock_margin(MAX_LEASE_US), Err(()))]
 fn a_voter_that_started_is_silent(
     #[case] more: Micros,
     #[case] now: Micros,
     #[case] granted: Result<(), ()>,
 ) {
     let mut voter = Voter::new(0, None);
-    let claim = voter.claim(
+    let bid = voter.bid(
         now,
-        DutyId(1),
-        Term { number: 1, life: 1 },
-        LEASE_USUAL + more,
+        LeaseId(1),
+        Term {
+            number: 1,
+            incarnation: 1,
+        },
+        DEFAULT_LEASE_US + more,
     );
-    assert_eq!(claim.map_err(|_| ()), granted);
+    assert_eq!(bid.map_err(|_| ()), granted);
 }
 
 /// A voter after one grant of a lease at time 10 s, and what it then says to a claim.
 #[rstest]
 #[case::renewed(9, 7, 100 * MS, true)]
 #[case::another_while_it_runs(10, 8, 100 * MS, false)]
-#[case::a_hair_too_early(10, 8, guarded(LEASE_USUAL) - 1, false)]
-#[case::when_it_ran_out(10, 8, guarded(LEASE_USUAL), true)]
+#[case::a_hair_too_early(10, 8, with_clock_margin(DEFAULT_LEASE_US) - 1, false)]
+#[case::when_it_ran_out(10, 8, with_clock_margin(DEFAULT_LEASE_US), true)]
 #[case::an_older_term(8, 8, 10 * SECOND, false)]
 #[case::one_number_of_another_life(9, 6, 10 * SECOND, false)]
 fn a_voter_grants_one_claimant_at_a_time(
     #[case] number: u64,
-    #[case] life: u64,
+    #[case] incarnation: u64,
     #[case] after: Micros,
     #[case] granted: bool,
 ) {
     let mut voter = Voter::new(0, None);
     let at = 10 * SECOND;
     voter
-        .claim(at, DutyId(1), Term { number: 9, life: 7 }, LEASE_USUAL)
+        .bid(
+            at,
+            LeaseId(1),
+            Term {
+                number: 9,
+                incarnation: 7,
+            },
+            DEFAULT_LEASE_US,
+        )
         .unwrap();
-    let claim = voter.claim(at + after, DutyId(1), Term { number, life }, LEASE_USUAL);
-    assert_eq!(claim.is_ok(), granted);
+    let bid = voter.bid(
+        at + after,
+        LeaseId(1),
+        Term {
+            number,
+            incarnation,
+        },
+        DEFAULT_LEASE_US,
+    );
+    assert_eq!(bid.is_ok(), granted);
 }
 
 #[test]
 fn a_release_frees_its_own_turn_only_and_uses_it_up() {
     let (mut voter, at) = (Voter::new(0, None), 10 * SECOND);
-    let term = |number| Term { number, life: 7 };
-    voter.claim(at, DutyId(1), term(9), LEASE_USUAL).unwrap();
-    voter.release(at, DutyId(1), term(8));
-    assert!(voter.told(at, DutyId(1)).left > 0);
-    voter.release(at, DutyId(1), term(9));
-    assert_eq!(voter.told(at, DutyId(1)).left, 0);
+    let term = |number| Term {
+        number,
+        incarnation: 7,
+    };
+    voter
+        .bid(at, LeaseId(1), term(9), DEFAULT_LEASE_US)
+        .unwrap();
+    voter.release(at, LeaseId(1), term(8));
+    assert!(voter.told(at, LeaseId(1)).left > 0);
+    voter.release(at, LeaseId(1), term(9));
+    assert_eq!(voter.told(at, LeaseId(1)).left, 0);
     // A renewal that was on its way when it was let go.
-    assert!(voter.claim(at, DutyId(1), term(9), LEASE_USUAL).is_err());
-    voter.claim(at, DutyId(1), term(10), LEASE_USUAL).unwrap();
-    voter.release(at, DutyId(1), term(9));
-    assert!(voter.told(at, DutyId(1)).left > 0);
+    assert!(
+        voter
+            .bid(at, LeaseId(1), term(9), DEFAULT_LEASE_US)
+            .is_err()
+    );
+    voter
+        .bid(at, LeaseId(1), term(10), DEFAULT_LEASE_US)
+        .unwrap();
+    voter.release(at, LeaseId(1), term(9));
+    assert!(voter.told(at, LeaseId(1)).left > 0);
 }
 
 #[test]
 fn acts_of_older_terms_are_not_taken_and_their_holder_hears_why() {
     let mut fleet = Fleet::new(2, &["a"]);
-    let (duty, sender) = (DutyId::of("a"), Rc::from("b0"));
-    let act = |number| DutyFrame::Act {
-        duty,
-        term: Term { number, life: 1 },
+    let (lease, sender) = (LeaseId::of("a"), Rc::from("b0"));
+    let send_command = |number| LeaseMessage::Command {
+        lease,
+        term: Term {
+            number,
+            incarnation: 1,
+        },
         body: vec![1],
     };
     let one = &mut fleet.all[1];
     [5, 7, 6]
         .into_iter()
-        .for_each(|number| one.heard(0, &sender, 1, &act(number)));
+        .for_each(|number| one.receive(0, &sender, 1, &send_command(number)));
     let taken = one
         .take_events()
         .into_iter()
-        .filter(|event| matches!(event, DutyEvent::Acted { .. }))
+        .filter(|event| matches!(event, LeaseEvent::CommandReceived { .. }))
         .count();
-    assert_eq!((taken, one.old_refused), (2, 1));
-    let known = Term { number: 7, life: 1 };
+    assert_eq!((taken, one.old_commands_refused), (2, 1));
+    let known = Term {
+        number: 7,
+        incarnation: 1,
+    };
     assert!(
-        one.take_frames()
-            .contains(&(sender, DutyFrame::Old { duty, term: known }))
+        one.take_messages()
+            .contains(&(sender, LeaseMessage::StaleTerm { lease, term: known }))
     );
 }
--- a/crates/cluster/src/duties/voter.rs
+++ b/crates/cluster/src/leases/voter.rs
@@ -5,17 +5,17 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::term::{DutyId, Term};
-use super::{Planted, guarded};
+use super::term::{LeaseId, Term};
+use super::{InjectedFault, with_clock_margin};
 use crate::Micros;
 
 /// Duties that one voter keeps seats for; a fleet has fewer.
-const SEATS_MOST: usize = 8_192;
+const MAX_GRANTS: usize = 8_192;
 
 /// What a voter says of a duty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Told {
-    pub duty: DutyId,
+pub struct GrantStatus {
+    pub lease: LeaseId,
     /// The greatest term it granted since it started.
     pub term: Option<Term>,
     /// Microseconds until it would grant another claim; 0: at once.
@@ -27,7 +27,7 @@
 /// Invariant: `term` never falls while the voter runs, and until `until` nobody but the claimant of `term` is granted the
 /// duty, unless that one let it go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Seat {
+struct Grant {
     term: Term,
     until: Micros,
     /// Its claimant let it go: it is free at once, and the term is used up.
@@ -37,22 +37,22 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Voter {
     silent_until: Micros,
-    seats: BTreeMap<DutyId, Seat>,
-    planted: Option<Planted>,
+    grants: BTreeMap<LeaseId, Grant>,
+    injected_fault: Option<InjectedFault>,
 }
 
 impl Voter {
     /// Starts with nothing known, and so silent for the longest lease that it may have granted before.
-    pub fn new(now: Micros, planted: Option<Planted>) -> Self {
-        let silence = if planted == Some(Planted::NoSilence) {
+    pub fn new(now: Micros, injected_fault: Option<InjectedFault>) -> Self {
+        let silence = if injected_fault == Some(InjectedFault::NoStartupSilence) {
             0
         } else {
-            guarded(super::LEASE_MOST)
+            with_clock_margin(super::MAX_LEASE_US)
         };
         Self {
             silent_until: now + silence,
-            seats: BTreeMap::new(),
-            planted,
+            grants: BTreeMap::new(),
+            injected_fault,
         }
     }
 
@@ -61,45 +61,45 @@
     }
 
     /// What is known of a duty, granting nothing.
-    pub fn told(&self, now: Micros, duty: DutyId) -> Told {
+    pub fn told(&self, now: Micros, lease: LeaseId) -> GrantStatus {
         let silent = self.silent_until.saturating_sub(now);
-        let seat = self.seats.get(&duty);
-        let held = seat
-            .filter(|seat| !seat.ended)
-            .map_or(0, |seat| seat.until.saturating_sub(now));
+        let grant = self.grants.get(&lease);
+        let held = grant
+            .filter(|grant| !grant.ended)
+            .map_or(0, |grant| grant.until.saturating_sub(now));
         let left = u32::try_from(silent.max(held)).unwrap_or(u32::MAX);
-        Told {
-            duty,
-            term: seat.map(|seat| seat.term),
+        GrantStatus {
+            lease,
+            term: grant.map(|grant| grant.term),
             left,
         }
     }
 
     /// Grants a claim, or renews what it granted, for so long by the claimant's clock.
-    pub fn claim(
+    pub fn bid(
         &mut self,
         now: Micros,
-        duty: DutyId,
+        lease: LeaseId,
         term: Term,
-        lease: Micros,
-    ) -> Result<(), Told> {
-        let refused = Err(self.told(now, duty));
-        if lease > super::LEASE_MOST || self.is_silent(now) {
+        duration: Micros,
+    ) -> Result<(), GrantStatus> {
+        let refused = Err(self.told(now, lease));
+        if duration > super::MAX_LEASE_US || self.is_silent(now) {
             return refused;
         }
         let until = now
-            + if self.planted == Some(Planted::NoGuard) {
-                lease
+            + if self.injected_fault == Some(InjectedFault::NoClockMargin) {
+                duration
             } else {
-                guarded(lease)
+                with_clock_margin(duration)
             };
-        let Some(seat) = self.seats.get_mut(&duty) else {
-            if self.seats.len() >= SEATS_MOST {
+        let Some(grant) = self.grants.get_mut(&lease) else {
+            if self.grants.len() >= MAX_GRANTS {
                 return refused;
             }
-            self.seats.insert(
-                duty,
-                Seat {
+            self.grants.insert(
+                lease,
+                Grant {
                     term,
                     until,
                     ended: false,
@@ -107,19 +107,19 @@
             );
             return Ok(());
         };
-        let same = match self.planted == Some(Planted::EqualTermsTwice) {
-            true => seat.term.number == term.number,
-            false => seat.term == term,
+        let same = match self.injected_fault == Some(InjectedFault::EqualTermNumbersGranted) {
+            true => grant.term.number == term.number,
+            false => grant.term == term,
         };
-        if same && !seat.ended {
-            seat.until = seat.until.max(until);
+        if same && !grant.ended {
+            grant.until = grant.until.max(until);
             return Ok(());
         }
         // Only a later turn follows, and only when the one before has run out here or was let go.
-        if term <= seat.term || (!seat.ended && seat.until > now) {
+        if term <= grant.term || (!grant.ended && grant.until > now) {
             return refused;
         }
-        *seat = Seat {
+        *grant = Grant {
             term,
             until,
             ended: false,
@@ -129,14 +129,14 @@
 
     /// A claimant lets go of its turn. A release that comes before its own claim uses that claim up; one of any other turn
     /// than the last says nothing.
-    pub fn release(&mut self, now: Micros, duty: DutyId, term: Term) {
-        let Some(seat) = self.seats.get_mut(&duty) else {
+    pub fn release(&mut self, now: Micros, lease: LeaseId, term: Term) {
+        let Some(grant) = self.grants.get_mut(&lease) else {
             return;
         };
-        if seat.term == term || self.planted == Some(Planted::ReleaseReplayed) {
-            seat.ended = true;
-        } else if term > seat.term && (seat.ended || seat.until <= now) {
-            *seat = Seat {
+        if grant.term == term || self.injected_fault == Some(InjectedFault::ReleaseOfAnyTerm) {
+            grant.ended = true;
+        } else if term > grant.term && (grant.ended || grant.until <= now) {
+            *grant = Grant {
                 term,
                 until: now,
                 ended: true,
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -3,11 +3,11 @@
 //! events. The same events and seed give the same datagrams to the byte. Times are whole microseconds of any clock
 //! that never goes back and goes on while the process is stopped.
 
-pub mod duties;
-pub mod envelope;
-pub mod frames;
+pub mod datagram;
+pub mod leases;
 pub mod membership;
-pub mod roster;
+pub mod messages;
+pub mod shared_list;
 mod timers;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,15 +16,17 @@
 
 use nanorand::{Rng, WyRand};
 
-use duties::plan::Place;
-use duties::term::DutyId;
-use duties::{Duties, Duty, DutyEvent, DutyTerms};
-use envelope::{Counters, DATAGRAM_MOST, Drop, Key, Letter, Life};
-use frames::{Frame, NAME_MOST, Record, State};
-use membership::probing::{Probe, Probing};
-use membership::spread::Spread;
-use membership::table::{Event, MEMBERS_MOST, Member, Merged, Table, own_record};
-use timers::{Due, Timers};
+use datagram::{Datagram, DropReason, Incarnation, Key, MAX_DATAGRAM_BYTES, ReplayFilter};
+use leases::assignment::Candidate;
+use leases::term::LeaseId;
+use leases::{Lease, LeaseConfig, LeaseEvent, Leases};
+use membership::dissemination::Dissemination;
+use membership::failure_detector::{FailureDetector, Probe};
+use membership::table::{
+    MAX_MEMBERS, Member, MemberTable, MembershipEvent, MergeOutcome, own_record,
+};
+use messages::{MAX_NAME_BYTES, MemberRecord, MemberState, Message};
+use timers::{Timer, Timers};
 
 #[cfg(test)]
 mod tests;
@@ -33,34 +35,34 @@
 pub type Micros = u64;
 
 /// Late by more than this, a process was stopped or starved, and what it waited for may lie in its socket.
-const SLEPT: Micros = 300_000;
+const PAUSE_THRESHOLD: Micros = 300_000;
 /// Members that are asked to probe for us.
-const ASKED: usize = 3;
+const PROBE_REQUESTS: usize = 3;
 /// How often news is sent where there is any, and to how many.
-const NEWS_EVERY: Micros = 100_000;
-const NEWS_TO: usize = 3;
+const GOSSIP_INTERVAL: Micros = 100_000;
+const GOSSIP_FANOUT: usize = 3;
 /// How often a part of the table goes to somebody, so that what was lost on all ways arrives some day.
-const SWAP_EVERY: Micros = 1_000_000;
+const SYNC_INTERVAL: Micros = 1_000_000;
 /// How often seeds are asked while nobody is known, and else while one of them is not among the members.
-const SEEDS_ALONE: Micros = 300_000;
-const SEEDS_EVERY: Micros = 2_000_000;
+const SEED_INTERVAL_ALONE: Micros = 300_000;
+const SEED_INTERVAL: Micros = 2_000_000;
 /// How often somebody who is gone is probed: halves that were cut apart find each other by it.
-const GONE_EVERY: Micros = 500_000;
+const DEAD_PROBE_INTERVAL: Micros = 500_000;
 /// Parts of the table that go to one who is new or came back, at once.
-const PARTS_AT_ONCE: usize = 8;
+const MAX_PARTS_AT_ONCE: usize = 8;
 /// A doubt's longest span over its shortest: several doubters bring it from the one to the other.
-const DOUBT_RANGE: f64 = 3.0;
-const DOUBTERS: f64 = 3.0;
+const SUSPICION_RANGE: f64 = 3.0;
+const FULL_SUSPECTERS: f64 = 3.0;
 /// How often at most one name is answered that comes back with an incarnation of before.
-const OLD_EVERY: Micros = 500_000;
+const OLD_REPLY_INTERVAL: Micros = 500_000;
 /// Leaving is told to so many at once; one that hears it tells it on.
-const LEAVE_TO: usize = 12;
+const LEAVE_FANOUT: usize = 12;
 /// How long one whose name is taken keeps quiet.
-const QUIET: Micros = 30_000_000;
+const NAME_CONFLICT_SILENCE: Micros = 30_000_000;
 
 /// How this process takes part.
 #[derive(Clone, Debug)]
-pub struct Part {
+pub struct MemberConfig {
     pub fleet: String,
     pub name: String,
     pub zone: String,
@@ -69,269 +71,276 @@
     /// Where others may be at the start.
     pub seeds: Vec<SocketAddr>,
     /// Unix time of the start, as far as is known.
-    pub born: u64,
+    pub started_at_us: u64,
     /// How often one member is probed.
-    pub probe_every: Micros,
+    pub probe_interval: Micros,
     /// Within what a member answers, there and back.
-    pub answer_within: Micros,
+    pub probe_timeout: Micros,
     /// The shortest span in which a doubt may be refuted.
-    pub doubt_least: Micros,
+    pub min_suspicion: Micros,
     /// Processes, by name and life, that have ended by the operators' word.
-    pub struck: BTreeSet<(Rc<str>, Life)>,
+    pub confirmed_dead: BTreeSet<(Rc<str>, Incarnation)>,
 }
 
-impl Part {
+impl MemberConfig {
     /// Spans for members that reach one another within some tens of milliseconds.
-    pub const PROBE_EVERY: Micros = 400_000;
-    pub const ANSWER_WITHIN: Micros = 100_000;
-    pub const DOUBT_LEAST: Micros = 800_000;
+    pub const DEFAULT_PROBE_INTERVAL: Micros = 400_000;
+    pub const DEFAULT_PROBE_TIMEOUT: Micros = 100_000;
+    pub const DEFAULT_MIN_SUSPICION: Micros = 800_000;
 }
 
 /// Faults planted by tests. Without the feature `planted` nothing ever asks for one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Planted {
+pub enum InjectedFault {
     NoRefutation,
-    IncarnationGoesBack,
-    SilentCountsAsGone,
-    TakesReplays,
-    DoubtsWithoutAsking,
-    LeavesUntold,
-    KeepsOldIncarnation,
-    SleepUnnoticed,
+    RefutationCounterDecreases,
+    UnresponsiveCountsAsStopped,
+    AcceptsReplays,
+    SuspectsWithoutProbeRequests,
+    LeavesUnannounced,
+    AcceptsOldRecords,
+    PauseUnnoticed,
 }
 
-impl Planted {
+impl InjectedFault {
     pub const ALL: [(&str, Self); 8] = [
         ("no-refutation", Self::NoRefutation),
-        ("incarnation-goes-back", Self::IncarnationGoesBack),
-        ("silent-counts-as-gone", Self::SilentCountsAsGone),
-        ("takes-replays", Self::TakesReplays),
-        ("doubts-without-asking", Self::DoubtsWithoutAsking),
-        ("leaves-untold", Self::LeavesUntold),
-        ("keeps-old-incarnation", Self::KeepsOldIncarnation),
-        ("sleep-unnoticed", Self::SleepUnnoticed),
+        ("incarnation-goes-back", Self::RefutationCounterDecreases),
+        ("silent-counts-as-gone", Self::UnresponsiveCountsAsStopped),
+        ("takes-replays", Self::AcceptsReplays),
+        ("doubts-without-asking", Self::SuspectsWithoutProbeRequests),
+        ("leaves-untold", Self::LeavesUnannounced),
+        ("keeps-old-incarnation", Self::AcceptsOldRecords),
+        ("sleep-unnoticed", Self::PauseUnnoticed),
     ];
 }
 
 /// What was sent and heard since the start.
 #[derive(Clone, Debug, Default)]
-pub struct Tally {
+pub struct TrafficCounters {
     pub sent: u64,
     pub sent_bytes: u64,
     pub taken: u64,
-    pub dropped: BTreeMap<Drop, u64>,
+    pub dropped: BTreeMap<DropReason, u64>,
 }
 
 /// One process's part in what all agree on.
-pub struct Accord {
-    part: Part,
+pub struct Cluster {
+    config: MemberConfig,
     key: Key,
-    life: Life,
-    chance: WyRand,
-    pub table: Table,
-    probing: Probing,
-    spread: Spread,
+    incarnation: Incarnation,
+    rng: WyRand,
+    pub table: MemberTable,
+    failure_detector: FailureDetector,
+    dissemination: Dissemination,
     timers: Timers,
-    counters: Counters,
+    replay_filter: ReplayFilter,
     /// Local time when it began.
     began: Micros,
     counter: u64,
     out: Vec<(SocketAddr, Vec<u8>)>,
-    tally: Tally,
+    traffic: TrafficCounters,
     /// The latest time told.
     now: Micros,
     /// Doubts nobody until a probe with this number or a later one is answered.
-    deaf_until: Option<u32>,
+    unheard_until: Option<u32>,
     /// How often it was stopped.
-    slept: u64,
+    pauses_seen: u64,
     /// Where in the table the next part to swap begins.
     cursor: usize,
     /// Its part in what only one member does at a time, where the file names voters.
-    duties: Option<Duties>,
-    duties_due: Micros,
+    leases: Option<Leases>,
+    leases_due_at: Micros,
     /// When names were last told that they came back with too small an incarnation.
-    old_told: BTreeMap<String, Micros>,
+    old_replies: BTreeMap<String, Micros>,
     quiet_until: Micros,
 }
 
-impl Accord {
-    pub fn new(part: Part, key: Key, seed: u64, now: Micros) -> Self {
-        let mut chance = WyRand::new_seed(seed);
-        let life = Life {
-            born: part.born,
-            chance: chance.generate::<u64>().max(1),
+impl Cluster {
+    pub fn new(config: MemberConfig, key: Key, seed: u64, now: Micros) -> Self {
+        let mut rng = WyRand::new_seed(seed);
+        let incarnation = Incarnation {
+            started_at_us: config.started_at_us,
+            random_id: rng.generate::<u64>().max(1),
         };
-        let own = own_record(&part.name, &part.zone, part.address, life);
-        let mut table = Table::new(own);
-        table.strike(part.struck.clone());
-        let mut accord = Self {
-            part,
+        let own = own_record(&config.name, &config.zone, config.address, incarnation);
+        let mut table = MemberTable::new(own);
+        table.set_confirmed_dead(config.confirmed_dead.clone());
+        let mut cluster = Self {
+            config,
             key,
-            life,
-            chance,
+            incarnation,
+            rng,
             table,
-            probing: Probing::default(),
-            spread: Spread::default(),
+            failure_detector: FailureDetector::default(),
+            dissemination: Dissemination::default(),
             timers: Timers::default(),
-            counters: Counters::default(),
+            replay_filter: ReplayFilter::default(),
             began: now,
             counter: 0,
             out: Vec::new(),
-            tally: Tally::default(),
+            traffic: TrafficCounters::default(),
             now,
-            deaf_until: None,
-            slept: 0,
+            unheard_until: None,
+            pauses_seen: 0,
             cursor: 0,
-            duties: None,
-            duties_due: Micros::MAX,
-            old_told: BTreeMap::new(),
+            leases: None,
+            leases_due_at: Micros::MAX,
+            old_replies: BTreeMap::new(),
             quiet_until: 0,
         };
         for (span, due) in [
-            (accord.part.probe_every, Due::Round),
-            (NEWS_EVERY, Due::News),
-            (SWAP_EVERY, Due::Swap),
-            (0, Due::Seeds),
-            (GONE_EVERY, Due::Gone),
+            (cluster.config.probe_interval, Timer::ProbeRound),
+            (GOSSIP_INTERVAL, Timer::Gossip),
+            (SYNC_INTERVAL, Timer::TableSync),
+            (0, Timer::Seeds),
+            (DEAD_PROBE_INTERVAL, Timer::DeadProbe),
         ] {
             // Processes that start together would else all speak at once.
-            let scatter = accord.chance.generate_range(0..=span);
-            accord.timers.hang(now + scatter, due);
+            let scatter = cluster.rng.generate_range(0..=span);
+            cluster.timers.schedule(now + scatter, due);
         }
-        accord
+        cluster
     }
 
     /// Plants a fault, to show that a check finds it.
     #[cfg(feature = "planted")]
-    pub fn plant(&mut self, fault: Planted) {
-        self.table.planted = Some(fault);
-        self.counters.takes_replays = fault == Planted::TakesReplays;
+    pub fn inject_fault(&mut self, fault: InjectedFault) {
+        self.table.injected_fault = Some(fault);
+        self.replay_filter.takes_replays = fault == InjectedFault::AcceptsReplays;
     }
 
     /// Takes part in these duties from now on. A fleet has them only where its file names voters; others than before
     /// make this process a new voter, which is silent at first.
-    pub fn take_duties(&mut self, now: Micros, terms: DutyTerms, duties: Vec<Duty>) {
+    pub fn configure_leases(&mut self, now: Micros, config: LeaseConfig, leases: Vec<Lease>) {
         self.now = self.now.max(now);
         if self
-            .duties
+            .leases
             .as_ref()
-            .is_none_or(|known| *known.terms() != terms || known.is_stopping())
+            .is_none_or(|known| *known.config() != config || known.is_stopping())
         {
-            self.leave_duties(now);
+            self.disable_leases(now);
             // Where local time began, by the time of day at the start.
-            let wall = (self.part.born / 1_000).saturating_sub(self.began / 1_000);
-            let me = Rc::clone(&self.table.own.name);
-            let new = Duties::new(self.now, terms, me, self.life.chance, wall);
-            self.duties = Some(match &self.duties {
+            let wall_clock_offset_ms =
+                (self.config.started_at_us / 1_000).saturating_sub(self.began / 1_000);
+            let own_name = Rc::clone(&self.table.own.name);
+            let new = Leases::new(
+                self.now,
+                config,
+                own_name,
+                self.incarnation.random_id,
+                wall_clock_offset_ms,
+            );
+            self.leases = Some(match &self.leases {
                 Some(before) => new.following(before),
                 None => new,
             });
         }
-        if let Some(known) = &mut self.duties {
-            known.want(self.now, duties);
+        if let Some(known) = &mut self.leases {
+            known.track(self.now, leases);
         }
-        self.say_duties();
+        self.send_lease_messages();
     }
 
     /// The file names no voters any more: what is held is let go.
-    pub fn leave_duties(&mut self, now: Micros) {
+    pub fn disable_leases(&mut self, now: Micros) {
         self.now = self.now.max(now);
-        if let Some(duties) = &mut self.duties {
-            duties.stop(self.now);
-            duties.want(self.now, Vec::new());
+        if let Some(leases) = &mut self.leases {
+            leases.stop(self.now);
+            leases.track(self.now, Vec::new());
         }
-        self.say_duties();
+        self.send_lease_messages();
     }
 
-    pub fn duties(&self) -> Option<&Duties> {
-        self.duties.as_ref()
+    pub fn leases(&self) -> Option<&Leases> {
+        self.leases.as_ref()
     }
 
-    pub fn take_duty_events(&mut self) -> Vec<DutyEvent> {
-        self.duties
+    pub fn take_lease_events(&mut self) -> Vec<LeaseEvent> {
+        self.leases
             .as_mut()
-            .map(Duties::take_events)
+            .map(Leases::take_events)
             .unwrap_or_default()
     }
 
     /// Sends an act in a duty's name to a member, if this one holds it now and for so long yet.
-    pub fn act(
+    pub fn send_command(
         &mut self,
         now: Micros,
-        duty: DutyId,
+        lease: LeaseId,
         to: &Rc<str>,
         takes: Micros,
         body: Vec<u8>,
     ) -> bool {
         self.now = self.now.max(now);
         let done = self
-            .duties
+            .leases
             .as_mut()
-            .is_some_and(|duties| duties.act(now, duty, to, takes, body));
-        self.say_duties();
+            .is_some_and(|leases| leases.send_command(now, lease, to, takes, body));
+        self.send_lease_messages();
         done
     }
 
     /// Says something about a duty to a member.
-    pub fn say_of(&mut self, now: Micros, duty: DutyId, to: &Rc<str>, body: Vec<u8>) {
+    pub fn send_lease_note(&mut self, now: Micros, lease: LeaseId, to: &Rc<str>, body: Vec<u8>) {
         self.now = self.now.max(now);
-        if let Some(duties) = &mut self.duties {
-            duties.say(duty, to, body);
+        if let Some(leases) = &mut self.leases {
+            leases.say(lease, to, body);
         }
-        self.say_duties();
+        self.send_lease_messages();
     }
 
     /// Does what is due of duties.
-    fn turn_duties(&mut self) {
+    fn run_lease_timers(&mut self) {
         let own = &self.table.own;
-        let of = |record: &Record| Place {
+        let of = |record: &MemberRecord| Candidate {
             name: Rc::clone(&record.name),
             zone: Rc::clone(&record.zone),
         };
-        let present: Vec<Place> = [own]
+        let alive: Vec<Candidate> = [own]
             .into_iter()
-            .chain(self.table.present().map(|member| &member.record))
+            .chain(self.table.alive().map(|member| &member.record))
             .map(of)
             .collect();
-        let fit = self.deaf_until.is_none() && self.now >= self.quiet_until;
-        if let Some(duties) = &mut self.duties {
-            duties.due(self.now, &present, fit);
+        let fit = self.unheard_until.is_none() && self.now >= self.quiet_until;
+        if let Some(leases) = &mut self.leases {
+            leases.due(self.now, &alive, fit);
         }
-        self.say_duties();
+        self.send_lease_messages();
     }
 
     /// Sends what duties have to say, and hangs when they are next due.
-    fn say_duties(&mut self) {
-        let Some(duties) = &mut self.duties else {
+    fn send_lease_messages(&mut self) {
+        let Some(leases) = &mut self.leases else {
             return;
         };
-        let (frames, next) = (duties.take_frames(), duties.next_due().max(self.now + 1));
-        for (name, frame) in frames {
-            if let Some(place) = self.table.place(&name) {
-                self.say(place, Frame::Duty(frame));
+        let (messages, next) = (leases.take_messages(), leases.next_due().max(self.now + 1));
+        for (name, message) in messages {
+            if let Some(index) = self.table.index(&name) {
+                self.say(index, Message::Lease(message));
             }
         }
-        if next < self.duties_due || self.duties_due <= self.now {
-            self.duties_due = next;
-            self.timers.hang(next, Due::Duties);
+        if next < self.leases_due_at || self.leases_due_at <= self.now {
+            self.leases_due_at = next;
+            self.timers.schedule(next, Timer::Leases);
         }
     }
 
-    pub fn life(&self) -> Life {
-        self.life
+    pub fn incarnation(&self) -> Incarnation {
+        self.incarnation
     }
 
-    pub fn tally(&self) -> &Tally {
-        &self.tally
+    pub fn traffic(&self) -> &TrafficCounters {
+        &self.traffic
     }
 
     /// Whether it was heard since it last slept. Until then it knows of nobody whether they are there.
-    pub fn is_heard(&self) -> bool {
-        self.deaf_until.is_none()
+    pub fn is_reachable(&self) -> bool {
+        self.unheard_until.is_none()
     }
 
-    pub fn slept(&self) -> u64 {
-        self.slept
+    pub fn pauses_seen(&self) -> u64 {
+        self.pauses_seen
     }
 
     /// When `due` is to be called at the latest.
@@ -344,351 +353,379 @@
         std::mem::take(&mut self.out)
     }
 
-    pub fn take_events(&mut self) -> Vec<Event> {
+    pub fn take_events(&mut self) -> Vec<MembershipEvent> {
         std::mem::take(&mut self.table.events)
     }
 
     /// A datagram came.
-    pub fn heard(&mut self, now: Micros, bytes: &[u8]) {
-        self.notice(now);
+    pub fn receive(&mut self, now: Micros, bytes: &[u8]) {
+        self.detect_pause(now);
         if let Err(cause) = self.take(bytes) {
-            *self.tally.dropped.entry(cause).or_default() += 1;
+            *self.traffic.dropped.entry(cause).or_default() += 1;
         }
     }
 
     /// Does what has fallen due.
     pub fn due(&mut self, now: Micros) {
-        self.notice(now);
+        self.detect_pause(now);
         while let Some(due) = self.timers.due(self.now) {
-            self.happens(due);
+            self.run_timer(due);
         }
     }
 
     /// The process was not run for so long: whoever carries this may know it from elsewhere too.
     pub fn paused(&mut self, now: Micros, lasted: Micros) {
         self.now = self.now.max(now);
-        if self.table.planted(Planted::SleepUnnoticed) {
+        if self.table.injected_fault(InjectedFault::PauseUnnoticed) {
             return;
         }
-        self.slept += 1;
-        self.table.events.push(Event::Slept(lasted));
+        self.pauses_seen += 1;
+        self.table.events.push(MembershipEvent::Paused(lasted));
         // Only an answer to what is sent from now on shows that others hear us: older ones lay in the socket.
-        self.deaf_until = Some(self.probing.last_number.wrapping_add(1));
-        self.probing.under_way = None;
-        self.probing.worse();
-        self.extend_doubts();
-        if let Some(duties) = &mut self.duties {
-            duties.paused(self.now);
+        self.unheard_until = Some(self.failure_detector.last_number.wrapping_add(1));
+        self.failure_detector.pending = None;
+        self.failure_detector.degrade();
+        self.restart_suspicions();
+        if let Some(leases) = &mut self.leases {
+            leases.paused(self.now);
         }
-        self.say_duties();
+        self.send_lease_messages();
     }
 
     /// Takes other seeds, spans and another key. Who this process is stays as it was.
-    pub fn renew(&mut self, part: &Part, key: Key) {
+    pub fn renew(&mut self, config: &MemberConfig, key: Key) {
         self.key = key;
-        self.part.seeds.clone_from(&part.seeds);
-        (self.part.probe_every, self.part.answer_within) = (part.probe_every, part.answer_within);
-        self.part.doubt_least = part.doubt_least;
-        self.table.strike(part.struck.clone());
+        self.config.seeds.clone_from(&config.seeds);
+        (self.config.probe_interval, self.config.probe_timeout) =
+            (config.probe_interval, config.probe_timeout);
+        self.config.min_suspicion = config.min_suspicion;
+        self.table.set_confirmed_dead(config.confirmed_dead.clone());
     }
 
     /// This process serves no more: its last ticket is answered. Said to several, who tell it on.
     pub fn leave(&mut self, now: Micros) {
         self.now = self.now.max(now);
-        if self.table.own.state == State::Left {
+        if self.table.own.state == MemberState::Left {
             return;
         }
-        if let Some(duties) = &mut self.duties {
-            duties.stop(self.now);
+        if let Some(leases) = &mut self.leases {
+            leases.stop(self.now);
         }
-        self.say_duties();
-        self.table.own.state = State::Left;
-        if self.table.planted(Planted::LeavesUntold) {
+        self.send_lease_messages();
+        self.table.own.state = MemberState::Left;
+        if self.table.injected_fault(InjectedFault::LeavesUnannounced) {
             return;
         }
-        for place in self.some(LEAVE_TO, |member| member.record.state != State::Left) {
-            self.say(place, Frame::News);
+        for index in self.random_members(LEAVE_FANOUT, |member| {
+            member.record.state != MemberState::Left
+        }) {
+            self.say(index, Message::Gossip);
         }
     }
 
     /// Notices that it was not run: all that it waited for may have come meanwhile.
-    fn notice(&mut self, now: Micros) {
+    fn detect_pause(&mut self, now: Micros) {
         self.now = self.now.max(now);
         let late = self.now.saturating_sub(self.next_due());
-        if late > SLEPT {
+        if late > PAUSE_THRESHOLD {
             self.timers.postpone(self.now);
             self.paused(now, late);
         }
     }
 
-    fn take(&mut self, bytes: &[u8]) -> Result<(), Drop> {
-        let letter = envelope::open(&self.key, &self.part.fleet, bytes)?;
-        let other = letter.life != self.life;
-        if letter.sender == self.part.name && !other {
-            return Err(Drop::Own);
+    fn take(&mut self, bytes: &[u8]) -> Result<(), DropReason> {
+        let datagram = datagram::open(&self.key, &self.config.fleet, bytes)?;
+        let other = datagram.incarnation != self.incarnation;
+        if datagram.sender == self.config.name && !other {
+            return Err(DropReason::OwnDatagram);
         }
-        if letter.sender.len() > NAME_MOST || letter.sender.is_empty() {
-            return Err(Drop::Form);
+        if datagram.sender.len() > MAX_NAME_BYTES || datagram.sender.is_empty() {
+            return Err(DropReason::Malformed);
         }
-        if let Some(member) = self.table.named(&letter.sender)
-            && member.record.life != letter.life
-            && letter.incarnation <= member.record.incarnation
+        if let Some(member) = self.table.named(&datagram.sender)
+            && member.record.incarnation != datagram.incarnation
+            && datagram.refutation_counter <= member.record.refutation_counter
         {
-            self.answer_old(&letter);
-            return Err(Drop::Old);
+            self.reply_to_old_incarnation(&datagram);
+            return Err(DropReason::OldIncarnation);
         }
-        self.counters.take(&letter)?;
-        self.tally.taken += 1;
-        let known = self.table.place(&letter.sender).is_some();
-        for record in &letter.records {
+        self.replay_filter.take(&datagram)?;
+        self.traffic.taken += 1;
+        let known = self.table.index(&datagram.sender).is_some();
+        for record in &datagram.records {
             self.learn(record);
         }
-        let Some(place) = self.table.place(&letter.sender) else {
-            return if letter.sender == self.part.name {
+        let Some(index) = self.table.index(&datagram.sender) else {
+            return if datagram.sender == self.config.name {
                 Ok(())
             } else {
-                Err(Drop::Full)
+                Err(DropReason::TableFull)
             };
         };
-        self.heard_from(place, &letter, known);
-        self.frame(place, &letter)
+        self.sender_alive(index, &datagram, known);
+        self.message(index, &datagram)
     }
 
     /// One that lost its memory comes with a smaller incarnation than the one before it: it is told, and takes a
     /// greater one.
-    fn answer_old(&mut self, letter: &Letter) {
-        let told = self.old_told.get(&letter.sender).copied();
-        if told.is_some_and(|told| self.now < told + OLD_EVERY) {
+    fn reply_to_old_incarnation(&mut self, datagram: &Datagram) {
+        let told = self.old_replies.get(&datagram.sender).copied();
+        if told.is_some_and(|told| self.now < told + OLD_REPLY_INTERVAL) {
             return;
         }
-        if self.old_told.len() >= MEMBERS_MOST {
-            self.old_told.clear();
+        if self.old_replies.len() >= MAX_MEMBERS {
+            self.old_replies.clear();
         }
-        self.old_told.insert(letter.sender.clone(), self.now);
-        let theirs = letter
+        self.old_replies.insert(datagram.sender.clone(), self.now);
+        let theirs = datagram
             .records
             .iter()
-            .find(|record| *record.name == *letter.sender);
+            .find(|record| *record.name == *datagram.sender);
         let known = self
             .table
-            .named(&letter.sender)
+            .named(&datagram.sender)
             .map(|member| member.record.clone());
         if let Some((theirs, known)) = theirs.zip(known) {
-            self.send(theirs.address, Frame::News, vec![known]);
+            self.send(theirs.address, Message::Gossip, vec![known]);
         }
     }
 
-    fn learn(&mut self, record: &Record) {
+    fn learn(&mut self, record: &MemberRecord) {
         let merged = self.table.merge(self.now, record);
         match merged {
-            Merged::Known => {}
-            Merged::Full => {
-                *self.tally.dropped.entry(Drop::Full).or_default() += 1;
-                if self.tally.dropped[&Drop::Full] == 1 {
-                    self.table.events.push(Event::TableFull);
+            MergeOutcome::Unchanged => {}
+            MergeOutcome::TableFull => {
+                *self
+                    .traffic
+                    .dropped
+                    .entry(DropReason::TableFull)
+                    .or_default() += 1;
+                if self.traffic.dropped[&DropReason::TableFull] == 1 {
+                    self.table.events.push(MembershipEvent::TableFull);
                 }
             }
-            Merged::Refuted => {
-                self.probing.worse();
+            MergeOutcome::Refuted => {
+                self.failure_detector.degrade();
                 let own = Rc::clone(&self.table.own.name);
-                self.spread.add(&own);
-                if self.table.name_is_taken() && record.life < self.life {
-                    self.quiet_until = self.now + QUIET;
+                self.dissemination.add(&own);
+                if self.table.has_name_conflict() && record.incarnation < self.incarnation {
+                    self.quiet_until = self.now + NAME_CONFLICT_SILENCE;
                 }
             }
-            Merged::News | Merged::Confirmed => {
-                self.spread.add(&record.name);
-                self.watch_doubt(&record.name);
+            MergeOutcome::Changed | MergeOutcome::SuspicionConfirmed => {
+                self.dissemination.add(&record.name);
+                self.schedule_suspicion_timer(&record.name);
             }
         }
     }
 
     /// A member was heard itself: whatever is held of it, it is told.
-    fn heard_from(&mut self, place: usize, letter: &Letter, known: bool) {
+    fn sender_alive(&mut self, index: usize, datagram: &Datagram, known: bool) {
         let now = self.now;
-        let name = Rc::clone(&self.table.members[place].record.name);
-        self.table.heard(&name, letter.life);
-        let member = &mut self.table.members[place];
-        if member.record.life != letter.life {
+        let name = Rc::clone(&self.table.members[index].record.name);
+        self.table.receive(&name, datagram.incarnation);
+        let member = &mut self.table.members[index];
+        if member.record.incarnation != datagram.incarnation {
             return;
         }
-        let lately = member.heard.is_some_and(|heard| now < heard + OLD_EVERY);
-        let away = member.record.state == State::Gone && !lately;
+        let lately = member
+            .heard
+            .is_some_and(|heard| now < heard + OLD_REPLY_INTERVAL);
+        let away = member.record.state == MemberState::Dead && !lately;
         member.heard = Some(now);
         let (address, state) = (member.record.address, member.record.state);
         // News is not answered by news: two that hold each other for gone would never end.
-        if !matches!(state, State::Present | State::Left) && letter.frame != Frame::News {
+        if !matches!(state, MemberState::Alive | MemberState::Left)
+            && datagram.message != Message::Gossip
+        {
             let record = member.record.clone();
-            self.send(address, Frame::News, vec![record]);
+            self.send(address, Message::Gossip, vec![record]);
         }
-        if (!known || away) && state != State::Left {
-            self.swap_whole(place);
+        if (!known || away) && state != MemberState::Left {
+            self.send_whole_table(index);
         }
     }
 
-    fn frame(&mut self, place: usize, letter: &Letter) -> Result<(), Drop> {
-        match &letter.frame {
-            Frame::News => {}
-            Frame::Probe { number, target } => {
+    fn message(&mut self, index: usize, datagram: &Datagram) -> Result<(), DropReason> {
+        match &datagram.message {
+            Message::Gossip => {}
+            Message::Probe { number, target } => {
                 if target
                     .as_ref()
-                    .is_none_or(|target| **target == *self.part.name)
+                    .is_none_or(|target| **target == *self.config.name)
                 {
-                    self.say(place, Frame::Answer { number: *number });
+                    self.say(index, Message::Ack { number: *number });
                 }
             }
-            Frame::Answer { number } => self.answered(*number, &letter.sender),
-            Frame::Ask {
+            Message::Ack { number } => self.answered(*number, &datagram.sender),
+            Message::ProbeRequest {
                 number,
                 target,
                 address,
             } => {
-                let for_whom = self.table.members[place].record.address;
-                if let Some(mine) = self.probing.take_errand(for_whom, *number) {
-                    let frame = Frame::Probe {
+                let for_whom = self.table.members[index].record.address;
+                if let Some(mine) = self.failure_detector.relay_probe(for_whom, *number) {
+                    let message = Message::Probe {
                         number: mine,
                         target: Some(Rc::clone(target)),
                     };
-                    self.send(*address, frame, Vec::new());
-                    self.timers
-                        .hang(self.now + self.part.answer_within, Due::Errand(mine));
+                    self.send(*address, message, Vec::new());
+                    self.timers.schedule(
+                        self.now + self.config.probe_timeout,
+                        Timer::RelayedProbe(mine),
+                    );
                 }
             }
-            Frame::Asked { number, answered } => {
+            Message::ProbeReport { number, answered } => {
                 if let Some(probe) = self
-                    .probing
-                    .under_way
+                    .failure_detector
+                    .pending
                     .as_mut()
                     .filter(|probe| probe.number == *number)
                 {
                     probe.told += 1;
                     probe.answered |= answered;
                 }
-                self.heard_again(*number);
+                self.confirm_reachable(*number);
             }
-            Frame::Swap { wants } => {
-                if *wants {
-                    self.say_part(place, false);
+            Message::TableSync { reply_wanted } => {
+                if *reply_wanted {
+                    self.send_table_part(index, false);
                 }
             }
-            Frame::Duty(frame) => {
-                let name = Rc::clone(&self.table.members[place].record.name);
-                if let Some(duties) = &mut self.duties {
-                    duties.heard(self.now, &name, letter.life.chance, frame);
+            Message::Lease(message) => {
+                let name = Rc::clone(&self.table.members[index].record.name);
+                if let Some(leases) = &mut self.leases {
+                    leases.receive(self.now, &name, datagram.incarnation.random_id, message);
                 }
-                self.say_duties();
+                self.send_lease_messages();
             }
         }
         Ok(())
     }
 
     fn answered(&mut self, number: u32, sender: &str) {
-        self.heard_again(number);
-        if let Some(probe) = self.probing.under_way.as_mut()
+        self.confirm_reachable(number);
+        if let Some(probe) = self.failure_detector.pending.as_mut()
             && probe.number == number
             && *probe.target == *sender
         {
             probe.answered = true;
-        } else if let Some(errand) = self.probing.end_errand(number) {
-            let frame = Frame::Asked {
-                number: errand.their_number,
+        } else if let Some(relayed_probe) = self.failure_detector.take_relayed_probe(number) {
+            let message = Message::ProbeReport {
+                number: relayed_probe.their_number,
                 answered: true,
             };
-            self.send(errand.for_whom, frame, Vec::new());
+            self.send(relayed_probe.for_whom, message, Vec::new());
         }
     }
 
     /// An answer to what was sent after it slept: others hear us, and what we don't hear may be their fault again.
-    fn heard_again(&mut self, number: u32) {
+    fn confirm_reachable(&mut self, number: u32) {
         // Numbers go round: those within half the range after it are later.
         if self
-            .deaf_until
+            .unheard_until
             .is_some_and(|from| number.wrapping_sub(from) < u32::MAX / 2)
         {
-            self.deaf_until = None;
-            self.table.events.push(Event::HeardAgain);
-            self.extend_doubts();
+            self.unheard_until = None;
+            self.table.events.push(MembershipEvent::Reconnected);
+            self.restart_suspicions();
         }
     }
 
-    fn happens(&mut self, due: Due) {
+    fn run_timer(&mut self, due: Timer) {
         match due {
-            Due::Duties => {
+            Timer::Leases => {
                 // One hung before a sooner one has nothing to do.
-                if self.now >= self.duties_due {
-                    self.turn_duties();
+                if self.now >= self.leases_due_at {
+                    self.run_lease_timers();
                 }
             }
-            Due::Round => self.end_round(),
-            Due::Again => self.probe_again(),
-            Due::Errand(number) => {
-                if let Some(errand) = self.probing.end_errand(number) {
-                    let frame = Frame::Asked {
-                        number: errand.their_number,
+            Timer::ProbeRound => self.end_probe_round(),
+            Timer::ProbeRetry => self.retry_probe(),
+            Timer::RelayedProbe(number) => {
+                if let Some(relayed_probe) = self.failure_detector.take_relayed_probe(number) {
+                    let message = Message::ProbeReport {
+                        number: relayed_probe.their_number,
                         answered: false,
                     };
-                    self.send(errand.for_whom, frame, Vec::new());
+                    self.send(relayed_probe.for_whom, message, Vec::new());
                 }
             }
-            Due::Doubt(name) => self.doubt_ends(&name),
-            Due::News => {
-                self.timers.hang(self.now + NEWS_EVERY, Due::News);
-                if !self.spread.is_empty() {
-                    for place in self.some(NEWS_TO, |member| member.record.state < State::Gone) {
-                        self.say(place, Frame::News);
+            Timer::Suspicion(name) => self.suspicion_expired(&name),
+            Timer::Gossip => {
+                self.timers
+                    .schedule(self.now + GOSSIP_INTERVAL, Timer::Gossip);
+                if !self.dissemination.is_empty() {
+                    for index in self.random_members(GOSSIP_FANOUT, |member| {
+                        member.record.state < MemberState::Dead
+                    }) {
+                        self.say(index, Message::Gossip);
                     }
                 }
             }
-            Due::Swap => {
-                self.timers.hang(self.now + SWAP_EVERY, Due::Swap);
-                let place = self.some(1, |member| member.record.state == State::Present);
-                place
+            Timer::TableSync => {
+                self.timers
+                    .schedule(self.now + SYNC_INTERVAL, Timer::TableSync);
+                let index =
+                    self.random_members(1, |member| member.record.state == MemberState::Alive);
+                index
                     .into_iter()
-                    .for_each(|place| self.say_part(place, true));
+                    .for_each(|index| self.send_table_part(index, true));
             }
-            Due::Gone => {
-                self.timers.hang(self.now + GONE_EVERY, Due::Gone);
-                let place = self.some(1, |member| member.record.state == State::Gone);
-                for place in place {
-                    let record = self.table.members[place].record.clone();
-                    let (number, target) = (self.probing.number(), Some(Rc::clone(&record.name)));
+            Timer::DeadProbe => {
+                self.timers
+                    .schedule(self.now + DEAD_PROBE_INTERVAL, Timer::DeadProbe);
+                let index =
+                    self.random_members(1, |member| member.record.state == MemberState::Dead);
+                for index in index {
+                    let record = self.table.members[index].record.clone();
+                    let (number, target) = (
+                        self.failure_detector.number(),
+                        Some(Rc::clone(&record.name)),
+                    );
                     self.send(
                         record.address,
-                        Frame::Probe { number, target },
+                        Message::Probe { number, target },
                         vec![record],
                     );
                 }
             }
-            Due::Seeds => self.ask_seeds(),
+            Timer::Seeds => self.ask_seeds(),
         }
     }
 
     /// Asks one seed that is not among the members: at the start, and where a whole half was forgotten.
     fn ask_seeds(&mut self) {
-        let alone = self.table.present().next().is_none();
-        let wait = if alone { SEEDS_ALONE } else { SEEDS_EVERY };
-        let scatter = self.chance.generate_range(0..=wait / 2);
-        self.timers.hang(self.now + wait + scatter, Due::Seeds);
+        let alone = self.table.alive().next().is_none();
+        let wait = if alone {
+            SEED_INTERVAL_ALONE
+        } else {
+            SEED_INTERVAL
+        };
+        let scatter = self.rng.generate_range(0..=wait / 2);
+        self.timers
+            .schedule(self.now + wait + scatter, Timer::Seeds);
         let known = |seed: &&SocketAddr| {
-            **seed == self.part.address
+            **seed == self.config.address
                 || self
                     .table
-                    .present()
+                    .alive()
                     .any(|member| member.record.address == **seed)
         };
         let unknown: Vec<_> = self
-            .part
+            .config
             .seeds
             .iter()
             .filter(|seed| !known(seed))
             .copied()
             .collect();
         if !unknown.is_empty() {
-            let seed = unknown[self.chance.generate_range(0..unknown.len())];
-            let number = self.probing.number();
+            let seed = unknown[self.rng.generate_range(0..unknown.len())];
+            let number = self.failure_detector.number();
             self.send(
                 seed,
-                Frame::Probe {
+                Message::Probe {
                     number,
                     target: None,
                 },
@@ -698,95 +735,98 @@
     }
 
     /// Judges the probe of this round, and begins the next.
-    fn end_round(&mut self) {
-        if let Some(probe) = self.probing.under_way.take() {
-            self.judge(&probe);
+    fn end_probe_round(&mut self) {
+        if let Some(probe) = self.failure_detector.pending.take() {
+            self.evaluate_probe(&probe);
         }
-        self.timers.hang(
-            self.now + self.probing.slower(self.part.probe_every),
-            Due::Round,
+        self.timers.schedule(
+            self.now + self.failure_detector.scaled(self.config.probe_interval),
+            Timer::ProbeRound,
         );
         let table = &self.table;
         let names = || {
             let probed = table
                 .members
                 .iter()
-                .filter(|member| member.record.state < State::Gone);
+                .filter(|member| member.record.state < MemberState::Dead);
             probed
                 .map(|member| Rc::clone(&member.record.name))
                 .collect()
         };
-        let target = self.probing.next(&mut self.chance, names);
-        let Some(place) = target.and_then(|name| self.table.place(&name)) else {
+        let target = self.failure_detector.next(&mut self.rng, names);
+        let Some(index) = target.and_then(|name| self.table.index(&name)) else {
             return;
         };
-        let Record {
+        let MemberRecord {
             name: target,
-            life,
+            incarnation,
             state,
             ..
-        } = self.table.members[place].record.clone();
-        if state >= State::Gone {
+        } = self.table.members[index].record.clone();
+        if state >= MemberState::Dead {
             return;
         }
-        let number = self.probing.number();
+        let number = self.failure_detector.number();
         let probe = Probe {
             number,
             target,
-            life,
+            incarnation,
             answered: false,
-            asked: 0,
+            query: 0,
             told: 0,
         };
         self.say(
-            place,
-            Frame::Probe {
+            index,
+            Message::Probe {
                 number,
                 target: Some(Rc::clone(&probe.target)),
             },
         );
-        self.probing.under_way = Some(probe);
-        self.timers.hang(
-            self.now + self.probing.slower(self.part.answer_within),
-            Due::Again,
+        self.failure_detector.pending = Some(probe);
+        self.timers.schedule(
+            self.now + self.failure_detector.scaled(self.config.probe_timeout),
+            Timer::ProbeRetry,
         );
     }
 
     /// No answer in time: once more, and others are asked to try, as the fault may lie on our way or with us.
-    fn probe_again(&mut self) {
+    fn retry_probe(&mut self) {
         let Some(probe) = self
-            .probing
-            .under_way
+            .failure_detector
+            .pending
             .as_ref()
             .filter(|probe| !probe.answered)
         else {
             return;
         };
         let (number, target) = (probe.number, Rc::clone(&probe.target));
-        let Some(place) = self.table.place(&target) else {
+        let Some(index) = self.table.index(&target) else {
             return;
         };
-        let address = self.table.members[place].record.address;
-        if self.table.planted(Planted::DoubtsWithoutAsking) {
+        let address = self.table.members[index].record.address;
+        if self
+            .table
+            .injected_fault(InjectedFault::SuspectsWithoutProbeRequests)
+        {
             return;
         }
         self.say(
-            place,
-            Frame::Probe {
+            index,
+            Message::Probe {
                 number,
                 target: Some(Rc::clone(&target)),
             },
         );
-        let others = self.some(ASKED, |member| {
-            member.record.state == State::Present && *member.record.name != *target
+        let others = self.random_members(PROBE_REQUESTS, |member| {
+            member.record.state == MemberState::Alive && *member.record.name != *target
         });
-        if let Some(probe) = self.probing.under_way.as_mut() {
-            probe.asked = others.len() as u32;
+        if let Some(probe) = self.failure_detector.pending.as_mut() {
+            probe.query = others.len() as u32;
         }
         for other in others {
             self.say(
                 other,
-                Frame::Ask {
+                Message::ProbeRequest {
                     number,
                     target: Rc::clone(&target),
                     address,
@@ -795,80 +835,86 @@
         }
     }
 
-    fn judge(&mut self, probe: &Probe) {
+    fn evaluate_probe(&mut self, probe: &Probe) {
         if probe.answered {
-            return self.probing.better();
+            return self.failure_detector.improve();
         }
         // Those who were asked and don't even say that they tried are not heard either: it may be us.
-        if probe.told < probe.asked {
-            self.probing.worse();
+        if probe.told < probe.query {
+            self.failure_detector.degrade();
         }
         let Some(held) = self.table.named(&probe.target).map(|member| &member.record) else {
             return;
         };
-        if self.deaf_until.is_some() || held.life != probe.life || held.state > State::Doubted {
+        if self.unheard_until.is_some()
+            || held.incarnation != probe.incarnation
+            || held.state > MemberState::Suspected
+        {
             return;
         }
-        let (first, by) = (held.state == State::Present, self.life.chance);
-        let record = Record {
-            state: State::Doubted,
+        let (first, by) = (held.state == MemberState::Alive, self.incarnation.random_id);
+        let record = MemberRecord {
+            state: MemberState::Suspected,
             by,
             ..held.clone()
         };
         self.learn(&record);
         if first {
             // Whoever is doubted hears of it first.
-            self.send(record.address, Frame::News, vec![record]);
+            self.send(record.address, Message::Gossip, vec![record]);
         }
     }
 
     /// How long a doubt stands: shorter the more share it, longer in a larger fleet, where news takes longer.
-    fn doubt_span(&self, doubters: usize) -> Micros {
+    fn suspicion_timeout(&self, suspecters: usize) -> Micros {
         let members = self.table.members.len() as f64 + 1.0;
-        let least = self.part.doubt_least as f64 * members.log10().max(1.0);
-        let shared = (doubters.max(1) as f64).ln() / DOUBTERS.ln();
-        (least * (DOUBT_RANGE - (DOUBT_RANGE - 1.0) * shared.min(1.0))) as Micros
+        let least = self.config.min_suspicion as f64 * members.log10().max(1.0);
+        let shared = (suspecters.max(1) as f64).ln() / FULL_SUSPECTERS.ln();
+        (least * (SUSPICION_RANGE - (SUSPICION_RANGE - 1.0) * shared.min(1.0))) as Micros
     }
 
-    fn watch_doubt(&mut self, name: &Rc<str>) {
-        let Some(doubt) = self
+    fn schedule_suspicion_timer(&mut self, name: &Rc<str>) {
+        let Some(suspicion) = self
             .table
             .named(name)
-            .and_then(|member| member.doubt.as_ref())
+            .and_then(|member| member.suspicion.as_ref())
         else {
             return;
         };
-        let at = (doubt.began + self.doubt_span(doubt.doubters.len())).max(self.now);
-        self.timers.hang(at, Due::Doubt(Rc::clone(name)));
+        let at =
+            (suspicion.began + self.suspicion_timeout(suspicion.suspecters.len())).max(self.now);
+        self.timers.schedule(at, Timer::Suspicion(Rc::clone(name)));
     }
 
     /// All doubts begin anew: those that were refuted meanwhile may not have been heard.
-    fn extend_doubts(&mut self) {
+    fn restart_suspicions(&mut self) {
         let now = self.now;
         let mut names = Vec::new();
         for member in &mut self.table.members {
-            if let Some(doubt) = member.doubt.as_mut() {
-                doubt.began = now;
+            if let Some(suspicion) = member.suspicion.as_mut() {
+                suspicion.began = now;
                 names.push(Rc::clone(&member.record.name));
             }
         }
-        names.iter().for_each(|name| self.watch_doubt(name));
+        names
+            .iter()
+            .for_each(|name| self.schedule_suspicion_timer(name));
     }
 
-    fn doubt_ends(&mut self, name: &str) {
+    fn suspicion_expired(&mut self, name: &str) {
         let Some(member) = self.table.named(name) else {
             return;
         };
-        let Some(doubt) = member.doubt.as_ref() else {
+        let Some(suspicion) = member.suspicion.as_ref() else {
             return;
         };
-        let ends = doubt.began + self.doubt_span(doubt.doubters.len());
+        let ends = suspicion.began + self.suspicion_timeout(suspicion.suspecters.len());
         // A deaf one judges nobody; it looks again when it was heard.
-        if self.deaf_until.is_some() || ends > self.now {
+        if self.unheard_until.is_some() || ends > self.now {
             return;
         }
-        let record = Record {
-            state: State::Gone,
+        let record = MemberRecord {
+            state: MemberState::Dead,
             by: 0,
             ..member.record.clone()
         };
@@ -876,110 +922,115 @@
     }
 
     /// Up to so many members that fit, drawn by chance.
-    fn some(&mut self, count: usize, fits: impl Fn(&Member) -> bool) -> Vec<usize> {
+    fn random_members(&mut self, count: usize, fits: impl Fn(&Member) -> bool) -> Vec<usize> {
         let members = &self.table.members;
-        let mut places: Vec<usize> = (0..members.len())
-            .filter(|&place| fits(&members[place]))
+        let mut indices: Vec<usize> = (0..members.len())
+            .filter(|&index| fits(&members[index]))
             .collect();
-        let count = count.min(places.len());
+        let count = count.min(indices.len());
         for at in 0..count {
-            let other = self.chance.generate_range(at..places.len());
-            places.swap(at, other);
+            let other = self.rng.generate_range(at..indices.len());
+            indices.swap(at, other);
         }
-        places.truncate(count);
-        places
+        indices.truncate(count);
+        indices
     }
 
-    fn swap_whole(&mut self, place: usize) {
-        let parts = self.table.members.len().div_ceil(8).clamp(1, PARTS_AT_ONCE);
+    fn send_whole_table(&mut self, index: usize) {
+        let parts = self
+            .table
+            .members
+            .len()
+            .div_ceil(8)
+            .clamp(1, MAX_PARTS_AT_ONCE);
         for number in 0..parts {
-            self.say_part(place, number == 0);
+            self.send_table_part(index, number == 0);
         }
     }
 
     /// Sends a part of the table, as much as fits; the next part begins where this one ends.
-    fn say_part(&mut self, place: usize, wants: bool) {
-        let Some(member) = self.table.members.get(place) else {
+    fn send_table_part(&mut self, index: usize, reply_wanted: bool) {
+        let Some(member) = self.table.members.get(index) else {
             return;
         };
         let address = member.record.address;
-        let mut letter = self.letter(Frame::Swap { wants }, Vec::new());
-        let mut length = envelope::sealed_length(&letter);
+        let mut datagram = self.datagram(Message::TableSync { reply_wanted }, Vec::new());
+        let mut length = datagram::sealed_length(&datagram);
         let count = self.table.members.len();
         for _ in 0..count {
             self.cursor = (self.cursor + 1) % count;
             let record = &self.table.members[self.cursor].record;
             length += record_length(record);
-            if length > DATAGRAM_MOST {
+            if length > MAX_DATAGRAM_BYTES {
                 break;
             }
-            letter.records.push(record.clone());
+            datagram.records.push(record.clone());
         }
-        self.post(address, &letter);
+        self.post(address, &datagram);
     }
 
     /// Says something to a member, with what is held of it if that is wrong in its eyes.
-    fn say(&mut self, place: usize, frame: Frame) {
-        let record = self.table.members[place].record.clone();
-        let doubted = matches!(record.state, State::Doubted | State::Gone);
+    fn say(&mut self, index: usize, message: Message) {
+        let record = self.table.members[index].record.clone();
+        let doubted = matches!(record.state, MemberState::Suspected | MemberState::Dead);
         let address = record.address;
         self.send(
             address,
-            frame,
+            message,
             if doubted { vec![record] } else { Vec::new() },
         );
     }
 
-    fn letter(&self, frame: Frame, records: Vec<Record>) -> Letter {
+    fn datagram(&self, message: Message, records: Vec<MemberRecord>) -> Datagram {
         let own = self.table.own.clone();
         let records = [own].into_iter().chain(records).collect();
-        Letter {
-            fleet: self.part.fleet.clone(),
-            sender: self.part.name.clone(),
-            life: self.life,
-            incarnation: self.table.own.incarnation,
+        Datagram {
+            fleet: self.config.fleet.clone(),
+            sender: self.config.name.clone(),
+            incarnation: self.incarnation,
+            refutation_counter: self.table.own.refutation_counter,
             counter: self.counter,
-            frame,
+            message,
             records,
         }
     }
 
     /// Sends a frame with records, our own first, and as much news as fits beside them.
-    fn send(&mut self, address: SocketAddr, frame: Frame, records: Vec<Record>) {
-        let mut letter = self.letter(frame, records);
-        let mut length = envelope::sealed_length(&letter);
+    fn send(&mut self, address: SocketAddr, message: Message, records: Vec<MemberRecord>) {
+        let mut datagram = self.datagram(message, records);
+        let mut length = datagram::sealed_length(&datagram);
         let (table, members) = (&self.table, self.table.members.len());
-        self.spread.take(members, |name| {
-            if letter.records.iter().any(|record| *record.name == *name) {
+        self.dissemination.take(members, |name| {
+            if datagram.records.iter().any(|record| *record.name == *name) {
                 return true;
             }
             let Some(member) = table.named(name) else {
                 return true;
             };
             length += record_length(&member.record);
-            let fits = length <= DATAGRAM_MOST;
+            let fits = length <= MAX_DATAGRAM_BYTES;
             if fits {
-                letter.records.push(member.record.clone());
+                datagram.records.push(member.record.clone());
             }
             fits
         });
-        self.post(address, &letter);
+        self.post(address, &datagram);
     }
 
-    fn post(&mut self, address: SocketAddr, letter: &Letter) {
-        if self.now < self.quiet_until || address == self.part.address {
+    fn post(&mut self, address: SocketAddr, datagram: &Datagram) {
+        if self.now < self.quiet_until || address == self.config.address {
             return;
         }
         self.counter += 1;
-        if let Some(bytes) = envelope::seal(&self.key, letter) {
-            self.tally.sent += 1;
-            self.tally.sent_bytes += bytes.len() as u64;
+        if let Some(bytes) = datagram::seal(&self.key, datagram) {
+            self.traffic.sent += 1;
+            self.traffic.sent_bytes += bytes.len() as u64;
             self.out.push((address, bytes));
         }
     }
 }
 
 /// Bytes of a record at most, as postcard writes it: names, address, life, incarnation, state and doubter.
-fn record_length(record: &Record) -> usize {
+fn record_length(record: &MemberRecord) -> usize {
     record.name.len() + record.zone.len() + 2 + 19 + 20 + 10 + 2 + 10 + 1
 }
--- a/crates/cluster/src/membership/spread.rs
+++ b/crates/cluster/src/membership/dissemination.rs
@@ -8,11 +8,11 @@
 
 /// Names whose records are news, and how often each was sent.
 #[derive(Default)]
-pub struct Spread {
+pub struct Dissemination {
     news: Vec<(Rc<str>, u32)>,
 }
 
-impl Spread {
+impl Dissemination {
     /// A record changed: its telling begins anew.
     pub fn add(&mut self, name: &Rc<str>) {
         self.news.retain(|entry| entry.0 != *name);
--- a/crates/cluster/src/membership/probing.rs
+++ b/crates/cluster/src/membership/failure_detector.rs
@@ -6,35 +6,35 @@
 use nanorand::{Rng, WyRand};
 
 use crate::Micros;
-use crate::envelope::Life;
+use crate::datagram::Incarnation;
 
 /// The worst that this process thinks of itself (Lifeguard's local health).
-const WORST: u32 = 8;
+const MAX_HEALTH_PENALTY: u32 = 8;
 /// Errands for others at once; more are not taken.
-const ERRANDS_MOST: usize = 256;
+const MAX_RELAYED_PROBES: usize = 256;
 
 /// The probe under way.
 pub struct Probe {
     pub number: u32,
     pub target: Rc<str>,
-    pub life: Life,
+    pub incarnation: Incarnation,
     pub answered: bool,
     /// Members asked to probe for us, and how many said that they did.
-    pub asked: u32,
+    pub query: u32,
     pub told: u32,
 }
 
 /// A probe for another.
-pub struct Errand {
+pub struct RelayedProbe {
     pub number: u32,
     pub for_whom: SocketAddr,
     pub their_number: u32,
 }
 
 #[derive(Default)]
-pub struct Probing {
-    pub under_way: Option<Probe>,
-    pub errands: Vec<Errand>,
+pub struct FailureDetector {
+    pub pending: Option<Probe>,
+    pub relayed_probes: Vec<RelayedProbe>,
     /// Names in the order of this round; every member has its turn before one has a second.
     round: Vec<Rc<str>>,
     /// 0 is well: each step makes this process slower to doubt others, as it may be at fault itself.
@@ -42,44 +42,40 @@
     pub last_number: u32,
 }
 
-impl Probing {
+impl FailureDetector {
     pub fn number(&mut self) -> u32 {
         self.last_number = self.last_number.wrapping_add(1);
         self.last_number
     }
 
     /// The next name of the round; a new round is shuffled when one is over.
-    pub fn next(
-        &mut self,
-        chance: &mut WyRand,
-        names: impl Fn() -> Vec<Rc<str>>,
-    ) -> Option<Rc<str>> {
+    pub fn next(&mut self, rng: &mut WyRand, names: impl Fn() -> Vec<Rc<str>>) -> Option<Rc<str>> {
         if self.round.is_empty() {
             self.round = names();
-            chance.shuffle(&mut self.round);
+            rng.shuffle(&mut self.round);
         }
         self.round.pop()
     }
 
-    pub fn worse(&mut self) {
-        self.health = (self.health + 1).min(WORST);
+    pub fn degrade(&mut self) {
+        self.health = (self.health + 1).min(MAX_HEALTH_PENALTY);
     }
 
-    pub fn better(&mut self) {
+    pub fn improve(&mut self) {
         self.health = self.health.saturating_sub(1);
     }
 
-    pub fn slower(&self, span: Micros) -> Micros {
+    pub fn scaled(&self, span: Micros) -> Micros {
         span * (2 + u64::from(self.health)) / 2
     }
 
     /// Takes on a probe for another; nothing where there are too many.
-    pub fn take_errand(&mut self, for_whom: SocketAddr, their_number: u32) -> Option<u32> {
-        if self.errands.len() >= ERRANDS_MOST {
+    pub fn relay_probe(&mut self, for_whom: SocketAddr, their_number: u32) -> Option<u32> {
+        if self.relayed_probes.len() >= MAX_RELAYED_PROBES {
             return None;
         }
         let number = self.number();
-        self.errands.push(Errand {
+        self.relayed_probes.push(RelayedProbe {
             number,
             for_whom,
             their_number,
@@ -87,11 +83,11 @@
         Some(number)
     }
 
-    pub fn end_errand(&mut self, number: u32) -> Option<Errand> {
+    pub fn take_relayed_probe(&mut self, number: u32) -> Option<RelayedProbe> {
         let at = self
-            .errands
+            .relayed_probes
             .iter()
-            .position(|errand| errand.number == number)?;
-        Some(self.errands.swap_remove(at))
+            .position(|relayed_probe| relayed_probe.number == number)?;
+        Some(self.relayed_probes.swap_remove(at))
     }
 }
--- a/crates/cluster/src/frames.rs
+++ b/crates/cluster/src/messages.rs
@@ -5,34 +5,37 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::duties::frames::DutyFrame;
-use crate::envelope::Life;
+use crate::datagram::Incarnation;
+use crate::leases::messages::LeaseMessage;
 
 /// Bytes of a name or a zone at most.
-pub const NAME_MOST: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 
 /// How a member stands, by rising weight: at one incarnation the later ones go before the earlier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum State {
-    Present,
+pub enum MemberState {
+    #[serde(rename = "present")]
+    Alive,
     /// Somebody could not reach it.
-    Doubted,
+    #[serde(rename = "doubted")]
+    Suspected,
     /// Nobody refuted the doubt in time. It may be dead, cut off or stalled, and may still serve.
-    Gone,
+    #[serde(rename = "gone")]
+    Dead,
     /// It said itself that it serves no more.
     Left,
 }
 
 /// What is said of one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Record {
+pub struct MemberRecord {
     pub name: Rc<str>,
     pub address: SocketAddr,
     pub zone: Rc<str>,
-    pub life: Life,
-    pub incarnation: u64,
-    pub state: State,
+    pub incarnation: Incarnation,
+    pub refutation_counter: u64,
+    pub state: MemberState,
     /// Who doubted, as chance of its life: doubts of several make up minds sooner. 0 where nobody doubts.
     pub by: u64,
     /// The version that it speaks.
@@ -40,49 +43,52 @@
 }
 
 /// Whether a text may be a name: short, and of signs that can be seen.
-pub fn is_name(text: &str) -> bool {
-    !text.is_empty() && text.len() <= NAME_MOST && text.bytes().all(|byte| byte.is_ascii_graphic())
+pub fn is_valid_name(text: &str) -> bool {
+    !text.is_empty()
+        && text.len() <= MAX_NAME_BYTES
+        && text.bytes().all(|byte| byte.is_ascii_graphic())
 }
 
-impl Record {
+impl MemberRecord {
     /// Whether its names are names; a zone may be left out.
-    pub fn is_sound(&self) -> bool {
-        is_name(&self.name) && (self.zone.is_empty() || is_name(&self.zone))
+    pub fn is_well_formed(&self) -> bool {
+        is_valid_name(&self.name) && (self.zone.is_empty() || is_valid_name(&self.zone))
     }
 
     /// Whether it goes before another of the same name. Of two processes at one incarnation the one with the greater
     /// life goes first, so that all members choose alike.
-    pub fn goes_before(&self, other: &Self) -> bool {
-        (self.incarnation, self.life, self.state) > (other.incarnation, other.life, other.state)
+    pub fn supersedes(&self, other: &Self) -> bool {
+        (self.refutation_counter, self.incarnation, self.state)
+            > (other.refutation_counter, other.incarnation, other.state)
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Frame {
+pub enum Message {
     /// Nothing but records.
-    News,
+    Gossip,
     /// Whoever bears the name answers; whoever gets it answers where none is named.
     Probe {
         number: u32,
         target: Option<Rc<str>>,
     },
-    Answer {
+    Ack {
         number: u32,
     },
     /// Please probe the target for me.
-    Ask {
+    ProbeRequest {
         number: u32,
         target: Rc<str>,
         address: SocketAddr,
     },
     /// What came of it. That one who was asked answers at all shows the way to it is fine.
-    Asked {
+    ProbeReport {
         number: u32,
         answered: bool,
     },
     /// Part of the whole table; whoever gets it sends parts of its own back if wanted.
-    Swap {
-        wants: bool,
+    TableSync {
+        reply_wanted: bool,
     },
-    Duty(DutyFrame),
+    Lease(LeaseMessage),
 }
--- a/crates/cluster/src/roster/mod.rs
+++ b/crates/cluster/src/shared_list/mod.rs
@@ -8,8 +8,8 @@
 //! that the holder's watch is open and that no later page was made before it was sent, and it counts only when all
 //! pages up to that one were taken.
 
-pub mod editor;
-pub mod reader;
+pub mod publisher;
+pub mod subscriber;
 
 use serde::{Deserialize, Serialize};
 
@@ -19,21 +19,21 @@
 mod tests;
 
 /// Bytes of a page in one frame.
-pub const PART: usize = 560;
+pub const MAX_CHUNK_BYTES: usize = 560;
 /// Parts of one page at most: some thousand upstreams.
-pub const PARTS_MOST: u16 = 4_096;
+pub const MAX_CHUNKS: u16 = 4_096;
 /// How often a holder tells that it goes on.
-pub const BEATS_APART: Micros = 400_000;
+pub const HEARTBEAT_INTERVAL: Micros = 400_000;
 /// Without a beat that counts for so long a reader asks for itself.
-pub const STALE: Micros = 3_000_000;
+pub const HEARTBEAT_TIMEOUT: Micros = 3_000_000;
 /// How long a holder that told what can't be is passed over.
-pub const DISTRUST: Micros = 30_000_000;
+pub const DISTRUST_PERIOD: Micros = 30_000_000;
 
 /// What is said under the duty's term.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum RosterSaid {
+pub enum ListMessage {
     /// One part of a page. A whole list stands for all pages up to its own.
-    Part {
+    Chunk {
         page: u32,
         whole: bool,
         version: u64,
@@ -42,10 +42,10 @@
         bytes: Vec<u8>,
     },
     /// The last page, and whether the holder's watch is open.
-    Beat { page: u32, follows: bool },
+    Heartbeat { page: u32, follows: bool },
 }
 
-impl RosterSaid {
+impl ListMessage {
     pub fn bytes(&self) -> Option<Vec<u8>> {
         postcard::to_stdvec(self).ok()
     }
@@ -55,7 +55,7 @@
     }
 }
 
-impl RosterWants {
+impl ListRequest {
     pub fn bytes(&self) -> Option<Vec<u8>> {
         postcard::to_stdvec(self).ok()
     }
@@ -67,13 +67,13 @@
 
 /// What a reader asks of the holder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum RosterWants {
+pub enum ListRequest {
     /// These parts of a page, or of the whole list as it stood with it.
-    Parts {
+    Chunks {
         page: u32,
         whole: bool,
         parts: Vec<u16>,
     },
     /// The whole list as it stands.
-    Whole,
+    FullList,
 }
--- a/crates/cluster/src/roster/editor.rs
+++ b/crates/cluster/src/shared_list/publisher.rs
@@ -2,11 +2,11 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use super::{BEATS_APART, PART, PARTS_MOST, RosterSaid, RosterWants};
+use super::{HEARTBEAT_INTERVAL, ListMessage, ListRequest, MAX_CHUNK_BYTES, MAX_CHUNKS};
 use crate::Micros;
 
 /// Pages kept for those who miss parts of them.
-const PAGES_KEPT: usize = 64;
+const MAX_RETAINED_PAGES: usize = 64;
 
 /// One entry of what discovery said.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -27,16 +27,16 @@
 
 /// What the holder of a roster passes on.
 #[derive(Default)]
-pub struct Editor {
+pub struct ListPublisher {
     entries: BTreeMap<String, String>,
     version: u64,
     page: u32,
     pages: VecDeque<Page>,
-    beats_at: Micros,
+    heartbeat_at: Micros,
     follows: bool,
 }
 
-fn worded<'a>(version: u64, all: bool, texts: impl Iterator<Item = &'a str>) -> Vec<u8> {
+fn encode_list<'a>(version: u64, all: bool, texts: impl Iterator<Item = &'a str>) -> Vec<u8> {
     let texts: Vec<&str> = texts.collect();
     format!(
         "{{\"rev\":{version},\"all\":{all},\"targets\":[{}]}}",
@@ -47,13 +47,17 @@
 
 impl Page {
     fn parts(&self) -> u16 {
-        u16::try_from(self.text.len().div_ceil(PART).max(1)).unwrap_or(u16::MAX)
+        u16::try_from(self.text.len().div_ceil(MAX_CHUNK_BYTES).max(1)).unwrap_or(u16::MAX)
     }
 
-    fn part(&self, part: u16) -> Option<RosterSaid> {
-        let bytes = self.text.chunks(PART).nth(usize::from(part))?.to_vec();
+    fn part(&self, part: u16) -> Option<ListMessage> {
+        let bytes = self
+            .text
+            .chunks(MAX_CHUNK_BYTES)
+            .nth(usize::from(part))?
+            .to_vec();
         let (page, whole, version, of) = (self.number, self.whole, self.version, self.parts());
-        Some(RosterSaid::Part {
+        Some(ListMessage::Chunk {
             page,
             whole,
             version,
@@ -63,16 +67,16 @@
         })
     }
 
-    fn said(&self) -> Vec<RosterSaid> {
+    fn said(&self) -> Vec<ListMessage> {
         (0..self.parts())
             .filter_map(|part| self.part(part))
             .collect()
     }
 }
 
-impl Editor {
+impl ListPublisher {
     /// Discovery said this: what is to be told to all. The first thing told under a term is a whole list.
-    pub fn said(&mut self, version: u64, complete: bool, entries: &[Entry]) -> Vec<RosterSaid> {
+    pub fn said(&mut self, version: u64, complete: bool, entries: &[Entry]) -> Vec<ListMessage> {
         if complete {
             self.entries.clear();
         }
@@ -95,7 +99,7 @@
         let page = match complete {
             true => self.whole(),
             false => {
-                let text = worded(
+                let text = encode_list(
                     version,
                     false,
                     entries.iter().map(|entry| entry.text.as_str()),
@@ -108,15 +112,15 @@
                 }
             }
         };
-        if page.text.len() > PART * usize::from(PARTS_MOST) {
+        if page.text.len() > MAX_CHUNK_BYTES * usize::from(MAX_CHUNKS) {
             return Vec::new();
         }
         let told = page.said();
         self.pages.push_back(page);
-        if self.pages.len() > PAGES_KEPT {
+        if self.pages.len() > MAX_RETAINED_PAGES {
             self.pages.pop_front();
         }
-        self.beats_at = 0;
+        self.heartbeat_at = 0;
         told
     }
 
@@ -126,28 +130,29 @@
     }
 
     /// What one reader wants.
-    pub fn wanted(&self, wants: &RosterWants) -> Vec<RosterSaid> {
+    pub fn tracked(&self, wants: &ListRequest) -> Vec<ListMessage> {
         if self.page == 0 {
             return Vec::new();
         }
-        let RosterWants::Parts { page, whole, parts } = wants else {
+        let ListRequest::Chunks { page, whole, parts } = wants else {
             return self.whole().said();
         };
-        let some = |page: &Page| parts.iter().filter_map(|part| page.part(*part)).collect();
+        let random_members =
+            |page: &Page| parts.iter().filter_map(|part| page.part(*part)).collect();
         let kept = self
             .pages
             .iter()
             .find(|known| (known.number, known.whole) == (*page, *whole));
         match kept {
-            Some(kept) => some(kept),
-            None if *whole && *page == self.page => some(&self.whole()),
+            Some(kept) => random_members(kept),
+            None if *whole && *page == self.page => random_members(&self.whole()),
             None => self.whole().said(),
         }
     }
 
     /// The list as it stands. The same entries give the same bytes, so that parts of one fit to those of another.
     fn whole(&self) -> Page {
-        let text = worded(
+        let text = encode_list(
             self.version,
             true,
             self.entries.values().map(String::as_str),
@@ -161,12 +166,12 @@
     }
 
     /// A beat, if one is due.
-    pub fn beat(&mut self, now: Micros) -> Option<RosterSaid> {
-        if now < self.beats_at || self.page == 0 {
+    pub fn heartbeat(&mut self, now: Micros) -> Option<ListMessage> {
+        if now < self.heartbeat_at || self.page == 0 {
             return None;
         }
-        self.beats_at = now + BEATS_APART;
-        Some(RosterSaid::Beat {
+        self.heartbeat_at = now + HEARTBEAT_INTERVAL;
+        Some(ListMessage::Heartbeat {
             page: self.page,
             follows: self.follows,
         })
@@ -176,7 +181,7 @@
         if self.page == 0 {
             Micros::MAX
         } else {
-            self.beats_at
+            self.heartbeat_at
         }
     }
 }
--- a/crates/cluster/src/roster/reader.rs
+++ b/crates/cluster/src/shared_list/subscriber.rs
@@ -2,25 +2,25 @@
 
 use std::collections::BTreeMap;
 
-use super::{DISTRUST, PARTS_MOST, RosterSaid, RosterWants, STALE};
+use super::{DISTRUST_PERIOD, HEARTBEAT_TIMEOUT, ListMessage, ListRequest, MAX_CHUNKS};
 use crate::Micros;
-use crate::duties::term::Term;
+use crate::leases::term::Term;
 
 /// Pages under way at once; a whole list is asked for beyond that.
-const PAGES_MOST: usize = 16;
+const MAX_PARTIAL_PAGES: usize = 16;
 /// Parts named in one wish.
-const PARTS_WANTED: usize = 64;
+const MAX_CHUNKS_PER_REQUEST: usize = 64;
 /// How long a wish has before it is said again.
-const WANTS_APART: Micros = 150_000;
+const REQUEST_INTERVAL: Micros = 150_000;
 
-struct Pieces {
+struct PartialPage {
     whole: bool,
     version: u64,
     parts: Vec<Option<Vec<u8>>>,
     since: Micros,
 }
 
-impl Pieces {
+impl PartialPage {
     fn text(&self) -> Option<Vec<u8>> {
         self.parts
             .iter()
@@ -32,17 +32,17 @@
 
 /// A page to be taken now: its text as discovery words lists.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Taken {
+pub struct ReceivedPage {
     pub text: Vec<u8>,
 }
 
 #[derive(Default)]
-pub struct Reader {
+pub struct ListSubscriber {
     term: Option<Term>,
     /// The last page taken under this term; 0: none yet.
     page: u32,
     version: Option<u64>,
-    pieces: BTreeMap<u32, Pieces>,
+    partial: BTreeMap<u32, PartialPage>,
     /// The holder's last page as far as it told.
     last: u32,
     wanted_at: Micros,
@@ -52,15 +52,17 @@
     distrusted: Option<(Term, Micros)>,
 }
 
-impl Reader {
+impl ListSubscriber {
     /// Whether what this balancer holds is as fresh as the holder's: it need not ask for itself.
-    pub fn is_fed(&self, now: Micros) -> bool {
-        self.fresh.is_some_and(|fresh| now < fresh + STALE) && !self.is_distrusted(now)
+    pub fn is_fresh(&self, now: Micros) -> bool {
+        self.fresh
+            .is_some_and(|fresh| now < fresh + HEARTBEAT_TIMEOUT)
+            && !self.is_distrusted(now)
     }
 
     /// Until when it is, if nothing more comes.
-    pub fn fed_until(&self) -> Micros {
-        self.fresh.map_or(0, |fresh| fresh + STALE)
+    pub fn fresh_until(&self) -> Micros {
+        self.fresh.map_or(0, |fresh| fresh + HEARTBEAT_TIMEOUT)
     }
 
     /// How long ago the last beat came that counts.
@@ -78,27 +80,27 @@
     }
 
     /// The list was had from discovery itself: what a holder tells must not be older.
-    pub fn own_list(&mut self, version: u64) {
+    pub fn own_list_received(&mut self, version: u64) {
         self.version = Some(version);
     }
 
     /// The holder of that term says something: pages to take now, in order, and what to ask of it.
-    pub fn heard(
+    pub fn receive(
         &mut self,
         now: Micros,
         term: Term,
-        said: &RosterSaid,
-    ) -> (Vec<Taken>, Option<RosterWants>) {
+        said: &ListMessage,
+    ) -> (Vec<ReceivedPage>, Option<ListRequest>) {
         if self.term.is_none_or(|known| known < term) {
             // Another holder counts its pages anew.
             (self.term, self.page, self.last, self.wanted_at) = (Some(term), 0, 0, 0);
-            self.pieces.clear();
+            self.partial.clear();
         }
         if self.term != Some(term) || self.is_distrusted(now) {
             return (Vec::new(), None);
         }
         match said {
-            RosterSaid::Part {
+            ListMessage::Chunk {
                 page,
                 whole,
                 version,
@@ -107,104 +109,106 @@
                 bytes,
             } => {
                 self.last = self.last.max(*page);
-                if *page > self.page && *of <= PARTS_MOST && part < of {
+                if *page > self.page && *of <= MAX_CHUNKS && part < of {
                     let count = usize::from(*of);
-                    let known = self.pieces.get(page);
+                    let known = self.partial.get(page);
                     let same = (*whole, *version, count);
                     let other = known.is_some_and(|known| {
                         (known.whole, known.version, known.parts.len()) != same
                     });
-                    if known.is_none() && self.pieces.len() >= PAGES_MOST {
-                        self.pieces.clear();
+                    if known.is_none() && self.partial.len() >= MAX_PARTIAL_PAGES {
+                        self.partial.clear();
                     }
-                    let new = || Pieces {
+                    let new = || PartialPage {
                         whole: *whole,
                         version: *version,
                         parts: vec![None; count],
                         since: now,
                     };
-                    let pieces = self.pieces.entry(*page).or_insert_with(new);
+                    let partial = self.partial.entry(*page).or_insert_with(new);
                     if other {
                         // The same page as change and as whole list: the whole list needs no earlier page.
                         if *whole {
-                            *pieces = new();
+                            *partial = new();
                         } else {
                             return (Vec::new(), None);
                         }
                     }
-                    pieces.parts[usize::from(*part)] = Some(bytes.clone());
+                    partial.parts[usize::from(*part)] = Some(bytes.clone());
                 }
                 (self.take(now), None)
             }
-            RosterSaid::Beat { page, follows } => {
+            ListMessage::Heartbeat { page, follows } => {
                 self.last = self.last.max(*page);
                 let taken = self.take(now);
                 if *page == self.page && *follows && self.page > 0 {
                     self.fresh = Some(now);
                 }
-                (taken, self.want(now))
+                (taken, self.track(now))
             }
         }
     }
 
     /// Takes all pages that follow on one another.
-    fn take(&mut self, now: Micros) -> Vec<Taken> {
+    fn take(&mut self, now: Micros) -> Vec<ReceivedPage> {
         let mut taken = Vec::new();
         loop {
-            let follows = |(page, pieces): (&u32, &Pieces)| {
-                (pieces.whole || (*page == self.page + 1 && self.page > 0))
-                    .then(|| pieces.text())?
+            let follows = |(page, partial): (&u32, &PartialPage)| {
+                (partial.whole || (*page == self.page + 1 && self.page > 0))
+                    .then(|| partial.text())?
                     .map(|text| (*page, text))
             };
-            let Some((page, text)) = self.pieces.iter().find_map(follows) else {
+            let Some((page, text)) = self.partial.iter().find_map(follows) else {
                 break;
             };
-            let Some(pieces) = self.pieces.remove(&page) else {
+            let Some(partial) = self.partial.remove(&page) else {
                 break;
             };
-            let older = self.version.is_some_and(|version| pieces.version < version);
-            let empty = pieces.whole && !text.windows(2).any(|pair| pair == b"[{");
+            let older = self
+                .version
+                .is_some_and(|version| partial.version < version);
+            let empty = partial.whole && !text.windows(2).any(|pair| pair == b"[{");
             if older || empty {
                 // Discovery's versions don't go back, and a list of nobody takes all away: each looks for itself.
-                self.distrusted = self.term.map(|term| (term, now + DISTRUST));
+                self.distrusted = self.term.map(|term| (term, now + DISTRUST_PERIOD));
                 self.fresh = None;
-                self.pieces.clear();
+                self.partial.clear();
                 break;
             }
-            (self.page, self.version) = (page, Some(pieces.version));
-            self.pieces.retain(|number, _| *number > page);
-            taken.push(Taken { text });
+            (self.page, self.version) = (page, Some(partial.version));
+            self.partial.retain(|number, _| *number > page);
+            taken.push(ReceivedPage { text });
         }
         taken
     }
 
     /// What is missing, if it was not asked for just now.
-    fn want(&mut self, now: Micros) -> Option<RosterWants> {
+    fn track(&mut self, now: Micros) -> Option<ListRequest> {
         if self.last <= self.page || now < self.wanted_at {
             return None;
         }
-        self.wanted_at = now + WANTS_APART;
+        self.wanted_at = now + REQUEST_INTERVAL;
         let next = self.page + 1;
-        let missing = |pieces: &Pieces| -> Vec<u16> {
+        let missing = |partial: &PartialPage| -> Vec<u16> {
             let parts = (0u16..)
-                .zip(&pieces.parts)
+                .zip(&partial.parts)
                 .filter(|(_, part)| part.is_none())
                 .map(|(number, _)| number);
-            parts.take(PARTS_WANTED).collect()
+            parts.take(MAX_CHUNKS_PER_REQUEST).collect()
         };
-        let under_way = self
-            .pieces
+        let pending = self
+            .partial
             .iter()
-            .find(|(page, pieces)| pieces.whole || **page == next);
-        match under_way {
+            .find(|(page, partial)| partial.whole || **page == next);
+        match pending {
             // Its parts may still be on their way.
-            Some((_, pieces)) if now < pieces.since + WANTS_APART => None,
-            Some((page, pieces)) => Some(RosterWants::Parts {
+            Some((_, partial)) if now < partial.since + REQUEST_INTERVAL => None,
+            Some((page, partial)) => Some(ListRequest::Chunks {
                 page: *page,
-                whole: pieces.whole,
-                parts: missing(pieces),
+                whole: partial.whole,
+                parts: missing(partial),
             }),
-            None => Some(RosterWants::Whole),
+            None => Some(ListRequest::FullList),
         }
     }
 }
--- /dev/null
+++ b/crates/cluster/src/shared_list/tests.rs
@@ -0,0 +1,177 @@
+use rstest::rstest;
+
+use super::publisher::{Entry, ListPublisher};
+use super::subscriber::{ListSubscriber, ReceivedPage};
+use super::*;
+use crate::leases::term::Term;
+
+const FIRST: Term = Term {
+    number: 1,
+    incarnation: 1,
+};
+const MS: Micros = 1_000;
+
+fn entries(names: std::ops::Range<usize>) -> Vec<Entry> {
+    let entry = |n| {
+        let id = format!("s{n}");
+        Entry {
+            text: format!("{{\"uid\":\"{id}\",\"note\":\"{}\"}}", "x".repeat(60)),
+            id,
+            left: false,
+        }
+    };
+    names.map(entry).collect()
+}
+
+fn names(taken: &[ReceivedPage]) -> Vec<usize> {
+    taken
+        .iter()
+        .map(|page| {
+            String::from_utf8_lossy(&page.text)
+                .matches("\"uid\"")
+                .count()
+        })
+        .collect()
+}
+
+/// Hears all that is said but for what is lost, and has what it then wants said again.
+fn carry(
+    subscriber: &mut ListSubscriber,
+    publisher: &mut ListPublisher,
+    now: Micros,
+    said: &[ListMessage],
+    lost: &[usize],
+) -> Vec<ReceivedPage> {
+    let mut taken = Vec::new();
+    for (_, one) in said
+        .iter()
+        .enumerate()
+        .filter(|(place, _)| !lost.contains(place))
+    {
+        taken.extend(subscriber.receive(now, FIRST, one).0);
+    }
+    let heartbeat = publisher.heartbeat(now + 500 * MS).unwrap();
+    let (more, wants) = subscriber.receive(now + 500 * MS, FIRST, &heartbeat);
+    taken.extend(more);
+    for one in wants.iter().flat_map(|wants| publisher.tracked(wants)) {
+        taken.extend(subscriber.receive(now + 501 * MS, FIRST, &one).0);
+    }
+    taken
+}
+
+#[rstest]
+#[case::nothing(&[], &[20])]
+#[case::a_part(&[1], &[20])]
+#[case::all(&[0, 1, 2, 3], &[20])]
+fn what_is_lost_of_a_list_is_asked_for(#[case] lost: &[usize], #[case] found: &[usize]) {
+    let (mut publisher, mut subscriber) = (ListPublisher::default(), ListSubscriber::default());
+    let said = publisher.said(7, true, &entries(0..20));
+    assert_eq!(said.len(), 4);
+    let taken = carry(&mut subscriber, &mut publisher, 0, &said, lost);
+    assert_eq!(names(&taken), found);
+    let heartbeat = publisher.heartbeat(1_000 * MS).unwrap();
+    subscriber.receive(1_000 * MS, FIRST, &heartbeat);
+    assert!(
+        subscriber.is_fresh(1_000 * MS + HEARTBEAT_TIMEOUT - 1)
+            && !subscriber.is_fresh(1_000 * MS + HEARTBEAT_TIMEOUT)
+    );
+}
+
+#[test]
+fn changes_are_taken_in_order_and_a_whole_list_stands_for_all_before() {
+    let (mut publisher, mut subscriber) = (ListPublisher::default(), ListSubscriber::default());
+    let whole = publisher.said(7, true, &entries(0..3));
+    let changes: Vec<_> = (8..12)
+        .map(|version| publisher.said(version, false, &entries(3..4)))
+        .collect();
+    // The whole list comes last.
+    for change in changes.iter().rev().flatten() {
+        assert!(subscriber.receive(0, FIRST, change).0.is_empty());
+    }
+    let taken: Vec<_> = whole
+        .iter()
+        .flat_map(|part| subscriber.receive(0, FIRST, part).0)
+        .collect();
+    assert_eq!((names(&taken), subscriber.page()), (vec![3, 1, 1, 1, 1], 5));
+    // One that comes later is told as much by one list.
+    let mut late = ListSubscriber::default();
+    let told: Vec<_> = publisher.tracked(&ListRequest::FullList);
+    let taken: Vec<_> = told
+        .iter()
+        .flat_map(|part| late.receive(0, FIRST, part).0)
+        .collect();
+    assert_eq!((names(&taken), late.page()), (vec![4], 5));
+}
+
+#[test]
+fn what_left_is_in_no_whole_list() {
+    let mut publisher = ListPublisher::default();
+    publisher.said(7, true, &entries(0..3));
+    publisher.said(
+        8,
+        false,
+        &[Entry {
+            left: true,
+            ..entries(1..2).remove(0)
+        }],
+    );
+    let told = publisher.tracked(&ListRequest::FullList);
+    let ListMessage::Chunk { bytes, version, .. } = &told[0] else {
+        panic!("{told:?}")
+    };
+    assert_eq!(
+        (
+            String::from_utf8_lossy(bytes).matches("uid").count(),
+            *version
+        ),
+        (2, 8)
+    );
+}
+
+/// A watch that broke is said by the beat; a holder that is cut off says nothing at all.
+#[test]
+fn a_holder_that_does_not_follow_feeds_nobody() {
+    let (mut publisher, mut subscriber) = (ListPublisher::default(), ListSubscriber::default());
+    let said = publisher.said(7, true, &entries(0..3));
+    carry(&mut subscriber, &mut publisher, 0, &said, &[]);
+    assert!(subscriber.is_fresh(600 * MS));
+    publisher.follows(false);
+    for at in 1..20 {
+        let now = at * HEARTBEAT_INTERVAL + 600 * MS;
+        subscriber.receive(now, FIRST, &publisher.heartbeat(now).unwrap());
+    }
+    assert!(!subscriber.is_fresh(600 * MS + HEARTBEAT_TIMEOUT));
+}
+
+#[rstest]
+#[case::version_goes_back(6, 0..3, false)]
+#[case::nobody(9, 0..0, false)]
+#[case::sound(9, 0..2, true)]
+fn a_holder_that_tells_what_cannot_be_is_passed_over(
+    #[case] version: u64,
+    #[case] named: std::ops::Range<usize>,
+    #[case] taken: bool,
+) {
+    let mut subscriber = ListSubscriber::default();
+    subscriber.own_list_received(7);
+    let mut publisher = ListPublisher::default();
+    let said = publisher.said(version, true, &entries(named));
+    let pages = carry(&mut subscriber, &mut publisher, 0, &said, &[]);
+    assert_eq!(
+        (pages.len(), subscriber.is_fresh(600 * MS)),
+        (usize::from(taken), taken)
+    );
+    // A later holder is heard at once.
+    let later = Term {
+        number: 2,
+        incarnation: 1,
+    };
+    let told: Vec<_> = ListPublisher::default().said(9, true, &entries(0..4));
+    let pages: Vec<_> = told
+        .iter()
+        .flat_map(|part| subscriber.receive(700 * MS, later, part).0)
+        .collect();
+    assert_eq!(names(&pages), [4]);
+    // And an earlier one no more.
+    assert!(subscriber.receive(800 * MS, FIRST, &said[0]).0.is_empty());
+}
--- a/crates/cluster/src/timers.rs
+++ b/crates/cluster/src/timers.rs
@@ -6,30 +6,30 @@
 use crate::Micros;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Due {
+pub enum Timer {
     /// The probe of a round is judged and the next one sent.
-    Round,
+    ProbeRound,
     /// A probe has no answer yet.
-    Again,
+    ProbeRetry,
     /// A probe for another has no answer.
-    Errand(u32),
+    RelayedProbe(u32),
     /// A doubt may have stood for its time.
-    Doubt(Rc<str>),
-    News,
-    Swap,
-    Gone,
+    Suspicion(Rc<str>),
+    Gossip,
+    TableSync,
+    DeadProbe,
     Seeds,
-    Duties,
+    Leases,
 }
 
 #[derive(Default)]
 pub struct Timers {
-    ordered: BTreeMap<(Micros, u64), Due>,
+    ordered: BTreeMap<(Micros, u64), Timer>,
     last: u64,
 }
 
 impl Timers {
-    pub fn hang(&mut self, at: Micros, due: Due) {
+    pub fn schedule(&mut self, at: Micros, due: Timer) {
         self.last += 1;
         self.ordered.insert((at, self.last), due);
     }
@@ -38,7 +38,7 @@
         self.ordered.first_key_value().map(|entry| entry.0.0)
     }
 
-    pub fn due(&mut self, now: Micros) -> Option<Due> {
+    pub fn due(&mut self, now: Micros) -> Option<Timer> {
         let first = self.ordered.first_entry()?;
         (first.key().0 <= now).then(|| first.remove())
     }
@@ -48,7 +48,7 @@
         let later = self.ordered.split_off(&(now, 0));
         let missed = std::mem::replace(&mut self.ordered, later);
         for due in missed.into_values() {
-            self.hang(now, due);
+            self.schedule(now, due);
         }
     }
 }
--- a/crates/cluster/tests/datagrams.rs
+++ b/crates/cluster/tests/datagrams.rs
@@ -5,23 +5,23 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-use pinefront_cluster::duties::frames::DutyFrame;
-use pinefront_cluster::duties::term::{DutyId, Term};
-use pinefront_cluster::duties::voter::Told;
-use pinefront_cluster::duties::{Duty, DutyTerms};
-use pinefront_cluster::envelope::{Key, Letter, Life, open, seal};
-use pinefront_cluster::frames::{Frame, Record, State};
-use pinefront_cluster::roster::{RosterSaid, RosterWants};
-use pinefront_cluster::{Accord, Part};
+use pinefront_cluster::datagram::{Datagram, Incarnation, Key, open, seal};
+use pinefront_cluster::leases::messages::LeaseMessage;
+use pinefront_cluster::leases::term::{LeaseId, Term};
+use pinefront_cluster::leases::voter::GrantStatus;
+use pinefront_cluster::leases::{Lease, LeaseConfig};
+use pinefront_cluster::messages::{MemberRecord, MemberState, Message};
+use pinefront_cluster::shared_list::{ListMessage, ListRequest};
+use pinefront_cluster::{Cluster, MemberConfig};
 
 const KEY: &[u8] = b"recorded key of the datagram test\n";
-const LIFE: Life = Life {
-    born: 1_700_000_000_123_456,
-    chance: 0x00c0_ffee_00c0_ffee,
+const LIFE: Incarnation = Incarnation {
+    started_at_us: 1_700_000_000_123_456,
+    random_id: 0x00c0_ffee_00c0_ffee,
 };
 const TERM: Term = Term {
     number: 1_700_000_000_789,
-    life: 0x0123_4567_89ab_cdef,
+    incarnation: 0x0123_4567_89ab_cdef,
 };
 
 fn recorded(name: &str) -> PathBuf {
@@ -49,50 +49,50 @@
         .collect()
 }
 
-fn record(name: &str, state: State, by: u64) -> Record {
-    Record {
+fn record(name: &str, state: MemberState, by: u64) -> MemberRecord {
+    MemberRecord {
         name: name.into(),
         address: "10.1.2.3:7400".parse().unwrap(),
         zone: "zone-a".into(),
-        life: LIFE,
-        incarnation: 77,
+        incarnation: LIFE,
+        refutation_counter: 77,
         state,
         by,
         version: 1,
     }
 }
 
-fn told(left: u32) -> Told {
-    Told {
-        duty: DutyId::of("roster/a"),
+fn told(left: u32) -> GrantStatus {
+    GrantStatus {
+        lease: LeaseId::of("roster/a"),
         term: (left > 0).then_some(TERM),
         left,
     }
 }
 
-fn membership_messages() -> Vec<(&'static str, Frame)> {
+fn membership_messages() -> Vec<(&'static str, Message)> {
     let target: Rc<str> = "b2".into();
     let address: SocketAddr = "10.9.8.7:7401".parse().unwrap();
     vec![
-        ("news", Frame::News),
+        ("news", Message::Gossip),
         (
             "probe",
-            Frame::Probe {
+            Message::Probe {
                 number: 300,
                 target: Some(Rc::clone(&target)),
             },
         ),
         (
             "probe of whoever is there",
-            Frame::Probe {
+            Message::Probe {
                 number: 301,
                 target: None,
             },
         ),
-        ("answer", Frame::Answer { number: 302 }),
+        ("answer", Message::Ack { number: 302 }),
         (
             "indirect probe",
-            Frame::Ask {
+            Message::ProbeRequest {
                 number: 303,
                 target,
                 address,
@@ -100,93 +100,93 @@
         ),
         (
             "indirect answer",
-            Frame::Asked {
+            Message::ProbeReport {
                 number: 304,
                 answered: true,
             },
         ),
-        ("swap", Frame::Swap { wants: true }),
+        ("swap", Message::TableSync { reply_wanted: true }),
     ]
 }
 
-fn duty_messages() -> Vec<(&'static str, DutyFrame)> {
-    let duty = DutyId::of("roster/a");
-    let other = DutyId::of("scout/3");
-    let turns = vec![(duty, TERM.number), (other, 5)];
+fn lease_messages() -> Vec<(&'static str, LeaseMessage)> {
+    let lease = LeaseId::of("roster/a");
+    let other = LeaseId::of("scout/3");
+    let terms = vec![(lease, TERM.number), (other, 5)];
     vec![
         (
             "duty: ask",
-            DutyFrame::Ask {
+            LeaseMessage::Query {
                 round: 9,
                 voters: 0xdead_beef,
-                duties: vec![duty, other],
+                leases: vec![lease, other],
             },
         ),
         (
             "duty: told",
-            DutyFrame::Told {
+            LeaseMessage::QueryReply {
                 round: 9,
                 told: vec![told(0), told(1_400_000)],
             },
         ),
         (
             "duty: claim",
-            DutyFrame::Claim {
+            LeaseMessage::Bid {
                 round: 10,
                 voters: 0xdead_beef,
-                lease: 1_500_000,
-                claims: turns.clone(),
+                duration_us: 1_500_000,
+                bids: terms.clone(),
             },
         ),
         (
             "duty: granted",
-            DutyFrame::Granted {
+            LeaseMessage::BidReply {
                 round: 10,
-                granted: turns.clone(),
+                granted: terms.clone(),
                 refused: vec![told(3)],
             },
         ),
-        ("duty: release", DutyFrame::Release { turns }),
+        ("duty: release", LeaseMessage::Release { terms }),
         (
             "duty: free",
-            DutyFrame::Free {
-                duties: vec![other],
+            LeaseMessage::Vacated {
+                leases: vec![other],
             },
         ),
         (
             "duty: act",
-            DutyFrame::Act {
-                duty,
+            LeaseMessage::Command {
+                lease,
                 term: TERM,
                 body: vec![1, 2, 250],
             },
         ),
         (
             "duty: say",
-            DutyFrame::Say {
-                duty,
+            LeaseMessage::Note {
+                lease,
                 body: b"text".to_vec(),
             },
         ),
-        ("duty: old", DutyFrame::Old { duty, term: TERM }),
+        ("duty: old", LeaseMessage::StaleTerm { lease, term: TERM }),
     ]
 }
 
-fn roster_messages() -> Vec<(&'static str, DutyFrame)> {
-    let duty = DutyId::of("roster/a");
-    let act = |body: RosterSaid| DutyFrame::Act {
-        duty,
+fn list_messages() -> Vec<(&'static str, LeaseMessage)> {
+    let lease = LeaseId::of("roster/a");
+    let send_command = |body: ListMessage| LeaseMessage::Command {
+        lease,
         term: TERM,
         body: body.bytes().unwrap(),
     };
-    let say = |body: RosterWants| DutyFrame::Say {
-        duty,
+    let say = |body: ListRequest| LeaseMessage::Note {
+        lease,
         body: body.bytes().unwrap(),
     };
     vec![
         (
             "roster: part",
-            act(RosterSaid::Part {
+            send_command(ListMessage::Chunk {
                 page: 400,
                 whole: true,
                 version: 70_000,
@@ -197,36 +197,36 @@
         ),
         (
             "roster: beat",
-            act(RosterSaid::Beat {
+            send_command(ListMessage::Heartbeat {
                 page: 401,
                 follows: true,
             }),
         ),
         (
             "roster: parts wanted",
-            say(RosterWants::Parts {
+            say(ListRequest::Chunks {
                 page: 400,
                 whole: false,
                 parts: vec![0, 2, 300],
             }),
         ),
-        ("roster: whole list wanted", say(RosterWants::Whole)),
+        ("roster: whole list wanted", say(ListRequest::FullList)),
     ]
 }
 
-fn letter(counter: u64, frame: Frame) -> Letter {
-    Letter {
+fn datagram(counter: u64, message: Message) -> Datagram {
+    Datagram {
         fleet: "shop".into(),
         sender: "b1".into(),
-        life: LIFE,
-        incarnation: 77,
+        incarnation: LIFE,
+        refutation_counter: 77,
         counter,
-        frame,
+        message,
         records: vec![
-            record("b1", State::Present, 0),
-            record("b2", State::Doubted, 0xffff_ffff_ffff),
-            record("b3", State::Gone, 0),
-            record("b4", State::Left, 0),
+            record("b1", MemberState::Alive, 0),
+            record("b2", MemberState::Suspected, 0xffff_ffff_ffff),
+            record("b3", MemberState::Dead, 0),
+            record("b4", MemberState::Left, 0),
         ],
     }
 }
@@ -234,41 +234,41 @@
 #[test]
 fn each_kind_of_message_is_sealed_to_the_recorded_bytes_and_read_back() {
     let key = Key::new(KEY).unwrap();
-    let duties = duty_messages().into_iter().chain(roster_messages());
+    let leases = lease_messages().into_iter().chain(list_messages());
     let all = membership_messages()
         .into_iter()
-        .chain(duties.map(|(name, frame)| (name, Frame::Duty(frame))));
-    let letters: Vec<_> = (0u64..)
+        .chain(leases.map(|(name, message)| (name, Message::Lease(message))));
+    let datagrams: Vec<_> = (0u64..)
         .zip(all)
-        .map(|(number, (name, frame))| (name, letter(1_000 + number, frame)))
+        .map(|(number, (name, message))| (name, datagram(1_000 + number, message)))
         .collect();
-    let text: String = letters
+    let text: String = datagrams
         .iter()
-        .map(|(name, letter)| format!("{name} = {}\n", hex(&seal(&key, letter).unwrap())))
+        .map(|(name, datagram)| format!("{name} = {}\n", hex(&seal(&key, datagram).unwrap())))
         .collect();
     compare("sealed-datagrams.txt", &text);
     let before = std::fs::read_to_string(recorded("sealed-datagrams.txt")).unwrap();
     assert_eq!(before.lines().count(), 20);
-    for ((name, letter), line) in letters.iter().zip(before.lines()) {
+    for ((name, datagram), line) in datagrams.iter().zip(before.lines()) {
         let bytes = from_hex(line.split_once(" = ").unwrap().1);
-        assert_eq!(open(&key, "shop", &bytes).as_ref(), Ok(letter), "{name}");
+        assert_eq!(open(&key, "shop", &bytes).as_ref(), Ok(datagram), "{name}");
     }
 }
 
 #[test]
 fn bodies_of_the_roster_are_read_back() {
-    for (name, frame) in roster_messages() {
-        match frame {
-            DutyFrame::Act { body, .. } => {
+    for (name, message) in list_messages() {
+        match message {
+            LeaseMessage::Command { body, .. } => {
                 assert_eq!(
-                    RosterSaid::read(&body).unwrap().bytes().unwrap(),
+                    ListMessage::read(&body).unwrap().bytes().unwrap(),
                     body,
                     "{name}"
                 );
             }
-            DutyFrame::Say { body, .. } => {
+            LeaseMessage::Note { body, .. } => {
                 assert_eq!(
-                    RosterWants::read(&body).unwrap().bytes().unwrap(),
+                    ListRequest::read(&body).unwrap().bytes().unwrap(),
                     body,
                     "{name}"
                 );
@@ -282,7 +282,7 @@
 fn texts_of_lives_and_names_of_duties_stay() {
     assert_eq!(LIFE.to_string(), "60a2418202240-00c0ffee00c0ffee");
     assert_eq!("60a2418202240-00c0ffee00c0ffee".parse(), Ok(LIFE));
-    assert_eq!(DutyId::of("roster/a").0, 2_156_073_173);
+    assert_eq!(LeaseId::of("roster/a").0, 2_156_073_173);
 }
 
 /// Three members on a virtual network that delivers all within 3 ms, one of which starts late and leaves early. The
@@ -290,29 +290,29 @@
 #[test]
 fn three_members_send_the_recorded_datagrams() {
     let address = |n: usize| SocketAddr::from(([127, 0, 0, 1], 7400 + n as u16));
-    let terms = DutyTerms {
+    let terms = LeaseConfig {
         voters: vec!["b0".into(), "b1".into(), "b2".into()],
-        lease: 1_500_000,
+        duration: 1_500_000,
     };
-    let duties = vec![
-        Duty::new("roster/a", Some("a".into())),
-        Duty::new("nightly", None),
+    let leases = vec![
+        Lease::new("roster/a", Some("a".into())),
+        Lease::new("nightly", None),
     ];
     let start = |n: usize, now: u64| {
-        let part = Part {
+        let config = MemberConfig {
             fleet: "shop".into(),
             name: format!("b{n}"),
             zone: ["a", "b"][n % 2].into(),
             address: address(n),
             seeds: vec![address(0)],
-            born: LIFE.born + now,
-            probe_every: Part::PROBE_EVERY,
-            answer_within: Part::ANSWER_WITHIN,
-            doubt_least: Part::DOUBT_LEAST,
-            struck: Default::default(),
+            started_at_us: LIFE.started_at_us + now,
+            probe_interval: MemberConfig::DEFAULT_PROBE_INTERVAL,
+            probe_timeout: MemberConfig::DEFAULT_PROBE_TIMEOUT,
+            min_suspicion: MemberConfig::DEFAULT_MIN_SUSPICION,
+            confirmed_dead: Default::default(),
         };
-        let mut member = Accord::new(part, Key::new(KEY).unwrap(), 40 + n as u64, now);
-        member.take_duties(now, terms.clone(), duties.clone());
+        let mut member = Cluster::new(config, Key::new(KEY).unwrap(), 40 + n as u64, now);
+        member.configure_leases(now, terms.clone(), leases.clone());
         member
     };
     let mut members = vec![start(0, 1_000_000), start(1, 1_000_000)];
@@ -327,7 +327,7 @@
         network = rest;
         for (_, to, bytes) in arrived {
             if let Some(n) = (0..members.len()).find(|&n| address(n) == to) {
-                members[n].heard(now, &bytes);
+                members[n].receive(now, &bytes);
             }
         }
         for (n, member) in members.iter_mut().enumerate() {
--- a/crates/model/src/tenures.rs
+++ b/crates/model/src/lease_history.rs
@@ -6,12 +6,12 @@
 use crate::Micros;
 
 /// A term as the ledger compares it.
-pub type Turn = (u64, u64);
+pub type LeaseTerm = (u64, u64);
 
 #[derive(Clone, Debug)]
 struct Span {
     who: usize,
-    turn: Turn,
+    turn: LeaseTerm,
     from: Micros,
     to: Option<Micros>,
     /// How it ended, where it matters to what is measured.
@@ -20,10 +20,10 @@
 
 /// All spans in which duties were held, by duty.
 #[derive(Clone, Debug, Default)]
-pub struct Tenures {
+pub struct LeaseHistory {
     by_duty: BTreeMap<String, Vec<Span>>,
     /// The greatest term that each process has taken acts of, by process (a number of the carrier's) and duty.
-    taken: BTreeMap<(u64, String), Turn>,
+    taken: BTreeMap<(u64, String), LeaseTerm>,
     pub old_taken: Vec<String>,
 }
 
@@ -44,9 +44,9 @@
 
 const MINUTE: Micros = 60_000_000;
 
-impl Tenures {
+impl LeaseHistory {
     /// From then on that one may act in the duty's name.
-    pub fn begins(&mut self, now: Micros, who: usize, duty: &str, turn: Turn) {
+    pub fn begins(&mut self, now: Micros, who: usize, lease: &str, turn: LeaseTerm) {
         let span = Span {
             who,
             turn,
@@ -54,12 +54,19 @@
             to: None,
             how: None,
         };
-        self.by_duty.entry(duty.to_owned()).or_default().push(span);
+        self.by_duty.entry(lease.to_owned()).or_default().push(span);
     }
 
     /// Up to then it might; a span that has ended already stays as it is.
-    pub fn ends(&mut self, until: Micros, who: usize, duty: &str, turn: Turn, how: &'static str) {
-        let spans = self.by_duty.get_mut(duty).into_iter().flatten();
+    pub fn ends(
+        &mut self,
+        until: Micros,
+        who: usize,
+        lease: &str,
+        turn: LeaseTerm,
+        how: &'static str,
+    ) {
+        let spans = self.by_duty.get_mut(lease).into_iter().flatten();
         let mine = |span: &&mut Span| span.who == who && span.turn == turn && span.to.is_none();
         for span in spans.filter(mine) {
             (span.to, span.how) = (Some(until.max(span.from)), Some(how));
@@ -80,11 +87,14 @@
     }
 
     /// A process took an act of that term.
-    pub fn acted(&mut self, process: u64, duty: &str, turn: Turn) {
-        let known = self.taken.entry((process, duty.to_owned())).or_insert(turn);
+    pub fn acted(&mut self, process: u64, lease: &str, turn: LeaseTerm) {
+        let known = self
+            .taken
+            .entry((process, lease.to_owned()))
+            .or_insert(turn);
         if turn < *known {
             self.old_taken.push(format!(
-                "{duty}: an act of term {turn:?} after one of {known:?}"
+                "{lease}: an act of term {turn:?} after one of {known:?}"
             ));
         }
         *known = (*known).max(turn);
@@ -93,7 +103,7 @@
     /// Spans of one duty that meet, gaps between them, and how often it changed hands.
     pub fn found(&self, now: Micros) -> Held {
         let mut found = Held::default();
-        for (duty, spans) in &self.by_duty {
+        for (lease, spans) in &self.by_duty {
             let mut spans: Vec<&Span> = spans.iter().collect();
             spans.sort_by_key(|span| span.from);
             // The span that reaches farthest so far: a later one may lie wholly inside it.
@@ -104,13 +114,13 @@
                     let ended = before.to.unwrap_or(now);
                     if span.from < ended && span.who != before.who {
                         found.overlaps.push(format!(
-                            "{duty}: b{} holds it until {ended}, b{} from {}",
+                            "{lease}: b{} holds it until {ended}, b{} from {}",
                             before.who, span.who, span.from
                         ));
                     }
                     if span.turn < before.turn {
                         found.fallen.push(format!(
-                            "{duty}: term {:?} after {:?}",
+                            "{lease}: term {:?} after {:?}",
                             span.turn, before.turn
                         ));
                     }
@@ -147,7 +157,7 @@
             .by_duty
             .iter()
             .filter(|(_, spans)| !spans.iter().any(held));
-        all.map(|(duty, _)| duty.as_str()).collect()
+        all.map(|(lease, _)| lease.as_str()).collect()
     }
 }
 
@@ -167,45 +177,45 @@
         #[case] overlaps: usize,
         #[case] gap: Micros,
     ) {
-        let mut tenures = Tenures::default();
-        tenures.begins(10, 0, "d", (1, 1));
-        tenures.ends(ends, 0, "d", (1, 1), "ran out");
-        tenures.begins(begins, 1, "d", (2, 2));
-        tenures.begins(begins, 1, "another", (2, 2));
-        let found = tenures.found(100);
+        let mut lease_history = LeaseHistory::default();
+        lease_history.begins(10, 0, "d", (1, 1));
+        lease_history.ends(ends, 0, "d", (1, 1), "ran out");
+        lease_history.begins(begins, 1, "d", (2, 2));
+        lease_history.begins(begins, 1, "another", (2, 2));
+        let found = lease_history.found(100);
         assert_eq!(
             (found.overlaps.len(), found.changes, found.fallen.len()),
             (overlaps, 1, 0)
         );
         assert_eq!(found.without, [(gap, "ran out")]);
-        assert!(tenures.vacant(100).is_empty());
+        assert!(lease_history.vacant(100).is_empty());
     }
 
     #[test]
     fn who_never_says_that_it_lost_a_duty_holds_it_to_its_death() {
-        let mut tenures = Tenures::default();
-        tenures.begins(10, 0, "d", (5, 1));
-        tenures.begins(50, 1, "d", (4, 2));
+        let mut lease_history = LeaseHistory::default();
+        lease_history.begins(10, 0, "d", (5, 1));
+        lease_history.begins(50, 1, "d", (4, 2));
         assert_eq!(
             (
-                tenures.found(100).overlaps.len(),
-                tenures.found(100).fallen.len()
+                lease_history.found(100).overlaps.len(),
+                lease_history.found(100).fallen.len()
             ),
             (1, 1)
         );
-        tenures.dies(40, 0);
-        assert_eq!(tenures.found(100).overlaps.len(), 0);
-        tenures.dies(60, 1);
-        assert_eq!(tenures.vacant(70), ["d"]);
+        lease_history.dies(40, 0);
+        assert_eq!(lease_history.found(100).overlaps.len(), 0);
+        lease_history.dies(60, 1);
+        assert_eq!(lease_history.vacant(70), ["d"]);
     }
 
     #[test]
     fn an_act_of_an_older_term_after_a_newer_one_is_seen() {
-        let mut tenures = Tenures::default();
-        tenures.acted(1, "d", (5, 1));
-        tenures.acted(2, "d", (4, 1));
-        assert!(tenures.old_taken.is_empty());
-        tenures.acted(1, "d", (4, 9));
-        assert_eq!(tenures.old_taken.len(), 1);
+        let mut lease_history = LeaseHistory::default();
+        lease_history.acted(1, "d", (5, 1));
+        lease_history.acted(2, "d", (4, 1));
+        assert!(lease_history.old_taken.is_empty());
+        lease_history.acted(1, "d", (4, 9));
+        assert_eq!(lease_history.old_taken.len(), 1);
     }
 }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -12,10 +12,10 @@
 pub mod faults;
 pub mod fleet;
 pub mod judge;
-pub mod presence;
+pub mod lease_history;
+pub mod process_history;
 pub mod server;
 pub mod service;
-pub mod tenures;
 pub mod traffic;
 pub mod ways;
 
--- a/crates/model/src/presence.rs
+++ b/crates/model/src/process_history.rs
@@ -8,23 +8,23 @@
 
 /// What one says of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Said {
+pub enum ClaimedStatus {
     MayServe,
-    ProvenGone,
+    ProvenStopped,
 }
 
 /// What one balancer holds of one process of another.
 #[derive(Clone, Debug)]
-pub struct Held<L> {
-    pub life: L,
-    pub said: Said,
+pub struct ViewEntry<Id> {
+    pub incarnation: Id,
+    pub claimed: ClaimedStatus,
 }
 
 /// A process as it truly is.
 #[derive(Clone, Debug)]
-struct Truth<L> {
+struct Truth<Id> {
     member: usize,
-    life: L,
+    incarnation: Id,
     from: Micros,
     /// When it served no more, for whatever reason.
     to: Option<Micros>,
@@ -35,31 +35,31 @@
 
 /// All processes that there were, and who has ever known of which.
 #[derive(Clone, Debug)]
-pub struct Presence<L> {
-    lives: Vec<Truth<L>>,
+pub struct ProcessHistory<Id> {
+    incarnations: Vec<Truth<Id>>,
     /// The latest process of each balancer, as a place in `lives`.
     latest: Vec<Option<usize>>,
     /// By balancer, places in `lives` that its running process has known of.
     knew: Vec<BTreeSet<usize>>,
 }
 
-impl<L: PartialEq + Clone> Presence<L> {
+impl<Id: PartialEq + Clone> ProcessHistory<Id> {
     pub fn new(balancers: usize) -> Self {
         Self {
-            lives: Vec::new(),
+            incarnations: Vec::new(),
             latest: vec![None; balancers],
             knew: vec![BTreeSet::new(); balancers],
         }
     }
 
     /// A process of a balancer serves from then on, and knows of nobody.
-    pub fn starts(&mut self, now: Micros, member: usize, life: L) {
-        self.latest[member] = Some(self.lives.len());
+    pub fn starts(&mut self, now: Micros, member: usize, incarnation: Id) {
+        self.latest[member] = Some(self.incarnations.len());
         self.knew[member].clear();
         let noticed = BTreeSet::new();
-        self.lives.push(Truth {
+        self.incarnations.push(Truth {
             member,
-            life,
+            incarnation,
             from: now,
             to: None,
             left: false,
@@ -69,36 +69,50 @@
 
     /// The latest process of a balancer serves no more: killed, or gone in order (`left`).
     pub fn ends(&mut self, now: Micros, member: usize, left: bool) {
-        let latest = self.latest[member].map(|at| &mut self.lives[at]);
+        let latest = self.latest[member].map(|at| &mut self.incarnations[at]);
         if let Some(truth) = latest.filter(|truth| truth.to.is_none()) {
             (truth.to, truth.left) = (Some(now), left);
         }
     }
 
     /// The balancer whose process that is, and when that died unless it was told to go: noticed by each once.
-    pub fn notices(&mut self, who: usize, life: &L) -> Option<Micros> {
-        let truth = self.lives.iter_mut().find(|truth| truth.life == *life)?;
+    pub fn notices(&mut self, who: usize, incarnation: &Id) -> Option<Micros> {
+        let truth = self
+            .incarnations
+            .iter_mut()
+            .find(|truth| truth.incarnation == *incarnation)?;
         let died = truth.to.filter(|_| !truth.left)?;
         truth.noticed.insert(who).then_some(died)
     }
 
-    pub fn owner(&self, life: &L) -> Option<usize> {
-        self.lives
+    pub fn owner(&self, incarnation: &Id) -> Option<usize> {
+        self.incarnations
             .iter()
-            .find(|truth| truth.life == *life)
+            .find(|truth| truth.incarnation == *incarnation)
             .map(|truth| truth.member)
     }
 
-    pub fn serves(&self, life: &L) -> bool {
-        self.lives
+    pub fn serves(&self, incarnation: &Id) -> bool {
+        self.incarnations
             .iter()
-            .any(|truth| truth.life == *life && truth.to.is_none())
+            .any(|truth| truth.incarnation == *incarnation && truth.to.is_none())
     }
 
     /// The latest process of each balancer: whose, which, whether it serves and whether it left in order.
-    pub fn latest(&self) -> impl Iterator<Item = (usize, &L, bool, bool)> {
-        let all = self.latest.iter().flatten().map(|at| &self.lives[*at]);
-        all.map(|truth| (truth.member, &truth.life, truth.to.is_none(), truth.left))
+    pub fn latest(&self) -> impl Iterator<Item = (usize, &Id, bool, bool)> {
+        let all = self
+            .latest
+            .iter()
+            .flatten()
+            .map(|at| &self.incarnations[*at]);
+        all.map(|truth| {
+            (
+                truth.member,
+                &truth.incarnation,
+                truth.to.is_none(),
+                truth.left,
+            )
+        })
     }
 
     /// What is wrong in a view that one had at some moment of a span: a process that served throughout taken for gone,
@@ -107,18 +121,20 @@
         &mut self,
         who: usize,
         span: [Micros; 2],
-        held: &[Held<L>],
+        held: &[ViewEntry<Id>],
         counted: usize,
     ) -> Vec<String> {
         let mut wrong = Vec::new();
         let mut serving = 0;
         for (place, truth) in self
-            .lives
+            .incarnations
             .iter()
             .enumerate()
             .filter(|(_, truth)| truth.member != who)
         {
-            let held = held.iter().find(|held| held.life == truth.life);
+            let held = held
+                .iter()
+                .find(|held| held.incarnation == truth.incarnation);
             if held.is_some() {
                 self.knew[who].insert(place);
             }
@@ -127,9 +143,9 @@
                 continue;
             }
             serving += 1;
-            match held.map(|held| held.said) {
-                Some(Said::MayServe) => {}
-                Some(Said::ProvenGone) => {
+            match held.map(|held| held.claimed) {
+                Some(ClaimedStatus::MayServe) => {}
+                Some(ClaimedStatus::ProvenStopped) => {
                     wrong.push(format!(
                         "b{who} takes b{} for proven gone, which serves",
                         truth.member
@@ -153,58 +169,66 @@
 
     use super::*;
 
-    fn presence() -> Presence<char> {
-        let mut presence = Presence::new(3);
+    fn process_history() -> ProcessHistory<char> {
+        let mut process_history = ProcessHistory::new(3);
         [(0, 'a'), (1, 'b'), (2, 'c')]
             .into_iter()
-            .for_each(|(member, life)| presence.starts(10, member, life));
-        presence
+            .for_each(|(member, incarnation)| process_history.starts(10, member, incarnation));
+        process_history
     }
 
-    fn held(all: &[(char, Said)]) -> Vec<Held<char>> {
+    fn held(all: &[(char, ClaimedStatus)]) -> Vec<ViewEntry<char>> {
         all.iter()
-            .map(|&(life, said)| Held { life, said })
+            .map(|&(incarnation, claimed)| ViewEntry {
+                incarnation,
+                claimed,
+            })
             .collect()
     }
 
     #[rstest]
-    #[case::right(&[('b', Said::MayServe), ('c', Said::MayServe)], 2, 0)]
-    #[case::one_not_known_yet(&[('b', Said::MayServe)], 1, 0)]
-    #[case::taken_for_gone(&[('b', Said::ProvenGone), ('c', Said::MayServe)], 2, 1)]
-    #[case::not_counted(&[('b', Said::MayServe), ('c', Said::MayServe)], 1, 1)]
+    #[case::right(&[('b', ClaimedStatus::MayServe), ('c', ClaimedStatus::MayServe)], 2, 0)]
+    #[case::one_not_known_yet(&[('b', ClaimedStatus::MayServe)], 1, 0)]
+    #[case::taken_for_gone(&[('b', ClaimedStatus::ProvenStopped), ('c', ClaimedStatus::MayServe)], 2, 1)]
+    #[case::not_counted(&[('b', ClaimedStatus::MayServe), ('c', ClaimedStatus::MayServe)], 1, 1)]
     fn a_view_is_held_against_who_serves(
-        #[case] all: &[(char, Said)],
+        #[case] all: &[(char, ClaimedStatus)],
         #[case] counted: usize,
         #[case] wrong: usize,
     ) {
         assert_eq!(
-            presence().view(0, [20, 30], &held(all), counted).len(),
+            process_history()
+                .view(0, [20, 30], &held(all), counted)
+                .len(),
             wrong
         );
     }
 
     #[test]
     fn who_was_known_must_not_be_forgotten_while_it_serves() {
-        let mut presence = presence();
-        let both = held(&[('b', Said::MayServe), ('c', Said::MayServe)]);
-        presence.view(0, [20, 20], &both, 2);
-        assert_eq!(presence.view(0, [30, 30], &both[..1], 2).len(), 1);
+        let mut process_history = process_history();
+        let both = held(&[
+            ('b', ClaimedStatus::MayServe),
+            ('c', ClaimedStatus::MayServe),
+        ]);
+        process_history.view(0, [20, 20], &both, 2);
+        assert_eq!(process_history.view(0, [30, 30], &both[..1], 2).len(), 1);
         // It ended inside the span of the view: either is true of some moment.
-        presence.ends(45, 2, false);
-        assert_eq!(presence.view(0, [40, 50], &both[..1], 1).len(), 0);
-        presence.starts(60, 0, 'd');
-        assert_eq!(presence.view(0, [70, 70], &[], 0).len(), 0);
+        process_history.ends(45, 2, false);
+        assert_eq!(process_history.view(0, [40, 50], &both[..1], 1).len(), 0);
+        process_history.starts(60, 0, 'd');
+        assert_eq!(process_history.view(0, [70, 70], &[], 0).len(), 0);
     }
 
     #[test]
     fn a_death_is_noticed_by_each_once() {
-        let mut presence = presence();
-        presence.ends(100, 2, false);
+        let mut process_history = process_history();
+        process_history.ends(100, 2, false);
         assert_eq!(
-            [0, 0, 1].map(|who| presence.notices(who, &'c')),
+            [0, 0, 1].map(|who| process_history.notices(who, &'c')),
             [Some(100), None, Some(100)]
         );
-        presence.ends(100, 1, true);
-        assert_eq!(presence.notices(0, &'b'), None);
+        process_history.ends(100, 1, true);
+        assert_eq!(process_history.notices(0, &'b'), None);
     }
 }
--- a/crates/proxy/src/fleet/carrier.rs
+++ b/crates/proxy/src/fleet/carrier.rs
@@ -8,16 +8,16 @@
 
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction};
-use pinefront_cluster::duties::DutyEvent;
-use pinefront_cluster::duties::term::Term;
-use pinefront_cluster::envelope::DATAGRAM_MOST;
-use pinefront_cluster::membership::table::Event;
-use pinefront_cluster::{Accord, Micros};
+use pinefront_cluster::datagram::MAX_DATAGRAM_BYTES;
+use pinefront_cluster::leases::LeaseEvent;
+use pinefront_cluster::leases::term::Term;
+use pinefront_cluster::membership::table::MembershipEvent;
+use pinefront_cluster::{Cluster, Micros};
 use rustix::time::{ClockId, clock_gettime};
 use slog::{Logger, info, warn};
 
 use crate::fleet::operator::FleetTerms;
-use crate::fleet::roster::Rosters;
+use crate::fleet::shared_list::SharedLists;
 
 #[cfg(test)]
 mod tests;
@@ -32,22 +32,22 @@
 }
 
 /// How one duty stands as far as this process knows.
-pub struct DutyState {
+pub struct LeaseStatus {
     /// Its term here, for how long it has been held and how long it may be acted on, in microseconds.
     pub held: Option<(Term, Micros, Micros)>,
     pub known: Option<Term>,
 }
 
 /// A term as others may compare it: it rises with each turn, as text too.
-pub fn term_text(term: Term) -> String {
-    format!("{:016x}-{:016x}", term.number, term.life)
+pub fn format_term(term: Term) -> String {
+    format!("{:016x}-{:016x}", term.number, term.incarnation)
 }
 
 /// This balancer's part in its fleet.
 pub struct Fleet {
-    pub accord: Accord,
+    pub cluster: Cluster,
     pub terms: FleetTerms,
-    pub rosters: Rosters,
+    pub shared_lists: SharedLists,
     socket: Rc<UdpSocket>,
     log: Logger,
     /// Datagrams that the socket did not take.
@@ -68,23 +68,23 @@
         });
         let socket = bound
             .map_err(|problem| format!("cannot hear the fleet at {}: {problem}", terms.listen))?;
-        let born = SystemTime::now()
+        let started_at_us = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        terms.part.born = born.as_micros() as u64;
+        terms.part.started_at_us = started_at_us.as_micros() as u64;
         // Processes of one file would else draw alike, and a restarted one as before.
-        let seed = seed ^ terms.part.born ^ u64::from(std::process::id()).rotate_left(32);
-        let mut accord = Accord::new(terms.part.clone(), terms.key.clone(), seed, now());
-        if let Some((duty_terms, duties)) = &terms.duties {
-            accord.take_duties(now(), duty_terms.clone(), duties.clone());
+        let seed = seed ^ terms.part.started_at_us ^ u64::from(std::process::id()).rotate_left(32);
+        let mut cluster = Cluster::new(terms.part.clone(), terms.key.clone(), seed, now());
+        if let Some((lease_config, leases)) = &terms.leases {
+            cluster.configure_leases(now(), lease_config.clone(), leases.clone());
         }
         info!(log, "in the fleet"; "fleet" => &terms.part.fleet, "member" => &terms.part.name,
             "address" => %terms.part.address, "seeds" => terms.part.seeds.len());
-        let rosters = Rosters::new(terms.rosters.clone(), &terms.part.zone);
+        let shared_lists = SharedLists::new(terms.shared_lists.clone(), &terms.part.zone);
         let fleet = Rc::new(RefCell::new(Self {
-            accord,
+            cluster,
             terms,
-            rosters,
+            shared_lists,
             socket,
             log: log.clone(),
             unsent: 0,
@@ -105,10 +105,10 @@
 
     /// Takes what came.
     fn came(&mut self) {
-        let mut bytes = [0; DATAGRAM_MOST + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         for _ in 0..A_TURN {
             match self.socket.recv_from(&mut bytes) {
-                Ok((length, _)) => self.accord.heard(now(), &bytes[..length]),
+                Ok((length, _)) => self.cluster.receive(now(), &bytes[..length]),
                 Err(problem) if problem.kind() == io::ErrorKind::WouldBlock => break,
                 // A report of an earlier send that nobody took; the next one may be a datagram.
                 Err(_) => {}
@@ -119,21 +119,21 @@
 
     /// How long the loop may wait for it.
     pub fn wait(&self) -> Micros {
-        self.accord
+        self.cluster
             .next_due()
-            .min(self.rosters.next_due())
+            .min(self.shared_lists.next_due())
             .saturating_sub(now())
     }
 
     /// Does what is due.
     pub fn turn(&mut self) {
         let now = now();
-        if self.accord.next_due() <= now {
-            self.accord.due(now);
+        if self.cluster.next_due() <= now {
+            self.cluster.due(now);
             self.carry();
         }
-        if self.rosters.next_due() <= now {
-            self.rosters.turn(now, &mut self.accord);
+        if self.shared_lists.next_due() <= now {
+            self.shared_lists.turn(now, &mut self.cluster);
             self.carry();
         }
     }
@@ -141,23 +141,23 @@
     /// Discovery told this balancer itself, or failed it.
     pub fn listed(&mut self, list: Option<&serde_json::Value>) {
         match list {
-            Some(list) => self.rosters.listed(now(), &mut self.accord, list),
-            None => self.rosters.failed(),
+            Some(list) => self.shared_lists.listed(now(), &mut self.cluster, list),
+            None => self.shared_lists.failed(),
         }
         self.carry();
     }
 
     /// For how long discovery need not be asked, as another tells what it says.
-    pub fn fed_for(&self) -> Option<Micros> {
+    pub fn fresh_for(&self) -> Option<Micros> {
         let now = now();
-        self.rosters
-            .fed_until(now)
+        self.shared_lists
+            .fresh_until(now)
             .map(|until| until.saturating_sub(now))
     }
 
     /// This process serves no more.
     pub fn leave(&mut self) {
-        self.accord.leave(now());
+        self.cluster.leave(now());
         self.carry();
     }
 
@@ -171,18 +171,18 @@
             ("fleet.member", old.part.name != new.part.name),
             ("fleet.zone", old.part.zone != new.part.zone),
         ];
-        self.accord.renew(&new.part, new.key.clone());
-        match &new.duties {
-            Some((duty_terms, duties)) => {
-                self.accord
-                    .take_duties(now(), duty_terms.clone(), duties.clone());
+        self.cluster.renew(&new.part, new.key.clone());
+        match &new.leases {
+            Some((lease_config, leases)) => {
+                self.cluster
+                    .configure_leases(now(), lease_config.clone(), leases.clone());
             }
-            None => self.accord.leave_duties(now()),
+            None => self.cluster.disable_leases(now()),
         }
-        (self.terms.via, self.terms.duties) = (new.via, new.duties);
-        if self.terms.rosters != new.rosters {
-            self.rosters = Rosters::new(new.rosters.clone(), &self.terms.part.zone);
-            self.terms.rosters = new.rosters;
+        (self.terms.via, self.terms.leases) = (new.via, new.leases);
+        if self.terms.shared_lists != new.shared_lists {
+            self.shared_lists = SharedLists::new(new.shared_lists.clone(), &self.terms.part.zone);
+            self.terms.shared_lists = new.shared_lists;
         }
         otherwise
             .into_iter()
@@ -192,19 +192,19 @@
     }
 
     fn carry(&mut self) {
-        for (to, bytes) in self.accord.take_datagrams() {
+        for (to, bytes) in self.cluster.take_datagrams() {
             let to = self.terms.via.get(&to).copied().unwrap_or(to);
             // A full socket loses one as well as the network does.
             if self.socket.send_to(&bytes, to).is_err() {
                 self.unsent += 1;
             }
         }
-        for event in self.accord.take_events() {
-            self.tell(&event);
+        for event in self.cluster.take_events() {
+            self.log_membership_event(&event);
         }
-        let events = self.accord.take_duty_events();
+        let events = self.cluster.take_lease_events();
         for event in &events {
-            self.tell_duty(event);
+            self.log_lease_event(event);
         }
         if !events.is_empty() {
             self.act_on(&events);
@@ -214,25 +214,25 @@
     }
 
     /// What is said and held of rosters.
-    fn act_on(&mut self, events: &[DutyEvent]) {
+    fn act_on(&mut self, events: &[LeaseEvent]) {
         let now = now();
-        self.rosters.held(now, &self.accord);
+        self.shared_lists.held(now, &self.cluster);
         for event in events {
             match event {
-                DutyEvent::Acted {
+                LeaseEvent::CommandReceived {
                     from,
-                    duty,
+                    lease,
                     term,
                     body,
-                } if self.rosters.is_roster(*duty) => {
-                    let wants = self.rosters.told(now, *duty, *term, body);
+                } if self.shared_lists.is_shared_list(*lease) => {
+                    let wants = self.shared_lists.told(now, *lease, *term, body);
                     if let Some(body) = wants.and_then(|wants| wants.bytes()) {
-                        self.accord.say_of(now, *duty, from, body);
+                        self.cluster.send_lease_note(now, *lease, from, body);
                     }
                 }
-                DutyEvent::Said { from, duty, body } => {
-                    self.rosters
-                        .wanted(now, &mut self.accord, *duty, from, body);
+                LeaseEvent::NoteReceived { from, lease, body } => {
+                    self.shared_lists
+                        .tracked(now, &mut self.cluster, *lease, from, body);
                 }
                 _ => {}
             }
@@ -240,68 +240,68 @@
     }
 
     /// A duty's state here, for whoever acts in its name: nothing where no file names it.
-    pub fn duty(&self, name: &str) -> Option<DutyState> {
-        let (duties, at) = (self.accord.duties()?, now());
-        let duty = duties.wanted().find(|duty| *duty.name == *name)?;
-        let held = duties.held(at).find(|held| held.0.id == duty.id);
-        Some(DutyState {
+    pub fn lease(&self, name: &str) -> Option<LeaseStatus> {
+        let (leases, at) = (self.cluster.leases()?, now());
+        let lease = leases.tracked().find(|lease| *lease.name == *name)?;
+        let held = leases.held(at).find(|held| held.0.id == lease.id);
+        Some(LeaseStatus {
             held: held.map(|(_, term, from, until)| (term, at - from.min(at), until - at)),
-            known: duties.known(duty.id),
+            known: leases.known(lease.id),
         })
     }
 
-    fn tell_duty(&self, event: &DutyEvent) {
+    fn log_lease_event(&self, event: &LeaseEvent) {
         let log = &self.log;
         match event {
-            DutyEvent::Taken { duty, term, .. } => {
-                info!(log, "duty taken"; "duty" => &**duty, "term" => term_text(*term), "at_us" => now());
+            LeaseEvent::Acquired { lease, term, .. } => {
+                info!(log, "duty taken"; "duty" => &**lease, "term" => format_term(*term), "at_us" => now());
             }
-            DutyEvent::Lost {
-                duty,
+            LeaseEvent::Lost {
+                lease,
                 term,
                 until,
-                why,
+                reason,
             } => {
-                info!(log, "duty lost"; "duty" => &**duty, "term" => term_text(*term),
-                    "until_us" => until, "why" => why.word());
+                info!(log, "duty lost"; "duty" => &**lease, "term" => format_term(*term),
+                    "until_us" => until, "why" => reason.word());
             }
-            DutyEvent::NoMajority => warn!(log, "no majority of voters answers, duties rest"),
-            DutyEvent::Majority => info!(log, "a majority of voters answers"),
-            DutyEvent::VotersDiffer(name) => {
+            LeaseEvent::QuorumLost => warn!(log, "no majority of voters answers, duties rest"),
+            LeaseEvent::QuorumRestored => info!(log, "a majority of voters answers"),
+            LeaseEvent::VotersDiffer(name) => {
                 warn!(log, "a member has other voters in its file"; "member" => &**name);
             }
             // Not worth a line: what they bring shows where it is taken.
-            DutyEvent::Acted { .. } | DutyEvent::Said { .. } => {}
+            LeaseEvent::CommandReceived { .. } | LeaseEvent::NoteReceived { .. } => {}
         }
     }
 
-    fn tell(&self, event: &Event) {
+    fn log_membership_event(&self, event: &MembershipEvent) {
         let log = &self.log;
         let counts = (
-            self.accord.table.present().count() + 1,
-            self.accord.table.may_be_serving() + 1,
+            self.cluster.table.alive().count() + 1,
+            self.cluster.table.count_may_serve() + 1,
         );
         let member = |word: &'static str, name: &Rc<str>| {
             info!(log, "{}", word; "member" => &**name, "present" => counts.0, "may_serve" => counts.1);
         };
         match event {
-            Event::Joined(name) => member("member joined", name),
-            Event::Doubted(name) => member("member doubted", name),
-            Event::Returned(name) => member("member returned", name),
-            Event::Gone(name) => member("member gone, may still serve", name),
-            Event::Left(name) => member("member left", name),
-            Event::Refuted => info!(log, "others doubted us, and were told otherwise"),
-            Event::Slept(lasted) => {
+            MembershipEvent::Joined(name) => member("member joined", name),
+            MembershipEvent::Suspected(name) => member("member doubted", name),
+            MembershipEvent::Recovered(name) => member("member returned", name),
+            MembershipEvent::Dead(name) => member("member gone, may still serve", name),
+            MembershipEvent::Left(name) => member("member left", name),
+            MembershipEvent::Refuted => info!(log, "others doubted us, and were told otherwise"),
+            MembershipEvent::Paused(lasted) => {
                 warn!(log, "was not run, doubts nobody until heard"; "ms" => lasted / 1_000)
             }
-            Event::HeardAgain => info!(log, "heard again"),
-            Event::NameTaken => {
+            MembershipEvent::Reconnected => info!(log, "heard again"),
+            MembershipEvent::NameConflict => {
                 warn!(log, "another process bears our name"; "member" => &self.terms.part.name);
             }
-            Event::StruckHeard(name) => {
+            MembershipEvent::ConfirmedDeadAlive(name) => {
                 warn!(log, "struck and heard all the same, counts again"; "member" => &**name);
             }
-            Event::TableFull => warn!(log, "no room for a further member"),
+            MembershipEvent::TableFull => warn!(log, "no room for a further member"),
         }
     }
 }
--- a/crates/proxy/src/fleet/carrier/tests.rs
+++ b/crates/proxy/src/fleet/carrier/tests.rs
@@ -1,9 +1,9 @@
 use std::time::{Duration, Instant};
 
 use calloop::EventLoop;
-use pinefront_cluster::Part;
-use pinefront_cluster::duties::{Duty, DutyTerms, LEASE_USUAL};
-use pinefront_cluster::envelope::Key;
+use pinefront_cluster::MemberConfig;
+use pinefront_cluster::datagram::Key;
+use pinefront_cluster::leases::{DEFAULT_LEASE_US, Lease, LeaseConfig};
 
 use super::*;
 
@@ -22,41 +22,41 @@
     event_loop: &EventLoop<'static, ()>,
     name: &str,
     seeds: Vec<std::net::SocketAddr>,
-    roster: bool,
+    shared_list: bool,
 ) -> Rc<RefCell<Fleet>> {
     let free = UdpSocket::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
-    let part = Part {
+    let part = MemberConfig {
         fleet: "f".into(),
         name: name.into(),
         zone: "a".into(),
         address: free,
         seeds,
-        born: 0,
-        probe_every: Part::PROBE_EVERY,
-        answer_within: Part::ANSWER_WITHIN,
-        doubt_least: Part::DOUBT_LEAST,
-        struck: Default::default(),
+        started_at_us: 0,
+        probe_interval: MemberConfig::DEFAULT_PROBE_INTERVAL,
+        probe_timeout: MemberConfig::DEFAULT_PROBE_TIMEOUT,
+        min_suspicion: MemberConfig::DEFAULT_MIN_SUSPICION,
+        confirmed_dead: Default::default(),
     };
     let key = Key::new(b"0123456789abcdef").unwrap();
-    let duty = Duty::new("roster/a", Some("a".into()));
-    let duty_terms = DutyTerms {
+    let lease = Lease::new("roster/a", Some("a".into()));
+    let lease_config = LeaseConfig {
         voters: vec!["b0".into()],
-        lease: LEASE_USUAL,
+        duration: DEFAULT_LEASE_US,
     };
-    let rosters = roster
-        .then(|| (duty.id, Rc::from("a")))
+    let shared_lists = shared_list
+        .then(|| (lease.id, Rc::from("a")))
         .into_iter()
         .collect();
-    let duties = roster.then(|| (duty_terms, vec![duty]));
+    let leases = shared_list.then(|| (lease_config, vec![lease]));
     let terms = FleetTerms {
         listen: free,
         part,
         key,
-        duties,
-        rosters,
+        leases,
+        shared_lists,
         via: Default::default(),
     };
     let log = Logger::root(slog::Discard, slog::o!());
@@ -88,7 +88,7 @@
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
     (0..50).for_each(|_| _ = stranger.send_to(&[7; 200], seed).unwrap());
     let all = [Rc::clone(&first), Rc::clone(&second)];
-    let knows = |one: &Rc<RefCell<Fleet>>| one.borrow().accord.table.present().count() == 1;
+    let knows = |one: &Rc<RefCell<Fleet>>| one.borrow().cluster.table.alive().count() == 1;
     until(&mut event_loop, &all, || knows(&first) && knows(&second));
     let page = first.borrow().page();
     assert!(
@@ -97,7 +97,7 @@
     );
     second.borrow_mut().leave();
     until(&mut event_loop, &all[..1], || {
-        first.borrow().accord.table.may_be_serving() == 0
+        first.borrow().cluster.table.count_may_serve() == 0
     });
     assert!(
         first
@@ -116,14 +116,19 @@
     let seed = first.borrow().terms.part.address;
     let second = open_with(&event_loop, "b1", vec![seed], true);
     let all = [Rc::clone(&first), Rc::clone(&second)];
-    let tells = |one: &Rc<RefCell<Fleet>>| one.borrow().rosters.tells();
-    until(&mut event_loop, &all, || tells(&first) || tells(&second));
-    let (holder, reader) = if tells(&first) {
+    let is_publishing = |one: &Rc<RefCell<Fleet>>| one.borrow().shared_lists.is_publishing();
+    until(&mut event_loop, &all, || {
+        is_publishing(&first) || is_publishing(&second)
+    });
+    let (holder, reader) = if is_publishing(&first) {
         (&first, &second)
     } else {
         (&second, &first)
     };
-    assert!(holder.borrow_mut().rosters.takes_over() && !reader.borrow_mut().rosters.takes_over());
+    assert!(
+        holder.borrow_mut().shared_lists.take_full_list_request()
+            && !reader.borrow_mut().shared_lists.take_full_list_request()
+    );
     let entry = |n: usize| serde_json::json!({"uid": format!("s{n}"), "state": "active", "note": "x".repeat(90)});
     let whole = serde_json::json!({"rev": 4, "all": true, "targets": (0..40).map(entry).collect::<Vec<_>>()});
     let change = serde_json::json!({"rev": 5, "all": false, "targets": [entry(77)]});
@@ -133,8 +138,8 @@
     until(&mut event_loop, &all, || {
         taken
             .borrow_mut()
-            .extend(reader.borrow_mut().rosters.take_pages());
-        taken.borrow().len() == 2 && reader.borrow().fed_for().is_some()
+            .extend(reader.borrow_mut().shared_lists.take_pages());
+        taken.borrow().len() == 2 && reader.borrow().fresh_for().is_some()
     });
     let lists: Vec<serde_json::Value> = taken
         .borrow()
@@ -146,10 +151,10 @@
         (lists[0]["rev"].as_u64(), named(&lists[0]), named(&lists[1])),
         (Some(4), 40, 1)
     );
-    assert!(holder.borrow().fed_for().is_none());
+    assert!(holder.borrow().fresh_for().is_none());
     // Its discovery fails it: nobody is told any more that the list is fresh, and each asks for itself.
     holder.borrow_mut().listed(None);
     until(&mut event_loop, &all, || {
-        reader.borrow().fed_for().is_none()
+        reader.borrow().fresh_for().is_none()
     });
 }
--- a/crates/proxy/src/fleet/mod.rs
+++ b/crates/proxy/src/fleet/mod.rs
@@ -4,5 +4,5 @@
 pub mod carrier;
 pub mod operator;
 pub mod page;
-pub mod roster;
+pub mod shared_list;
 pub mod show;
--- a/crates/proxy/src/fleet/operator.rs
+++ b/crates/proxy/src/fleet/operator.rs
@@ -6,14 +6,14 @@
 use std::ops::Range;
 use std::rc::Rc;
 
-use pinefront_cluster::duties::term::DutyId;
-use pinefront_cluster::duties::{
-    DUTIES_MOST, Duty, DutyTerms, LEASE_LEAST, LEASE_MOST, LEASE_USUAL, VOTERS_MOST,
+use pinefront_cluster::datagram::{Incarnation, Key};
+use pinefront_cluster::leases::term::LeaseId;
+use pinefront_cluster::leases::{
+    DEFAULT_LEASE_US, Lease, LeaseConfig, MAX_LEASE_US, MAX_LEASES, MAX_VOTERS, MIN_LEASE_US,
 };
-use pinefront_cluster::envelope::{Key, Life};
-use pinefront_cluster::frames::{NAME_MOST, is_name};
-use pinefront_cluster::membership::table::MEMBERS_MOST;
-use pinefront_cluster::{Micros, Part};
+use pinefront_cluster::membership::table::MAX_MEMBERS;
+use pinefront_cluster::messages::{MAX_NAME_BYTES, is_valid_name};
+use pinefront_cluster::{MemberConfig, Micros};
 use serde::Deserialize;
 use toml::Spanned;
 
@@ -21,9 +21,9 @@
 mod tests;
 
 /// Seeds at most: a file that names more is a slip of the pen.
-const SEEDS_MOST: usize = 64;
+const MAX_SEEDS: usize = 64;
 /// Processes struck at most: as many as a table holds.
-const STRUCK_MOST: usize = MEMBERS_MOST;
+const MAX_CONFIRMED_DEAD: usize = MAX_MEMBERS;
 /// Shortest and longest spans that make sense between processes.
 const SPANS: (Micros, Micros) = (5_000, 60_000_000);
 
@@ -32,7 +32,8 @@
 #[serde(deny_unknown_fields)]
 struct File {
     fleet: Spanned<FleetTable>,
-    duties: Option<Spanned<DutiesTable>>,
+    #[serde(rename = "duties")]
+    leases: Option<Spanned<LeasesTable>>,
 }
 
 /// `[fleet]`: which fleet, and how its members reach one another.
@@ -59,30 +60,30 @@
 /// `[duties]`: who votes on what only one member does at a time, and duties of the operators' own.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct DutiesTable {
+struct LeasesTable {
     voters: Spanned<Vec<Spanned<String>>>,
     lease: Option<Spanned<String>>,
     #[serde(default)]
     own: Vec<Spanned<String>>,
     /// Zones in which one member asks discovery for all.
-    #[serde(default)]
-    roster: Vec<Spanned<String>>,
+    #[serde(default, rename = "roster")]
+    shared_list: Vec<Spanned<String>>,
 }
 
 /// What the operator file says of the fleet.
 pub struct FleetTerms {
     pub listen: SocketAddr,
-    pub part: Part,
+    pub part: MemberConfig,
     pub key: Key,
     /// Where it names voters.
-    pub duties: Option<(DutyTerms, Vec<Duty>)>,
+    pub leases: Option<(LeaseConfig, Vec<Lease>)>,
     /// Zones with a roster, by its duty.
-    pub rosters: BTreeMap<DutyId, Rc<str>>,
+    pub shared_lists: BTreeMap<LeaseId, Rc<str>>,
     /// For members reached at another address than the one they tell: where to send instead.
     pub via: BTreeMap<SocketAddr, SocketAddr>,
 }
 
-type Zones = BTreeMap<DutyId, Rc<str>>;
+type Zones = BTreeMap<LeaseId, Rc<str>>;
 
 struct Reader<'a> {
     file: &'a str,
@@ -128,13 +129,13 @@
 
     fn word(&self, value: &Spanned<String>, field: &str) -> Result<String, String> {
         let text = value.get_ref();
-        match is_name(text) && !text.contains('"') {
+        match is_valid_name(text) && !text.contains('"') {
             true => Ok(text.clone()),
             false => self.wrong(
                 value.span(),
                 field,
                 format!(
-                    "'{}' is no name of 1 to {NAME_MOST} letters, digits and signs",
+                    "'{}' is no name of 1 to {MAX_NAME_BYTES} letters, digits and signs",
                     text.escape_debug()
                 ),
             ),
@@ -161,12 +162,12 @@
     }
 
     /// A process that the operators know to have ended: its name and its life, as /fleet shows them.
-    fn struck(&self, value: &Spanned<String>) -> Result<(Rc<str>, Life), String> {
+    fn struck(&self, value: &Spanned<String>) -> Result<(Rc<str>, Incarnation), String> {
         let field = "fleet.struck";
-        let Some((name, life)) = value
+        let Some((name, incarnation)) = value
             .get_ref()
             .split_once(' ')
-            .filter(|(name, _)| is_name(name))
+            .filter(|(name, _)| is_valid_name(name))
         else {
             return self.wrong(
                 value.span(),
@@ -174,17 +175,17 @@
                 "wants a name and a life, as /fleet shows them",
             );
         };
-        match life.parse() {
-            Ok(life) => Ok((name.into(), life)),
+        match incarnation.parse() {
+            Ok(incarnation) => Ok((name.into(), incarnation)),
             Err(problem) => self.wrong(
                 value.span(),
                 field,
-                format!("'{}' {problem}", life.escape_debug()),
+                format!("'{}' {problem}", incarnation.escape_debug()),
             ),
         }
     }
 
-    fn duties(&self, table: &DutiesTable) -> Result<(DutyTerms, Vec<Duty>, Zones), String> {
+    fn leases(&self, table: &LeasesTable) -> Result<(LeaseConfig, Vec<Lease>, Zones), String> {
         let mut voters: Vec<Rc<str>> = Vec::new();
         for value in table.voters.get_ref() {
             let voter: Rc<str> = self.word(value, "duties.voters")?.into();
@@ -197,46 +198,53 @@
             }
             voters.push(voter);
         }
-        if voters.len().is_multiple_of(2) || voters.len() > VOTERS_MOST {
+        if voters.len().is_multiple_of(2) || voters.len() > MAX_VOTERS {
             let reason = format!(
-                "names {} members: 1, 3, 5 or {VOTERS_MOST} can have a majority",
+                "names {} members: 1, 3, 5 or {MAX_VOTERS} can have a majority",
                 voters.len()
             );
             return self.wrong(table.voters.span(), "duties.voters", reason);
         }
-        let lease = self.span(&table.lease, "duties.lease", LEASE_USUAL)?;
+        let lease = self.span(&table.lease, "duties.lease", DEFAULT_LEASE_US)?;
         if let Some(value) = table
             .lease
             .as_ref()
-            .filter(|_| !(LEASE_LEAST..=LEASE_MOST).contains(&lease))
+            .filter(|_| !(MIN_LEASE_US..=MAX_LEASE_US).contains(&lease))
         {
             let reason = format!("'{}' is no span from 200ms to 2s", value.get_ref());
             return self.wrong(value.span(), "duties.lease", reason);
         }
-        let mut duties: Vec<Duty> = Vec::new();
+        let mut leases: Vec<Lease> = Vec::new();
         for value in &table.own {
-            let duty = Duty::new(&self.word(value, "duties.own")?, None);
-            if duties.iter().any(|known| known.id == duty.id) || duties.len() >= DUTIES_MOST {
+            let lease = Lease::new(&self.word(value, "duties.own")?, None);
+            if leases.iter().any(|known| known.id == lease.id) || leases.len() >= MAX_LEASES {
                 let reason = format!(
-                    "names '{}' twice, or more than {DUTIES_MOST} duties",
-                    duty.name
+                    "names '{}' twice, or more than {MAX_LEASES} duties",
+                    lease.name
                 );
                 return self.wrong(value.span(), "duties.own", reason);
             }
-            duties.push(duty);
+            leases.push(lease);
         }
-        let mut rosters = Zones::new();
-        for value in &table.roster {
+        let mut shared_lists = Zones::new();
+        for value in &table.shared_list {
             let zone: Rc<str> = self.word(value, "duties.roster")?.into();
-            let duty = Duty::new(&format!("roster/{zone}"), Some(Rc::clone(&zone)));
-            if duties.iter().any(|known| known.id == duty.id) {
+            let lease = Lease::new(&format!("roster/{zone}"), Some(Rc::clone(&zone)));
+            if leases.iter().any(|known| known.id == lease.id) {
                 let reason = format!("names '{zone}' twice, or is one of duties.own");
                 return self.wrong(value.span(), "duties.roster", reason);
             }
-            rosters.insert(duty.id, zone);
-            duties.push(duty);
+            shared_lists.insert(lease.id, zone);
+            leases.push(lease);
         }
-        Ok((DutyTerms { voters, lease }, duties, rosters))
+        Ok((
+            LeaseConfig {
+                voters,
+                duration: lease,
+            },
+            leases,
+            shared_lists,
+        ))
     }
 
     fn terms(&self, name: &str, zone: &str) -> Result<FleetTerms, String> {
@@ -262,18 +270,25 @@
             }
             None => listen,
         };
-        if table.seeds.len() > SEEDS_MOST {
-            let reason = format!("names {} of {SEEDS_MOST} at most", table.seeds.len());
-            return self.wrong(table.seeds[SEEDS_MOST].span(), "fleet.seeds", reason);
+        if table.seeds.len() > MAX_SEEDS {
+            let reason = format!("names {} of {MAX_SEEDS} at most", table.seeds.len());
+            return self.wrong(table.seeds[MAX_SEEDS].span(), "fleet.seeds", reason);
         }
         let seeds: Result<_, _> = table
             .seeds
             .iter()
             .map(|seed| self.reachable(seed, "fleet.seeds"))
             .collect();
-        if table.struck.len() > STRUCK_MOST {
-            let reason = format!("names {} of {STRUCK_MOST} at most", table.struck.len());
-            return self.wrong(table.struck[STRUCK_MOST].span(), "fleet.struck", reason);
+        if table.struck.len() > MAX_CONFIRMED_DEAD {
+            let reason = format!(
+                "names {} of {MAX_CONFIRMED_DEAD} at most",
+                table.struck.len()
+            );
+            return self.wrong(
+                table.struck[MAX_CONFIRMED_DEAD].span(),
+                "fleet.struck",
+                reason,
+            );
         }
         let struck: Result<BTreeSet<_>, _> =
             table.struck.iter().map(|one| self.struck(one)).collect();
@@ -288,35 +303,43 @@
             Some(value) => self.word(value, field),
             None => self.word(&Spanned::new(table.name.span(), usual.to_owned()), field),
         };
-        let part = Part {
+        let part = MemberConfig {
             fleet: self.word(&table.name, "fleet.name")?,
             name: named(&table.member, "fleet.member", name)?,
             zone: named(&table.zone, "fleet.zone", zone)?,
             address,
             seeds: seeds?,
-            born: 0,
-            probe_every: self.span(&table.probe_every, "fleet.probe_every", Part::PROBE_EVERY)?,
-            answer_within: self.span(
+            started_at_us: 0,
+            probe_interval: self.span(
+                &table.probe_every,
+                "fleet.probe_every",
+                MemberConfig::DEFAULT_PROBE_INTERVAL,
+            )?,
+            probe_timeout: self.span(
                 &table.answer_within,
                 "fleet.answer_within",
-                Part::ANSWER_WITHIN,
+                MemberConfig::DEFAULT_PROBE_TIMEOUT,
+            )?,
+            min_suspicion: self.span(
+                &table.doubt_least,
+                "fleet.doubt_least",
+                MemberConfig::DEFAULT_MIN_SUSPICION,
             )?,
-            doubt_least: self.span(&table.doubt_least, "fleet.doubt_least", Part::DOUBT_LEAST)?,
-            struck: struck?,
+            confirmed_dead: struck?,
         };
-        if part.answer_within * 2 > part.probe_every {
+        if part.probe_timeout * 2 > part.probe_interval {
             let at = table.answer_within.as_ref().or(table.probe_every.as_ref());
             let at = at.map_or(table.name.span(), Spanned::span);
             let reason = "must be at most half of fleet.probe_every: there are two tries in it";
             return self.wrong(at, "fleet.answer_within", reason);
         }
-        let duties = file
-            .duties
+        let leases = file
+            .leases
             .as_ref()
-            .map(|table| self.duties(table.get_ref()))
+            .map(|table| self.leases(table.get_ref()))
             .transpose()?;
-        let (duties, rosters) = match duties {
-            Some((terms, duties, rosters)) => (Some((terms, duties)), rosters),
+        let (leases, shared_lists) = match leases {
+            Some((terms, leases, shared_lists)) => (Some((terms, leases)), shared_lists),
             None => (None, Zones::new()),
         };
         let path = table.key_file.get_ref();
@@ -327,8 +350,8 @@
                 listen,
                 part,
                 key,
-                duties,
-                rosters,
+                leases,
+                shared_lists,
                 via,
             }),
             Err(problem) => self.wrong(
--- a/crates/proxy/src/fleet/operator/tests.rs
+++ b/crates/proxy/src/fleet/operator/tests.rs
@@ -44,7 +44,10 @@
         (part.name.as_str(), part.zone.as_str(), part.address),
         ("b1", "a", terms.listen)
     );
-    assert_eq!((part.probe_every, part.seeds.len()), (Part::PROBE_EVERY, 1));
+    assert_eq!(
+        (part.probe_interval, part.seeds.len()),
+        (MemberConfig::DEFAULT_PROBE_INTERVAL, 1)
+    );
 }
 
 #[rstest]
@@ -138,8 +141,10 @@
     let seeds = ["10.0.0.1:7400", "10.0.0.2:7400", "10.0.0.3:7400"];
     assert_eq!(part.seeds, seeds.map(|seed| seed.parse().unwrap()));
     assert_eq!((part.name.as_str(), part.zone.as_str()), ("b1", "a"));
-    assert!(part.struck.is_empty() && terms.via.is_empty() && terms.rosters.is_empty());
-    assert!(terms.duties.is_none());
+    assert!(
+        part.confirmed_dead.is_empty() && terms.via.is_empty() && terms.shared_lists.is_empty()
+    );
+    assert!(terms.leases.is_none());
 }
 
 #[test]
@@ -155,27 +160,30 @@
     let terms = terms(&text).unwrap();
     let part = &terms.part;
     assert_eq!((part.name.as_str(), part.zone.as_str()), ("b9", "c"));
-    assert_eq!(part.probe_every, 500_000);
-    assert_eq!(part.answer_within, 120_000);
-    assert_eq!(part.doubt_least, 900_000);
-    let life: Life = "1878a0c41c8c0-00c0ffee00c0ffee".parse().unwrap();
-    assert_eq!(part.struck, [(Rc::from("b7"), life)].into_iter().collect());
+    assert_eq!(part.probe_interval, 500_000);
+    assert_eq!(part.probe_timeout, 120_000);
+    assert_eq!(part.min_suspicion, 900_000);
+    let incarnation: Incarnation = "1878a0c41c8c0-00c0ffee00c0ffee".parse().unwrap();
+    assert_eq!(
+        part.confirmed_dead,
+        [(Rc::from("b7"), incarnation)].into_iter().collect()
+    );
     let told: SocketAddr = "10.0.0.2:7400".parse().unwrap();
     let used: SocketAddr = "192.0.2.7:7400".parse().unwrap();
     assert_eq!(terms.via, [(told, used)].into_iter().collect());
-    let (duty_terms, duties) = terms.duties.unwrap();
-    assert_eq!(duty_terms.voters, ["b1", "b2", "b3"].map(Rc::from));
-    assert_eq!(duty_terms.lease, 1_200_000);
-    let names: Vec<&str> = duties.iter().map(|duty| &*duty.name).collect();
+    let (lease_config, leases) = terms.leases.unwrap();
+    assert_eq!(lease_config.voters, ["b1", "b2", "b3"].map(Rc::from));
+    assert_eq!(lease_config.duration, 1_200_000);
+    let names: Vec<&str> = leases.iter().map(|lease| &*lease.name).collect();
     assert_eq!(names, ["nightly-report", "roster/a"]);
-    let roster = (DutyId::of("roster/a"), Rc::from("a"));
-    assert_eq!(terms.rosters, [roster].into_iter().collect());
+    let shared_list = (LeaseId::of("roster/a"), Rc::from("a"));
+    assert_eq!(terms.shared_lists, [shared_list].into_iter().collect());
 }
 
 #[rstest]
 #[case::top("speed = 3\n", "", "speed")]
 #[case::table("", "[other]\nx = 1\n", "[other]")]
-#[case::duties("", "[duties]\nvoters = ['b1']\nspeed = 3\n", "speed")]
+#[case::leases("", "[duties]\nvoters = ['b1']\nspeed = 3\n", "speed")]
 fn unknown_keys_outside_of_fleet_are_refused(
     #[case] above: &str,
     #[case] below: &str,
--- a/crates/proxy/src/fleet/page/tests.rs
+++ b/crates/proxy/src/fleet/page/tests.rs
@@ -7,11 +7,11 @@
 use std::time::{Duration, Instant};
 
 use calloop::EventLoop;
-use pinefront_cluster::Part;
-use pinefront_cluster::duties::{Duty, DutyTerms};
-use pinefront_cluster::envelope::{Drop, Key, Letter, Life, seal};
-use pinefront_cluster::frames::{Frame, Record, State};
-use pinefront_cluster::membership::table::{Proof, Unknown, own_record};
+use pinefront_cluster::MemberConfig;
+use pinefront_cluster::datagram::{Datagram, DropReason, Incarnation, Key, seal};
+use pinefront_cluster::leases::{Lease, LeaseConfig};
+use pinefront_cluster::membership::table::{MayServeReason, StopProof, own_record};
+use pinefront_cluster::messages::{MemberRecord, MemberState, Message};
 use slog::Logger;
 
 use super::*;
@@ -36,32 +36,32 @@
         .unwrap()
         .local_addr()
         .unwrap();
-    let struck = [(Rc::from("b4"), life(4))].into_iter().collect();
-    let part = Part {
+    let confirmed_dead = [(Rc::from("b4"), incarnation(4))].into_iter().collect();
+    let part = MemberConfig {
         fleet: "shop".into(),
         name: "b0".into(),
         zone: "a".into(),
         address: free,
         seeds: Vec::new(),
-        born: 0,
-        probe_every: Part::PROBE_EVERY,
-        answer_within: Part::ANSWER_WITHIN,
-        doubt_least: Part::DOUBT_LEAST,
-        struck,
+        started_at_us: 0,
+        probe_interval: MemberConfig::DEFAULT_PROBE_INTERVAL,
+        probe_timeout: MemberConfig::DEFAULT_PROBE_TIMEOUT,
+        min_suspicion: MemberConfig::DEFAULT_MIN_SUSPICION,
+        confirmed_dead,
     };
-    let roster = Duty::new("roster/a", Some("a".into()));
-    let duties = vec![roster.clone(), Duty::new("nightly", None)];
-    let duty_terms = DutyTerms {
+    let shared_list = Lease::new("roster/a", Some("a".into()));
+    let leases = vec![shared_list.clone(), Lease::new("nightly", None)];
+    let lease_config = LeaseConfig {
         voters: vec!["b0".into()],
-        lease: 1_500_000,
+        duration: 1_500_000,
     };
     let terms = FleetTerms {
         listen: free,
         part,
         key: Key::new(KEY).unwrap(),
-        duties: with_duties.then_some((duty_terms, duties)),
-        rosters: with_duties
-            .then(|| (roster.id, Rc::from("a")))
+        leases: with_duties.then_some((lease_config, leases)),
+        shared_lists: with_duties
+            .then(|| (shared_list.id, Rc::from("a")))
             .into_iter()
             .collect(),
         via: Default::default(),
@@ -70,26 +70,26 @@
     Fleet::open(&event_loop.handle(), terms, 1, &log).unwrap()
 }
 
-fn life(number: u64) -> Life {
-    Life {
-        born: 1_700_000_000_000_000 + number,
-        chance: 0xabc0 + number,
+fn incarnation(number: u64) -> Incarnation {
+    Incarnation {
+        started_at_us: 1_700_000_000_000_000 + number,
+        random_id: 0xabc0 + number,
     }
 }
 
-fn record(number: u64, state: State) -> Record {
+fn record(number: u64, state: MemberState) -> MemberRecord {
     let address = SocketAddr::from(([127, 0, 0, 1], 9_000 + number as u16));
-    let own = own_record(&format!("b{number}"), "z", address, life(number));
-    Record { state, ..own }
+    let own = own_record(&format!("b{number}"), "z", address, incarnation(number));
+    MemberRecord { state, ..own }
 }
 
 /// The text with the values of masked keys and of the process's own address and life left out.
 fn masked(fleet: &Fleet, text: &str) -> String {
-    let own = fleet.accord.life();
+    let own = fleet.cluster.incarnation();
     let mut text = text
         .replace(&fleet.terms.part.address.to_string(), "OWN-ADDRESS")
         .replace(&own.to_string(), "OWN-LIFE")
-        .replace(&format!(":{}", own.born), ":OWN-BORN");
+        .replace(&format!(":{}", own.started_at_us), ":OWN-BORN");
     for key in MASKED {
         let key = format!("\"{key}\":");
         let parts: Vec<&str> = text.split(&key).collect();
@@ -106,16 +106,16 @@
 }
 
 fn datagram(key: &[u8], fleet: &str, sender: u64, counter: u64) -> Vec<u8> {
-    let letter = Letter {
+    let datagram = Datagram {
         fleet: fleet.into(),
         sender: format!("b{sender}"),
-        life: life(sender),
-        incarnation: life(sender).born,
+        incarnation: incarnation(sender),
+        refutation_counter: incarnation(sender).started_at_us,
         counter,
-        frame: Frame::News,
-        records: vec![record(sender, State::Present)],
+        message: Message::Gossip,
+        records: vec![record(sender, MemberState::Alive)],
     };
-    seal(&Key::new(key).unwrap(), &letter).unwrap()
+    seal(&Key::new(key).unwrap(), &datagram).unwrap()
 }
 
 #[test]
@@ -125,28 +125,28 @@
     let mut fleet = fleet.borrow_mut();
     let at = now();
     for (number, state) in [
-        (1, State::Present),
-        (2, State::Doubted),
-        (3, State::Gone),
-        (4, State::Gone),
-        (5, State::Left),
-        (6, State::Present),
+        (1, MemberState::Alive),
+        (2, MemberState::Suspected),
+        (3, MemberState::Dead),
+        (4, MemberState::Dead),
+        (5, MemberState::Left),
+        (6, MemberState::Alive),
     ] {
-        fleet.accord.table.merge(at, &record(number, state));
+        fleet.cluster.table.merge(at, &record(number, state));
     }
     // A later process of b6 at another address: the earlier one may still serve.
-    let mut followed = record(6, State::Present);
-    followed.life.born += 1;
-    followed.incarnation += 1;
+    let mut followed = record(6, MemberState::Alive);
+    followed.incarnation.started_at_us += 1;
+    followed.refutation_counter += 1;
     followed.address.set_port(9_106);
-    fleet.accord.table.merge(at, &followed);
+    fleet.cluster.table.merge(at, &followed);
     fleet
-        .accord
-        .heard(at, &datagram(b"another key of length", "shop", 1, 1));
-    fleet.accord.heard(at, &datagram(KEY, "other", 1, 1));
-    fleet.accord.heard(at, &datagram(KEY, "shop", 1, 1));
-    fleet.accord.heard(at, &datagram(KEY, "shop", 1, 1));
-    fleet.accord.heard(at, &[0; 5]);
+        .cluster
+        .receive(at, &datagram(b"another key of length", "shop", 1, 1));
+    fleet.cluster.receive(at, &datagram(KEY, "other", 1, 1));
+    fleet.cluster.receive(at, &datagram(KEY, "shop", 1, 1));
+    fleet.cluster.receive(at, &datagram(KEY, "shop", 1, 1));
+    fleet.cluster.receive(at, &[0; 5]);
     let page = masked(&fleet, &fleet.page());
     assert_eq!(page, include_str!("../recorded/fleet.json"));
 }
@@ -156,13 +156,13 @@
     let mut event_loop = EventLoop::try_new().unwrap();
     let fleet = open(&event_loop, true);
     let page = |name: &str| {
-        let (status, text) = fleet.borrow().duty_page(name);
+        let (status, text) = fleet.borrow().lease_page(name);
         format!("{status} {}", masked(&fleet.borrow(), &text))
     };
     let before = page("nightly") + &page("unknown");
     assert_eq!(before, include_str!("../recorded/duty-before.txt"));
     let began = Instant::now();
-    while fleet.borrow().accord.duties().unwrap().held(now()).count() < 2 {
+    while fleet.borrow().cluster.leases().unwrap().held(now()).count() < 2 {
         assert!(began.elapsed() < Duration::from_secs(20), "never held");
         event_loop
             .dispatch(Some(Duration::from_millis(5)), &mut ())
@@ -177,24 +177,29 @@
 #[test]
 fn words_of_states_and_causes_are_as_recorded() {
     let drops = [
-        Drop::Size,
-        Drop::Hash,
-        Drop::Version,
-        Drop::Form,
-        Drop::Fleet,
-        Drop::Replayed,
-        Drop::Old,
-        Drop::Full,
-        Drop::Own,
+        DropReason::Size,
+        DropReason::Hash,
+        DropReason::Version,
+        DropReason::Malformed,
+        DropReason::ForeignFleet,
+        DropReason::Replayed,
+        DropReason::OldIncarnation,
+        DropReason::TableFull,
+        DropReason::OwnDatagram,
+    ];
+    let states = [
+        MemberState::Alive,
+        MemberState::Suspected,
+        MemberState::Dead,
+        MemberState::Left,
     ];
-    let states = [State::Present, State::Doubted, State::Gone, State::Left];
     let unknown = [
-        Unknown::Present,
-        Unknown::Doubted,
-        Unknown::Silent,
-        Unknown::Followed,
+        MayServeReason::Alive,
+        MayServeReason::Suspected,
+        MayServeReason::Unresponsive,
+        MayServeReason::Superseded,
     ];
-    let proofs = [Proof::SaidSo, Proof::Struck];
+    let proofs = [StopProof::Announced, StopProof::ConfirmedDead];
     let text = serde_json::to_string(&json!([drops, states, unknown, proofs])).unwrap() + "\n";
     assert_eq!(text, include_str!("../recorded/words.json"));
 }
