--- a/crates/proxy/src/fleet/show.rs
+++ b/crates/proxy/src/fleet/show.rs
@@ -60,11 +60,11 @@
                 .as_f64()
                 .map_or("never".into(), |ms| format!("{:.1}", ms / 1e3))
         };
-        let standing = member["standing"]
+        let serving_status = member["standing"]
             .as_object()
-            .and_then(|standing| standing.iter().next());
-        let standing = standing.map_or(String::new(), |(what, why)| {
-            format!("{what}: {}", text(why))
+            .and_then(|serving_status| serving_status.iter().next());
+        let serving_status = serving_status.map_or(String::new(), |(what, reason)| {
+            format!("{what}: {}", text(reason))
         });
         lines.push(format!(
             "{:<20} {:<10} {:<22} {:<9} {:>9} {:>9}  {}",
@@ -74,11 +74,11 @@
             text(&member["state"]),
             seconds(&member["since_ms"]),
             seconds(&member["heard_ms"]),
-            standing
+            serving_status
         ));
     }
-    let duties = page["duties"]["all"].as_array().into_iter().flatten();
-    for (place, duty) in duties.enumerate() {
+    let leases = page["duties"]["all"].as_array().into_iter().flatten();
+    for (place, lease) in leases.enumerate() {
         if place == 0 {
             lines.push(format!(
                 "{:<30} {:<20} {:>9}  {}",
@@ -87,10 +87,10 @@
         }
         lines.push(format!(
             "{:<30} {:<20} {:>9}  {}",
-            text(&duty["name"]),
-            text(&duty["last_holder"]),
-            text(&duty["left_ms"]),
-            text(&duty["term"])
+            text(&lease["name"]),
+            text(&lease["last_holder"]),
+            text(&lease["left_ms"]),
+            text(&lease["term"])
         ));
     }
     if page["duties"]["majority"] == Value::Bool(false) {
--- a/crates/proxy/src/life/reread/tests.rs
+++ b/crates/proxy/src/life/reread/tests.rs
@@ -394,9 +394,9 @@
         let desk = stand.node.desk.borrow();
         let duties = |fleet: &Fleet| {
             fleet
-                .accord
-                .duties()
-                .map_or(0, |duties| duties.wanted().count())
+                .cluster
+                .leases()
+                .map_or(0, |leases| leases.tracked().count())
         };
         desk.fleet
             .as_ref()
--- a/crates/proxy/src/wire/discovery/mod.rs
+++ b/crates/proxy/src/wire/discovery/mod.rs
@@ -318,8 +318,11 @@
             return;
         };
         let (pages, takes_over) = {
-            let rosters = &mut fleet.borrow_mut().rosters;
-            (rosters.take_pages(), rosters.takes_over())
+            let shared_lists = &mut fleet.borrow_mut().shared_lists;
+            (
+                shared_lists.take_pages(),
+                shared_lists.take_full_list_request(),
+            )
         };
         for page in pages {
             let taken = serde_json::from_slice(&page).map_err(|problem| problem.to_string());
@@ -388,7 +391,7 @@
         let fed_for = self
             .fleet
             .as_ref()
-            .and_then(|fleet| fleet.borrow().fed_for());
+            .and_then(|fleet| fleet.borrow().fresh_for());
         let schedule = &mut self.discovery.schedule;
         if let Some(fed_for) = fed_for.filter(|_| self.discovery.taken && schedule.is_call_due(now))
         {
--- a/crates/proxy/src/wire/tickets.rs
+++ b/crates/proxy/src/wire/tickets.rs
@@ -189,7 +189,7 @@
             "/health/live" => (200, "live\n".into()),
             "/stats" => (200, self.counters.to_string()),
             _ if path.starts_with("/duty/") => match &self.fleet {
-                Some(fleet) => fleet.borrow().duty_page(&path["/duty/".len()..]),
+                Some(fleet) => fleet.borrow().lease_page(&path["/duty/".len()..]),
                 None => return false,
             },
             "/fleet" => match &self.fleet {
--- a/crates/testbed/src/balancers.rs
+++ b/crates/testbed/src/balancers.rs
@@ -16,7 +16,7 @@
 use serde_json::{Value, json};
 use tokio::net::TcpStream;
 
-use crate::fleet::duties::DutyLines;
+use crate::fleet::leases::DutyLines;
 use crate::fleet::own_address;
 use crate::http;
 use crate::system::{self, System};
--- a/crates/testbed/src/accord/judge.rs
+++ b/crates/testbed/src/cluster/checker.rs
@@ -3,15 +3,15 @@
 
 use std::collections::BTreeSet;
 
-use pinefront_cluster::Accord;
-use pinefront_cluster::envelope::Life;
-use pinefront_cluster::frames::State;
-use pinefront_cluster::membership::table::{Event, Standing};
-use pinefront_model::presence::{Held, Presence, Said};
+use pinefront_cluster::Cluster;
+use pinefront_cluster::datagram::Incarnation;
+use pinefront_cluster::membership::table::{MembershipEvent, ServingStatus};
+use pinefront_cluster::messages::MemberState;
+use pinefront_model::process_history::{ClaimedStatus, ProcessHistory, ViewEntry};
 use pinefront_model::{Micros, SECOND};
 
-use super::clockwork::{Process, name};
 use super::scenario::{Kind, Scenario};
+use super::simulation::{Process, name};
 
 pub struct Judge {
     pub broken: Vec<String>,
@@ -21,13 +21,13 @@
     kind: Kind,
     /// When the last fault is over.
     over: Micros,
-    presence: Presence<Life>,
+    process_history: ProcessHistory<Incarnation>,
     /// Incarnations that somebody doubted.
-    doubted: BTreeSet<(Life, u64)>,
+    doubted: BTreeSet<(Incarnation, u64)>,
     /// Incarnations that somebody called gone.
-    gone: BTreeSet<(Life, u64)>,
+    gone: BTreeSet<(Incarnation, u64)>,
     /// The last own incarnation of each process.
-    incarnation: Vec<u64>,
+    refutation_counters: Vec<u64>,
     /// Different datagrams that came to each process.
     came: Vec<BTreeSet<Vec<u8>>>,
     agreed_since: Option<Micros>,
@@ -43,10 +43,10 @@
             wrong_doubts: 0,
             kind: scenario.kind,
             over: last.max(scenario.ways.over()),
-            presence: Presence::new(members),
+            process_history: ProcessHistory::new(members),
             doubted: BTreeSet::new(),
             gone: BTreeSet::new(),
-            incarnation: vec![0; members],
+            refutation_counters: vec![0; members],
             came: vec![BTreeSet::new(); members],
             agreed_since: None,
         }
@@ -57,20 +57,20 @@
             .push(format!("{:.3} s: {what}", now as f64 / SECOND as f64));
     }
 
-    pub fn starts(&mut self, now: Micros, member: usize, life: Option<Life>) {
-        if let Some(life) = life {
-            self.presence.starts(now, member, life);
+    pub fn starts(&mut self, now: Micros, member: usize, incarnation: Option<Incarnation>) {
+        if let Some(incarnation) = incarnation {
+            self.process_history.starts(now, member, incarnation);
         }
         self.came[member].clear();
-        self.incarnation[member] = 0;
+        self.refutation_counters[member] = 0;
     }
 
     pub fn dies(&mut self, now: Micros, member: usize) {
-        self.presence.ends(now, member, false);
+        self.process_history.ends(now, member, false);
     }
 
     pub fn leaves(&mut self, now: Micros, member: usize) {
-        self.presence.ends(now, member, true);
+        self.process_history.ends(now, member, true);
     }
 
     /// A datagram reaches a process.
@@ -83,26 +83,27 @@
         &mut self,
         now: Micros,
         member: usize,
-        events: &[Event],
+        events: &[MembershipEvent],
         woke: bool,
         processes: &[Process],
     ) {
-        let Some(accord) = processes[member].accord.as_ref() else {
+        let Some(cluster) = processes[member].cluster.as_ref() else {
             return;
         };
         for event in events {
             match event {
-                Event::Doubted(other) => {
-                    let Some(known) = accord.table.named(other) else {
+                MembershipEvent::Suspected(other) => {
+                    let Some(known) = cluster.table.named(other) else {
                         continue;
                     };
-                    let (life, incarnation) = (known.record.life, known.record.incarnation);
-                    let new = self.doubted.insert((life, incarnation));
+                    let (incarnation, refutation_counter) =
+                        (known.record.incarnation, known.record.refutation_counter);
+                    let new = self.doubted.insert((incarnation, refutation_counter));
                     let stopped = self
-                        .presence
-                        .owner(&life)
+                        .process_history
+                        .owner(&incarnation)
                         .is_some_and(|owner| processes[owner].stopped);
-                    if new && self.presence.serves(&life) && !stopped {
+                    if new && self.process_history.serves(&incarnation) && !stopped {
                         self.wrong_doubts += 1;
                         if self.kind == Kind::Pair {
                             self.breaks(
@@ -114,22 +115,27 @@
                         }
                     }
                 }
-                Event::Gone(other) => {
-                    let Some(known) = accord.table.named(other) else {
+                MembershipEvent::Dead(other) => {
+                    let Some(known) = cluster.table.named(other) else {
                         continue;
                     };
-                    let (life, incarnation) = (known.record.life, known.record.incarnation);
-                    if let Some(died) = self.presence.notices(member, &life) {
+                    let (incarnation, refutation_counter) =
+                        (known.record.incarnation, known.record.refutation_counter);
+                    if let Some(died) = self.process_history.notices(member, &incarnation) {
                         self.detected_ms.push((now - died) as f64 / 1_000.0);
                         continue;
                     }
                     // It may have heard both of the doubt and of its end.
-                    if known.record.state != State::Gone {
+                    if known.record.state != MemberState::Dead {
                         continue;
                     }
                     // What others said before is theirs; a process that wakes has nothing of its own to say.
-                    let first = self.gone.insert((life, incarnation));
-                    if first && self.presence.serves(&life) && woke && self.kind == Kind::Sleep {
+                    let first = self.gone.insert((incarnation, refutation_counter));
+                    if first
+                        && self.process_history.serves(&incarnation)
+                        && woke
+                        && self.kind == Kind::Sleep
+                    {
                         self.breaks(now, format!("b{member} calls {other} gone as it wakes"));
                     }
                 }
@@ -141,21 +147,23 @@
     /// All views against the truth, at one moment.
     pub fn look(&mut self, now: Micros, processes: &[Process]) {
         for (member, process) in processes.iter().enumerate() {
-            let Some(accord) = process.accord.as_ref() else {
+            let Some(cluster) = process.cluster.as_ref() else {
                 continue;
             };
-            let own = accord.table.own.incarnation;
-            if own < self.incarnation[member] {
+            let own = cluster.table.own.refutation_counter;
+            if own < self.refutation_counters[member] {
                 self.breaks(now, format!("the incarnation of b{member} fell"));
             }
-            self.incarnation[member] = own;
-            if accord.tally().taken > self.came[member].len() as u64 {
+            self.refutation_counters[member] = own;
+            if cluster.traffic().taken > self.came[member].len() as u64 {
                 self.breaks(now, format!("b{member} took a datagram twice"));
             }
-            for other in &accord.table.members {
+            for other in &cluster.table.members {
                 let record = &other.record;
-                if record.state == State::Gone
-                    && !self.doubted.contains(&(record.life, record.incarnation))
+                if record.state == MemberState::Dead
+                    && !self
+                        .doubted
+                        .contains(&(record.incarnation, record.refutation_counter))
                 {
                     let what = format!(
                         "b{member} holds {} for gone, which nobody doubted",
@@ -164,11 +172,11 @@
                     return self.breaks(now, what);
                 }
             }
-            let wrong = self.presence.view(
+            let wrong = self.process_history.view(
                 member,
                 [now, now],
-                &held(accord),
-                accord.table.may_be_serving(),
+                &held(cluster),
+                cluster.table.count_may_serve(),
             );
             if let Some(wrong) = wrong.into_iter().next() {
                 return self.breaks(now, wrong);
@@ -185,22 +193,22 @@
     /// Where a view differs from the truth.
     fn apart(&self, processes: &[Process]) -> Option<String> {
         for (member, process) in processes.iter().enumerate() {
-            let Some(accord) = process.accord.as_ref().filter(|_| !process.stopped) else {
+            let Some(cluster) = process.cluster.as_ref().filter(|_| !process.stopped) else {
                 continue;
             };
-            for (other, life, serving, left) in self.presence.latest() {
+            for (other, incarnation, serving, left) in self.process_history.latest() {
                 if other == member {
                     continue;
                 }
-                let known = accord.table.named(&name(other));
+                let known = cluster.table.named(&name(other));
                 let state = known
-                    .filter(|known| known.record.life == *life)
+                    .filter(|known| known.record.incarnation == *incarnation)
                     .map(|known| known.record.state);
                 let wrong = match state {
-                    Some(State::Present) => !serving,
-                    Some(State::Left) => !left,
-                    Some(State::Gone) => serving || (left && self.kind == Kind::Leave),
-                    Some(State::Doubted) => true,
+                    Some(MemberState::Alive) => !serving,
+                    Some(MemberState::Left) => !left,
+                    Some(MemberState::Dead) => serving || (left && self.kind == Kind::Leave),
+                    Some(MemberState::Suspected) => true,
                     // Of who died before it was known nobody need know.
                     None => serving,
                 };
@@ -230,24 +238,24 @@
 }
 
 /// All that one says of the processes of others, earlier ones with them.
-fn held(accord: &Accord) -> Vec<Held<Life>> {
-    let table = &accord.table;
-    let lives = table.members.iter().flat_map(|member| {
-        let earlier = member.earlier.iter().map(|earlier| earlier.life);
-        [member.record.life]
+fn held(cluster: &Cluster) -> Vec<ViewEntry<Incarnation>> {
+    let table = &cluster.table;
+    let incarnations = table.members.iter().flat_map(|member| {
+        let earlier = member.earlier.iter().map(|earlier| earlier.incarnation);
+        [member.record.incarnation]
             .into_iter()
             .chain(earlier)
-            .map(|life| (&member.record.name, life))
+            .map(|incarnation| (&member.record.name, incarnation))
     });
-    let said = |standing| match standing {
-        Standing::MayServe(_) => Said::MayServe,
-        Standing::ProvenGone(_) => Said::ProvenGone,
+    let claimed = |serving_status| match serving_status {
+        ServingStatus::MayServe(_) => ClaimedStatus::MayServe,
+        ServingStatus::ProvenStopped(_) => ClaimedStatus::ProvenStopped,
     };
-    lives
-        .filter_map(|(name, life)| {
-            Some(Held {
-                life,
-                said: said(table.standing(name, life)?),
+    incarnations
+        .filter_map(|(name, incarnation)| {
+            Some(ViewEntry {
+                incarnation,
+                claimed: claimed(table.serving_status(name, incarnation)?),
             })
         })
         .collect()
--- a/crates/testbed/src/accord/mod.rs
+++ b/crates/testbed/src/cluster/mod.rs
@@ -1,15 +1,15 @@
 //! `pinefront-testbed accord`: the accord of many members on a virtual clock, no process, under faults drawn from seeds.
 
-pub mod clockwork;
-pub mod judge;
+pub mod checker;
 pub mod scenario;
+pub mod simulation;
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
 use clap::ValueEnum;
-use pinefront_cluster::Planted;
+use pinefront_cluster::InjectedFault;
 use serde::Serialize;
 
 use crate::world::locked;
@@ -84,20 +84,20 @@
 pub struct Wish {
     pub seeds: std::ops::Range<u64>,
     pub members: usize,
-    pub planted: Option<Planted>,
+    pub injected_fault: Option<InjectedFault>,
     pub kind: Option<scenario::Kind>,
     /// Part of all datagrams that is lost, in place of what the seed says.
     pub loss: Option<f64>,
     /// Duties that the members hold; none where 0.
-    pub duties: usize,
+    pub leases: usize,
     /// Ends at the first seed that breaks.
     pub first_only: bool,
 }
 
-fn planted_name(planted: Planted) -> &'static str {
-    Planted::ALL
+fn planted_name(injected_fault: InjectedFault) -> &'static str {
+    InjectedFault::ALL
         .iter()
-        .find(|(_, fault)| *fault == planted)
+        .find(|(_, fault)| *fault == injected_fault)
         .map_or("", |(name, _)| name)
 }
 
@@ -118,7 +118,7 @@
                     {
                         return;
                     }
-                    let played = clockwork::play(seed, wish);
+                    let played = simulation::play(seed, wish);
                     if wish.first_only && !played.broken.is_empty() {
                         ended.store(true, Ordering::Relaxed);
                     }
@@ -132,37 +132,38 @@
     gather(wish, &all)
 }
 
-fn gather(wish: &Wish, all: &[(u64, clockwork::Played)]) -> Found {
-    let total = |of: &dyn Fn(&clockwork::Played) -> f64| {
+fn gather(wish: &Wish, all: &[(u64, simulation::Played)]) -> Found {
+    let total = |of: &dyn Fn(&simulation::Played) -> f64| {
         all.iter().map(|(_, played)| of(played)).sum::<f64>()
     };
     let seconds = total(&|played| played.seconds).max(1e-9);
     let member_seconds = total(&|played| played.member_seconds).max(1e-9);
-    let late = all.len().max(1) as f64 * wish.members as f64 * clockwork::LATE as f64 / 1e6;
-    let list = |of: &dyn Fn(&clockwork::Played) -> Vec<f64>| {
+    let late = all.len().max(1) as f64 * wish.members as f64 * simulation::LATE as f64 / 1e6;
+    let list = |of: &dyn Fn(&simulation::Played) -> Vec<f64>| {
         spread(all.iter().flat_map(|(_, played)| of(played)).collect())
     };
     let mut without: BTreeMap<&'static str, Vec<f64>> = BTreeMap::new();
-    for (span, how) in all.iter().flat_map(|(_, played)| &played.duties.without) {
+    for (span, how) in all.iter().flat_map(|(_, played)| &played.leases.without) {
         without.entry(how).or_default().push(*span as f64 / 1_000.0);
     }
     let mut broken = Vec::new();
     for (seed, played) in all {
         for what in &played.broken {
-            let planted = wish.planted.map(planted_name);
-            let planted = planted.map_or(String::new(), |name| format!(" --plant {name}"));
+            let injected_fault = wish.injected_fault.map(planted_name);
+            let injected_fault =
+                injected_fault.map_or(String::new(), |name| format!(" --plant {name}"));
             let kind = wish.kind.and_then(|kind| kind.to_possible_value());
             let kind = kind.map_or(String::new(), |kind| format!(" --kind {}", kind.get_name()));
             let loss = wish
                 .loss
                 .map_or(String::new(), |loss| format!(" --loss {loss}"));
-            let duties = if wish.duties > 0 {
-                format!(" --duties {}", wish.duties)
+            let leases = if wish.leases > 0 {
+                format!(" --duties {}", wish.leases)
             } else {
                 String::new()
             };
             let replay = format!(
-                "pinefront-testbed accord --seeds {seed}..{} --members {}{kind}{loss}{duties}{planted}",
+                "pinefront-testbed accord --seeds {seed}..{} --members {}{kind}{loss}{leases}{injected_fault}",
                 seed + 1,
                 wish.members
             );
@@ -194,15 +195,15 @@
             .into_iter()
             .map(|(how, list)| (how, spread(list)))
             .collect(),
-        duty_changes_an_hour: total(&|played| played.duties.changes as f64)
-            / (wish.duties.max(1) as f64 * seconds)
+        duty_changes_an_hour: total(&|played| played.leases.changes as f64)
+            / (wish.leases.max(1) as f64 * seconds)
             * 3600.0,
         duty_changes_most_a_minute: all
             .iter()
-            .map(|one| one.1.duties.most_a_minute)
+            .map(|one| one.1.leases.most_a_minute)
             .max()
             .unwrap_or(0),
-        terms_fallen: all.iter().map(|one| one.1.duties.fallen.len()).sum(),
+        terms_fallen: all.iter().map(|one| one.1.leases.fallen.len()).sum(),
         duties_vacant: all.iter().map(|one| one.1.vacant).sum(),
         wrong_doubts_an_hour: total(&|played| played.wrong_doubts as f64) / seconds * 3600.0,
     }
--- a/crates/testbed/src/accord/clockwork.rs
+++ b/crates/testbed/src/cluster/simulation.rs
@@ -4,16 +4,16 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-use pinefront_cluster::duties::{Duty, DutyEvent, DutyTerms, LEASE_USUAL, Why};
-use pinefront_cluster::envelope::{Key, Life};
-use pinefront_cluster::membership::table::Event;
-use pinefront_cluster::{Accord, Part, Planted};
+use pinefront_cluster::datagram::{Incarnation, Key};
+use pinefront_cluster::leases::{DEFAULT_LEASE_US, Lease, LeaseConfig, LeaseEvent, LossReason};
+use pinefront_cluster::membership::table::MembershipEvent;
+use pinefront_cluster::{Cluster, InjectedFault, MemberConfig};
 use pinefront_model::chance::Chance;
-use pinefront_model::tenures::{Held, Tenures};
+use pinefront_model::lease_history::{Held, LeaseHistory};
 use pinefront_model::{Micros, SECOND};
 
 use super::Wish;
-use super::judge::Judge;
+use super::checker::Judge;
 use super::scenario::{Deed, Scenario};
 
 /// How far clock rates lie apart, as a part of 1 to either side.
@@ -42,7 +42,7 @@
     pub one_view_ms: Option<f64>,
     pub wrong_doubts: u64,
     /// Who held which duty, where there were any.
-    pub duties: Held,
+    pub leases: Held,
     pub vacant: usize,
     /// Of all that was sent, in its order: equal for equal runs.
     pub trace: u64,
@@ -65,9 +65,9 @@
 
 /// One process of a member, or the place where the next one will run.
 pub struct Process {
-    pub accord: Option<Accord>,
+    pub cluster: Option<Cluster>,
     pub address: SocketAddr,
-    pub life: Option<Life>,
+    pub incarnation: Option<Incarnation>,
     pub stopped: bool,
     waiting: VecDeque<Vec<u8>>,
     /// Local time at the start of the run, and how fast it runs.
@@ -105,24 +105,24 @@
     chance: Chance,
     key: Key,
     seed: u64,
-    planted: Option<Planted>,
+    injected_fault: Option<InjectedFault>,
     judge: Judge,
-    duties: Vec<Duty>,
-    tenures: Tenures,
+    leases: Vec<Lease>,
+    lease_history: LeaseHistory,
     /// Datagrams that somebody listened to, to be sent again.
     listened: VecDeque<(SocketAddr, Vec<u8>)>,
     played: Played,
 }
 
 pub fn play(seed: u64, wish: &Wish) -> Played {
-    let (members, planted) = (wish.members, wish.planted);
+    let (members, injected_fault) = (wish.members, wish.injected_fault);
     let scenario = Scenario::draw(seed, members, wish.kind, wish.loss);
     let mut chance = Chance::split(seed, "clockwork", 0);
     let processes: Vec<Process> = (0..members)
         .map(|member| Process {
-            accord: None,
+            cluster: None,
             address: address(member),
-            life: None,
+            incarnation: None,
             stopped: false,
             waiting: VecDeque::new(),
             began: SECOND + chance.span(1_000 * SECOND),
@@ -147,12 +147,12 @@
         chance,
         key,
         seed,
-        planted,
+        injected_fault,
         judge,
-        duties: (0..wish.duties)
-            .map(|number| Duty::new(&format!("duty-{number}"), None))
+        leases: (0..wish.leases)
+            .map(|number| Lease::new(&format!("duty-{number}"), None))
             .collect(),
-        tenures: Tenures::default(),
+        lease_history: LeaseHistory::default(),
         listened: VecDeque::new(),
         played: Played::default(),
     };
@@ -204,9 +204,9 @@
         let tallies = self
             .processes
             .iter()
-            .filter_map(|process| Some(process.accord.as_ref()?.tally()));
-        tallies.fold((0, 0), |sum, tally| {
-            (sum.0 + tally.sent, sum.1 + tally.sent_bytes)
+            .filter_map(|process| Some(process.cluster.as_ref()?.traffic()));
+        tallies.fold((0, 0), |sum, traffic| {
+            (sum.0 + traffic.sent, sum.1 + traffic.sent_bytes)
         })
     }
 
@@ -219,7 +219,7 @@
                     return;
                 };
                 let process = &mut self.processes[member];
-                if process.address != to || process.accord.is_none() {
+                if process.address != to || process.cluster.is_none() {
                     return;
                 }
                 if process.stopped {
@@ -228,8 +228,8 @@
                 }
                 self.judge.comes(member, &bytes);
                 let local = process.local(self.now);
-                if let Some(accord) = process.accord.as_mut() {
-                    accord.heard(local, &bytes);
+                if let Some(cluster) = process.cluster.as_mut() {
+                    cluster.receive(local, &bytes);
                 }
                 self.after(member, false);
             }
@@ -239,8 +239,8 @@
                     return;
                 }
                 let local = process.local(self.now);
-                if let Some(accord) = process.accord.as_mut() {
-                    accord.due(local);
+                if let Some(cluster) = process.cluster.as_mut() {
+                    cluster.due(local);
                 }
                 self.after(member, false);
             }
@@ -257,21 +257,21 @@
             Deed::StartAt(member, place) => self.start(member, place),
             Deed::Kill(member) => {
                 let process = &mut self.processes[member];
-                process.accord = None;
+                process.cluster = None;
                 process.waiting.clear();
                 self.judge.dies(self.now, member);
-                self.tenures.dies(self.now, member);
+                self.lease_history.dies(self.now, member);
             }
             Deed::Leave(member) => {
                 let process = &mut self.processes[member];
                 let local = process.local(self.now);
                 self.judge.leaves(self.now, member);
-                if let Some(accord) = process.accord.as_mut() {
-                    accord.leave(local);
+                if let Some(cluster) = process.cluster.as_mut() {
+                    cluster.leave(local);
                 }
                 self.send(member);
                 self.duty_events(member);
-                self.processes[member].accord = None;
+                self.processes[member].cluster = None;
             }
             Deed::Stop(member) => self.processes[member].stopped = true,
             Deed::GoOn(member) => {
@@ -283,20 +283,20 @@
                 );
                 // Which comes first, what fell due or what lies in the socket, is the carrier's affair.
                 if self.chance.happens(0.5)
-                    && let Some(accord) = self.processes[member].accord.as_mut()
+                    && let Some(cluster) = self.processes[member].cluster.as_mut()
                 {
-                    accord.due(local);
-                    let events = accord.take_events();
+                    cluster.due(local);
+                    let events = cluster.take_events();
                     self.told(member, &events, true);
                 }
                 for bytes in waiting {
                     self.judge.comes(member, &bytes);
-                    if let Some(accord) = self.processes[member].accord.as_mut() {
-                        accord.heard(local, &bytes);
+                    if let Some(cluster) = self.processes[member].cluster.as_mut() {
+                        cluster.receive(local, &bytes);
                     }
                 }
-                if let Some(accord) = self.processes[member].accord.as_mut() {
-                    accord.due(local);
+                if let Some(cluster) = self.processes[member].cluster.as_mut() {
+                    cluster.due(local);
                 }
                 self.after(member, true);
             }
@@ -313,43 +313,43 @@
         let mut chance =
             Chance::split(self.seed, "process", member as u64 * 1_000 + process.starts);
         // Clocks of machines differ by seconds, and one may have been set back before a restart.
-        let born = 1_000 * SECOND + now + chance.span(4 * SECOND);
+        let started_at_us = 1_000 * SECOND + now + chance.span(4 * SECOND);
         #[cfg_attr(not(any(test, feature = "planted")), allow(unused_mut))]
-        let mut accord = Accord::new(
-            Part {
+        let mut cluster = Cluster::new(
+            MemberConfig {
                 fleet: "f".into(),
                 name: name(member),
                 zone: ["a", "b", "c"][member % 3].into(),
                 address: process.address,
                 seeds: (0..SEEDS).map(address).collect(),
-                born,
-                probe_every: Part::PROBE_EVERY,
-                answer_within: Part::ANSWER_WITHIN,
-                doubt_least: Part::DOUBT_LEAST,
-                struck: Default::default(),
+                started_at_us,
+                probe_interval: MemberConfig::DEFAULT_PROBE_INTERVAL,
+                probe_timeout: MemberConfig::DEFAULT_PROBE_TIMEOUT,
+                min_suspicion: MemberConfig::DEFAULT_MIN_SUSPICION,
+                confirmed_dead: Default::default(),
             },
             self.key.clone(),
             chance.whole(),
             process.local(now),
         );
-        if let Some(_fault) = self.planted {
+        if let Some(_fault) = self.injected_fault {
             #[cfg(any(test, feature = "planted"))]
-            accord.plant(_fault);
+            cluster.inject_fault(_fault);
         }
-        if !self.duties.is_empty() {
+        if !self.leases.is_empty() {
             let voters = (0..VOTERS).map(|voter| name(voter).into()).collect();
-            let terms = DutyTerms {
+            let terms = LeaseConfig {
                 voters,
-                lease: LEASE_USUAL,
+                duration: DEFAULT_LEASE_US,
             };
-            accord.take_duties(process.local(now), terms, self.duties.clone());
+            cluster.configure_leases(process.local(now), terms, self.leases.clone());
         }
-        process.life = Some(accord.life());
-        process.accord = Some(accord);
+        process.incarnation = Some(cluster.incarnation());
+        process.cluster = Some(cluster);
         self.at_address
             .insert(self.processes[member].address, member);
         let process = &self.processes[member];
-        self.judge.starts(now, member, process.life);
+        self.judge.starts(now, member, process.incarnation);
         self.after(member, false);
     }
 
@@ -358,10 +358,10 @@
         self.send(member);
         self.duty_events(member);
         let process = &mut self.processes[member];
-        let Some(accord) = process.accord.as_mut() else {
+        let Some(cluster) = process.cluster.as_mut() else {
             return;
         };
-        let (events, next) = (accord.take_events(), accord.next_due());
+        let (events, next) = (cluster.take_events(), cluster.next_due());
         let next = process.global(next).max(self.now + 1);
         process.turn += 1;
         let turn = process.turn;
@@ -372,31 +372,43 @@
     /// Takes down what a process says of its duties, by the true clock.
     fn duty_events(&mut self, member: usize) {
         let (now, process) = (self.now, &mut self.processes[member]);
-        let Some(accord) = process.accord.as_mut() else {
+        let Some(cluster) = process.cluster.as_mut() else {
             return;
         };
-        let events = accord.take_duty_events();
+        let events = cluster.take_lease_events();
         let id = member as u64 * 1_000 + process.starts;
         for event in events {
             match event {
-                DutyEvent::Taken { duty, term, .. } => {
-                    self.tenures
-                        .begins(now, member, &duty, (term.number, term.life));
+                LeaseEvent::Acquired { lease, term, .. } => {
+                    self.lease_history
+                        .begins(now, member, &lease, (term.number, term.incarnation));
                 }
-                DutyEvent::Lost {
-                    duty,
+                LeaseEvent::Lost {
+                    lease,
                     term,
                     until,
-                    why,
+                    reason,
                 } => {
-                    let how = if why == Why::LetGo { "let go" } else { "lost" };
+                    let how = if reason == LossReason::Released {
+                        "let go"
+                    } else {
+                        "lost"
+                    };
                     let until = process.global(until);
-                    self.tenures
-                        .ends(until, member, &duty, (term.number, term.life), how);
+                    self.lease_history.ends(
+                        until,
+                        member,
+                        &lease,
+                        (term.number, term.incarnation),
+                        how,
+                    );
                 }
-                DutyEvent::Acted { duty, term, .. } => {
-                    self.tenures
-                        .acted(id, &format!("{duty:?}"), (term.number, term.life));
+                LeaseEvent::CommandReceived { lease, term, .. } => {
+                    self.lease_history.acted(
+                        id,
+                        &format!("{lease:?}"),
+                        (term.number, term.incarnation),
+                    );
                 }
                 _ => {}
             }
@@ -406,23 +418,28 @@
     /// What is open at the end is held as long as its lease says: a process that is stopped can't say that it lost it.
     fn end_duties(&mut self) {
         for (member, process) in self.processes.iter().enumerate() {
-            let duties = process.accord.as_ref().and_then(Accord::duties);
-            for (duty, term, until) in duties.into_iter().flat_map(|duties| duties.open()) {
+            let leases = process.cluster.as_ref().and_then(Cluster::leases);
+            for (lease, term, until) in leases.into_iter().flat_map(|leases| leases.open()) {
                 let until = process.global(until);
-                self.tenures
-                    .ends(until, member, &duty.name, (term.number, term.life), "open");
+                self.lease_history.ends(
+                    until,
+                    member,
+                    &lease.name,
+                    (term.number, term.incarnation),
+                    "open",
+                );
             }
         }
         let ends = self.scenario.ends;
-        let found = self.tenures.found(ends);
+        let found = self.lease_history.found(ends);
         let mut broken: Vec<String> = found.overlaps.iter().take(3).cloned().collect();
-        broken.extend(self.tenures.old_taken.iter().take(3).cloned());
+        broken.extend(self.lease_history.old_taken.iter().take(3).cloned());
         self.judge.broken.extend(broken);
-        self.played.vacant = self.tenures.vacant(ends).len();
-        self.played.duties = found;
+        self.played.vacant = self.lease_history.vacant(ends).len();
+        self.played.leases = found;
     }
 
-    fn told(&mut self, member: usize, events: &[Event], woke: bool) {
+    fn told(&mut self, member: usize, events: &[MembershipEvent], woke: bool) {
         if !events.is_empty() {
             self.judge
                 .told(self.now, member, events, woke, &self.processes);
@@ -430,10 +447,10 @@
     }
 
     fn send(&mut self, member: usize) {
-        let Some(accord) = self.processes[member].accord.as_mut() else {
+        let Some(cluster) = self.processes[member].cluster.as_mut() else {
             return;
         };
-        for (to, mut bytes) in accord.take_datagrams() {
+        for (to, mut bytes) in cluster.take_datagrams() {
             for byte in &bytes {
                 self.played.trace =
                     (self.played.trace ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
--- a/crates/testbed/src/accord/tests.rs
+++ b/crates/testbed/src/cluster/tests.rs
@@ -1,20 +1,20 @@
 use std::sync::atomic::AtomicBool;
 
-use pinefront_cluster::Planted;
+use pinefront_cluster::InjectedFault;
 use rstest::rstest;
 
 use super::scenario::Kind;
 use super::*;
 
-fn wish(seeds: std::ops::Range<u64>, planted: Option<Planted>) -> Wish {
+fn wish(seeds: std::ops::Range<u64>, injected_fault: Option<InjectedFault>) -> Wish {
     Wish {
         seeds,
         members: 8,
-        planted,
+        injected_fault,
         kind: None,
         loss: None,
-        duties: 0,
-        first_only: planted.is_some(),
+        leases: 0,
+        first_only: injected_fault.is_some(),
     }
 }
 
@@ -32,12 +32,12 @@
 
 /// Four of the eight; all eight: `cargo run --release -p pinefront-testbed --features planted -- accord --plant NAME`.
 #[rstest]
-#[case::incarnation(Planted::IncarnationGoesBack)]
-#[case::silent(Planted::SilentCountsAsGone)]
-#[case::asking(Planted::DoubtsWithoutAsking)]
-#[case::sleep(Planted::SleepUnnoticed)]
-fn a_planted_fault_is_found(#[case] planted: Planted) {
-    let found = play(&wish(0..400, Some(planted)), &AtomicBool::new(false));
+#[case::incarnation(InjectedFault::RefutationCounterDecreases)]
+#[case::silent(InjectedFault::UnresponsiveCountsAsStopped)]
+#[case::asking(InjectedFault::SuspectsWithoutProbeRequests)]
+#[case::sleep(InjectedFault::PauseUnnoticed)]
+fn a_planted_fault_is_found(#[case] injected_fault: InjectedFault) {
+    let found = play(&wish(0..400, Some(injected_fault)), &AtomicBool::new(false));
     assert!(
         !found.broken.is_empty(),
         "none of {} seeds found it",
@@ -50,10 +50,10 @@
     let wish = Wish {
         members: 10,
         kind: Some(Kind::Any),
-        duties: 20,
+        leases: 20,
         ..wish(0..1, None)
     };
-    let trace = || clockwork::play(7, &wish).trace;
+    let trace = || simulation::play(7, &wish).trace;
     assert_eq!(trace(), trace());
 }
 
@@ -63,7 +63,7 @@
     let found = play(
         &Wish {
             members: 10,
-            duties: 30,
+            leases: 30,
             ..wish(0..24, None)
         },
         &AtomicBool::new(false),
--- a/crates/testbed/src/commands/agreement.rs
+++ b/crates/testbed/src/commands/agreement.rs
@@ -7,7 +7,7 @@
 use clap::Args;
 
 use crate::commands::{Failure, part, seeds, write_json};
-use crate::{accord, explore as explorer};
+use crate::{cluster, explore as explorer};
 
 #[derive(Args)]
 pub struct AccordOf {
@@ -18,16 +18,16 @@
     members: u64,
     /// One kind of scenario only
     #[arg(long)]
-    kind: Option<accord::scenario::Kind>,
+    kind: Option<cluster::scenario::Kind>,
     /// Part of all datagrams that is lost, in place of what each seed says
     #[arg(long, value_parser = part)]
     loss: Option<f64>,
     /// Duties that the members hold one at a time: 200 where no number is given
-    #[arg(long, default_value_t = 0, default_missing_value = "200", num_args = 0..=1)]
-    duties: usize,
+    #[arg(long = "duties", default_value_t = 0, default_missing_value = "200", num_args = 0..=1)]
+    leases: usize,
     /// Plant a fault, in a lab built with --features planted
-    #[arg(long, value_parser = planted)]
-    plant: Option<pinefront_cluster::Planted>,
+    #[arg(long, value_parser = injected_fault)]
+    plant: Option<pinefront_cluster::InjectedFault>,
     #[arg(long)]
     json: Option<PathBuf>,
 }
@@ -44,13 +44,13 @@
     candidates: u64,
     /// Plant a fault, to see its trace
     #[arg(long, value_parser = planted_duty)]
-    plant: Option<pinefront_cluster::duties::Planted>,
+    plant: Option<pinefront_cluster::leases::InjectedFault>,
     #[arg(long)]
     json: Option<PathBuf>,
 }
 
-pub fn planted(text: &str) -> Result<pinefront_cluster::Planted, String> {
-    let all = pinefront_cluster::Planted::ALL;
+pub fn injected_fault(text: &str) -> Result<pinefront_cluster::InjectedFault, String> {
+    let all = pinefront_cluster::InjectedFault::ALL;
     let known = all.iter().find(|(name, _)| *name == text);
     if !cfg!(feature = "planted") {
         return Err("this lab was built without --features planted".into());
@@ -66,8 +66,8 @@
     })
 }
 
-pub fn planted_duty(text: &str) -> Result<pinefront_cluster::duties::Planted, String> {
-    let all = pinefront_cluster::duties::Planted::ALL;
+pub fn planted_duty(text: &str) -> Result<pinefront_cluster::leases::InjectedFault, String> {
+    let all = pinefront_cluster::leases::InjectedFault::ALL;
     all.iter()
         .find(|(name, _)| *name == text)
         .map(|(_, fault)| *fault)
@@ -87,7 +87,7 @@
         depth: options.depth,
         walks: options.walks,
         candidates: options.candidates as usize,
-        planted: options.plant,
+        injected_fault: options.plant,
         over: Arc::clone(over),
     };
     let found = explorer::explore(&wish);
@@ -120,16 +120,16 @@
 }
 
 pub fn accord_of(options: &AccordOf, over: &Arc<AtomicBool>) -> Result<(), Failure> {
-    let wish = accord::Wish {
+    let wish = cluster::Wish {
         seeds: options.seeds.clone(),
         members: options.members as usize,
-        planted: options.plant,
+        injected_fault: options.plant,
         kind: options.kind,
         loss: options.loss,
-        duties: options.duties,
+        leases: options.leases,
         first_only: false,
     };
-    let found = accord::play(&wish, over);
+    let found = cluster::play(&wish, over);
     for broken in found.broken.iter().take(10) {
         println!("seed {}: {}\n  {}", broken.seed, broken.what, broken.replay);
     }
@@ -154,7 +154,7 @@
         );
     }
     println!("wrong doubts an hour: {:.1}", found.wrong_doubts_an_hour);
-    if options.duties > 0 {
+    if options.leases > 0 {
         for (how, spread) in &found.without_holder_ms {
             println!(
                 "a duty {how}: without a holder for {:.0} ms (median), p99 {:.0}, worst {:.0} of {}",
--- a/crates/testbed/src/explore.rs
+++ b/crates/testbed/src/explore.rs
@@ -8,10 +8,12 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-use pinefront_cluster::duties::frames::DutyFrame;
-use pinefront_cluster::duties::plan::Place;
-use pinefront_cluster::duties::term::Term;
-use pinefront_cluster::duties::{Duties, Duty, DutyEvent, DutyTerms, LEASE_MOST, Planted};
+use pinefront_cluster::leases::assignment::Candidate;
+use pinefront_cluster::leases::messages::LeaseMessage;
+use pinefront_cluster::leases::term::Term;
+use pinefront_cluster::leases::{
+    InjectedFault, Lease, LeaseConfig, LeaseEvent, Leases, MAX_LEASE_US,
+};
 use pinefront_model::Micros;
 use pinefront_model::chance::Chance;
 use serde::Serialize;
@@ -24,17 +26,17 @@
 /// So long before a lease's end one looks, by the true clock.
 const BEFORE: Micros = 4_000;
 /// The lease explored: half the longest, so that few steps outlast it.
-const LEASE: Micros = LEASE_MOST / 2;
+const LEASE: Micros = MAX_LEASE_US / 2;
 /// What is counted before the exploration ends by itself.
 const STATES_MOST: usize = 60_000_000;
 
 #[derive(Clone, Hash, PartialEq, Eq)]
 struct Node {
     name: Rc<str>,
-    duties: Duties,
+    leases: Leases,
     /// How its clock runs, in thousandths of the true one.
     rate: u64,
-    lives: u64,
+    incarnations: u64,
     /// The greatest term of an act that it took.
     took: Option<Term>,
 }
@@ -44,7 +46,7 @@
     now: Micros,
     nodes: Vec<Node>,
     /// From, to, the sender's life, and whether it was delivered once already.
-    frames: Vec<(usize, usize, u64, bool, DutyFrame)>,
+    messages: Vec<(usize, usize, u64, bool, LeaseMessage)>,
     /// The greatest term that anybody ever held the duty by.
     highest: Option<Term>,
     restarts: u8,
@@ -84,7 +86,7 @@
     pub depth: u32,
     pub walks: u64,
     pub candidates: usize,
-    pub planted: Option<Planted>,
+    pub injected_fault: Option<InjectedFault>,
     /// Set from outside to end early.
     pub over: Arc<AtomicBool>,
 }
@@ -95,39 +97,39 @@
     now * node.rate / 1_000
 }
 
-fn lives(number: usize, lives: u64) -> u64 {
-    number as u64 * 100 + lives
+fn incarnations(number: usize, incarnations: u64) -> u64 {
+    number as u64 * 100 + incarnations
 }
 
-fn started(number: usize, now: Micros, rate: u64, life: u64, wish: &Wish) -> Node {
+fn started(number: usize, now: Micros, rate: u64, incarnation: u64, wish: &Wish) -> Node {
     let names: Vec<Rc<str>> = (0..VOTERS).map(|n| Rc::from(format!("v{n}"))).collect();
     let name = names
         .get(number)
         .cloned()
         .unwrap_or_else(|| format!("c{}", number - VOTERS).into());
-    let terms = DutyTerms {
+    let terms = LeaseConfig {
         voters: names,
-        lease: LEASE,
+        duration: LEASE,
     };
     let at = now * rate / 1_000;
     // A time of day that all agree on to the millisecond: terms then never fall, whoever forgets.
     let wall = 1_000_000 + now / 1_000 - at / 1_000;
-    let mut duties = Duties::planted(
+    let mut leases = Leases::injected_fault(
         at,
         terms,
         Rc::clone(&name),
-        lives(number, life),
+        incarnations(number, incarnation),
         wall,
-        wish.planted,
+        wish.injected_fault,
     );
     if number >= VOTERS {
-        duties.want(at, vec![Duty::new(DUTY, None)]);
+        leases.track(at, vec![Lease::new(DUTY, None)]);
     }
     Node {
         name,
-        duties,
+        leases,
         rate,
-        lives: life,
+        incarnations: incarnation,
         took: None,
     }
 }
@@ -139,15 +141,15 @@
         let mut nodes: Vec<Node> = (0..VOTERS + wish.candidates)
             .map(|number| started(number, 0, rate(number), 1, wish))
             .collect();
-        let now = LEASE_MOST * 2;
+        let now = MAX_LEASE_US * 2;
         for node in &mut nodes[VOTERS..] {
             let at = local(node, now);
-            node.duties.want(at, vec![Duty::new(DUTY, None)]);
+            node.leases.track(at, vec![Lease::new(DUTY, None)]);
         }
         Self {
             now,
             nodes,
-            frames: Vec::new(),
+            messages: Vec::new(),
             highest: None,
             restarts: 0,
             stops: 0,
@@ -155,8 +157,8 @@
         }
     }
 
-    fn present(&self) -> Vec<Place> {
-        let place = |node: &Node| Place {
+    fn present(&self) -> Vec<Candidate> {
+        let place = |node: &Node| Candidate {
             name: Rc::clone(&node.name),
             zone: "".into(),
         };
@@ -164,10 +166,10 @@
     }
 
     fn holders(&self) -> Vec<usize> {
-        let duty = Duty::new(DUTY, None).id;
+        let lease = Lease::new(DUTY, None).id;
         let holds = |n: &usize| {
             let node = &self.nodes[*n];
-            node.duties.holds(local(node, self.now), duty, 0).is_some()
+            node.leases.holds(local(node, self.now), lease, 0).is_some()
         };
         (VOTERS..self.nodes.len()).filter(holds).collect()
     }
@@ -175,23 +177,23 @@
     fn moves(&self) -> Vec<Move> {
         let mut moves = Vec::new();
         for (number, node) in self.nodes.iter().enumerate().skip(VOTERS) {
-            if node.duties.next_due() <= local(node, self.now) {
+            if node.leases.next_due() <= local(node, self.now) {
                 moves.push(Move::Run(number));
             }
         }
-        for (place, frame) in self.frames.iter().enumerate() {
-            if self.frames[..place].contains(frame) {
+        for (place, message) in self.messages.iter().enumerate() {
+            if self.messages[..place].contains(message) {
                 continue;
             }
             moves.push(Move::Deliver(place, false));
-            if !frame.3 && self.repeats < 1 {
+            if !message.3 && self.repeats < 1 {
                 moves.push(Move::Deliver(place, true));
             }
         }
         moves.extend(STEPS.map(Move::Wait));
         for node in &self.nodes[VOTERS..] {
             // To just before a lease runs out by its holder's clock.
-            for (.., until) in node.duties.open() {
+            for (.., until) in node.leases.open() {
                 let at = (until * 1_000 / node.rate).saturating_sub(BEFORE);
                 if at > self.now {
                     moves.push(Move::Wait(at - self.now));
@@ -219,47 +221,49 @@
             Move::Run(number) => {
                 let node = &mut self.nodes[number];
                 let at = local(node, now);
-                node.duties.due(at, &present, true);
+                node.leases.due(at, &present, true);
                 return self.after(number);
             }
             Move::Deliver(place, stays) => {
-                let (from, to, life, _, frame) = match stays {
+                let (from, to, incarnation, _, message) = match stays {
                     true => {
                         self.repeats += 1;
-                        self.frames[place].3 = true;
-                        self.frames[place].clone()
+                        self.messages[place].3 = true;
+                        self.messages[place].clone()
                     }
-                    false => self.frames.remove(place),
+                    false => self.messages.remove(place),
                 };
                 let sender = Rc::clone(&self.nodes[from].name);
                 // What an earlier process of a name sent is not taken once the later one was heard; here never.
-                if life != lives(from, self.nodes[from].lives) {
+                if incarnation != incarnations(from, self.nodes[from].incarnations) {
                     return None;
                 }
                 let node = &mut self.nodes[to];
                 let at = local(node, now);
-                node.duties.heard(at, &sender, life, &frame);
+                node.leases.receive(at, &sender, incarnation, &message);
                 return self.after(to);
             }
             Move::Wait(span) => self.now += span,
             Move::Restart(number) => {
                 self.restarts += 1;
                 let node = &self.nodes[number];
-                let (rate, life) = (node.rate, node.lives + 1);
-                self.nodes[number] = started(number, now, rate, life, wish);
+                let (rate, incarnation) = (node.rate, node.incarnations + 1);
+                self.nodes[number] = started(number, now, rate, incarnation, wish);
             }
             Move::Stop(number) => {
                 self.stops += 1;
                 let node = &mut self.nodes[number];
                 let at = local(node, now);
-                node.duties.stop(at);
+                node.leases.stop(at);
                 return self.after(number);
             }
             Move::Act(from, to) => {
                 let node = &mut self.nodes[from];
-                let (at, duty) = (local(node, now), Duty::new(DUTY, None).id);
+                let (at, lease) = (local(node, now), Lease::new(DUTY, None).id);
                 let to = Rc::clone(&self.nodes[to].name);
-                self.nodes[from].duties.act(at, duty, &to, 0, Vec::new());
+                self.nodes[from]
+                    .leases
+                    .send_command(at, lease, &to, 0, Vec::new());
                 return self.after(from);
             }
         }
@@ -268,22 +272,23 @@
 
     /// Sends what one has to say and looks at what it did.
     fn after(&mut self, number: usize) -> Option<String> {
-        let life = lives(number, self.nodes[number].lives);
-        let (frames, events) = (
-            self.nodes[number].duties.take_frames(),
-            self.nodes[number].duties.take_events(),
+        let incarnation = incarnations(number, self.nodes[number].incarnations);
+        let (messages, events) = (
+            self.nodes[number].leases.take_messages(),
+            self.nodes[number].leases.take_events(),
         );
-        for (to, frame) in frames {
+        for (to, message) in messages {
             if let Some(to) = self.nodes.iter().position(|node| node.name == to) {
-                self.frames.push((number, to, life, false, frame));
+                self.messages
+                    .push((number, to, incarnation, false, message));
             }
         }
-        while self.frames.len() > ON_THE_WAY_MOST {
-            self.frames.remove(0);
+        while self.messages.len() > ON_THE_WAY_MOST {
+            self.messages.remove(0);
         }
         for event in events {
             match event {
-                DutyEvent::Taken { term, .. } => {
+                LeaseEvent::Acquired { term, .. } => {
                     if self.highest.is_some_and(|highest| term <= highest) {
                         return Some(format!(
                             "{} holds by {term:?} after {:?}",
@@ -294,7 +299,7 @@
                     let took = &mut self.nodes[number].took;
                     *took = (*took).max(Some(term));
                 }
-                DutyEvent::Acted { term, .. } => {
+                LeaseEvent::CommandReceived { term, .. } => {
                     let node = &mut self.nodes[number];
                     if node.took.is_some_and(|took| term < took) {
                         return Some(format!(
@@ -367,7 +372,7 @@
         let mut state = first.clone();
         for (place, one) in moves.iter().enumerate() {
             let possible = match one {
-                Move::Deliver(frame, _) => *frame < state.frames.len(),
+                Move::Deliver(message, _) => *message < state.messages.len(),
                 _ => true,
             };
             if let Some(what) = possible.then(|| state.make(one, wish)).flatten() {
@@ -404,7 +409,7 @@
 fn held(wish: &Wish) -> State {
     let mut state = State::first(wish);
     state.make(&Move::Run(VOTERS), wish);
-    while !state.frames.is_empty() {
+    while !state.messages.is_empty() {
         state.make(&Move::Deliver(0, false), wish);
     }
     state
@@ -494,7 +499,7 @@
             depth: 4,
             walks: 200,
             candidates: 2,
-            planted: None,
+            injected_fault: None,
             over: Arc::default(),
         });
         assert_eq!(found.broken, Vec::<String>::new());
@@ -503,12 +508,12 @@
 
     #[rstest]
     fn a_planted_fault_has_a_trace(#[values(0, 1, 2, 3, 4, 5)] which: usize) {
-        let (name, planted) = Planted::ALL[which];
+        let (name, injected_fault) = InjectedFault::ALL[which];
         let found = explore(&Wish {
             depth: 1,
             walks: 3_000,
             candidates: 2,
-            planted: Some(planted),
+            injected_fault: Some(injected_fault),
             over: Arc::default(),
         });
         assert!(
--- a/crates/testbed/src/figures.rs
+++ b/crates/testbed/src/figures.rs
@@ -9,7 +9,7 @@
 
 use crate::clients::{Collected, Tickets};
 use crate::fleet::Known;
-use crate::fleet::duties::DutiesFound;
+use crate::fleet::leases::DutiesFound;
 
 /// Milliseconds.
 #[derive(Clone, Debug, Default, Serialize)]
@@ -124,7 +124,7 @@
             && known
                 .is_none_or(|known| known.wrongly_gone == 0 && known.views_agree_after_ms.is_some())
             && known
-                .and_then(|known| known.duties.as_ref())
+                .and_then(|known| known.leases.as_ref())
                 .is_none_or(DutiesFound::is_sound)
     }
 
@@ -201,7 +201,7 @@
                     format!("agree {ms:.0} ms after the last fault")
                 });
             line("views", format!("{agree}, of {} looks", known.looks));
-            let times = crate::accord::spread(known.detected_ms.clone());
+            let times = crate::cluster::spread(known.detected_ms.clone());
             line(
                 "who is away",
                 format!(
@@ -209,7 +209,7 @@
                     times.p50, times.worst, times.count
                 ),
             );
-            let all = crate::accord::spread(known.detected_by_all_ms.clone());
+            let all = crate::cluster::spread(known.detected_by_all_ms.clone());
             if all.count > 0 {
                 let text = format!(
                     "after {:.0} ms, worst {:.0} of {}",
@@ -229,7 +229,7 @@
             }
             line(
                 "refuted",
-                format!("{} doubts, also of who had been stopped", known.refuted),
+                format!("{} doubts, also of who had been stopped", known.refutations),
             );
             line(
                 "wrongly gone",
@@ -238,11 +238,11 @@
                     known.wrongly_gone, known.held_gone_while_running
                 ),
             );
-            if let Some(duties) = &known.duties {
-                let times = crate::accord::spread(duties.without_holder_ms.clone());
+            if let Some(duties) = &known.leases {
+                let times = crate::cluster::spread(duties.without_holder_ms.clone());
                 let text = format!(
                     "{}: {} OVERLAPS, {} old terms taken, {} changes ({} of one in a minute at most), {} vacant",
-                    duties.duties,
+                    duties.leases,
                     duties.overlaps,
                     duties.old_terms_taken,
                     duties.changes,
@@ -258,16 +258,16 @@
                     ),
                 );
                 for (how, list) in &duties.without_holder_by {
-                    let times = crate::accord::spread(list.clone());
+                    let times = crate::cluster::spread(list.clone());
                     let text = format!(
                         "{how}: {:.0} ms, worst {:.0} of {}",
                         times.p50, times.worst, times.count
                     );
                     line("", text);
                 }
-                duties.why.iter().for_each(|why| line("", why.clone()));
+                duties.details.iter().for_each(|why| line("", why.clone()));
             }
-            known.why.iter().for_each(|why| line("", why.clone()));
+            known.details.iter().for_each(|why| line("", why.clone()));
         }
         match self.rules_broken_count {
             0 => line("rules", "none broken".into()),
--- a/crates/testbed/src/fleet/duties.rs
+++ b/crates/testbed/src/fleet/leases.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 
 use pinefront_model::Micros;
-use pinefront_model::tenures::{Tenures, Turn};
+use pinefront_model::lease_history::{LeaseHistory, LeaseTerm};
 use rustix::time::{ClockId, clock_gettime};
 use serde::Serialize;
 
@@ -29,8 +29,10 @@
     pub changes_most_a_minute: usize,
     /// Duties that nobody held when the day was over.
     pub vacant: usize,
-    pub duties: usize,
-    pub why: Vec<String>,
+    #[serde(rename = "duties")]
+    pub leases: usize,
+    #[serde(rename = "why")]
+    pub details: Vec<String>,
 }
 
 impl DutiesFound {
@@ -66,44 +68,46 @@
 
     /// Holds all spans against one another, at a moment when every process has ended or said what it lost.
     pub fn found(&self, ends: Micros, fallen: u64) -> DutiesFound {
-        let mut tenures = Tenures::default();
+        let mut lease_history = LeaseHistory::default();
         let mut lines = locked(&self.0).clone();
         // Each balancer's lines come in order; those of several in any: begins before ends of one term is what counts.
         lines.sort_by_key(|(_, line)| field(line, "at_us").or(field(line, "until_us")));
-        let mut ended: Vec<(usize, String, Turn, Micros, &'static str)> = Vec::new();
+        let mut ended: Vec<(usize, String, LeaseTerm, Micros, &'static str)> = Vec::new();
         let mut deaths = Vec::new();
         for (number, line) in &lines {
-            let (duty, term) = (text(line, "duty"), text(line, "term").and_then(turn));
-            match (duty, term, field(line, "at_us"), field(line, "until_us")) {
-                (Some(duty), Some(turn), Some(at), None) => tenures.begins(at, *number, duty, turn),
-                (Some(duty), Some(turn), None, Some(until)) => {
+            let (lease, term) = (text(line, "duty"), text(line, "term").and_then(turn));
+            match (lease, term, field(line, "at_us"), field(line, "until_us")) {
+                (Some(lease), Some(turn), Some(at), None) => {
+                    lease_history.begins(at, *number, lease, turn)
+                }
+                (Some(lease), Some(turn), None, Some(until)) => {
                     let how = match text(line, "why") {
                         Some("let_go") => "let go",
                         Some("pauses") => "pauses",
                         Some("later") => "later term",
                         _ => "ran out",
                     };
-                    ended.push((*number, duty.to_owned(), turn, until, how));
+                    ended.push((*number, lease.to_owned(), turn, until, how));
                 }
                 (None, _, Some(at), _) => deaths.push((*number, at)),
                 _ => {}
             }
         }
-        for (number, duty, turn, until, how) in ended {
-            tenures.ends(until, number, &duty, turn, how);
+        for (number, lease, turn, until, how) in ended {
+            lease_history.ends(until, number, &lease, turn, how);
         }
         for (number, at) in deaths {
-            tenures.dies(at, number);
+            lease_history.dies(at, number);
         }
-        let held = tenures.found(ends);
+        let held = lease_history.found(ends);
         let mut found = DutiesFound {
             overlaps: held.overlaps.len() as u64,
             old_terms_taken: fallen,
             changes: held.changes,
             changes_most_a_minute: held.most_a_minute,
-            vacant: tenures.vacant(ends).len(),
-            duties: tenures.count(),
-            why: held.overlaps.into_iter().take(5).collect(),
+            vacant: lease_history.vacant(ends).len(),
+            leases: lease_history.count(),
+            details: held.overlaps.into_iter().take(5).collect(),
             ..DutiesFound::default()
         };
         for (span, how) in held.without {
@@ -125,11 +129,11 @@
 }
 
 /// A term as it is logged.
-pub fn turn(text: &str) -> Option<Turn> {
-    let (number, life) = text.split_once('-')?;
+pub fn turn(text: &str) -> Option<LeaseTerm> {
+    let (number, incarnation) = text.split_once('-')?;
     Some((
         u64::from_str_radix(number, 16).ok()?,
-        u64::from_str_radix(life, 16).ok()?,
+        u64::from_str_radix(incarnation, 16).ok()?,
     ))
 }
 
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -1,10 +1,10 @@
 //! The rig for several real balancers: a relay on each way between two of them, their views of one another taken down
 //! and judged against the truth, and days drawn from a seed.
 
-pub mod company;
 pub mod drawn;
-pub mod duties;
+pub mod leases;
 pub mod relays;
+pub mod simulated_members;
 pub mod views;
 
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
 use pinefront_model::day::Day;
 use serde::Serialize;
 
-use crate::fleet::duties::DutiesFound;
+use crate::fleet::leases::DutiesFound;
 
 /// What was found of the balancers' knowledge of each other.
 #[derive(Clone, Debug, Default, Serialize)]
@@ -28,7 +28,8 @@
     /// From each death or stall until all others that ran held it for gone.
     pub detected_by_all_ms: Vec<f64>,
     /// Times that a balancer had to say that it is there: it was doubted wrongly, or had been stopped.
-    pub refuted: u64,
+    #[serde(rename = "refuted")]
+    pub refutations: u64,
     /// Balancers that ran, were not stopped and were held for gone all the same, each once.
     pub held_gone_while_running: u64,
     pub looks: u64,
@@ -39,15 +40,17 @@
     /// Calls that discovery took, of all balancers, and for how long the day was.
     pub discovery_calls: u64,
     pub discovery_calls_a_second: f64,
-    pub why: Vec<String>,
+    #[serde(rename = "why")]
+    pub details: Vec<String>,
     /// Who held which duty, where the day has any.
-    pub duties: Option<DutiesFound>,
+    #[serde(rename = "duties")]
+    pub leases: Option<DutiesFound>,
 }
 
 /// Members that vote: the first, which are seeds too.
 const VOTERS: usize = 3;
 
-fn duties(day: &Day) -> String {
+fn leases(day: &Day) -> String {
     if day.duties == 0 && !day.roster {
         return String::new();
     }
@@ -139,7 +142,7 @@
             seeds.join(", "),
             day.fleet.zones[number % day.fleet.zones.len()],
             via.concat()
-        ) + &duties(day);
+        ) + &leases(day);
         let path = folder.join(format!("b{number}-at-{place}.toml"));
         std::fs::write(&path, text)?;
         Ok(path)
--- a/crates/testbed/src/fleet/company.rs
+++ b/crates/testbed/src/fleet/simulated_members.rs
@@ -9,8 +9,8 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use pinefront_cluster::envelope::{DATAGRAM_MOST, Key};
-use pinefront_cluster::{Accord, Micros, Part};
+use pinefront_cluster::datagram::{Key, MAX_DATAGRAM_BYTES};
+use pinefront_cluster::{Cluster, MemberConfig, Micros};
 
 const FLEET: &str = "lab";
 const KEY: &str = "a key for the lab's own fleet\n";
@@ -19,13 +19,13 @@
 const SEEDS: usize = 3;
 
 /// Ends with the value.
-pub struct Company {
+pub struct SimulatedMembers {
     over: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
     seeds: Vec<SocketAddr>,
 }
 
-impl Company {
+impl SimulatedMembers {
     /// Starts so many members, which find each other.
     pub fn start(members: usize) -> io::Result<Self> {
         let mut sockets = Vec::new();
@@ -66,7 +66,7 @@
     }
 }
 
-impl Drop for Company {
+impl Drop for SimulatedMembers {
     fn drop(&mut self) {
         self.over.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
@@ -82,40 +82,40 @@
     };
     let began = Instant::now();
     let now = || began.elapsed().as_micros() as Micros + 1;
-    let born = SystemTime::now()
+    let started_at_us = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
         .as_micros() as u64;
-    let mut all: Vec<(Accord, UdpSocket)> = Vec::new();
+    let mut all: Vec<(Cluster, UdpSocket)> = Vec::new();
     for (number, (address, socket)) in sockets.into_iter().enumerate() {
-        let part = Part {
+        let part = MemberConfig {
             fleet: FLEET.into(),
             name: format!("company-{number}"),
             zone: "a".into(),
             address,
             seeds: seeds.to_vec(),
-            born,
-            probe_every: Part::PROBE_EVERY,
-            answer_within: Part::ANSWER_WITHIN,
-            doubt_least: Part::DOUBT_LEAST,
-            struck: Default::default(),
+            started_at_us,
+            probe_interval: MemberConfig::DEFAULT_PROBE_INTERVAL,
+            probe_timeout: MemberConfig::DEFAULT_PROBE_TIMEOUT,
+            min_suspicion: MemberConfig::DEFAULT_MIN_SUSPICION,
+            confirmed_dead: Default::default(),
         };
         all.push((
-            Accord::new(part, key.clone(), number as u64 + 1, now()),
+            Cluster::new(part, key.clone(), number as u64 + 1, now()),
             socket,
         ));
     }
-    let mut bytes = [0; DATAGRAM_MOST + 1];
+    let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
     while !over.load(Ordering::Relaxed) {
-        for (accord, socket) in &mut all {
+        for (cluster, socket) in &mut all {
             while let Ok((length, _)) = socket.recv_from(&mut bytes) {
-                accord.heard(now(), &bytes[..length]);
+                cluster.receive(now(), &bytes[..length]);
             }
-            if accord.next_due() <= now() {
-                accord.due(now());
+            if cluster.next_due() <= now() {
+                cluster.due(now());
             }
-            accord.take_events();
-            for (to, bytes) in accord.take_datagrams() {
+            cluster.take_events();
+            for (to, bytes) in cluster.take_datagrams() {
                 // A full socket loses one as well as the network does.
                 let _ = socket.send_to(&bytes, to);
             }
--- a/crates/testbed/src/fleet/views.rs
+++ b/crates/testbed/src/fleet/views.rs
@@ -7,14 +7,14 @@
 use std::time::Duration;
 
 use pinefront_model::faults::What;
-use pinefront_model::presence::{Held, Presence, Said};
-use pinefront_model::tenures::Tenures;
+use pinefront_model::lease_history::LeaseHistory;
+use pinefront_model::process_history::{ClaimedStatus, ProcessHistory, ViewEntry};
 use pinefront_model::{Micros, SECOND};
 use serde::Deserialize;
 use tokio::net::TcpStream;
 
 use crate::fleet::Known;
-use crate::fleet::duties::turn;
+use crate::fleet::leases::turn;
 use crate::http;
 use crate::world::{World, locked};
 
@@ -28,20 +28,26 @@
 #[derive(Debug, Deserialize)]
 struct Seen {
     name: String,
-    life: String,
+    #[serde(rename = "life")]
+    incarnation: String,
     state: String,
-    standing: BTreeMap<String, String>,
+    #[serde(rename = "standing")]
+    serving_status: BTreeMap<String, String>,
     /// Earlier processes of that name that may be serving.
     earlier: Vec<String>,
 }
 
 #[derive(Debug, Deserialize)]
 struct View {
-    life: String,
-    may_be_serving: usize,
-    refuted: u64,
+    #[serde(rename = "life")]
+    incarnation: String,
+    #[serde(rename = "may_be_serving")]
+    may_serve: usize,
+    #[serde(rename = "refuted")]
+    refutations: u64,
     members: Vec<Seen>,
-    duties: Option<SeenDuties>,
+    #[serde(rename = "duties")]
+    leases: Option<SeenDuties>,
 }
 
 #[derive(Debug, Deserialize)]
@@ -59,7 +65,7 @@
 #[derive(Clone, Debug, Default)]
 struct Truth {
     /// The process that runs, as it names itself; nothing until it was asked.
-    life: Option<String>,
+    incarnation: Option<String>,
     runs: bool,
     stopped: bool,
     /// When it last came, went, stopped or went on.
@@ -71,15 +77,15 @@
     by_all: bool,
     blamed: bool,
     /// How often it had to say that it is there, its earlier processes included.
-    refuted: u64,
+    refutations: u64,
 }
 
 pub struct Views {
     truth: Vec<Truth>,
-    presence: Presence<String>,
+    process_history: ProcessHistory<String>,
     /// Terms of duties that each process knows, by its life.
-    tenures: Tenures,
-    lives: Vec<String>,
+    lease_history: LeaseHistory,
+    incarnations: Vec<String>,
     known: Known,
     /// When the last fault is over, and since when all views are right.
     over: Micros,
@@ -108,13 +114,13 @@
             balancers
         ];
         let right = vec![Err("never asked".into()); balancers];
-        let presence = Presence::new(balancers);
-        let (tenures, lives) = (Tenures::default(), Vec::new());
+        let process_history = ProcessHistory::new(balancers);
+        let (lease_history, incarnations) = (LeaseHistory::default(), Vec::new());
         Self {
             truth,
-            presence,
-            tenures,
-            lives,
+            process_history,
+            lease_history,
+            incarnations,
             known: Known::default(),
             over,
             right_since: None,
@@ -142,9 +148,10 @@
             return;
         };
         if !runs || matches!(what, What::BalancerStarts(_) | What::BalancerTakesPlace(..)) {
-            truth.life = None;
-            truth.refuted = 0;
-            self.presence.ends(now, number, !runs && away.is_none());
+            truth.incarnation = None;
+            truth.refutations = 0;
+            self.process_history
+                .ends(now, number, !runs && away.is_none());
         }
         (truth.runs, truth.stopped, truth.since, truth.away) = (runs, stopped, now, away);
         truth.noticed.clear();
@@ -156,9 +163,9 @@
 
     fn wrong(&mut self, now: Micros, what: String) {
         self.known.wrongly_gone += 1;
-        if self.known.why.len() < WHYS_KEPT {
+        if self.known.details.len() < WHYS_KEPT {
             self.known
-                .why
+                .details
                 .push(format!("{:.1} s: {what}", now as f64 / 1e6));
         }
     }
@@ -170,36 +177,42 @@
             return;
         }
         let since = self.truth[number].since;
-        if self.truth[number].life.is_none() {
-            self.truth[number].life = Some(view.life.clone());
-            self.presence.starts(since, number, view.life.clone());
+        if self.truth[number].incarnation.is_none() {
+            self.truth[number].incarnation = Some(view.incarnation.clone());
+            self.process_history
+                .starts(since, number, view.incarnation.clone());
         }
-        let place = self.lives.iter().position(|life| *life == view.life);
+        let place = self
+            .incarnations
+            .iter()
+            .position(|incarnation| *incarnation == view.incarnation);
         let process = place.unwrap_or_else(|| {
-            self.lives.push(view.life.clone());
-            self.lives.len() - 1
+            self.incarnations.push(view.incarnation.clone());
+            self.incarnations.len() - 1
         });
-        for duty in view.duties.iter().flat_map(|duties| &duties.all) {
-            if let Some(turn) = duty.term.as_deref().and_then(turn) {
-                self.tenures.acted(process as u64, &duty.name, turn);
+        for lease in view.leases.iter().flat_map(|leases| &leases.all) {
+            if let Some(turn) = lease.term.as_deref().and_then(turn) {
+                self.lease_history.acted(process as u64, &lease.name, turn);
             }
         }
-        self.known.refuted += view.refuted.saturating_sub(self.truth[number].refuted);
-        self.truth[number].refuted = view.refuted;
+        self.known.refutations += view
+            .refutations
+            .saturating_sub(self.truth[number].refutations);
+        self.truth[number].refutations = view.refutations;
         let held = |seen: &Seen| {
-            let gone = seen.standing.contains_key("proven_gone");
-            let said = if gone {
-                Said::ProvenGone
+            let gone = seen.serving_status.contains_key("proven_gone");
+            let claimed = if gone {
+                ClaimedStatus::ProvenStopped
             } else {
-                Said::MayServe
+                ClaimedStatus::MayServe
             };
-            let earlier = seen.earlier.iter().map(|life| Held {
-                life: life.clone(),
-                said: Said::MayServe,
+            let earlier = seen.earlier.iter().map(|incarnation| ViewEntry {
+                incarnation: incarnation.clone(),
+                claimed: ClaimedStatus::MayServe,
             });
-            [Held {
-                life: seen.life.clone(),
-                said,
+            [ViewEntry {
+                incarnation: seen.incarnation.clone(),
+                claimed,
             }]
             .into_iter()
             .chain(earlier)
@@ -207,11 +220,11 @@
         };
         let held: Vec<_> = view.members.iter().flat_map(held).collect();
         // It counts itself too.
-        let wrong = self.presence.view(
+        let wrong = self.process_history.view(
             number,
             [asked, now],
             &held,
-            view.may_be_serving.saturating_sub(1),
+            view.may_serve.saturating_sub(1),
         );
         wrong.into_iter().for_each(|wrong| self.wrong(now, wrong));
         let mut right = Ok(());
@@ -221,7 +234,7 @@
                 .iter()
                 .find(|seen| seen.name == format!("b{other}"));
             let truth = self.truth[other].clone();
-            let same = seen.filter(|seen| truth.life.as_ref() == Some(&seen.life));
+            let same = seen.filter(|seen| truth.incarnation.as_ref() == Some(&seen.incarnation));
             if let Some(seen) = same
                 && truth.runs
                 && asked > truth.since
@@ -273,7 +286,7 @@
 
     /// Times that a balancer's greatest known term of a duty fell.
     pub fn terms_fallen(&self) -> u64 {
-        self.tenures.old_taken.len() as u64
+        self.lease_history.old_taken.len() as u64
     }
 
     /// What was found, when the day is over.
@@ -288,7 +301,7 @@
                 .filter_map(|right| right.as_ref().err())
                 .take(3);
             known
-                .why
+                .details
                 .extend(wrong.map(|wrong| format!("at the end {wrong}")));
         }
         known
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,10 +1,10 @@
 //! `pinefront-testbed`: runs pinefront before stand-in servers, plays days, measures.
 
-mod accord;
 mod balancers;
 mod baseline;
 mod clients;
 mod clock;
+mod cluster;
 mod commands;
 mod discovery;
 mod explore;
--- a/crates/testbed/src/overhead.rs
+++ b/crates/testbed/src/overhead.rs
@@ -10,7 +10,7 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use crate::balancers::{Balancer, wait_ready};
-use crate::fleet::company::Company;
+use crate::fleet::simulated_members::SimulatedMembers;
 use crate::load::{Found, Plan, load};
 use crate::play::{Folder, runtime};
 use crate::world::{World, locked};
@@ -116,7 +116,7 @@
     })?;
     let company = wishes
         .members
-        .map(|members| Company::start(members.saturating_sub(1)))
+        .map(|members| SimulatedMembers::start(members.saturating_sub(1)))
         .transpose();
     let company =
         company.map_err(|problem| format!("cannot start the fleet's other members: {problem}"))?;
--- a/crates/testbed/src/play.rs
+++ b/crates/testbed/src/play.rs
@@ -20,7 +20,7 @@
 use crate::clients::{Load, worker};
 use crate::discovery;
 use crate::figures::Figures;
-use crate::fleet::duties::{DutyLines, machine_now};
+use crate::fleet::leases::{DutyLines, machine_now};
 use crate::fleet::relays::{Relayed, flood, relay};
 use crate::fleet::views::{Views, watch};
 use crate::fleet::{Addresses, Known};
@@ -460,7 +460,7 @@
     if let Some(known) = known.as_mut().filter(|_| day.duties > 0 || day.roster) {
         // The readers of the processes' logs end with these.
         std::thread::sleep(RUNS_OUT);
-        known.duties = Some(
+        known.leases = Some(
             balancing
                 .duty_lines
                 .found(over_at, locked(&views).terms_fallen()),
