--- a/crates/testbed/src/tests.rs
+++ b/crates/testbed/src/tests.rs
@@ -18,7 +18,7 @@
 use crate::clients::Tickets;
 use crate::figures::{Figures, Second, Times};
 use crate::fleet::Known;
-use crate::fleet::duties::DutiesFound;
+use crate::fleet::leases::DutiesFound;
 use crate::soak::schedule::{self, Shape};
 use crate::world::World;
 use crate::{balancers, clients, discovery, load, overhead, soak, stand, system};
@@ -89,8 +89,8 @@
         changes: 5,
         changes_most_a_minute: 6,
         vacant: 7,
-        duties: 8,
-        why: vec!["duty text".into()],
+        leases: 8,
+        details: vec!["duty text".into()],
     }
 }
 
@@ -100,7 +100,7 @@
         wrongly_gone: 10,
         detected_ms: vec![11.5],
         detected_by_all_ms: vec![12.5],
-        refuted: 13,
+        refutations: 13,
         held_gone_while_running: 14,
         looks: 15,
         relayed: 16,
@@ -108,8 +108,8 @@
         flooded: 18,
         discovery_calls: 19,
         discovery_calls_a_second: 20.5,
-        why: vec!["view text".into()],
-        duties: Some(duties_found()),
+        details: vec!["view text".into()],
+        leases: Some(duties_found()),
     }
 }
 
