--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -178,7 +178,7 @@
         let names = |object: &Value, name: &str| -> Decoded<Vec<String>> {
             list(object, name)?
                 .iter()
-                .map(|entry| text(entry, "name").map(str::to_owned))
+                .map(|entry| Ok(text(entry, "name")?.to_owned()))
                 .collect()
         };
         let words = |name: &str| -> Decoded<Vec<String>> {
@@ -335,7 +335,7 @@
 fn named(document: &Value, variables: &Variables, name: &str) -> Decoded<String> {
     match variables.get(&name.to_uppercase()) {
         Some(value) => Ok(value.clone()),
-        None => text(document, name).map(str::to_owned),
+        None => Ok(text(document, name)?.to_owned()),
     }
 }
 
