--- a/crates/proxy/src/connections/client.rs
+++ b/crates/proxy/src/connections/client.rs
@@ -1,6 +1,7 @@
 //! Clients' connections: reading, answering, closing.
 
 use std::net::Shutdown;
+use std::rc::Rc;
 
 use bytes::Bytes;
 use pinefront_policy::Micros;
@@ -51,16 +52,16 @@
     pub fn client_disconnected(&mut self, key: ClientKey, reason: CloseReason) {
         let mut state = self.state.borrow_mut();
         let request = state.clients.get(key).and_then(|client| client.request);
-        let left = request.and_then(|request| state.detach_client(request));
-        state.close_client(
-            key,
-            if left.is_some() {
-                CloseReason::ClientDisconnected
-            } else {
-                reason
-            },
-        );
-        if let Some((id, _)) = left {
+        let unanswered = request.and_then(|request| {
+            let id = Rc::clone(&state.requests.get(request)?.id);
+            state.detach_client(request).map(|_| id)
+        });
+        let reason = match unanswered {
+            Some(_) => CloseReason::ClientDisconnected,
+            None => reason,
+        };
+        state.close_client(key, reason);
+        if let Some(id) = unanswered {
             state.counters.requests_disconnected += 1;
             info!(state.log, "client disconnected"; "request" => &*id);
             let now = state.now();
@@ -249,7 +250,7 @@
         fields: Vec<Bytes>,
         body: Vec<Bytes>,
     ) {
-        let Some((_, key)) = self.detach_client(request) else {
+        let Some(key) = self.detach_client(request) else {
             return;
         };
         // Many clients ask once and keep their connection: where there is a crowd, none is kept.
--- a/crates/proxy/src/connections/client/tests.rs
+++ b/crates/proxy/src/connections/client/tests.rs
@@ -49,7 +49,7 @@
     assert_eq!(
         (
             state.requests.len(),
-            state.request_by_id.len(),
+            state.requests.id_count(),
             state.endpoint_connections.len(),
             state.clients.len()
         ),
--- a/crates/proxy/src/connections/endpoint.rs
+++ b/crates/proxy/src/connections/endpoint.rs
@@ -133,10 +133,11 @@
         let mut state = self.state.borrow_mut();
         let now = state.now();
         state.count_ending(ending);
-        let told = state.finish_attempt(request, number, ending, sent);
+        let finished = state.requests.finish_attempt(request, number, ending, sent);
         drop(state);
         // Also where nobody waits: the key of a request in order is free only when its attempt has ended.
-        if let Some((id, _)) = told {
+        if let Some(finished) = finished {
+            let id = finished.request_id;
             self.state.borrow().log_attempt(&id, number, ending);
             self.balancer
                 .attempt_ended(now, &id, number, false, ending, now.saturating_sub(sent));
--- a/crates/proxy/src/connections/endpoint/tests.rs
+++ b/crates/proxy/src/connections/endpoint/tests.rs
@@ -95,7 +95,12 @@
     assert_eq!(
         (
             state.endpoint_connections.len(),
-            state.endpoints[state.endpoint_by_id["s1"]].idle.len()
+            state
+                .endpoints
+                .get(state.endpoints.key_of("s1").unwrap())
+                .unwrap()
+                .idle
+                .len()
         ),
         (idle, idle)
     );
@@ -125,7 +130,7 @@
     drop(harness.endpoint("s1"));
     let (_client, request) = harness.start_attempt("t1", "s1", LONG);
     assert_eq!(endings(&harness), "");
-    assert!(harness.proxy.state.borrow().requests.contains_key(request));
+    assert!(harness.proxy.state.borrow().requests.get(request).is_some());
     assert_eq!(ended(&mut harness), "unreachable 1");
 }
 
@@ -300,7 +305,12 @@
     }
     let find = |harness: &TestHarness, id: &str| {
         let state = harness.proxy.state.borrow();
-        state.requests[state.request_by_id[id]].attempts[0].unwrap()
+        state
+            .requests
+            .get(state.requests.key_of(id).unwrap())
+            .unwrap()
+            .attempts[0]
+            .unwrap()
     };
     let (idle, key) = (find(&harness, "t1"), find(&harness, "t2"));
     {
@@ -359,8 +369,8 @@
     {
         let mut state = harness.proxy.state.borrow_mut();
         let told = state.now() - 400_000;
-        let key = state.endpoint_by_id["s1"];
-        state.endpoints[key].draining_since = Some(told);
+        let key = state.endpoints.key_of("s1").unwrap();
+        state.endpoints.get_mut(key).unwrap().draining_since = Some(told);
     }
     assert_eq!(ended(&mut harness), "unreachable 1");
     let connection = harness.accepted(&endpoint);
@@ -381,7 +391,7 @@
     assert_eq!(
         (
             state.endpoint_connections.len(),
-            state.requests[request].attempts.len()
+            state.requests.get(request).unwrap().attempts.len()
         ),
         (0, 1)
     );
@@ -449,7 +459,7 @@
         } else {
             state.now() - since
         };
-        let endpoint = state.endpoint_by_id["s1"];
+        let endpoint = state.endpoints.key_of("s1").unwrap();
         state.connection_to(endpoint).unwrap();
     }
     assert_eq!(
@@ -466,13 +476,20 @@
     let _endpoint = harness.endpoint("s1");
     let (_client, request) = harness.start_attempt("t1", "s1", LONG);
     if !waits {
-        harness.proxy.state.borrow_mut().requests[request].client = None;
+        harness
+            .proxy
+            .state
+            .borrow_mut()
+            .requests
+            .get_mut(request)
+            .unwrap()
+            .client = None;
     }
     ProxyHost(harness.proxy.state.clone()).cancel_attempt("t1", 0);
     let hung = harness.proxy.state.borrow().counters.attempts_cancelled == 0;
     assert_eq!((hung, ended(&mut harness).as_str()), (true, heard));
     assert_eq!(
-        harness.proxy.state.borrow().requests.contains_key(request),
+        harness.proxy.state.borrow().requests.get(request).is_some(),
         waits
     );
 }
@@ -714,8 +731,15 @@
     harness.until(|proxy| (proxy.state.borrow().counters.attempts_failed == 2).then_some(()));
     assert!(harness.proxy.state.borrow().endpoint_connections.is_empty());
     // Not for ever.
-    let key = harness.proxy.state.borrow().endpoint_by_id["s1"];
-    harness.proxy.state.borrow_mut().endpoints[key].single_use_until = 0;
+    let key = harness.proxy.state.borrow().endpoints.key_of("s1").unwrap();
+    harness
+        .proxy
+        .state
+        .borrow_mut()
+        .endpoints
+        .get_mut(key)
+        .unwrap()
+        .single_use_until = 0;
     let _client = harness.start_attempt("t2", "s1", LONG);
     let connection = harness.accepted(&endpoint);
     harness.heard(&connection, "body");
--- a/crates/proxy/src/connections/request.rs
+++ b/crates/proxy/src/connections/request.rs
@@ -107,7 +107,7 @@
         {
             return state.reject(key, 400);
         }
-        if state.request_by_id.contains_key(id) {
+        if state.requests.key_of(id).is_some() {
             // A second request under one id would push out the first, which then had no answer.
             return state.reject(key, 409);
         }
@@ -179,7 +179,6 @@
             may_have_run_since: None,
         };
         let request = self.requests.insert(request);
-        self.request_by_id.insert(Rc::clone(&id), request);
         self.counters.requests_received += 1;
         if let Some(client) = self.clients.get_mut(key) {
             client.request = Some(request);
--- a/crates/proxy/src/connections/request/tests.rs
+++ b/crates/proxy/src/connections/request/tests.rs
@@ -111,8 +111,9 @@
             proxy
                 .state
                 .borrow()
-                .request_by_id
-                .contains_key(id)
+                .requests
+                .key_of(id)
+                .is_some()
                 .then_some(())
         });
         client
@@ -163,8 +164,9 @@
             proxy
                 .state
                 .borrow()
-                .request_by_id
-                .contains_key(id)
+                .requests
+                .key_of(id)
+                .is_some()
                 .then_some(())
         });
         client
--- a/crates/proxy/src/connections/response.rs
+++ b/crates/proxy/src/connections/response.rs
@@ -86,12 +86,19 @@
         if has_unsolicited_bytes {
             state.received_unsolicited(endpoint_key);
         }
-        let told = state.finish_attempt(exchange.request, exchange.number, ending, exchange.sent);
+        let finished =
+            state
+                .requests
+                .finish_attempt(exchange.request, exchange.number, ending, exchange.sent);
         if !probe_completed {
             state.count_ending(ending);
         }
         let last = ending == AttemptOutcome::Succeeded;
-        if last && told.as_ref().is_some_and(|(_, waits)| *waits) {
+        if last
+            && finished
+                .as_ref()
+                .is_some_and(|finished| finished.is_awaited)
+        {
             let own = |name: &str| {
                 http_message::is_end_to_end(name) && !name.eq_ignore_ascii_case("x-pressure")
             };
@@ -111,7 +118,8 @@
         if probe_completed {
             return self.probe_finished(endpoint_key, last);
         }
-        if let Some((id, _)) = told {
+        if let Some(finished) = finished {
+            let id = finished.request_id;
             self.state
                 .borrow()
                 .log_attempt(&id, exchange.number, ending);
--- a/crates/proxy/src/connections/send_guard/tests.rs
+++ b/crates/proxy/src/connections/send_guard/tests.rs
@@ -29,15 +29,13 @@
 fn drained(state: &mut ProxyState, key: EndpointConnectionKey, ago: Micros) {
     let told = state.now() - ago;
     let endpoint = state.endpoint_connections[key].endpoint;
-    state.endpoints[endpoint].draining_since = Some(told);
+    state.endpoints.get_mut(endpoint).unwrap().draining_since = Some(told);
 }
 
 fn ran(state: &mut ProxyState, request: RequestKey, idempotency: Idempotency, ago: Micros) {
     let since = state.now() - ago;
-    (
-        state.requests[request].idempotency,
-        state.requests[request].may_have_run_since,
-    ) = (idempotency, Some(since));
+    let request = state.requests.get_mut(request).unwrap();
+    (request.idempotency, request.may_have_run_since) = (idempotency, Some(since));
 }
 
 #[test]
@@ -78,7 +76,12 @@
 #[test]
 fn no_second_attempt_is_sent_while_one_is_out() {
     let two = |state: &mut ProxyState, key, request: RequestKey| {
-        state.requests[request].attempts.push(Some(key));
+        state
+            .requests
+            .get_mut(request)
+            .unwrap()
+            .attempts
+            .push(Some(key));
     };
     assert_eq!(asked(two), (Err(SendRefusal::AttemptInFlight), 1));
 }
@@ -95,7 +98,7 @@
     assert_eq!(asked(over), (Err(SendRefusal::DeadlinePassed), 0));
     let moved = |state: &mut ProxyState, key: EndpointConnectionKey, _| {
         let endpoint = state.endpoint_connections[key].endpoint;
-        state.endpoints[endpoint].address = Some("127.0.0.1:9".parse().unwrap());
+        state.endpoints.get_mut(endpoint).unwrap().address = Some("127.0.0.1:9".parse().unwrap());
     };
     assert_eq!(asked(moved), (Err(SendRefusal::AddressChanged), 0));
 }
--- a/crates/proxy/src/discovery/lists.rs
+++ b/crates/proxy/src/discovery/lists.rs
@@ -123,7 +123,7 @@
     pub fn take_partial(&mut self, partial: &PartialList, of_changes: bool) {
         let now = self.state.borrow().now();
         let changes = partial.is_whole.map_or(of_changes, |is_whole| !is_whole);
-        let known = |id: &str| self.state.borrow().endpoint_by_id.contains_key(id);
+        let known = |id: &str| self.state.borrow().endpoints.key_of(id).is_some();
         let takes_away = |state: Option<&str>| match state {
             Some(state) => matches!(state, "leaving" | "left"),
             None => changes,
@@ -168,9 +168,9 @@
         };
         let is_new = |id: &str, stated: Micros| {
             let known = self
-                .endpoint_by_id
-                .get(id)
-                .and_then(|key| self.endpoints.get(*key)?.started);
+                .endpoints
+                .key_of(id)
+                .and_then(|key| self.endpoints.get(key)?.started);
             known.is_none_or(|known| known.0 != stated)
         };
         let newcomer = |entry: &Value| {
@@ -185,7 +185,7 @@
 
     /// When the process of an endpoint started; of one that is known it is not asked again, whatever clocks did since.
     fn started(&mut self, id: &str, stated: Micros, starts: StartTimes) -> Micros {
-        let key = self.endpoint(id);
+        let key = self.endpoints.get_or_insert(id);
         let Some(endpoint) = self.endpoints.get_mut(key) else {
             return 0;
         };
@@ -211,7 +211,7 @@
 
     /// It is listed as gone. Where only draining binds, its address is kept for as long as the module may use it.
     fn endpoint_removed(&mut self, id: &str, now: Micros, stays_open: bool) {
-        let key = self.endpoint(id);
+        let key = self.endpoints.get_or_insert(id);
         match self.endpoints.get_mut(key) {
             Some(endpoint) if stays_open => _ = endpoint.removed_at.get_or_insert(now),
             _ => self.endpoint_draining(id, now),
@@ -219,7 +219,7 @@
     }
 
     fn endpoint_draining(&mut self, id: &str, now: Micros) {
-        let key = self.endpoint(id);
+        let key = self.endpoints.get_or_insert(id);
         if let Some(endpoint) = self.endpoints.get_mut(key)
             && endpoint.draining_since.is_none()
         {
@@ -229,7 +229,7 @@
     }
 
     fn endpoint_active(&mut self, id: &str, address: SocketAddr) {
-        let key = self.endpoint(id);
+        let key = self.endpoints.get_or_insert(id);
         let Some(endpoint) = self.endpoints.get_mut(key) else {
             return;
         };
@@ -258,7 +258,7 @@
 
     /// The same for one that drains.
     fn remove_if_draining(&mut self, id: &str) {
-        let Some(&key) = self.endpoint_by_id.get(id) else {
+        let Some(key) = self.endpoints.key_of(id) else {
             return;
         };
         if self
@@ -276,9 +276,8 @@
             .endpoint_connections
             .values()
             .all(|connection| connection.endpoint != key)
-            && let Some(endpoint) = self.endpoints.remove(key)
         {
-            self.endpoint_by_id.remove(&endpoint.id);
+            self.endpoints.remove(key);
         }
     }
 }
--- a/crates/proxy/src/discovery/tests.rs
+++ b/crates/proxy/src/discovery/tests.rs
@@ -32,7 +32,11 @@
     assert!((750..=4_500).contains(&wait), "{watch}");
     let state = harness.proxy.state.borrow();
     assert_eq!(
-        state.endpoints[state.endpoint_by_id["s1"]].address,
+        state
+            .endpoints
+            .get(state.endpoints.key_of("s1").unwrap())
+            .unwrap()
+            .address,
         Some(address)
     );
     assert!(state.discovery.stands());
@@ -56,7 +60,11 @@
     assert_eq!(
         (
             state.counters.list_polls_failed,
-            state.endpoints[state.endpoint_by_id["s1"]].draining_since
+            state
+                .endpoints
+                .get(state.endpoints.key_of("s1").unwrap())
+                .unwrap()
+                .draining_since
         ),
         (1, None)
     );
@@ -148,7 +156,7 @@
         .take_list(&json!({"rev": 2, "all": true, "targets": entries}))
         .unwrap();
     let state = harness.proxy.state.borrow();
-    let drains = |id: &str| !state.endpoint_by_id.contains_key(id);
+    let drains = |id: &str| !state.endpoints.key_of(id).is_some();
     assert_eq!((drains("s1"), drains("s2")), (true, false));
 }
 
@@ -164,7 +172,7 @@
     bad[field] = value;
     harness.list(&[bad, entry("s2", address, "active")]);
     let state = harness.proxy.state.borrow();
-    let drains = |id: &str| !state.endpoint_by_id.contains_key(id);
+    let drains = |id: &str| !state.endpoints.key_of(id).is_some();
     assert_eq!((drains("s1"), drains("s2")), (true, false));
 }
 
@@ -207,7 +215,7 @@
     harness.heard(&connection, "body");
     let left = [entry("s1", endpoint.local_addr().unwrap(), "left")];
     harness.list(&left);
-    assert_eq!(harness.proxy.state.borrow().endpoints.len(), 1);
+    assert_eq!(harness.proxy.state.borrow().endpoints.counts(), (1, 1));
     say(&connection, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
     harness.until(|proxy| {
         proxy
@@ -219,7 +227,7 @@
     });
     harness.list(&left);
     let state = harness.proxy.state.borrow();
-    assert_eq!((state.endpoints.len(), state.endpoint_by_id.len()), (0, 0));
+    assert_eq!(state.endpoints.counts(), (0, 0));
 }
 
 /// Endpoints that went refuse connections of all balancers before discovery says so. A watch that was ended for that was
@@ -249,7 +257,7 @@
         &first,
         &answer(&json!({"rev": 42, "all": false, "targets": [entry("s1", gone, "leaving")]})),
     );
-    harness.until(|proxy| (!proxy.state.borrow().endpoint_by_id.contains_key("s1")).then_some(()));
+    harness.until(|proxy| (!proxy.state.borrow().endpoints.key_of("s1").is_some()).then_some(()));
     // The watch goes on where it was, and no other call was made.
     assert!(harness.heard(&first, "\r\n\r\n").contains("since=42&"));
     assert_eq!(harness.proxy.state.borrow().counters.list_polls, asked + 1);
@@ -336,7 +344,7 @@
     let second = whole.find("s2").unwrap();
     say(&watch, &whole[..second - 10]);
     drop(watch);
-    harness.until(|proxy| (!proxy.state.borrow().endpoint_by_id.contains_key("s1")).then_some(()));
+    harness.until(|proxy| (!proxy.state.borrow().endpoints.key_of("s1").is_some()).then_some(()));
 }
 
 /// The same incident: an answer that lies in the socket when its call is replaced was written, and counts as told.
@@ -358,7 +366,7 @@
         .made_before(60_000_000);
     harness.proxy.discovery_due();
     let _silent = harness.accepted_discovery();
-    harness.until(|proxy| (!proxy.state.borrow().endpoint_by_id.contains_key("s1")).then_some(()));
+    harness.until(|proxy| (!proxy.state.borrow().endpoints.key_of("s1").is_some()).then_some(()));
 }
 
 /// A watch of discovery on servers that it named.
--- a/crates/proxy/src/lifecycle/reload/tests.rs
+++ b/crates/proxy/src/lifecycle/reload/tests.rs
@@ -62,7 +62,7 @@
         drop(call);
     }
     assert!(
-        harness.proxy.state.borrow().requests.contains_key(request),
+        harness.proxy.state.borrow().requests.get(request).is_some(),
         "a ticket under way is untouched"
     );
     say(
@@ -159,7 +159,7 @@
         .collect();
     assert_eq!(known, ["pay", "look", "swap", "status"]);
     assert!(
-        state.requests.contains_key(request),
+        state.requests.get(request).is_some(),
         "a ticket under way is untouched"
     );
     drop(state);
--- a/crates/proxy/src/lifecycle/shutdown.rs
+++ b/crates/proxy/src/lifecycle/shutdown.rs
@@ -74,10 +74,7 @@
                 || !client.read_buffer.bytes().is_empty()
         };
         let waiting = state.clients.values().any(waits);
-        let unanswered = state
-            .requests
-            .values()
-            .any(|request| request.client.is_some());
+        let unanswered = state.requests.is_any_awaited();
         let done = since >= SERVE_ON && !waiting && state.listener.is_none();
         if done || (since >= GIVE_UP && !unanswered) {
             info!(state.log, "shutdown complete"; "in_flight" => state.requests.len());
--- a/crates/proxy/src/lifecycle/startup.rs
+++ b/crates/proxy/src/lifecycle/startup.rs
@@ -1,7 +1,6 @@
 //! The start: the listener, the module, the loop.
 
 use std::cell::RefCell;
-use std::collections::HashMap;
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
 
@@ -24,8 +23,10 @@
 use crate::logging::LogBuffer;
 use crate::state::clock::{Clock, LoopIteration};
 use crate::state::counters::Counters;
+use crate::state::endpoint::EndpointTable;
 use crate::state::gossip_socket::GossipSocket;
 use crate::state::proxy::{Proxy, ProxyHost, ProxyState};
+use crate::state::request::RequestTable;
 use crate::state::timers::Timers;
 
 /// Connections that may wait for us while a turn lasts.
@@ -77,10 +78,8 @@
         listener: Some((listener, accepting)),
         clients: SlotMap::with_key(),
         endpoint_connections: SlotMap::with_key(),
-        requests: SlotMap::with_key(),
-        request_by_id: HashMap::new(),
-        endpoints: SlotMap::with_key(),
-        endpoint_by_id: HashMap::new(),
+        requests: RequestTable::default(),
+        endpoints: EndpointTable::default(),
         discovery: Discovery::new(seed),
         gossip_socket,
         fleet: None,
--- a/crates/proxy/src/policy_host.rs
+++ b/crates/proxy/src/policy_host.rs
@@ -21,7 +21,7 @@
     /// Calling off closes the connection: the endpoint sees that nobody waits.
     fn cancel_attempt(&mut self, request: &str, number: usize) {
         let mut state = self.0.borrow_mut();
-        let Some(key) = state.request_by_id.get(request).copied() else {
+        let Some(key) = state.requests.key_of(request) else {
             return;
         };
         let Some(request) = state.requests.get(key) else {
@@ -40,7 +40,7 @@
 
     fn reject(&mut self, request: &str, retry_after: Micros) {
         let mut state = self.0.borrow_mut();
-        let Some(key) = state.request_by_id.get(request).copied() else {
+        let Some(key) = state.requests.key_of(request) else {
             return;
         };
         let mut fields = Vec::new();
@@ -57,7 +57,7 @@
 
     fn fail(&mut self, request: &str) {
         let mut state = self.0.borrow_mut();
-        let Some(key) = state.request_by_id.get(request).copied() else {
+        let Some(key) = state.requests.key_of(request) else {
             return;
         };
         state.counters.requests_failed += 1;
@@ -82,7 +82,7 @@
 
     fn close_idle_connections(&mut self, endpoint: &str) {
         let mut state = self.0.borrow_mut();
-        let Some(key) = state.endpoint_by_id.get(endpoint).copied() else {
+        let Some(key) = state.endpoints.key_of(endpoint) else {
             return;
         };
         state.close_idle_endpoint_connections(key, CloseReason::Stale);
@@ -106,7 +106,7 @@
     fn probe(&mut self, id: &str) {
         let now = self.now();
         self.counters.probes += 1;
-        let Some(endpoint) = self.endpoint_by_id.get(id).copied() else {
+        let Some(endpoint) = self.endpoints.key_of(id) else {
             return;
         };
         let Some(path) = self.config.probe_path.clone() else {
@@ -152,13 +152,13 @@
 
     fn begin_attempt(&mut self, id: &str, endpoint: &str, expire_at: Micros) {
         let now = self.now();
-        let Some(request) = self.request_by_id.get(id).copied() else {
+        let Some(request) = self.requests.key_of(id) else {
             return;
         };
         self.counters.attempts += 1;
-        let linked = match self.endpoint_by_id.get(endpoint) {
+        let linked = match self.endpoints.key_of(endpoint) {
             _ if expire_at <= now => Err(AttemptOutcome::NotSent),
-            Some(&endpoint) => self.connection_to(endpoint),
+            Some(endpoint) => self.connection_to(endpoint),
             None => Err(AttemptOutcome::Unreachable),
         };
         let Some(open) = self.requests.get_mut(request) else {
--- a/crates/proxy/src/test_harness.rs
+++ b/crates/proxy/src/test_harness.rs
@@ -215,7 +215,7 @@
             .state
             .borrow_mut()
             .add_request(key, id, idempotency, &text, &head, &body);
-        let request = self.proxy.state.borrow().request_by_id[id];
+        let request = self.proxy.state.borrow().requests.key_of(id).unwrap();
         self.again(id, endpoint, wait);
         (stream, request)
     }
