--- a/crates/proxy/src/connections/response.rs
+++ b/crates/proxy/src/connections/response.rs
@@ -6,7 +6,7 @@
 use httparse::{Header, Response, Status};
 use pinefront_policy::{AttemptOutcome, LoadReport};
 
-use crate::close_reason;
+use crate::close_reason::CloseReason;
 use crate::connections::http_message::{
     self, BODY_MOST, Body, FIELDS_MOST, Framing, HEAD_MOST, MESSAGE_MOST,
 };
@@ -25,7 +25,7 @@
     /// Part of the response is missing.
     Nothing,
     /// The connection's end, as the attempt on it sees it.
-    Over(AttemptOutcome, &'static str),
+    Over(AttemptOutcome, CloseReason),
     /// A complete response: the length of its head, where its body lies and where it ends, and whether the
     /// connection can be reused.
     Answer(usize, Vec<Range<usize>>, usize, bool),
@@ -81,17 +81,24 @@
             && connection.read_buffer.bytes().is_empty()
         {
             true => state.keep_idle(key),
-            false => state.close_endpoint_connection(key, close_reason::ENDPOINT_NO_KEEP_ALIVE),
+            false => state.close_endpoint_connection(key, CloseReason::EndpointNoKeepAlive),
         }
         if has_unsolicited_bytes {
             state.received_unsolicited(endpoint_key);
         }
-        let told = state.finish_attempt(exchange.request, exchange.number, ending, exchange.sent);
+        let finished =
+            state
+                .requests
+                .finish_attempt(exchange.request, exchange.number, ending, exchange.sent);
         if !probe_completed {
             state.count_ending(ending);
         }
         let last = ending == AttemptOutcome::Succeeded;
-        if last && told.as_ref().is_some_and(|(_, waits)| *waits) {
+        if last
+            && finished
+                .as_ref()
+                .is_some_and(|finished| finished.is_awaited)
+        {
             let own = |name: &str| {
                 http_message::is_end_to_end(name) && !name.eq_ignore_ascii_case("x-pressure")
             };
@@ -115,7 +122,8 @@
         if probe_completed {
             return self.probe_finished(endpoint_key, last);
         }
-        if let Some((id, _)) = told {
+        if let Some(finished) = finished {
+            let id = finished.request_id;
             self.state
                 .borrow()
                 .log_attempt(&id, exchange.number, ending);
