--- /dev/null
+++ b/crates/model/src/checker.rs
@@ -0,0 +1,278 @@
+//! Checks the four safety rules against what is observed outside the balancers.
+//!
+//! 1. Every request received gets one final response before its deadline, and nothing after.
+//! 2. Nothing is processed twice: a non-idempotent request is retried or rejected only when each earlier attempt provably
+//!    did not run; one with an idempotency key only within the key's scope and window.
+//! 3. No new attempt is sent to a server that drains or is removed, once the grace period is over.
+//! 4. No server in slow start receives more work than the allowed multiple of its capacity.
+//!
+//! Observations carry the time at which they were made. They may be recorded in another order, since the exact order on
+//! sockets is unknown; the rules compare times, with the scenario's slack.
+
+mod observation;
+mod rules;
+
+use std::collections::{BTreeMap, VecDeque};
+
+pub use observation::{AttemptTarget, Observation, Outcome, Violation};
+
+use crate::scenario::{RequestClass, Rules, Scenario};
+use crate::{Micros, SECOND};
+
+/// How long after its deadline a request is retained, for observations that are recorded late.
+const RETENTION_US: Micros = 15 * SECOND;
+/// How long after its last observation a request is retained that no balancer is known to have received.
+const UNRECEIVED_RETENTION_US: Micros = 4 * RETENTION_US;
+/// Number of observations between two removals of expired requests.
+const CLEANUP_INTERVAL: u64 = 4096;
+
+/// The balancer's obligation for a request.
+#[derive(Clone, Copy)]
+struct Received {
+    balancer: usize,
+    class: usize,
+    deadline: Micros,
+}
+
+/// Everything observed of one request.
+#[derive(Default)]
+struct RequestHistory {
+    observations: Vec<(Micros, Observation)>,
+    received: Option<Received>,
+    answered_at: Option<Micros>,
+    connection_lost: bool,
+    /// No response is required, since the client disconnected or the balancer was killed or suspended.
+    excused: bool,
+    disconnected_at: Option<Micros>,
+}
+
+impl RequestHistory {
+    /// Whether a response is missing.
+    fn is_response_missing(&self, now: Micros, rules: &Rules) -> bool {
+        let is_due = self.received.is_some_and(|received| {
+            self.connection_lost || now > received.deadline + rules.response_tolerance()
+        });
+        is_due && self.answered_at.is_none() && !self.excused
+    }
+
+    fn is_expired(&self, now: Micros) -> bool {
+        match self.received {
+            Some(received) => received.deadline + RETENTION_US < now,
+            None => {
+                let last = self.observations.last();
+                last.is_none_or(|(at, _)| at + UNRECEIVED_RETENTION_US < now)
+            }
+        }
+    }
+}
+
+/// Work that a server received.
+struct ReceivedWork {
+    at: Micros,
+    work: f64,
+}
+
+/// What is observed of one server.
+#[derive(Default)]
+struct ServerHistory {
+    /// Work received within the overload window, while in slow start.
+    slow_start_work: VecDeque<ReceivedWork>,
+    /// Whether that work exceeds the limit.
+    is_over_limit: bool,
+    /// When each balancer was first notified that the server drains.
+    drain_notified_at: BTreeMap<usize, Micros>,
+}
+
+/// Records observations and finds violations. Memory is bounded: requests are removed some time after their deadline.
+pub struct Checker {
+    rules: Rules,
+    classes: Vec<RequestClass>,
+    requests: BTreeMap<u64, RequestHistory>,
+    servers: BTreeMap<usize, ServerHistory>,
+    /// When each balancer was last killed or suspended.
+    disturbed_at: BTreeMap<usize, Micros>,
+    violations: Vec<Violation>,
+    /// Number of observations so far.
+    recorded: u64,
+}
+
+impl Checker {
+    /// A checker with the rules and classes of a scenario.
+    pub fn new(scenario: &Scenario) -> Self {
+        let classes = scenario.classes.iter();
+        Self {
+            rules: scenario.rules.clone(),
+            classes: classes.map(|class| class.get_ref().clone()).collect(),
+            requests: BTreeMap::new(),
+            servers: BTreeMap::new(),
+            disturbed_at: BTreeMap::new(),
+            violations: Vec::new(),
+            recorded: 0,
+        }
+    }
+
+    /// The violations found so far.
+    pub fn violations(&self) -> &[Violation] {
+        &self.violations
+    }
+
+    /// Number of requests that are retained.
+    pub fn retained(&self) -> usize {
+        self.requests.len()
+    }
+
+    /// Records an observation that was made at that time.
+    pub fn record(&mut self, at: Micros, observation: Observation) {
+        self.retain(at, observation);
+        match observation {
+            Observation::RequestReceived {
+                request,
+                balancer,
+                class,
+                deadline,
+            } => {
+                let received = Received {
+                    balancer,
+                    class,
+                    deadline,
+                };
+                self.request_received(at, request, received);
+            }
+            Observation::AttemptReceived {
+                request,
+                target,
+                started_at,
+                work,
+            } => self.attempt_received(at, request, target, started_at, work),
+            Observation::ResponseReceived {
+                request,
+                outcome,
+                genuine,
+            } => self.response_received(at, request, outcome, genuine),
+            Observation::TimeoutAdvertised { .. } => self.check_advertised_timeout(at, observation),
+            Observation::ConnectionLost { .. } | Observation::ClientDisconnected { .. } => {
+                self.connection_ended(at, observation);
+            }
+            Observation::EndpointReported {
+                balancer,
+                server,
+                draining,
+            } => self.endpoint_reported(at, balancer, server, draining),
+            Observation::BalancerKilled { balancer } => self.balancer_killed(at, balancer),
+            Observation::BalancerStalled { balancer } => self.excuse_requests(at, balancer),
+            Observation::ServerOverloaded { server } => {
+                self.add_violation(4, at, None, format!("s{server} overloaded in slow start"));
+            }
+            Observation::AttemptNotRun { .. } | Observation::AttemptRan { .. } => {}
+        }
+    }
+
+    /// Adds an observation to its request's history.
+    fn retain(&mut self, at: Micros, observation: Observation) {
+        self.recorded += 1;
+        if self.recorded.is_multiple_of(CLEANUP_INTERVAL) {
+            self.remove_expired(at);
+        }
+        if let Some(request) = observation.request() {
+            let history = self.requests.entry(request).or_default();
+            history.observations.push((at, observation));
+        }
+    }
+
+    /// Checks at the end that no response is missing.
+    pub fn finish(&mut self, now: Micros) {
+        let histories = self.requests.iter();
+        let missing: Vec<u64> = histories
+            .filter(|(_, history)| history.is_response_missing(now, &self.rules))
+            .map(|(request, _)| *request)
+            .collect();
+        for request in missing {
+            self.add_violation(1, now, Some(request), "no final response");
+        }
+    }
+
+    /// Adds a violation that was found elsewhere and is about no recorded request.
+    pub fn record_violation(&mut self, rule: u8, at: Micros, what: String) {
+        self.add_violation(rule, at, None, what);
+    }
+
+    fn add_violation(
+        &mut self,
+        rule: u8,
+        at: Micros,
+        request: Option<u64>,
+        what: impl Into<String>,
+    ) {
+        let history = request
+            .and_then(|request| self.requests.get(&request))
+            .map(|history| history.observations.clone())
+            .unwrap_or_default();
+        self.violations.push(Violation {
+            rule,
+            at,
+            request,
+            what: what.into(),
+            history,
+        });
+    }
+
+    fn connection_ended(&mut self, at: Micros, observation: Observation) {
+        let request = observation.request();
+        let Some(history) = request.and_then(|request| self.requests.get_mut(&request)) else {
+            return;
+        };
+        if matches!(observation, Observation::ConnectionLost { .. }) {
+            history.connection_lost = true;
+        } else {
+            history.excused = true;
+            history.disconnected_at.get_or_insert(at);
+        }
+    }
+
+    fn endpoint_reported(&mut self, at: Micros, balancer: usize, server: usize, draining: bool) {
+        let notified = &mut self.servers.entry(server).or_default().drain_notified_at;
+        if draining {
+            notified.entry(balancer).or_insert(at);
+        } else {
+            notified.remove(&balancer);
+        }
+    }
+
+    fn balancer_killed(&mut self, at: Micros, balancer: usize) {
+        self.excuse_requests(at, balancer);
+        // Its next process is notified again.
+        for server in self.servers.values_mut() {
+            server.drain_notified_at.remove(&balancer);
+        }
+    }
+
+    /// Excuses the open requests of a balancer.
+    fn excuse_requests(&mut self, at: Micros, balancer: usize) {
+        self.disturbed_at.insert(balancer, at);
+        for history in self.requests.values_mut() {
+            let received = history.received;
+            let is_open = history.answered_at.is_none()
+                && received.is_some_and(|received| received.balancer == balancer);
+            history.excused |= is_open;
+        }
+    }
+
+    /// Removes expired requests, and reports those whose response is missing.
+    fn remove_expired(&mut self, now: Micros) {
+        let histories = self.requests.iter();
+        let expired: Vec<u64> = histories
+            .filter(|(_, history)| history.is_expired(now))
+            .map(|(request, _)| *request)
+            .collect();
+        for request in expired {
+            let history = self.requests.get(&request);
+            if history.is_some_and(|history| history.is_response_missing(now, &self.rules)) {
+                self.add_violation(1, now, Some(request), "no final response");
+            }
+            self.requests.remove(&request);
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/model/src/discovery/tests.rs
@@ -0,0 +1,49 @@
+use super::*;
+use crate::scenario::Span;
+
+fn entry(server: usize, state: State) -> Entry {
+    Entry {
+        server,
+        state,
+        started_at: None,
+    }
+}
+
+#[test]
+fn changes_become_visible_late_in_order_and_each_server_once() {
+    let delay = [Span(100), Span(1000)];
+    let mut registry = Registry::new(
+        &Discovery {
+            propagation_delay: delay,
+            ..Discovery::default()
+        },
+        3,
+        5,
+    );
+    assert_eq!(registry.list(0).0, 3);
+    let first = registry.change(0, entry(1, State::Draining));
+    let second = registry.change(0, entry(1, State::Removed));
+    assert!((100..=1000).contains(&first) && second >= first);
+    assert_eq!(
+        (registry.version(first - 1), registry.next_change(3)),
+        (3, Some(first))
+    );
+    assert_eq!(
+        registry.since(second, 3),
+        (5, vec![entry(1, State::Removed)])
+    );
+    let (version, list) = registry.list(second);
+    assert_eq!(
+        (
+            version,
+            list.iter().map(|entry| entry.server).collect::<Vec<_>>()
+        ),
+        (5, vec![0, 2])
+    );
+    assert_eq!(
+        registry.since(second, 9),
+        (5, vec![]),
+        "a version from elsewhere is not behind"
+    );
+    assert_eq!(registry.next_change(5), None);
+}
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,26 +1,30 @@
-//! What the world does around a balancer: servers, clients, discovery and faults, and the judge of the four rules.
+//! A deterministic model of the environment of a load balancer: servers, clients, discovery, network links and faults,
+//! and a checker of the four safety rules.
 //!
-//! Nothing here does I/O or reads a clock: everything is told the time in whole microseconds since the day began,
-//! and chance comes from a seed. The same seed gives the same events. On loopback sockets these parts are stand-ins,
-//! on a virtual clock they are actors.
+//! The crate does no I/O and reads no clock. Callers pass the time in whole microseconds since the scenario started,
+//! and all randomness comes from a seed, so that the same seed gives the same events. The testbed drives these parts
+//! behind loopback sockets.
+#![warn(missing_docs)]
 
 pub mod call_queue;
-pub mod chance;
-pub mod check;
-pub mod day;
+pub mod checker;
 pub mod discovery;
-pub mod faults;
 pub mod fleet;
-pub mod judge;
+pub mod network;
+#[allow(missing_docs)]
 pub mod presence;
+pub mod random;
+pub mod scenario;
 pub mod server;
 pub mod service;
+#[allow(missing_docs)]
 pub mod tenures;
+pub mod timeline;
 pub mod traffic;
-pub mod ways;
+pub mod validation;
 
-/// A moment since the day began, or a span, in whole microseconds.
+/// A point in time since the scenario started, or a duration, in whole microseconds.
 pub type Micros = u64;
 
-/// One second.
+/// One second in microseconds.
 pub const SECOND: Micros = 1_000_000;
--- /dev/null
+++ b/crates/model/src/random/tests.rs
@@ -0,0 +1,39 @@
+use super::*;
+
+/// A later version that draws otherwise would change the scenario of every seed.
+#[test]
+fn a_seed_draws_the_same_in_every_version() {
+    let mut random = RandomSource::new(7);
+    let first = [random.next_u64(), random.next_u64()];
+    assert_eq!(first, [PINNED[0], PINNED[1]]);
+    let mut split = RandomSource::split(7, "server", 3);
+    assert_eq!(split.next_u64(), PINNED[2]);
+}
+const PINNED: [u64; 3] = [
+    16292765481176799425,
+    15778304849968482104,
+    15433792414885178538,
+];
+
+#[test]
+fn draws_keep_to_their_means() {
+    let mut random = RandomSource::new(1);
+    let count = 100_000;
+    let mean =
+        |mut draw: Box<dyn FnMut() -> f64>| (0..count).map(|_| draw()).sum::<f64>() / count as f64;
+    let mut other = random.clone();
+    assert!((mean(Box::new(move || other.exponential(5.0))) - 5.0).abs() < 0.1);
+    let mut other = random.clone();
+    assert!((mean(Box::new(move || other.lognormal(20.0, 0.5))) - 20.0).abs() < 0.3);
+    let sums = cumulative_sums([1.0, 0.0, 3.0].into_iter());
+    assert!((mean(Box::new(move || random.weighted_index(&sums) as f64)) - 1.5).abs() < 0.02);
+}
+
+#[test]
+fn some_of_are_different() {
+    let mut random = RandomSource::new(3);
+    let mut drawn = random.some_of(30, 40);
+    drawn.dedup();
+    assert_eq!(drawn.len(), 30);
+    assert_eq!(random.some_of(9, 4), [0, 1, 2, 3]);
+}
--- /dev/null
+++ b/crates/model/src/server/duplicates.rs
@@ -0,0 +1,53 @@
+//! Filtering of duplicates by idempotency key, and the cache of keys that saves work.
+
+use std::collections::HashMap;
+
+use crate::Micros;
+
+/// Work of a request whose earlier response is repeated.
+pub const DUPLICATE_WORK_US: f64 = 100.0;
+/// Number of idempotency keys from which on expired ones are removed.
+const MAX_IDEMPOTENCY_KEYS: usize = 65_536;
+/// Maximum number of cached keys of a server.
+const MAX_CACHED_KEYS: usize = 4096;
+
+/// The idempotency keys that servers remember, by scope.
+#[derive(Default)]
+pub struct DuplicateFilter {
+    expires_at: HashMap<(usize, u64), Micros>,
+}
+
+impl DuplicateFilter {
+    /// Whether a request is a duplicate in its scope. Otherwise its key is remembered for the window.
+    pub fn is_duplicate(&mut self, now: Micros, scope: usize, key: u64, window: Micros) -> bool {
+        let expires_at = self.expires_at.get(&(scope, key));
+        if expires_at.is_some_and(|expires_at| now < *expires_at) {
+            return true;
+        }
+        if self.expires_at.len() >= MAX_IDEMPOTENCY_KEYS {
+            self.expires_at.retain(|_, expires_at| now < *expires_at);
+        }
+        self.expires_at.insert((scope, key), now + window);
+        false
+    }
+}
+
+/// When each cached key was last used.
+#[derive(Default)]
+pub(super) struct KeyCache {
+    used_at: HashMap<u64, Micros>,
+}
+
+impl KeyCache {
+    /// Whether a key was used within `ttl`. The key counts as used now, unless the cache is full.
+    pub(super) fn use_key(&mut self, now: Micros, key: u64, ttl: Micros) -> bool {
+        if self.used_at.len() >= MAX_CACHED_KEYS {
+            self.used_at.retain(|_, used_at| now < *used_at + ttl);
+        }
+        if self.used_at.len() >= MAX_CACHED_KEYS && !self.used_at.contains_key(&key) {
+            return false;
+        }
+        let previous = self.used_at.insert(key, now);
+        previous.is_some_and(|used_at| now < used_at + ttl)
+    }
+}
--- a/crates/model/src/server/tests.rs
+++ b/crates/model/src/server/tests.rs
@@ -2,17 +2,17 @@
 
 use super::*;
 use crate::SECOND;
-use crate::day::Span;
+use crate::scenario::Span;
 
 fn server(
     cores: usize,
     speed: f64,
-    born: Option<Micros>,
+    started_at: Option<Micros>,
     change: impl FnOnce(&mut Fleet),
 ) -> Server {
     let mut fleet = Fleet::default();
     change(&mut fleet);
-    let spec = Spec {
+    let spec = ServerSpec {
         id: "s0".into(),
         number: 0,
         zone: 0,
@@ -20,46 +20,46 @@
         cell: 0,
         cores,
         speed,
-        born,
+        started_at,
     };
-    Server::new(spec, &fleet, &Rules::default(), Chance::new(1))
+    Server::new(spec, &fleet, &Rules::default(), RandomSource::new(1))
 }
 
-fn sent(server: &mut Server, now: Micros, job: u64, work: f64) -> Vec<Done> {
-    let mut out = Vec::new();
-    server.arrive(
+fn received(server: &mut Server, now: Micros, job: u64, work: f64) -> Vec<FinishedJob> {
+    let mut finished = Vec::new();
+    server.receive(
         now,
-        Arrival {
-            job,
+        Job {
+            id: job,
             work,
-            waits: 0,
+            off_core_time: 0,
             key: None,
         },
-        &mut out,
+        &mut finished,
     );
-    out
+    finished
 }
 
-/// All that ends by that moment, with when.
-fn until(server: &mut Server, end: Micros) -> Vec<(Micros, u64, How)> {
+/// All jobs that end by that time, with when and how.
+fn finished_until(server: &mut Server, end: Micros) -> Vec<(Micros, u64, JobOutcome)> {
     let mut found = Vec::new();
-    while let Some(next) = server.next().filter(|next| *next <= end) {
-        let mut out = Vec::new();
-        server.advance(next, &mut out);
-        found.extend(out.iter().map(|done| (next, done.job, done.how)));
+    while let Some(next) = server.next_event().filter(|next| *next <= end) {
+        let mut finished = Vec::new();
+        server.advance(next, &mut finished);
+        found.extend(finished.iter().map(|done| (next, done.id, done.outcome)));
     }
     found
 }
 
 #[test]
-fn cores_work_side_by_side_and_the_rest_waits() {
+fn cores_work_in_parallel_and_other_jobs_wait() {
     let mut server = server(2, 2.0, None, |_| {});
     for job in 0..3 {
-        assert!(sent(&mut server, 0, job, 20_000.0).is_empty());
+        assert!(received(&mut server, 0, job, 20_000.0).is_empty());
     }
-    let answered = |at, job| (at, job, How::Answered);
+    let answered = |at, job| (at, job, JobOutcome::Succeeded);
     assert_eq!(
-        until(&mut server, SECOND),
+        finished_until(&mut server, SECOND),
         [
             answered(10_000, 0),
             answered(10_000, 1),
@@ -70,68 +70,71 @@
 }
 
 #[test]
-fn beyond_the_queue_tickets_are_turned_away_unrun() {
-    let mut server = server(1, 1.0, None, |fleet| fleet.queue = 1);
-    assert!(sent(&mut server, 0, 0, 1000.0).is_empty());
-    assert!(sent(&mut server, 0, 1, 1000.0).is_empty());
+fn beyond_the_queue_jobs_are_rejected_unrun() {
+    let mut server = server(1, 1.0, None, |fleet| fleet.queue_capacity = 1);
+    assert!(received(&mut server, 0, 0, 1000.0).is_empty());
+    assert!(received(&mut server, 0, 1, 1000.0).is_empty());
     assert_eq!(
-        sent(&mut server, 0, 2, 1000.0),
-        [Done {
-            job: 2,
-            how: How::Full
+        received(&mut server, 0, 2, 1000.0),
+        [FinishedJob {
+            id: 2,
+            outcome: JobOutcome::Rejected
         }]
     );
-    assert!(!How::Full.ran());
+    assert!(!JobOutcome::Rejected.ran());
 }
 
 #[test]
-fn a_freeze_holds_what_is_in_work_and_what_comes() {
-    let mut server = server(1, 1.0, None, |fleet| fleet.queue = 0);
-    sent(&mut server, 0, 0, 10_000.0);
-    let mut out = Vec::new();
-    server.set(
+fn a_freeze_suspends_running_and_arriving_jobs() {
+    let mut server = server(1, 1.0, None, |fleet| fleet.queue_capacity = 0);
+    received(&mut server, 0, 0, 10_000.0);
+    let mut finished = Vec::new();
+    server.set_condition(
         4_000,
         Condition {
             frozen: true,
             ..Condition::default()
         },
-        &mut out,
+        &mut finished,
     );
-    assert!(sent(&mut server, 5_000, 1, 1_000.0).is_empty() && server.next().is_none());
-    server.set(50_000, Condition::default(), &mut out);
+    assert!(received(&mut server, 5_000, 1, 1_000.0).is_empty() && server.next_event().is_none());
+    server.set_condition(50_000, Condition::default(), &mut finished);
     assert_eq!(
-        out,
-        [Done {
-            job: 1,
-            how: How::Full
+        finished,
+        [FinishedJob {
+            id: 1,
+            outcome: JobOutcome::Rejected
         }],
-        "nobody had read it, so it is turned away after the freeze"
+        "nobody had read it, so it is rejected after the freeze"
+    );
+    assert_eq!(
+        finished_until(&mut server, SECOND),
+        [(56_000, 0, JobOutcome::Succeeded)]
     );
-    assert_eq!(until(&mut server, SECOND), [(56_000, 0, How::Answered)]);
 }
 
 #[rstest]
-#[case::neighbour(Condition { rate: 0.25, ..Condition::default() }, 40_000, How::Answered)]
-#[case::silent(Condition { silent: true, ..Condition::default() }, 10_000, How::Swallowed)]
-#[case::lost(Condition { lost: 1.0, ..Condition::default() }, 10_000, How::Swallowed)]
-#[case::spoilt(Condition { spoilt: 1.0, ..Condition::default() }, 10_000, How::Spoilt)]
-#[case::reset(Condition { reset: 1.0, ..Condition::default() }, 10_000, How::Reset)]
-fn troubles_change_time_or_fate(
+#[case::neighbour(Condition { rate: 0.25, ..Condition::default() }, 40_000, JobOutcome::Succeeded)]
+#[case::silent(Condition { silent: true, ..Condition::default() }, 10_000, JobOutcome::Unanswered)]
+#[case::lost(Condition { lost: 1.0, ..Condition::default() }, 10_000, JobOutcome::Unanswered)]
+#[case::corrupted(Condition { corrupted: 1.0, ..Condition::default() }, 10_000, JobOutcome::Corrupted)]
+#[case::reset(Condition { reset: 1.0, ..Condition::default() }, 10_000, JobOutcome::ConnectionReset)]
+fn faults_change_time_or_outcome(
     #[case] condition: Condition,
     #[case] at: Micros,
-    #[case] how: How,
+    #[case] outcome: JobOutcome,
 ) {
     let mut server = server(1, 1.0, None, |_| {});
-    server.set(0, condition, &mut Vec::new());
-    sent(&mut server, 0, 7, 10_000.0);
-    assert_eq!(until(&mut server, SECOND), [(at, 7, how)]);
-    assert!(how.ran());
+    server.set_condition(0, condition, &mut Vec::new());
+    received(&mut server, 0, 7, 10_000.0);
+    assert_eq!(finished_until(&mut server, SECOND), [(at, 7, outcome)]);
+    assert!(outcome.ran());
 }
 
 #[test]
-fn quick_errors_come_at_once_and_nothing_runs() {
+fn errors_are_sent_at_once_and_nothing_runs() {
     let mut server = server(1, 1.0, None, |_| {});
-    server.set(
+    server.set_condition(
         0,
         Condition {
             errors: 1.0,
@@ -140,82 +143,93 @@
         &mut Vec::new(),
     );
     assert_eq!(
-        sent(&mut server, 0, 7, 10_000.0),
-        [Done {
-            job: 7,
-            how: How::Failed
+        received(&mut server, 0, 7, 10_000.0),
+        [FinishedJob {
+            id: 7,
+            outcome: JobOutcome::Failed
         }]
     );
 }
 
 #[test]
-fn a_flood_slows_until_rested() {
+fn overload_slows_until_recovered() {
     let mut server = server(1, 1.0, None, |fleet| {
-        (fleet.flooded_by, fleet.flooded_after, fleet.flooded_rest) =
-            (2.0, Span(SECOND), Span(SECOND));
+        (
+            fleet.overload_queue_per_core,
+            fleet.overload_after,
+            fleet.overload_recovery,
+        ) = (2.0, Span(SECOND), Span(SECOND));
     });
     for job in 0..30 {
-        sent(&mut server, 0, job, 50_000.0);
+        received(&mut server, 0, job, 50_000.0);
     }
-    until(&mut server, 999_999);
-    assert!(!server.is_flooded());
-    until(&mut server, 1_000_000);
-    assert!(server.is_flooded());
-    let last = until(&mut server, 10 * SECOND).last().map(|(at, ..)| *at);
+    finished_until(&mut server, 999_999);
+    assert!(!server.is_overloaded());
+    finished_until(&mut server, 1_000_000);
+    assert!(server.is_overloaded());
+    let last = finished_until(&mut server, 10 * SECOND)
+        .last()
+        .map(|(at, ..)| *at);
     assert_eq!(
         last,
         Some(SECOND + 10 * 125_000),
         "what is left takes two and a half times as long"
     );
-    let mut out = Vec::new();
-    server.advance(last.unwrap() + SECOND, &mut out);
-    assert!(!server.is_flooded());
+    let mut finished = Vec::new();
+    server.advance(last.unwrap() + SECOND, &mut finished);
+    assert!(!server.is_overloaded());
 }
 
 #[test]
-fn a_cold_server_rises_and_falls_over_when_sent_too_much() {
+fn a_server_in_slow_start_rises_and_crashes_when_it_receives_too_much() {
     let mut quick = server(1, 1.0, Some(0), |_| {});
-    assert_eq!(quick.warmth(0), 0.3);
-    assert_eq!(quick.warmth(8 * SECOND), 1.0);
-    sent(&mut quick, 0, 0, 300_000.0);
-    let done = until(&mut quick, 2 * SECOND);
+    assert_eq!(quick.slow_start_factor(0), 0.3);
+    assert_eq!(quick.slow_start_factor(8 * SECOND), 1.0);
+    received(&mut quick, 0, 0, 300_000.0);
+    let done = finished_until(&mut quick, 2 * SECOND);
     assert!(
         done[0].0 < SECOND,
         "the rise shortens the work under way: {done:?}"
     );
 
     let mut pushed = server(1, 1.0, Some(0), |_| {});
-    let mut out = Vec::new();
+    let mut finished = Vec::new();
     for job in 0..10 {
-        out.extend(sent(&mut pushed, 10_000 * job, job, 100_000.0));
+        finished.extend(received(&mut pushed, 10_000 * job, job, 100_000.0));
     }
     assert!(
-        pushed.fell() && pushed.is_dead(),
+        pushed.crashed_in_slow_start() && pushed.is_dead(),
         "1.0 s of work within 1 s is over 3 x 0.3"
     );
-    assert_eq!(out.iter().filter(|done| done.how == How::Died).count(), 10);
+    assert_eq!(
+        finished
+            .iter()
+            .filter(|done| done.outcome == JobOutcome::ServerDied)
+            .count(),
+        10
+    );
     let mut spread = server(1, 1.0, Some(0), |_| {});
     for job in 0..10 {
-        sent(&mut spread, 200_000 * job, job, 100_000.0);
+        received(&mut spread, 200_000 * job, job, 100_000.0);
     }
-    assert!(!spread.fell(), "spread over 2 s it is not");
+    assert!(!spread.crashed_in_slow_start(), "spread over 2 s it is not");
 }
 
 #[test]
-fn keys_met_lately_take_less_and_reports_may_come_late() {
-    let mut server = server(1, 1.0, None, |fleet| fleet.keeps_keys = Span(SECOND));
+fn cached_keys_take_less_and_reports_may_be_delayed() {
+    let mut server = server(1, 1.0, None, |fleet| fleet.key_cache_ttl = Span(SECOND));
     let mut with_key = |now, job| {
-        server.arrive(
+        server.receive(
             now,
-            Arrival {
-                job,
+            Job {
+                id: job,
                 work: 10_000.0,
-                waits: 0,
+                off_core_time: 0,
                 key: Some(5),
             },
             &mut Vec::new(),
         );
-        until(&mut server, now + 900_000)[0].0 - now
+        finished_until(&mut server, now + 900_000)[0].0 - now
     };
     assert_eq!(
         (with_key(0, 0), with_key(900_000, 1), with_key(2_000_000, 2)),
@@ -223,10 +237,10 @@
     );
     let report = server.report(2_000_000).expect("a reading was due");
     assert!(report.utilisation > 0.0 && report.utilisation <= 1.0);
-    server.set(
+    server.set_condition(
         2_100_000,
         Condition {
-            reports_late: 60 * SECOND,
+            report_delay: 60 * SECOND,
             ..Condition::default()
         },
         &mut Vec::new(),
@@ -235,19 +249,22 @@
 }
 
 #[test]
-fn called_off_work_stops_and_the_next_begins() {
+fn cancelled_work_stops_and_the_next_starts() {
     let mut server = server(1, 1.0, None, |_| {});
-    sent(&mut server, 0, 0, 100_000.0);
-    sent(&mut server, 0, 1, 10_000.0);
-    server.call_off(1_000, 0, &mut Vec::new());
-    assert_eq!(until(&mut server, SECOND), [(11_000, 1, How::Answered)]);
+    received(&mut server, 0, 0, 100_000.0);
+    received(&mut server, 0, 1, 10_000.0);
+    server.cancel(1_000, 0, &mut Vec::new());
+    assert_eq!(
+        finished_until(&mut server, SECOND),
+        [(11_000, 1, JobOutcome::Succeeded)]
+    );
 }
 
 #[test]
-fn repeats_are_dropped_in_their_group_and_window_only() {
-    let mut repeats = Repeats::default();
-    assert!(!repeats.is_repeat(0, 1, 9, SECOND));
-    assert!(repeats.is_repeat(500_000, 1, 9, SECOND));
-    assert!(!repeats.is_repeat(500_000, 2, 9, SECOND));
-    assert!(!repeats.is_repeat(1_000_000, 1, 9, SECOND));
+fn duplicates_are_discarded_in_their_scope_and_window_only() {
+    let mut duplicates = DuplicateFilter::default();
+    assert!(!duplicates.is_duplicate(0, 1, 9, SECOND));
+    assert!(duplicates.is_duplicate(500_000, 1, 9, SECOND));
+    assert!(!duplicates.is_duplicate(500_000, 2, 9, SECOND));
+    assert!(!duplicates.is_duplicate(1_000_000, 1, 9, SECOND));
 }
--- a/crates/model/src/service.rs
+++ b/crates/model/src/service.rs
@@ -1,260 +1,230 @@
-//! Service: the earnings answered within the promised time over the earnings asked for, with its parts weighed as
-//! the day says. A client's later tries count as part of its first.
+//! The service score: the priority weight answered within the latency objective over the weight requested, in parts that
+//! the scenario weighs. Retries of a client count towards its first attempt.
 
 use std::collections::BTreeMap;
 
 use serde::Serialize;
 
-use crate::Micros;
-use crate::SECOND;
-use crate::day::Day;
-use crate::judge::Outcome;
-use crate::traffic::Ticket;
-
-/// Spans over which the worst stretch and the tail are looked at.
-const STRETCH: Micros = 10 * SECOND;
-const TAIL_SPAN: Micros = 5 * SECOND;
-/// Fewer first tries than this in a span tell nothing.
-const FEWEST: usize = 10;
-/// At so many times the free part of late answers the tail counts nothing.
-const TAIL_END: f64 = 5.0;
-
-/// What became of a first try.
+use crate::checker::Outcome;
+use crate::scenario::{RequestClass, Scenario};
+use crate::traffic::Request;
+use crate::{Micros, SECOND};
+
+/// Length of the windows of which the worst one counts.
+const WORST_WINDOW_US: Micros = 10 * SECOND;
+/// Length of the windows in which late responses are counted.
+const TAIL_WINDOW_US: Micros = 5 * SECOND;
+/// A window with fewer first attempts has no score.
+const MIN_REQUESTS: usize = 10;
+/// The multiple of the allowed fraction of late responses at which the tail scores nothing.
+const TAIL_ZERO_MULTIPLE: f64 = 5.0;
+
+/// What happened to a client's request, over all its attempts.
 #[derive(Clone, Copy, Debug)]
-struct Fate {
-    due: Micros,
-    use_case: usize,
+struct RequestResult {
+    scheduled_at: Micros,
+    class: usize,
     tenant: usize,
-    /// When it succeeded, counted from when it was due.
-    took: Option<Micros>,
-    dismissed: bool,
+    /// Time from the schedule of the first attempt to the successful response.
+    latency: Option<Micros>,
+    rejected: bool,
+}
+
+impl RequestResult {
+    fn meets_objective(&self, class: &RequestClass) -> bool {
+        self.latency
+            .is_some_and(|latency| latency <= class.latency_objective.0)
+    }
 }
 
-/// Collects what became of tickets.
+/// Late and all responses of one class in one window.
+#[derive(Default)]
+struct TailWindow {
+    requests: usize,
+    late: usize,
+}
+
+/// Requested and earned weight.
+#[derive(Clone, Copy, Default)]
+struct Weight {
+    requested: f64,
+    earned: f64,
+}
+
+impl Weight {
+    fn add(&mut self, result: &RequestResult, class: &RequestClass) {
+        self.requested += class.priority_weight;
+        if result.meets_objective(class) {
+            self.earned += class.priority_weight;
+        }
+    }
+}
+
+/// Collects the results of requests.
+#[derive(Default)]
 pub struct Tally {
-    fates: BTreeMap<u64, Fate>,
+    /// By number of the first attempt.
+    results: BTreeMap<u64, RequestResult>,
 }
 
-/// Parts of service, each of 1.
+/// The parts of the service score, each from 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Parts {
-    pub whole: f64,
+    /// The score over the complete scenario.
+    #[serde(rename = "whole")]
+    pub overall: f64,
+    /// The worst ten seconds.
     pub worst_10s: f64,
-    pub worst_use_case: f64,
+    /// The worst request class.
+    #[serde(rename = "worst_use_case")]
+    pub worst_class: f64,
+    /// The worst tenant.
     pub worst_tenant: f64,
+    /// The score of late responses.
     pub tail: f64,
-    /// All of them as the day weighs them; told beside its parts, not among them.
+    /// The weighted mean of all parts; reported beside them.
     #[serde(skip)]
     pub total: f64,
 }
 
 impl Tally {
+    /// An empty tally.
     pub fn new() -> Self {
-        Self {
-            fates: BTreeMap::new(),
-        }
+        Self::default()
     }
 
-    /// A first try was due.
-    pub fn asked(&mut self, ticket: &Ticket) {
-        let Ticket {
-            first_due: due,
-            use_case,
-            tenant,
-            ..
-        } = *ticket;
-        self.fates.entry(ticket.first).or_insert(Fate {
-            due,
-            use_case,
-            tenant,
-            took: None,
-            dismissed: false,
+    /// Records that an attempt is due.
+    pub fn record_request(&mut self, request: &Request) {
+        self.results.entry(request.first).or_insert(RequestResult {
+            scheduled_at: request.first_scheduled_at,
+            class: request.class,
+            tenant: request.tenant,
+            latency: None,
+            rejected: false,
         });
     }
 
-    /// A try ended so, at that moment.
-    pub fn ended(&mut self, ticket: &Ticket, at: Micros, outcome: Option<Outcome>) {
-        self.asked(ticket);
-        let Some(fate) = self.fates.get_mut(&ticket.first) else {
+    /// Records the end of an attempt; `outcome` is none where no response arrived.
+    pub fn record_outcome(&mut self, request: &Request, at: Micros, outcome: Option<Outcome>) {
+        self.record_request(request);
+        let Some(result) = self.results.get_mut(&request.first) else {
             return;
         };
         match outcome {
-            Some(Outcome::Succeeded) if fate.took.is_none() => {
-                fate.took = Some(at.saturating_sub(fate.due))
+            Some(Outcome::Succeeded) if result.latency.is_none() => {
+                result.latency = Some(at.saturating_sub(result.scheduled_at));
             }
-            Some(Outcome::Dismissed) => fate.dismissed = true,
+            Some(Outcome::Rejected) => result.rejected = true,
             _ => {}
         }
     }
 
-    /// Earned over asked of those that fit; nothing where too few do.
-    fn share(&self, day: &Day, fits: impl Fn(&Fate) -> bool) -> Option<f64> {
-        let (mut asked, mut earned, mut count) = (0.0, 0.0, 0);
-        for fate in self.fates.values().filter(|fate| fits(fate)) {
-            let use_case = day.use_cases[fate.use_case].get_ref();
-            asked += use_case.earnings;
+    /// The fraction of the weight that the selected requests earned; none where there are too few.
+    fn score(&self, scenario: &Scenario, selects: impl Fn(&RequestResult) -> bool) -> Option<f64> {
+        let (mut weight, mut count) = (Weight::default(), 0);
+        for result in self.results.values().filter(|result| selects(result)) {
+            weight.add(result, scenario.classes[result.class].get_ref());
             count += 1;
-            if fate
-                .took
-                .is_some_and(|took| took <= use_case.promised_time.0)
-            {
-                earned += use_case.earnings;
-            }
         }
-        (count >= FEWEST && asked > 0.0).then(|| earned / asked)
-    }
-
-    fn worst(shares: impl Iterator<Item = Option<f64>>, otherwise: f64) -> f64 {
-        shares.flatten().reduce(f64::min).unwrap_or(otherwise)
+        let is_scored = count >= MIN_REQUESTS && weight.requested > 0.0;
+        is_scored.then(|| weight.earned / weight.requested)
     }
 
-    /// By use case and span: all of it while few answers are late, nothing at five times that.
-    fn tail(&self, day: &Day) -> f64 {
-        let mut cells: BTreeMap<(usize, Micros), (usize, usize)> = BTreeMap::new();
-        for fate in self
-            .fates
-            .values()
-            .filter(|fate| fate.took.is_some() || !fate.dismissed)
-        {
-            let promised = day.use_cases[fate.use_case].get_ref().promised_time.0;
-            let cell = cells
-                .entry((fate.use_case, fate.due / TAIL_SPAN))
-                .or_default();
-            cell.0 += 1;
-            cell.1 += usize::from(fate.took.is_none_or(|took| took > promised));
+    /// The score of late responses: by class and window, 1 up to the allowed fraction, falling linearly to 0.
+    fn tail(&self, scenario: &Scenario) -> f64 {
+        let mut windows: BTreeMap<(usize, Micros), TailWindow> = BTreeMap::new();
+        let unanswered_or_served =
+            |result: &&RequestResult| result.latency.is_some() || !result.rejected;
+        for result in self.results.values().filter(unanswered_or_served) {
+            let class = scenario.classes[result.class].get_ref();
+            let key = (result.class, result.scheduled_at / TAIL_WINDOW_US);
+            let window = windows.entry(key).or_default();
+            window.requests += 1;
+            window.late += usize::from(!result.meets_objective(class));
         }
-        let free = day.service.late_free.max(1e-9);
-        let full = |late: f64| (1.0 - (late - free) / ((TAIL_END - 1.0) * free)).clamp(0.0, 1.0);
-        let told: Vec<f64> = cells
+        let allowed = scenario.service.late_fraction_allowed.max(1e-9);
+        let score = |late: f64| {
+            let excess = (late - allowed) / ((TAIL_ZERO_MULTIPLE - 1.0) * allowed);
+            (1.0 - excess).clamp(0.0, 1.0)
+        };
+        let scores: Vec<f64> = windows
             .values()
-            .filter(|(count, _)| *count >= FEWEST)
-            .map(|(count, late)| full(*late as f64 / *count as f64))
+            .filter(|window| window.requests >= MIN_REQUESTS)
+            .map(|window| score(window.late as f64 / window.requests as f64))
             .collect();
-        if told.is_empty() {
+        if scores.is_empty() {
             1.0
         } else {
-            told.iter().sum::<f64>() / told.len() as f64
+            scores.iter().sum::<f64>() / scores.len() as f64
         }
     }
 
-    pub fn parts(&self, day: &Day) -> Parts {
-        let whole = self.share(day, |_| true).unwrap_or(0.0);
-        let last = self.fates.values().map(|fate| fate.due).max().unwrap_or(0);
-        let stretch =
-            |from: Micros| self.share(day, |fate| (from..from + STRETCH).contains(&fate.due));
-        let worst_10s = Self::worst(
-            (0..=last / SECOND).map(|second| stretch(second * SECOND)),
-            whole,
-        );
-        let by_use_case = |number| self.share(day, |fate| fate.use_case == number);
-        let worst_use_case = Self::worst((0..day.use_cases.len()).map(by_use_case), whole);
-        let by_tenant = |number| self.share(day, |fate| fate.tenant == number);
-        let worst_tenant = Self::worst((0..day.tenants.len()).map(by_tenant), whole);
-        let tail = self.tail(day);
-        let weights = &day.service;
-        let parts = [
-            (weights.whole, whole),
-            (weights.worst_10s, worst_10s),
-            (weights.worst_use_case, worst_use_case),
-            (weights.worst_tenant, worst_tenant),
-            (weights.tail, tail),
-        ];
-        let total = parts
-            .iter()
-            .map(|(weight, part)| weight * part)
-            .sum::<f64>()
-            / parts.iter().map(|(weight, _)| weight).sum::<f64>();
-        Parts {
-            whole,
-            worst_10s,
-            worst_use_case,
-            worst_tenant,
-            tail,
-            total,
-        }
+    /// The parts of the score, and their total.
+    pub fn parts(&self, scenario: &Scenario) -> Parts {
+        let overall = self.score(scenario, |_| true).unwrap_or(0.0);
+        let scheduled = self.results.values().map(|result| result.scheduled_at);
+        let last = scheduled.max().unwrap_or(0);
+        let from = |start: Micros| {
+            let window = start..start + WORST_WINDOW_US;
+            self.score(scenario, |result| window.contains(&result.scheduled_at))
+        };
+        let windows = (0..=last / SECOND).map(|second| from(second * SECOND));
+        let by_class = (0..scenario.classes.len())
+            .map(|class| self.score(scenario, |result| result.class == class));
+        let by_tenant = (0..scenario.tenants.len())
+            .map(|tenant| self.score(scenario, |result| result.tenant == tenant));
+        let parts = Parts {
+            overall,
+            worst_10s: worst(windows, overall),
+            worst_class: worst(by_class, overall),
+            worst_tenant: worst(by_tenant, overall),
+            tail: self.tail(scenario),
+            total: 0.0,
+        };
+        let total = parts.weighted_mean(scenario);
+        Parts { total, ..parts }
     }
 
-    /// Earned over asked by second of when tickets were due, for a plot.
-    pub fn by_second(&self, day: &Day) -> Vec<f64> {
-        let seconds = (day.length.get_ref().0.div_ceil(SECOND)) as usize;
-        let mut sums = vec![(0.0, 0.0); seconds];
-        for fate in self.fates.values() {
-            let use_case = day.use_cases[fate.use_case].get_ref();
-            if let Some(sum) = sums.get_mut((fate.due / SECOND) as usize) {
-                sum.0 += use_case.earnings;
-                if fate
-                    .took
-                    .is_some_and(|took| took <= use_case.promised_time.0)
-                {
-                    sum.1 += use_case.earnings;
-                }
+    /// The score of each second of the scenario, by when requests were scheduled; 1 where there were none.
+    pub fn by_second(&self, scenario: &Scenario) -> Vec<f64> {
+        let seconds = scenario.length.get_ref().0.div_ceil(SECOND) as usize;
+        let mut weights = vec![Weight::default(); seconds];
+        for result in self.results.values() {
+            let second = (result.scheduled_at / SECOND) as usize;
+            if let Some(weight) = weights.get_mut(second) {
+                weight.add(result, scenario.classes[result.class].get_ref());
             }
         }
-        sums.into_iter()
-            .map(|(asked, earned)| if asked > 0.0 { earned / asked } else { 1.0 })
-            .collect()
+        let score = |weight: Weight| {
+            if weight.requested > 0.0 {
+                weight.earned / weight.requested
+            } else {
+                1.0
+            }
+        };
+        weights.into_iter().map(score).collect()
     }
 }
 
-impl Default for Tally {
-    fn default() -> Self {
-        Self::new()
+impl Parts {
+    fn weighted_mean(&self, scenario: &Scenario) -> f64 {
+        let weights = &scenario.service;
+        let parts = [
+            (weights.overall, self.overall),
+            (weights.worst_10s, self.worst_10s),
+            (weights.worst_class, self.worst_class),
+            (weights.worst_tenant, self.worst_tenant),
+            (weights.tail, self.tail),
+        ];
+        let sum: f64 = parts.iter().map(|(weight, part)| weight * part).sum();
+        sum / parts.iter().map(|(weight, _)| weight).sum::<f64>()
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::{check, faults::Timeline, fleet, traffic::Arrivals};
-
-    /// A day of which each ticket succeeds after what `took` says, or is dismissed.
-    fn parts(took: impl Fn(&Ticket) -> Option<Micros>) -> Parts {
-        let day = check::read("name = 'd'\nlength = '20s'", "d.toml").unwrap();
-        let line = Timeline::new(&day, &fleet::specs(&day, 1), 1);
-        let mut tally = Tally::new();
-        for ticket in Arrivals::new(&day, &line, 1) {
-            match took(&ticket) {
-                Some(took) => tally.ended(&ticket, ticket.due + took, Some(Outcome::Succeeded)),
-                None => tally.ended(&ticket, ticket.due, Some(Outcome::Dismissed)),
-            }
-        }
-        tally.parts(&day)
-    }
-
-    #[test]
-    fn all_in_time_is_all_of_it_and_all_late_nothing() {
-        let parts_of = |took| parts(move |_| Some(took));
-        assert_eq!(
-            (parts_of(10).total, parts_of(10 * SECOND).total),
-            (1.0, 0.0)
-        );
-    }
-
-    #[test]
-    fn the_worst_parts_are_found() {
-        let bad_stretch = parts(|ticket| (ticket.due < 10 * SECOND).then_some(10));
-        assert!(
-            (bad_stretch.whole - 0.5).abs() < 0.05 && bad_stretch.worst_10s < 0.01,
-            "{bad_stretch:?}"
-        );
-        assert_eq!(bad_stretch.tail, 1.0, "dismissals are no late answers");
-        let bad_use_case = parts(|ticket| (ticket.use_case != 2).then_some(10));
-        assert_eq!(bad_use_case.worst_use_case, 0.0);
-    }
-
-    #[test]
-    fn later_tries_count_as_the_first() {
-        let day = check::read("name = 'd'\nlength = '20s'", "d.toml").unwrap();
-        let line = Timeline::new(&day, &fleet::specs(&day, 1), 1);
-        let mut tally = Tally::new();
-        for (number, ticket) in Arrivals::new(&day, &line, 1).enumerate() {
-            tally.ended(&ticket, ticket.due, Some(Outcome::Dismissed));
-            let second = Ticket {
-                number: 1_000_000 + number as u64,
-                ..ticket
-            };
-            tally.ended(&second, ticket.due + 1000, Some(Outcome::Succeeded));
-        }
-        assert_eq!(tally.parts(&day).whole, 1.0);
-    }
+/// The lowest score, or `default` where there is none.
+fn worst(scores: impl Iterator<Item = Option<f64>>, default: f64) -> f64 {
+    scores.flatten().reduce(f64::min).unwrap_or(default)
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/model/src/validation/faults.rs
@@ -0,0 +1,185 @@
+//! Checks of a scenario's faults: each by itself, and those that contradict each other.
+
+use super::Problems;
+use crate::random::RandomSource;
+use crate::scenario::{Fault, FaultKind, Scenario, Span};
+use crate::server::ServerSpec;
+use crate::timeline::{self, ServerFault, Timeline, TimelineEvent};
+use crate::{SECOND, fleet};
+
+impl Problems<'_> {
+    pub(super) fn check_faults(&mut self, scenario: &Scenario) {
+        let specs = fleet::specs(scenario, scenario.seed);
+        for fault in &scenario.faults {
+            let (offset, fault) = (fault.span().start, fault.get_ref());
+            self.check_fault(scenario, offset, fault);
+            if fault.kind.hits_servers() {
+                self.check_matching_servers(scenario, offset, fault, &specs);
+            }
+        }
+        if self.found.is_empty() {
+            let timeline = Timeline::new(scenario, &specs, scenario.seed);
+            self.check_overlapping_server_faults(scenario, &timeline);
+            if self.found.is_empty() {
+                self.check_balancers_running(&timeline);
+            }
+        }
+    }
+
+    /// Checks the fields of one fault at a byte offset of the file.
+    pub(super) fn check_fault(&mut self, scenario: &Scenario, offset: usize, fault: &Fault) {
+        self.check_time(scenario, offset, fault);
+        self.check_parameters(offset, fault);
+        self.check_server_selection(scenario, offset, fault);
+        self.check_balancer_selection(scenario, offset, fault);
+    }
+
+    fn check_time(&mut self, scenario: &Scenario, offset: usize, fault: &Fault) {
+        if fault.at >= *scenario.length.get_ref() {
+            self.add(offset, "faults.at", "lies behind the end of the day");
+        }
+        if fault.duration == Span(0) && !fault.kind.is_instant() {
+            self.add(offset, "faults.for", "a fault that lasts no time");
+        }
+    }
+
+    fn check_parameters(&mut self, offset: usize, fault: &Fault) {
+        let kind = fault.kind;
+        match (kind.factor(), fault.factor) {
+            (None, Some(_)) => self.add(offset, "faults.factor", format!("{kind:?} takes none")),
+            (Some(range), Some(factor)) if !(range.min..=range.max).contains(&factor) => {
+                let reason = format!("{factor} is not from {} to {}", range.min, range.max);
+                self.add(offset, "faults.factor", reason);
+            }
+            _ => {}
+        }
+        let has_by = fault.by.is_some_and(|by| by.0 > 0);
+        if kind.takes_by() && !has_by {
+            self.add(offset, "faults.by", format!("{kind:?} needs a span over 0"));
+        } else if !kind.takes_by() && has_by {
+            self.add(offset, "faults.by", format!("{kind:?} takes none"));
+        }
+        if fault.part.is_some_and(|part| !(part > 0.0 && part <= 1.0)) {
+            self.add(offset, "faults.part", "must be over 0 and at most 1");
+        }
+    }
+
+    fn check_server_selection(&mut self, scenario: &Scenario, offset: usize, fault: &Fault) {
+        if let Some(zone) = &fault.zone
+            && !scenario.fleet.zones.contains(zone)
+        {
+            let reason = format!("there is no zone '{zone}'");
+            self.add(offset, "faults.zone", reason);
+        }
+        let is_machine = |name: &String| {
+            let mut machines = scenario.machines.iter();
+            machines.any(|machine| machine.get_ref().name == *name)
+        };
+        if let Some(machine) = &fault.machine
+            && !is_machine(machine)
+        {
+            let reason = format!("there is no machine type '{machine}'");
+            self.add(offset, "faults.machine", reason);
+        }
+        let selects_servers = fault.servers.is_some()
+            || fault.zone.is_some()
+            || fault.machine.is_some()
+            || fault.part.is_some();
+        if !fault.kind.hits_servers() && selects_servers {
+            let reason = format!("{:?} hits no servers in particular", fault.kind);
+            self.add(offset, "faults.servers", reason);
+        }
+    }
+
+    fn check_balancer_selection(&mut self, scenario: &Scenario, offset: usize, fault: &Fault) {
+        let kind = fault.kind;
+        let selections = [
+            ("faults.balancers", &fault.balancers),
+            ("faults.against", &fault.against),
+        ];
+        for (field, numbers) in selections {
+            let mut numbers = numbers.iter().flatten();
+            let unknown = numbers.find(|number| **number >= *scenario.balancers.get_ref());
+            if let Some(unknown) = unknown {
+                self.add(offset, field, format!("there is no balancer {unknown}"));
+            }
+        }
+        if !kind.hits_links() && (fault.against.is_some() || fault.one_way) {
+            let reason = format!("{kind:?} lies on no way between balancers");
+            self.add(offset, "faults.against", reason);
+        }
+        if !kind.hits_balancers() && !kind.hits_links() && fault.balancers.is_some() {
+            let reason = format!("{kind:?} hits no balancers");
+            self.add(offset, "faults.balancers", reason);
+        }
+    }
+
+    fn check_matching_servers(
+        &mut self,
+        scenario: &Scenario,
+        offset: usize,
+        fault: &Fault,
+        specs: &[ServerSpec],
+    ) {
+        let mut numbers = fault.servers.iter().flatten();
+        if let Some(unknown) = numbers.find(|server| **server >= specs.len()) {
+            let reason = format!("there is no server {unknown}");
+            return self.add(offset, "faults.servers", reason);
+        }
+        // Which servers a fraction draws doesn't matter here, only whether there are any.
+        let mut random = RandomSource::new(0);
+        if timeline::matching_servers(scenario, fault, specs, &mut random).is_empty() {
+            let reason = format!("{:?} hits no server", fault.kind);
+            self.add(offset, "faults", reason);
+        }
+    }
+
+    /// Finds the first fault that overlaps another of its kind on one server, or affects a server that is dead or removed.
+    fn check_overlapping_server_faults(&mut self, scenario: &Scenario, timeline: &Timeline) {
+        let faults = timeline.server_faults();
+        for (index, fault) in faults.iter().enumerate() {
+            let mut earlier = faults[..index].iter();
+            let Some(other) = earlier.find(|other| contradicts(other, fault)) else {
+                continue;
+            };
+            let reason = format!(
+                "{:?} and {:?} contradict each other on server {}",
+                other.kind, fault.kind, fault.server
+            );
+            let offset = scenario.faults[fault.index].span().start;
+            return self.add(offset, "faults", reason);
+        }
+    }
+
+    /// Finds the first balancer that is killed or stopped while it does not run.
+    fn check_balancers_running(&mut self, timeline: &Timeline) {
+        let mut stopped: Vec<usize> = Vec::new();
+        for scheduled in &timeline.events {
+            match scheduled.event {
+                TimelineEvent::BalancerKilled(number) | TimelineEvent::BalancerStopped(number) => {
+                    if stopped.contains(&number) {
+                        let seconds = scheduled.at / SECOND;
+                        let reason = format!("balancer {number} is away already at {seconds} s");
+                        return self.add_for_key("faults", "balancers", reason);
+                    }
+                    stopped.push(number);
+                }
+                TimelineEvent::BalancerStarted(number)
+                | TimelineEvent::BalancerMoved { number, .. } => {
+                    stopped.retain(|other| *other != number);
+                }
+                _ => {}
+            }
+        }
+    }
+}
+
+fn contradicts(earlier: &ServerFault, later: &ServerFault) -> bool {
+    let both_remove = later.kind.removes_server() && earlier.kind.removes_server();
+    let is_overlap = (earlier.kind == later.kind || both_remove)
+        && earlier.from < later.to
+        && later.from < earlier.to;
+    // A drained server is removed; another one with a number of its own replaces it.
+    let is_removed = earlier.kind == FaultKind::Drain && earlier.to <= later.from;
+    earlier.server == later.server && (is_overlap || is_removed)
+}
--- a/crates/model/tests/scenario_keys.rs
+++ b/crates/model/tests/scenario_keys.rs
@@ -7,10 +7,10 @@
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
 
-use pinefront_model::check;
-use pinefront_model::day::{Day, Effect, Fault, Group, Kind, Span};
-use pinefront_model::faults::Timeline;
 use pinefront_model::fleet;
+use pinefront_model::scenario::{Fault, FaultKind, Idempotency, IdempotencyScope, Scenario, Span};
+use pinefront_model::timeline::Timeline;
+use pinefront_model::validation;
 
 const EVERY_KEY: &str = include_str!("recorded/every_key.toml");
 const HEAD: &str = "name = \"d\"\nlength = \"60s\"\nbalancers = 3\n";
@@ -47,64 +47,64 @@
     }
 }
 
-fn effect_name(effect: Effect) -> &'static str {
-    match effect {
-        Effect::Redoable => "redoable",
-        Effect::Labelled => "labelled",
-        Effect::Irreversible => "irreversible",
+fn effect_name(idempotency: Idempotency) -> &'static str {
+    match idempotency {
+        Idempotency::Idempotent => "redoable",
+        Idempotency::IdempotencyKey => "labelled",
+        Idempotency::NonIdempotent => "irreversible",
     }
 }
 
-fn group_name(group: Group) -> &'static str {
+fn group_name(group: IdempotencyScope) -> &'static str {
     match group {
-        Group::All => "all",
-        Group::Zone => "zone",
-        Group::Cell => "cell",
+        IdempotencyScope::All => "all",
+        IdempotencyScope::Zone => "zone",
+        IdempotencyScope::Cell => "cell",
     }
 }
 
-fn add_head(values: &mut Values, day: &Day) {
-    values.add("name", &day.name);
-    values.add("about", &day.about);
-    values.span("length", *day.length.get_ref());
-    values.add("seed", day.seed);
-    values.add("balancers", day.balancers.get_ref());
-    values.add("duties", day.duties);
-    values.add("roster", day.roster);
+fn add_head(values: &mut Values, scenario: &Scenario) {
+    values.add("name", &scenario.name);
+    values.add("about", &scenario.about);
+    values.span("length", *scenario.length.get_ref());
+    values.add("seed", scenario.seed);
+    values.add("balancers", scenario.balancers.get_ref());
+    values.add("duties", scenario.duties);
+    values.add("roster", scenario.shared_endpoint_list);
 }
 
-fn add_rules(values: &mut Values, day: &Day) {
-    let rules = &day.rules;
+fn add_rules(values: &mut Values, scenario: &Scenario) {
+    let rules = &scenario.rules;
     values.span("rules.drain_grace", rules.drain_grace);
     values.span("rules.slack", rules.slack);
-    values.span("rules.late", rules.late);
-    values.add("rules.cold_from", rules.cold_from);
-    values.span("rules.warm_after", rules.warm_after);
-    values.add("rules.cold_multiple", rules.cold_multiple);
-    values.span("rules.cold_span", rules.cold_span);
-    values.add("rules.most_dispatches", rules.most_dispatches);
-    values.add("rules.second_copies", rules.second_copies);
-    values.span("rules.come_back", rules.come_back);
+    values.span("rules.late", rules.late_response_limit);
+    values.add("rules.cold_from", rules.slow_start_capacity);
+    values.span("rules.warm_after", rules.slow_start_duration);
+    values.add("rules.cold_multiple", rules.slow_start_overload_factor);
+    values.span("rules.cold_span", rules.slow_start_overload_window);
+    values.add("rules.most_dispatches", rules.max_attempts);
+    values.add("rules.second_copies", rules.hedging);
+    values.span("rules.come_back", rules.max_retry_after);
 }
 
-fn add_fleet(values: &mut Values, day: &Day) {
-    let fleet = &day.fleet;
+fn add_fleet(values: &mut Values, scenario: &Scenario) {
+    let fleet = &scenario.fleet;
     values.add("fleet.servers", fleet.servers.get_ref());
     values.add("fleet.zones", fleet.zones.join(" "));
-    values.add("fleet.cell", fleet.cell);
-    values.add("fleet.queue", fleet.queue);
-    values.add("fleet.connections", fleet.connections);
-    values.span("fleet.handshake", fleet.handshake);
-    values.span("fleet.idle", fleet.idle);
-    values.add("fleet.flooded_by", fleet.flooded_by);
-    values.span("fleet.flooded_after", fleet.flooded_after);
-    values.add("fleet.flooded_slower", fleet.flooded_slower);
-    values.span("fleet.flooded_rest", fleet.flooded_rest);
-    values.span("fleet.reports", fleet.reports);
-    values.span("fleet.keeps_keys", fleet.keeps_keys);
-    values.add("fleet.keys_save", fleet.keys_save);
-    values.add("fleet.stops_work", fleet.stops_work);
-    for machine in &day.machines {
+    values.add("fleet.cell", fleet.cell_size);
+    values.add("fleet.queue", fleet.queue_capacity);
+    values.add("fleet.connections", fleet.max_connections);
+    values.span("fleet.handshake", fleet.handshake_work);
+    values.span("fleet.idle", fleet.idle_timeout);
+    values.add("fleet.flooded_by", fleet.overload_queue_per_core);
+    values.span("fleet.flooded_after", fleet.overload_after);
+    values.add("fleet.flooded_slower", fleet.overload_slowdown);
+    values.span("fleet.flooded_rest", fleet.overload_recovery);
+    values.span("fleet.reports", fleet.report_interval);
+    values.span("fleet.keeps_keys", fleet.key_cache_ttl);
+    values.add("fleet.keys_save", fleet.key_cache_savings);
+    values.add("fleet.stops_work", fleet.cancel_stops_work);
+    for machine in &scenario.machines {
         let machine = machine.get_ref();
         values.add("machines.name", &machine.name);
         values.add("machines.share", machine.share);
@@ -114,34 +114,34 @@
     }
 }
 
-fn add_discovery(values: &mut Values, day: &Day) {
-    let discovery = &day.discovery;
-    values.span("discovery.ask_within", discovery.ask_within);
-    values.span("discovery.delay[0]", discovery.delay[0]);
-    values.span("discovery.delay[1]", discovery.delay[1]);
+fn add_discovery(values: &mut Values, scenario: &Scenario) {
+    let discovery = &scenario.discovery;
+    values.span("discovery.ask_within", discovery.max_poll_interval);
+    values.span("discovery.delay[0]", discovery.propagation_delay[0]);
+    values.span("discovery.delay[1]", discovery.propagation_delay[1]);
     values.add("discovery.calls_per_second", discovery.calls_per_second);
-    values.span("discovery.longest_queue", discovery.longest_queue);
+    values.span("discovery.longest_queue", discovery.max_queue_wait);
 }
 
-fn add_classes(values: &mut Values, day: &Day) {
-    for class in &day.use_cases {
+fn add_classes(values: &mut Values, scenario: &Scenario) {
+    for class in &scenario.classes {
         let class = class.get_ref();
         values.add("use_cases.name", &class.name);
         values.add("use_cases.share", class.share);
-        values.add("use_cases.effect", effect_name(class.effect));
-        values.add("use_cases.group", group_name(class.group));
-        values.span("use_cases.window", class.window);
+        values.add("use_cases.effect", effect_name(class.idempotency));
+        values.add("use_cases.group", group_name(class.scope));
+        values.span("use_cases.window", class.idempotency_window);
         values.span("use_cases.work", class.work);
         values.add("use_cases.scatter", class.scatter);
-        values.span("use_cases.waits", class.waits);
-        values.span("use_cases.promised_time", class.promised_time);
-        values.span("use_cases.hard_stop", class.hard_stop);
-        values.add("use_cases.earnings", class.earnings);
+        values.span("use_cases.waits", class.off_core_time);
+        values.span("use_cases.promised_time", class.latency_objective);
+        values.span("use_cases.hard_stop", class.deadline);
+        values.add("use_cases.earnings", class.priority_weight);
     }
 }
 
-fn add_traffic(values: &mut Values, day: &Day) {
-    let traffic = &day.traffic;
+fn add_traffic(values: &mut Values, scenario: &Scenario) {
+    let traffic = &scenario.traffic;
     values.add("traffic.rate", traffic.rate.get_ref());
     for point in &traffic.curve {
         values.span("traffic.curve[0]", point.0);
@@ -151,24 +151,24 @@
     values.add("traffic.skew", traffic.skew);
     values.add("traffic.retries", traffic.retries);
     values.span("traffic.retry_wait", traffic.retry_wait);
-    values.add("traffic.give_up", traffic.give_up);
-    values.add("traffic.leaves", traffic.leaves);
-    for tenant in &day.tenants {
+    values.add("traffic.give_up", traffic.min_timeout_fraction);
+    values.add("traffic.leaves", traffic.disconnect_fraction);
+    for tenant in &scenario.tenants {
         let tenant = tenant.get_ref();
         values.add("tenants.name", &tenant.name);
         values.add("tenants.share", tenant.share);
-        values.add("tenants.allowance", tenant.allowance);
+        values.add("tenants.allowance", tenant.quota_per_second);
     }
 }
 
-fn add_service(values: &mut Values, day: &Day) {
-    let service = &day.service;
-    values.add("service.whole", service.whole);
+fn add_service(values: &mut Values, scenario: &Scenario) {
+    let service = &scenario.service;
+    values.add("service.whole", service.overall);
     values.add("service.worst_10s", service.worst_10s);
-    values.add("service.worst_use_case", service.worst_use_case);
+    values.add("service.worst_use_case", service.worst_class);
     values.add("service.worst_tenant", service.worst_tenant);
     values.add("service.tail", service.tail);
-    values.add("service.late_free", service.late_free);
+    values.add("service.late_free", service.late_fraction_allowed);
 }
 
 fn add_fault(values: &mut Values, fault: &Fault) {
@@ -179,7 +179,7 @@
     };
     values.add("faults.kind", kind.0);
     values.span("faults.at", fault.at);
-    values.span("faults.for", fault.lasts);
+    values.span("faults.for", fault.duration);
     values.optional("faults.servers", fault.servers.as_ref(), numbers);
     values.optional("faults.zone", fault.zone.as_ref(), String::clone);
     values.optional("faults.machine", fault.machine.as_ref(), String::clone);
@@ -192,77 +192,77 @@
     values.span("faults.over", fault.over);
 }
 
-fn values_of(day: &Day) -> String {
+fn values_of(scenario: &Scenario) -> String {
     let mut values = Values::default();
-    add_head(&mut values, day);
-    add_rules(&mut values, day);
-    add_fleet(&mut values, day);
-    add_discovery(&mut values, day);
-    add_classes(&mut values, day);
-    add_traffic(&mut values, day);
-    add_service(&mut values, day);
-    for fault in &day.faults {
+    add_head(&mut values, scenario);
+    add_rules(&mut values, scenario);
+    add_fleet(&mut values, scenario);
+    add_discovery(&mut values, scenario);
+    add_classes(&mut values, scenario);
+    add_traffic(&mut values, scenario);
+    add_service(&mut values, scenario);
+    for fault in &scenario.faults {
         add_fault(&mut values, fault.get_ref());
     }
     values.0
 }
 
 /// Every kind of fault by its name in the file.
-const KINDS: [(&str, Kind); 51] = [
-    ("freeze", Kind::Freeze),
-    ("neighbour", Kind::Neighbour),
-    ("slow", Kind::Slow),
-    ("silent", Kind::Silent),
-    ("lost", Kind::Lost),
-    ("errors", Kind::Errors),
-    ("spoilt", Kind::Spoilt),
-    ("reset", Kind::Reset),
-    ("drain", Kind::Drain),
-    ("crash", Kind::Crash),
-    ("cold", Kind::Cold),
-    ("grow", Kind::Grow),
-    ("reports_late", Kind::ReportsLate),
-    ("reports_absent", Kind::ReportsAbsent),
-    ("discovery_gone", Kind::DiscoveryGone),
-    ("discovery_stale", Kind::DiscoveryStale),
-    ("burst", Kind::Burst),
-    ("balancer_killed", Kind::BalancerKilled),
-    ("balancer_stopped", Kind::BalancerStopped),
-    ("balancer_stalled", Kind::BalancerStalled),
-    ("balancer_swapped", Kind::BalancerSwapped),
-    ("balancer_hurt", Kind::BalancerHurt),
-    ("link_cut", Kind::LinkCut),
-    ("link_lossy", Kind::LinkLossy),
-    ("link_slow", Kind::LinkSlow),
-    ("link_repeats", Kind::LinkRepeats),
-    ("link_spoils", Kind::LinkSpoils),
-    ("link_flood", Kind::LinkFlood),
-    ("balancer_reloaded", Kind::BalancerReloaded),
-    ("watches_silent", Kind::WatchesSilent),
-    ("watches_reset", Kind::WatchesReset),
-    ("discovery_slow", Kind::DiscoverySlow),
-    ("lists_cut", Kind::ListsCut),
-    ("lists_in_pieces", Kind::ListsInPieces),
-    ("lists_late", Kind::ListsLate),
-    ("lists_reset", Kind::ListsReset),
-    ("lists_refused", Kind::ListsRefused),
-    ("lists_whole", Kind::ListsWhole),
-    ("lists_strange", Kind::ListsStrange),
-    ("clients_in_pieces", Kind::ClientsInPieces),
-    ("clients_stop", Kind::ClientsStop),
-    ("clients_pipeline", Kind::ClientsPipeline),
-    ("answers_in_pieces", Kind::AnswersInPieces),
-    ("answers_unended", Kind::AnswersUnended),
-    ("answers_twice", Kind::AnswersTwice),
-    ("idle_closed", Kind::IdleClosed),
-    ("system_fails", Kind::SystemFails),
-    ("calls_short", Kind::CallsShort),
-    ("connections_break", Kind::ConnectionsBreak),
-    ("held_up", Kind::HeldUp),
-    ("clock_steps", Kind::ClockSteps),
+const KINDS: [(&str, FaultKind); 51] = [
+    ("freeze", FaultKind::Freeze),
+    ("neighbour", FaultKind::Neighbour),
+    ("slow", FaultKind::Slow),
+    ("silent", FaultKind::Silent),
+    ("lost", FaultKind::Lost),
+    ("errors", FaultKind::Errors),
+    ("spoilt", FaultKind::Corrupted),
+    ("reset", FaultKind::Reset),
+    ("drain", FaultKind::Drain),
+    ("crash", FaultKind::Crash),
+    ("cold", FaultKind::Cold),
+    ("grow", FaultKind::Grow),
+    ("reports_late", FaultKind::ReportsLate),
+    ("reports_absent", FaultKind::ReportsAbsent),
+    ("discovery_gone", FaultKind::DiscoveryUnreachable),
+    ("discovery_stale", FaultKind::DiscoveryStale),
+    ("burst", FaultKind::Burst),
+    ("balancer_killed", FaultKind::BalancerKilled),
+    ("balancer_stopped", FaultKind::BalancerStopped),
+    ("balancer_stalled", FaultKind::BalancerStalled),
+    ("balancer_swapped", FaultKind::BalancerSwapped),
+    ("balancer_hurt", FaultKind::BalancerHurt),
+    ("link_cut", FaultKind::LinkCut),
+    ("link_lossy", FaultKind::LinkLossy),
+    ("link_slow", FaultKind::LinkSlow),
+    ("link_repeats", FaultKind::LinkRepeats),
+    ("link_spoils", FaultKind::LinkCorrupts),
+    ("link_flood", FaultKind::LinkFlood),
+    ("balancer_reloaded", FaultKind::BalancerReloaded),
+    ("watches_silent", FaultKind::WatchesSilent),
+    ("watches_reset", FaultKind::WatchesReset),
+    ("discovery_slow", FaultKind::DiscoverySlow),
+    ("lists_cut", FaultKind::ListsCut),
+    ("lists_in_pieces", FaultKind::ListsInPieces),
+    ("lists_late", FaultKind::ListsLate),
+    ("lists_reset", FaultKind::ListsReset),
+    ("lists_refused", FaultKind::ListsRefused),
+    ("lists_whole", FaultKind::ListsComplete),
+    ("lists_strange", FaultKind::ListsStrange),
+    ("clients_in_pieces", FaultKind::ClientsInPieces),
+    ("clients_stop", FaultKind::ClientsStop),
+    ("clients_pipeline", FaultKind::ClientsPipeline),
+    ("answers_in_pieces", FaultKind::AnswersInPieces),
+    ("answers_unended", FaultKind::AnswersUnended),
+    ("answers_twice", FaultKind::AnswersTwice),
+    ("idle_closed", FaultKind::IdleClosed),
+    ("system_fails", FaultKind::SystemFails),
+    ("calls_short", FaultKind::CallsShort),
+    ("connections_break", FaultKind::ConnectionsBreak),
+    ("held_up", FaultKind::HeldUp),
+    ("clock_steps", FaultKind::ClockSteps),
 ];
 
-fn scenario_with_fault(kind_name: &str, kind: Kind) -> String {
+fn scenario_with_fault(kind_name: &str, kind: FaultKind) -> String {
     let by = if kind.takes_by() {
         "by = \"250ms\"\n"
     } else {
@@ -272,41 +272,44 @@
 }
 
 /// What a fault of one kind leads to, in the terms of the file.
-fn effect_of(kind_name: &str, kind: Kind) -> String {
-    let day = check::read(&scenario_with_fault(kind_name, kind), "d.toml").unwrap();
-    assert_eq!(day.faults[0].get_ref().kind, kind);
-    let specs = fleet::specs(&day, day.seed);
-    let timeline = Timeline::new(&day, &specs, day.seed);
+fn effect_of(kind_name: &str, kind: FaultKind) -> String {
+    let scenario = validation::read(&scenario_with_fault(kind_name, kind), "d.toml").unwrap();
+    assert_eq!(scenario.faults[0].get_ref().kind, kind);
+    let specs = fleet::specs(&scenario, scenario.seed);
+    let timeline = Timeline::new(&scenario, &specs, scenario.seed);
     let factor = kind.factor().map_or("no factor".to_owned(), |factor| {
-        format!("factor {} from {} to {}", factor.0, factor.1, factor.2)
+        format!(
+            "factor {} from {} to {}",
+            factor.default, factor.min, factor.max
+        )
     });
     let condition = timeline.condition(0, 11_000_000);
-    let wide = timeline.wide(kind, 11_000_000).is_some();
+    let wide = timeline.global_fault(kind, 11_000_000).is_some();
     format!(
         "{kind_name}: servers {}, balancers {}, links {}, wide {wide}, {factor}, by {}, away {}, \
          server hits {}, link faults {}, events {} at {:?}; \
          frozen {} silent {} lost {} rate {} errors {} spoilt {} reset {} reports {} us late, absent {}",
         kind.hits_servers(),
         kind.hits_balancers(),
-        kind.hits_ways(),
+        kind.hits_links(),
         kind.takes_by(),
-        kind.takes_away(),
-        timeline.hits().len(),
-        timeline.ways.troubles.len(),
+        kind.removes_server(),
+        timeline.server_faults().len(),
+        timeline.links.faults.len(),
         timeline.events.len(),
         timeline
             .events
             .iter()
-            .map(|event| event.0)
+            .map(|event| event.at)
             .collect::<std::collections::BTreeSet<_>>(),
         condition.frozen,
         condition.silent,
         condition.lost,
         condition.rate,
         condition.errors,
-        condition.spoilt,
+        condition.corrupted,
         condition.reset,
-        condition.reports_late,
+        condition.report_delay,
         condition.reports_absent,
     )
 }
@@ -376,14 +379,14 @@
 
 #[test]
 fn every_key_is_read_back() {
-    let day = check::read(EVERY_KEY, "every_key.toml").unwrap();
-    compare("every_key.txt", &values_of(&day));
+    let scenario = validation::read(EVERY_KEY, "every_key.toml").unwrap();
+    compare("every_key.txt", &values_of(&scenario));
 }
 
 #[test]
 fn keys_that_are_left_out_have_their_defaults() {
-    let day = check::read("name = 'd'\nlength = '60s'\n", "d.toml").unwrap();
-    compare("defaults.txt", &values_of(&day));
+    let scenario = validation::read("name = 'd'\nlength = '60s'\n", "d.toml").unwrap();
+    compare("defaults.txt", &values_of(&scenario));
 }
 
 #[test]
@@ -393,16 +396,16 @@
         .map(|(name, kind)| effect_of(name, *kind) + "\n")
         .collect();
     compare("fault_kinds.txt", &lines.concat());
-    let alias = scenario_with_fault("balancer_restarted", Kind::BalancerKilled);
-    let day = check::read(&alias, "d.toml").unwrap();
-    assert_eq!(day.faults[0].get_ref().kind, Kind::BalancerKilled);
+    let alias = scenario_with_fault("balancer_restarted", FaultKind::BalancerKilled);
+    let scenario = validation::read(&alias, "d.toml").unwrap();
+    assert_eq!(scenario.faults[0].get_ref().kind, FaultKind::BalancerKilled);
 }
 
 #[test]
 fn refused_files_are_told_with_place_and_text() {
     let mut text = String::new();
     for file in refused_files() {
-        let problems = check::read(&file, "d.toml").unwrap_err();
+        let problems = validation::read(&file, "d.toml").unwrap_err();
         let added = file.strip_prefix(HEAD).unwrap_or(&file);
         writeln!(text, "{added:?}").unwrap();
         for problem in problems {
@@ -419,8 +422,8 @@
     for entry in std::fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
         let text = std::fs::read_to_string(&path).unwrap();
-        let day = check::read(&text, &path.display().to_string());
-        assert!(day.is_ok(), "{:?}", day.err());
+        let scenario = validation::read(&text, &path.display().to_string());
+        assert!(scenario.is_ok(), "{:?}", scenario.err());
         count += 1;
     }
     assert!(count >= 29, "{count} scenarios");
--- a/crates/testbed/src/accord/clockwork.rs
+++ b/crates/testbed/src/accord/clockwork.rs
@@ -8,7 +8,7 @@
 use pinefront_cluster::envelope::{Key, Life};
 use pinefront_cluster::membership::table::Event;
 use pinefront_cluster::{Accord, Part, Planted};
-use pinefront_model::chance::Chance;
+use pinefront_model::random::RandomSource;
 use pinefront_model::tenures::{Held, Tenures};
 use pinefront_model::{Micros, SECOND};
 
@@ -102,7 +102,7 @@
     processes: Vec<Process>,
     at_address: BTreeMap<SocketAddr, usize>,
     scenario: Scenario,
-    chance: Chance,
+    chance: RandomSource,
     key: Key,
     seed: u64,
     planted: Option<Planted>,
@@ -117,7 +117,7 @@
 pub fn play(seed: u64, wish: &Wish) -> Played {
     let (members, planted) = (wish.members, wish.planted);
     let scenario = Scenario::draw(seed, members, wish.kind, wish.loss);
-    let mut chance = Chance::split(seed, "clockwork", 0);
+    let mut chance = RandomSource::split(seed, "clockwork", 0);
     let processes: Vec<Process> = (0..members)
         .map(|member| Process {
             accord: None,
@@ -311,7 +311,7 @@
         process.stopped = false;
         process.waiting.clear();
         let mut chance =
-            Chance::split(self.seed, "process", member as u64 * 1_000 + process.starts);
+            RandomSource::split(self.seed, "process", member as u64 * 1_000 + process.starts);
         // Clocks of machines differ by seconds, and one may have been set back before a restart.
         let born = 1_000 * SECOND + now + chance.span(4 * SECOND);
         #[cfg_attr(not(any(test, feature = "planted")), allow(unused_mut))]
@@ -329,7 +329,7 @@
                 struck: Default::default(),
             },
             self.key.clone(),
-            chance.whole(),
+            chance.next_u64(),
             process.local(now),
         );
         if let Some(_fault) = self.planted {
@@ -444,7 +444,7 @@
             let carried = self
                 .scenario
                 .ways
-                .carry(member, other, self.now, &mut self.chance);
+                .transmit(member, other, self.now, &mut self.chance);
             let stolen = self.chance.happens(self.scenario.replayed);
             if stolen {
                 self.listened.push_back((to, bytes.clone()));
@@ -456,7 +456,7 @@
                 let at = self.now + self.chance.span(3 * SECOND);
                 self.hang(at, What::Comes { to, bytes });
             }
-            carried.spoil(&mut bytes);
+            carried.corrupt(&mut bytes);
             for delay in carried.copies {
                 self.hang(
                     self.now + delay,
--- a/crates/testbed/src/accord/judge.rs
+++ b/crates/testbed/src/accord/judge.rs
@@ -42,7 +42,7 @@
             one_view_ms: None,
             wrong_doubts: 0,
             kind: scenario.kind,
-            over: last.max(scenario.ways.over()),
+            over: last.max(scenario.ways.last_fault_end()),
             presence: Presence::new(members),
             doubted: BTreeSet::new(),
             gone: BTreeSet::new(),
--- a/crates/testbed/src/accord/scenario.rs
+++ b/crates/testbed/src/accord/scenario.rs
@@ -1,8 +1,8 @@
 //! What goes wrong on one seed: who is stopped, killed, started anew, cut off, and what the ways are like.
 
-use pinefront_model::chance::Chance;
-use pinefront_model::day::Kind as Fault;
-use pinefront_model::ways::{Trouble, Ways};
+use pinefront_model::network::{LinkFault, NetworkLinks};
+use pinefront_model::random::RandomSource;
+use pinefront_model::scenario::FaultKind as Fault;
 use pinefront_model::{Micros, SECOND};
 
 /// When faults begin at the earliest: all know each other by then.
@@ -49,7 +49,7 @@
 
 pub struct Scenario {
     pub kind: Kind,
-    pub ways: Ways,
+    pub ways: NetworkLinks,
     /// In order of time.
     pub deeds: Vec<(Micros, Deed)>,
     /// Part of what is sent that is sent again later by somebody who listened.
@@ -59,7 +59,7 @@
 
 impl Scenario {
     pub fn draw(seed: u64, members: usize, kind: Option<Kind>, loss: Option<f64>) -> Self {
-        let mut chance = Chance::split(seed, "scenario", 0);
+        let mut chance = RandomSource::split(seed, "scenario", 0);
         let kinds = [
             Kind::Any,
             Kind::Any,
@@ -74,9 +74,9 @@
         let kind = kind.unwrap_or_else(|| kinds[chance.below(kinds.len())]);
         let mut scenario = Self {
             kind,
-            ways: Ways {
-                troubles: Vec::new(),
-                usual: [500, 3_000],
+            ways: NetworkLinks {
+                faults: Vec::new(),
+                base_delay: [500, 3_000],
             },
             deeds: Vec::new(),
             replayed: 0.0,
@@ -91,7 +91,7 @@
         if let Some(loss) = loss {
             scenario
                 .ways
-                .troubles
+                .faults
                 .retain(|trouble| trouble.kind != Fault::LinkLossy);
             scenario.on_all(Fault::LinkLossy, members, loss, 0);
         }
@@ -100,7 +100,7 @@
             .deeds
             .last()
             .map_or(0, |(at, _)| *at)
-            .max(scenario.ways.over());
+            .max(scenario.ways.last_fault_end());
         scenario.ends = last.max(FAULTS_FROM) + if kind == Kind::Calm { CALM } else { SETTLES };
         scenario
     }
@@ -115,7 +115,7 @@
         by: Micros,
     ) {
         let (against, one_way) = (None, false);
-        self.ways.troubles.push(Trouble {
+        self.ways.faults.push(LinkFault {
             kind,
             from,
             to,
@@ -131,7 +131,7 @@
     fn on_all(&mut self, kind: Fault, members: usize, factor: f64, by: Micros) {
         let side: Vec<usize> = (0..members).collect();
         let (from, to, against, one_way) = (0, FAULTS_TO, Some(side.clone()), false);
-        self.ways.troubles.push(Trouble {
+        self.ways.faults.push(LinkFault {
             kind,
             from,
             to,
@@ -143,7 +143,7 @@
         });
     }
 
-    fn faults(&mut self, chance: &mut Chance, members: usize) {
+    fn faults(&mut self, chance: &mut RandomSource, members: usize) {
         let from = FAULTS_FROM + chance.span(SECOND);
         match self.kind {
             Kind::Any => {
@@ -155,7 +155,7 @@
                     self.on_all(Fault::LinkRepeats, members, 0.1, 0);
                 }
                 if chance.happens(0.3) {
-                    self.on_all(Fault::LinkSpoils, members, 0.05, 0);
+                    self.on_all(Fault::LinkCorrupts, members, 0.05, 0);
                 }
                 if chance.happens(0.3) {
                     let by = 1_000 + chance.span(200_000);
@@ -171,7 +171,7 @@
                 let (side, against) = (vec![pair[0]], Some(vec![pair[1]]));
                 let (kind, one_way) = (Fault::LinkCut, chance.happens(0.5));
                 let to = FAULTS_TO;
-                self.ways.troubles.push(Trouble {
+                self.ways.faults.push(LinkFault {
                     kind,
                     from,
                     to,
@@ -232,7 +232,7 @@
     }
 
     /// One fault of any kind, on a member that no other fault has stopped or killed.
-    fn one(&mut self, chance: &mut Chance, members: usize) {
+    fn one(&mut self, chance: &mut RandomSource, members: usize) {
         let from = FAULTS_FROM + chance.span(FAULTS_TO - FAULTS_FROM);
         let lasts = 200_000 + chance.span(10 * SECOND);
         let member = chance.below(members);
@@ -249,7 +249,7 @@
             }
             1 => {
                 let side = vec![member];
-                let one_way = Trouble {
+                let one_way = LinkFault {
                     kind: Fault::LinkCut,
                     from,
                     to: from + lasts,
@@ -259,7 +259,7 @@
                     factor: 0.0,
                     by: 0,
                 };
-                self.ways.troubles.push(one_way);
+                self.ways.faults.push(one_way);
             }
             2 => self.trouble(Fault::LinkLossy, from, from + lasts, vec![member], 0.3, 0),
             3 if free => {
--- a/crates/testbed/src/balancers.rs
+++ b/crates/testbed/src/balancers.rs
@@ -10,8 +10,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use pinefront_model::chance::Chance;
-use pinefront_model::day::{Day, Effect, Group, Tenant, UseCase};
+use pinefront_model::random::RandomSource;
+use pinefront_model::scenario::{Idempotency, IdempotencyScope, RequestClass, Scenario, Tenant};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
 use tokio::net::TcpStream;
@@ -32,40 +32,39 @@
 const LOOKS_APART: Duration = Duration::from_millis(20);
 
 /// The settings of a day as a balancer is told them.
-pub fn settings(day: &Day, number: usize) -> Value {
-    let asks = day.discovery.ask_within.0 > 0;
-    let use_case = |use_case: &UseCase| {
-        let effect = match use_case.effect {
-            Effect::Redoable => "safe",
-            Effect::Labelled => "keyed",
-            Effect::Irreversible => "unsafe",
+pub fn settings(scenario: &Scenario, number: usize) -> Value {
+    let asks = scenario.discovery.max_poll_interval.0 > 0;
+    let class_settings = |class: &RequestClass| {
+        let idempotency = match class.idempotency {
+            Idempotency::Idempotent => "safe",
+            Idempotency::IdempotencyKey => "keyed",
+            Idempotency::NonIdempotent => "unsafe",
         };
-        let group = match use_case.group {
-            Group::All => "all",
-            Group::Zone => "zone",
-            Group::Cell => "cell",
+        let group = match class.scope {
+            IdempotencyScope::All => "all",
+            IdempotencyScope::Zone => "zone",
+            IdempotencyScope::Cell => "cell",
         };
-        json!({"name": use_case.name, "effect": effect, "dedupScope": group, "dedupWindowUs": use_case.window.0,
-            "promisedTimeUs": use_case.promised_time.0})
+        json!({"name": class.name, "effect": idempotency, "dedupScope": group, "dedupWindowUs": class.idempotency_window.0,
+            "promisedTimeUs": class.latency_objective.0})
     };
     let mut told = json!({
-        "fleetSize": day.balancers.get_ref(), "me": number, "zone": number % day.fleet.zones.len(),
-        "registryMode": if asks { "ask" } else { "push" }, "weightKind": "off", "dcs": day.fleet.zones,
-        "kinds": day.machines.iter().map(|machine| &machine.get_ref().name).collect::<Vec<_>>(),
-        "report": {"source": if day.fleet.reports.0 > 0 { "inline" } else { "off" }},
-        "familyInfo": {"warmKeys": day.fleet.keeps_keys.0 > 0},
-        "caps": {"cancel": true, "secondCopies": day.rules.second_copies,
-            "maxDispatches": day.rules.most_dispatches, "retryAfter": true, "maxRetryAfterUs": day.rules.come_back.0,
-            "connIdleUs": day.fleet.idle.0, "connectTimeoutUs": 250_000},
-        "rules": {"askWithinUs": day.discovery.ask_within.0, "coldFrom": day.rules.cold_from,
-            "warmUpUs": day.rules.warm_after.0, "tipMultiple": day.rules.cold_multiple,
-            "fallUs": day.rules.cold_span.0, "drainGraceUs": day.rules.drain_grace.0},
-        "useCases": day.use_cases.iter().map(|class| use_case(class.get_ref())).collect::<Vec<_>>(),
+        "fleetSize": scenario.balancers.get_ref(), "me": number, "zone": number % scenario.fleet.zones.len(),
+        "registryMode": if asks { "ask" } else { "push" }, "weightKind": "off", "dcs": scenario.fleet.zones,
+        "kinds": scenario.machines.iter().map(|machine| &machine.get_ref().name).collect::<Vec<_>>(),
+        "report": {"source": if scenario.fleet.report_interval.0 > 0 { "inline" } else { "off" }},
+        "familyInfo": {"warmKeys": scenario.fleet.key_cache_ttl.0 > 0},
+        "caps": {"cancel": true, "secondCopies": scenario.rules.hedging,
+            "maxDispatches": scenario.rules.max_attempts, "retryAfter": true, "maxRetryAfterUs": scenario.rules.max_retry_after.0,
+            "connIdleUs": scenario.fleet.idle_timeout.0, "connectTimeoutUs": 250_000},
+        "rules": {"askWithinUs": scenario.discovery.max_poll_interval.0, "coldFrom": scenario.rules.slow_start_capacity,
+            "warmUpUs": scenario.rules.slow_start_duration.0, "tipMultiple": scenario.rules.slow_start_overload_factor,
+            "fallUs": scenario.rules.slow_start_overload_window.0, "drainGraceUs": scenario.rules.drain_grace.0},
+        "useCases": scenario.classes.iter().map(|class| class_settings(class.get_ref())).collect::<Vec<_>>(),
     });
-    if !day.tenants.is_empty() {
-        let tenant =
-            |tenant: &Tenant| json!({"name": tenant.name, "allowancePerS": tenant.allowance});
-        told["accounts"] = day
+    if !scenario.tenants.is_empty() {
+        let tenant = |tenant: &Tenant| json!({"name": tenant.name, "allowancePerS": tenant.quota_per_second});
+        told["accounts"] = scenario
             .tenants
             .iter()
             .map(|entry| tenant(entry.get_ref()))
@@ -110,7 +109,7 @@
 
 impl Balancer {
     pub fn new(
-        day: &Day,
+        scenario: &Scenario,
         seed: u64,
         number: usize,
         binary: &Path,
@@ -122,8 +121,8 @@
         let listen = TcpListener::bind((own_address(), 0))?.local_addr()?;
         let told = json!({
             "name": format!("b{number}"), "listen": listen.to_string(), "discovery": discovery[0].to_string(),
-            "seed": format!("{:016x}", Chance::split(seed, "balancer", number as u64).whole()),
-            "limits": {"cores": 1.0, "memory_mb": 512, "sockets": 4096}, "settings": settings(day, number),
+            "seed": format!("{:016x}", RandomSource::split(seed, "balancer", number as u64).next_u64()),
+            "limits": {"cores": 1.0, "memory_mb": 512, "sockets": 4096}, "settings": settings(scenario, number),
         });
         let config = folder.join(format!("b{number}.json"));
         std::fs::write(&config, told.to_string())?;
--- a/crates/testbed/src/baseline.rs
+++ b/crates/testbed/src/baseline.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 use clap::ValueEnum;
-use pinefront_model::chance::Chance;
+use pinefront_model::checker::Observation;
 use pinefront_model::discovery::State;
-use pinefront_model::judge::Seen;
+use pinefront_model::random::RandomSource;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
@@ -62,7 +62,7 @@
     policy: Policy,
     upstreams: Mutex<Vec<Arc<Upstream>>>,
     turn: AtomicUsize,
-    chance: Mutex<Chance>,
+    chance: Mutex<RandomSource>,
 }
 
 impl Plain {
@@ -108,12 +108,12 @@
                     .and_then(|stand| stand.address())
                     == Some(upstream.address);
             if !stays {
-                world.note(
+                world.record(
                     now,
-                    Seen::Told {
+                    Observation::EndpointReported {
                         balancer,
                         server: upstream.number,
-                        drains: true,
+                        draining: true,
                     },
                 );
             }
@@ -126,12 +126,12 @@
             let Some(address) = world.stand(number).and_then(|stand| stand.address()) else {
                 continue;
             };
-            world.note(
+            world.record(
                 now,
-                Seen::Told {
+                Observation::EndpointReported {
                     balancer,
                     server: number,
-                    drains: false,
+                    draining: false,
                 },
             );
             upstreams.push(Arc::new(Upstream {
@@ -152,7 +152,7 @@
         policy,
         upstreams: Mutex::default(),
         turn: AtomicUsize::new(balancer),
-        chance: Mutex::new(Chance::split(world.seed, "baseline", balancer as u64)),
+        chance: Mutex::new(RandomSource::split(world.seed, "baseline", balancer as u64)),
     });
     plain.read_list(world, balancer);
     let (list, lists) = (Arc::clone(&plain), Arc::clone(world));
--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -10,10 +10,10 @@
 
 use hdrhistogram::Histogram;
 use pinefront_model::Micros;
-use pinefront_model::day::{Effect, Kind};
-use pinefront_model::judge::{Outcome, Seen};
+use pinefront_model::checker::{Observation, Outcome};
+use pinefront_model::scenario::{FaultKind, Idempotency};
 use pinefront_model::service::Tally;
-use pinefront_model::traffic::{self, Ticket};
+use pinefront_model::traffic::{self, Request};
 use serde::Serialize;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -48,11 +48,13 @@
 
 /// How tries ended.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Tickets {
+pub struct RequestCounts {
     pub asked: u64,
     pub succeeded: u64,
-    pub dismissed: u64,
-    pub abandoned: u64,
+    #[serde(rename = "dismissed")]
+    pub rejected: u64,
+    #[serde(rename = "abandoned")]
+    pub failed: u64,
     pub unanswered: u64,
     pub left: u64,
     /// No balancer could be reached.
@@ -62,7 +64,7 @@
 /// What all clients saw.
 pub struct Collected {
     pub tally: Tally,
-    pub tickets: Tickets,
+    pub requests: RequestCounts,
     /// From when a try was due to its answer, for those that succeeded.
     pub latency: Histogram<u64>,
     /// From when a try was due to when it was written.
@@ -75,32 +77,35 @@
     pub fn new(seconds: usize) -> Self {
         Self {
             tally: Tally::new(),
-            tickets: Tickets::default(),
+            requests: RequestCounts::default(),
             latency: histogram(),
             lateness: histogram(),
             by_second: (0..seconds).map(|_| histogram()).collect(),
         }
     }
 
-    fn ended(&mut self, ticket: &Ticket, end: &End, now: Micros) {
-        let tickets = &mut self.tickets;
+    fn ended(&mut self, request: &Request, end: &End, now: Micros) {
+        let requests = &mut self.requests;
         *match end {
-            End::Answered(Outcome::Succeeded, _) => &mut tickets.succeeded,
-            End::Answered(Outcome::Dismissed, _) => &mut tickets.dismissed,
-            End::Answered(Outcome::Abandoned, _) => &mut tickets.abandoned,
-            End::Lost => &mut tickets.unanswered,
-            End::Left => &mut tickets.left,
-            End::Unreached => &mut tickets.unreached,
+            End::Answered(Outcome::Succeeded, _) => &mut requests.succeeded,
+            End::Answered(Outcome::Rejected, _) => &mut requests.rejected,
+            End::Answered(Outcome::Failed, _) => &mut requests.failed,
+            End::Lost => &mut requests.unanswered,
+            End::Disconnected => &mut requests.left,
+            End::Unreached => &mut requests.unreached,
         } += 1;
         let outcome = end.outcome();
         if outcome == Some(Outcome::Succeeded) {
-            let took = now.saturating_sub(ticket.due).max(1);
+            let took = now.saturating_sub(request.scheduled_at).max(1);
             self.latency.saturating_record(took);
-            if let Some(second) = self.by_second.get_mut((ticket.due / 1_000_000) as usize) {
+            if let Some(second) = self
+                .by_second
+                .get_mut((request.scheduled_at / 1_000_000) as usize)
+            {
                 second.saturating_record(took);
             }
         }
-        self.tally.ended(ticket, now, outcome);
+        self.tally.record_outcome(request, now, outcome);
     }
 }
 
@@ -123,9 +128,9 @@
     }
 
     /// The balancer that a draw falls to, or the next that is up.
-    fn deal(&self, dealt: f64) -> usize {
+    fn deal(&self, balancer_draw: f64) -> usize {
         let count = self.addresses.len();
-        let first = ((dealt * count as f64) as usize).min(count - 1);
+        let first = ((balancer_draw * count as f64) as usize).min(count - 1);
         let up = |turn: &usize| self.up[(first + turn) % count].load(Ordering::Relaxed);
         (first + (0..count).find(up).unwrap_or(0)) % count
     }
@@ -141,7 +146,7 @@
 
 impl Load {
     pub fn new(world: Arc<World>, addresses: Vec<SocketAddr>) -> Self {
-        let seconds = (world.day.length.get_ref().0 / 1_000_000 + 1).min(3600) as usize;
+        let seconds = (world.scenario.length.get_ref().0 / 1_000_000 + 1).min(3600) as usize;
         Self {
             world,
             front: Front::new(addresses),
@@ -152,7 +157,7 @@
 }
 
 /// A worker: a thread of its own with a runtime of its own, so that stand-ins at work delay no ticket.
-pub fn worker(load: &Arc<Load>, mut due: mpsc::Receiver<Ticket>) -> io::Result<()> {
+pub fn worker(load: &Arc<Load>, mut due: mpsc::Receiver<Request>) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
@@ -161,8 +166,8 @@
         let pools: Pools = Rc::new(RefCell::new(
             load.front.addresses.iter().map(|_| Vec::new()).collect(),
         ));
-        while let Some(ticket) = due.recv().await {
-            tokio::task::spawn_local(client(Arc::clone(load), Rc::clone(&pools), ticket));
+        while let Some(request) = due.recv().await {
+            tokio::task::spawn_local(client(Arc::clone(load), Rc::clone(&pools), request));
         }
     });
     // What is still out ends by itself: every try has an end.
@@ -176,7 +181,7 @@
 enum End {
     Answered(Outcome, Option<Micros>),
     Lost,
-    Left,
+    Disconnected,
     Unreached,
 }
 
@@ -190,43 +195,44 @@
 }
 
 /// One client: its tries, one after the other.
-async fn client(load: Arc<Load>, pools: Pools, mut ticket: Ticket) {
+async fn client(load: Arc<Load>, pools: Pools, mut request: Request) {
     let world = &load.world;
     loop {
-        world.expect(&ticket);
+        world.expect(&request);
         {
             let mut collected = locked(&load.collected);
-            collected.tickets.asked += 1;
-            collected.tally.asked(&ticket);
+            collected.requests.asked += 1;
+            collected.tally.record_request(&request);
         }
-        let end = attempt(&load, &pools, &ticket).await;
+        let end = attempt(&load, &pools, &request).await;
         let now = world.now();
-        locked(&load.collected).ended(&ticket, &end, now);
-        let come_back = match end {
-            End::Answered(Outcome::Succeeded, _) | End::Left => return,
-            End::Answered(_, come_back) => come_back,
+        locked(&load.collected).ended(&request, &end, now);
+        let retry_after = match end {
+            End::Answered(Outcome::Succeeded, _) | End::Disconnected => return,
+            End::Answered(_, retry_after) => retry_after,
             End::Lost | End::Unreached => None,
         };
         let number = load.next_number.fetch_add(1, Ordering::Relaxed);
-        let Some(again) = traffic::again(&world.day, &ticket, number, now, come_back) else {
+        let Some(retry) = traffic::retry(&world.scenario, &request, number, now, retry_after)
+        else {
             return;
         };
-        ticket = again;
-        tokio::time::sleep_until(world.clock.at(ticket.due).into()).await;
+        request = retry;
+        tokio::time::sleep_until(world.clock.at(request.scheduled_at).into()).await;
     }
 }
 
 /// One try, on a connection that is kept or a new one.
-async fn attempt(load: &Load, pools: &Pools, ticket: &Ticket) -> End {
-    let balancer = load.front.deal(ticket.dealt);
-    let text = request(&load.world, ticket);
+async fn attempt(load: &Load, pools: &Pools, request: &Request) -> End {
+    let balancer = load.front.deal(request.balancer_draw);
+    let text = request_text(&load.world, request);
     loop {
         let kept = pools.borrow_mut()[balancer].pop();
         let Some(stream) = kept else { break };
         if !http::is_usable(&stream) {
             continue;
         }
-        match exchange(load, pools, balancer, ticket, &text, stream, true).await {
+        match exchange(load, pools, balancer, request, &text, stream, true).await {
             Some(end) => return end,
             // It was closed as the ticket was written: nobody has read it, and it goes on a new one.
             None => break,
@@ -242,31 +248,31 @@
     };
     // Without it a ticket may wait for the answer to the last.
     let _ = stream.set_nodelay(true);
-    exchange(load, pools, balancer, ticket, &text, stream, false)
+    exchange(load, pools, balancer, request, &text, stream, false)
         .await
         .unwrap_or(End::Lost)
 }
 
-pub fn request(world: &World, ticket: &Ticket) -> Vec<u8> {
-    let class = world.day.use_cases[ticket.use_case].get_ref();
+pub fn request_text(world: &World, request: &Request) -> Vec<u8> {
+    let class = world.scenario.classes[request.class].get_ref();
     let name = &class.name;
     let tenant = world
-        .day
+        .scenario
         .tenants
-        .get(ticket.tenant)
+        .get(request.tenant)
         .map_or("lab", |tenant| &tenant.get_ref().name);
-    let (method, rest) = match class.effect {
-        Effect::Redoable => ("GET", String::new()),
-        Effect::Labelled => (
+    let (method, rest) = match class.idempotency {
+        Idempotency::Idempotent => ("GET", String::new()),
+        Idempotency::IdempotencyKey => (
             "POST",
             format!(
                 "Idempotency-Key: {:016x}\r\nContent-Length: 0\r\n",
-                ticket.label
+                request.idempotency_key
             ),
         ),
-        Effect::Irreversible => ("POST", "Content-Length: 0\r\n".to_owned()),
+        Idempotency::NonIdempotent => ("POST", "Content-Length: 0\r\n".to_owned()),
     };
-    let resent = if ticket.tries > 1 {
+    let resent = if request.attempt > 1 {
         "X-Resent: 1\r\n"
     } else {
         ""
@@ -274,10 +280,10 @@
     format!(
         "{method} /{name}/{} HTTP/1.1\r\nHost: lab\r\nX-Txn: {:016x}\r\nX-Lane: {name}\r\nX-Org: {tenant}\r\n\
          X-Entity: k={}\r\nX-Remaining-Ms: {}\r\n{resent}{rest}\r\n",
-        ticket.key,
-        ticket.number,
-        ticket.key,
-        ticket.wait / 1000
+        request.key,
+        request.number,
+        request.key,
+        request.timeout / 1000
     )
     .into_bytes()
 }
@@ -287,20 +293,20 @@
     load: &Load,
     pools: &Pools,
     balancer: usize,
-    ticket: &Ticket,
+    request: &Request,
     text: &[u8],
     mut stream: TcpStream,
     kept: bool,
 ) -> Option<End> {
     let world = &load.world;
-    let number = ticket.number;
-    let further = ticket.leaves_after.is_none() && world.strikes(Kind::ClientsPipeline);
+    let number = request.number;
+    let further = request.disconnects_after.is_none() && world.strikes(FaultKind::ClientsPipeline);
     let both = if further {
         [text, FURTHER].concat()
     } else {
         text.to_vec()
     };
-    let in_pieces = !further && world.strikes(Kind::ClientsInPieces);
+    let in_pieces = !further && world.strikes(FaultKind::ClientsInPieces);
     let wrote = match in_pieces {
         true => http::in_pieces(&mut stream, &both, 1 + world.draw(PIECES_MOST)).await,
         false => stream.write_all(&both).await,
@@ -312,21 +318,21 @@
     if !in_pieces {
         locked(&load.collected)
             .lateness
-            .saturating_record(written.saturating_sub(ticket.due).max(1));
+            .saturating_record(written.saturating_sub(request.scheduled_at).max(1));
     }
-    let hard_stop = written + ticket.wait;
-    world.note(
+    let deadline = written + request.timeout;
+    world.record(
         written,
-        Seen::Taken {
-            ticket: number,
+        Observation::RequestReceived {
+            request: number,
             balancer,
-            use_case: ticket.use_case,
-            hard_stop,
+            class: request.class,
+            deadline,
         },
     );
-    let until: Instant = world.clock.at(hard_stop) + WAITS_ON;
-    let leaves: Option<Instant> = ticket
-        .leaves_after
+    let until: Instant = world.clock.at(deadline) + WAITS_ON;
+    let leaves: Option<Instant> = request
+        .disconnects_after
         .map(|after| world.clock.at(written + after));
     let wait_until = leaves.map_or(until, |leaves| leaves.min(until));
     let mut heard = Vec::new();
@@ -340,34 +346,34 @@
         Ok(Ok(answer)) => answer,
         Ok(Err(_)) if kept && heard.is_empty() => return None,
         Ok(Err(_)) => {
-            world.note(now, Seen::Lost { ticket: number });
+            world.record(now, Observation::ConnectionLost { request: number });
             return Some(End::Lost);
         }
         Err(_) if leaves.is_some_and(|leaves| leaves <= until) => {
-            world.note(now, Seen::Left { ticket: number });
-            return Some(End::Left);
+            world.record(now, Observation::ClientDisconnected { request: number });
+            return Some(End::Disconnected);
         }
         Err(_) => return Some(End::Lost),
     };
     let outcome = match answer.status {
         200 => Outcome::Succeeded,
-        429 | 503 => Outcome::Dismissed,
-        _ => Outcome::Abandoned,
+        429 | 503 => Outcome::Rejected,
+        _ => Outcome::Failed,
     };
     let genuine = outcome != Outcome::Succeeded
         || heard[answer.body.clone()] == *body(&format!("{number:016x}")).as_bytes();
-    world.note(
+    world.record(
         now,
-        Seen::Answered {
-            ticket: number,
+        Observation::ResponseReceived {
+            request: number,
             outcome,
             genuine,
         },
     );
-    let come_back = answer
+    let retry_after = answer
         .retry_after
         .filter(|after| after.is_finite() && *after >= 0.0);
-    let answered = End::Answered(outcome, come_back.map(|after| (after * 1e6) as Micros));
+    let answered = End::Answered(outcome, retry_after.map(|after| (after * 1e6) as Micros));
     heard.drain(..answer.end);
     if further && answer.lasts {
         let second = timeout(FURTHER_WITHIN, http::read_answer(&mut stream, &mut heard)).await;
@@ -376,7 +382,7 @@
             let what = format!(
                 "the request behind ticket {number} got no answer from balancer {balancer}"
             );
-            locked(&world.ledger).broken(1, world.now(), what);
+            locked(&world.checker).record_violation(1, world.now(), what);
         }
         if !second.is_ok_and(|second| second.is_ok_and(|second| second.lasts)) {
             return Some(answered);
--- a/crates/testbed/src/commands/measuring.rs
+++ b/crates/testbed/src/commands/measuring.rs
@@ -111,8 +111,8 @@
         found.asked,
         found.succeeded,
         found.rate_succeeded,
-        found.dismissed,
-        found.abandoned,
+        found.rejected,
+        found.failed,
         found.unanswered
     );
     println!(
--- a/crates/testbed/src/commands/mod.rs
+++ b/crates/testbed/src/commands/mod.rs
@@ -1,15 +1,15 @@
 //! The commands of `pinefront-testbed`: their arguments, and what each does with the rest of the lab.
 
 pub mod agreement;
-pub mod days;
 pub mod measuring;
+pub mod scenarios;
 pub mod soaking;
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use pinefront_model::check;
-use pinefront_model::day::Day;
+use pinefront_model::scenario::Scenario;
+use pinefront_model::validation;
 
 use crate::balancers;
 use crate::figures::Figures;
@@ -24,15 +24,15 @@
     Failed(String),
 }
 
-pub fn read_day(path: &Path) -> Result<Day, Failure> {
+pub fn read_day(path: &Path) -> Result<Scenario, Failure> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path)
         .map_err(|problem| Failure::Wrong(format!("{name}: {problem}")))?;
     check_day(&text, &name)
 }
 
-pub fn check_day(text: &str, name: &str) -> Result<Day, Failure> {
-    check::read(text, name).map_err(|problems| {
+pub fn check_day(text: &str, name: &str) -> Result<Scenario, Failure> {
+    validation::read(text, name).map_err(|problems| {
         Failure::Wrong(
             problems
                 .iter()
@@ -51,11 +51,16 @@
         .map_err(|problem| Failure::Failed(format!("{}: {problem}", path.display())))
 }
 
-pub fn played(day: &Day, seed: u64, who: &Who, wishes: &Wishes) -> Result<Figures, Failure> {
-    let figures = play(day, seed, who, wishes).map_err(Failure::Failed)?;
+pub fn played(
+    scenario: &Scenario,
+    seed: u64,
+    who: &Who,
+    wishes: &Wishes,
+) -> Result<Figures, Failure> {
+    let figures = play(scenario, seed, who, wishes).map_err(Failure::Failed)?;
     println!(
         "{} with {}, seed {seed}:\n{}",
-        day.name,
+        scenario.name,
         who.name(),
         figures.table()
     );
@@ -80,9 +85,13 @@
     }
 }
 
-pub fn write_report(folder: Option<&Path>, day: &Day, runs: &[&Figures]) -> Result<(), Failure> {
+pub fn write_report(
+    folder: Option<&Path>,
+    scenario: &Scenario,
+    runs: &[&Figures],
+) -> Result<(), Failure> {
     let Some(folder) = folder else { return Ok(()) };
-    let path = report::write(folder, day, runs).map_err(Failure::Failed)?;
+    let path = report::write(folder, scenario, runs).map_err(Failure::Failed)?;
     println!("report: {}", path.display());
     Ok(())
 }
--- a/crates/testbed/src/commands/days.rs
+++ b/crates/testbed/src/commands/scenarios.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use clap::Args;
-use pinefront_model::check;
+use pinefront_model::validation;
 
 use crate::baseline::Policy;
 use crate::commands::{
@@ -42,7 +42,7 @@
 
 #[derive(Args)]
 pub struct Run {
-    day: PathBuf,
+    scenario: PathBuf,
     /// How many, in place of what the day says
     #[arg(long)]
     balancers: Option<usize>,
@@ -64,7 +64,7 @@
 
 #[derive(Args)]
 pub struct Compare {
-    day: PathBuf,
+    scenario: PathBuf,
     /// All where none is named
     #[arg(long)]
     policy: Vec<Policy>,
@@ -87,7 +87,7 @@
 #[derive(Args)]
 pub struct Standing {
     /// A day whose fleet stands in; a usual one where none is named
-    day: Option<PathBuf>,
+    scenario: Option<PathBuf>,
     #[arg(long, default_value_t = 12)]
     servers: usize,
     /// Where the page listens
@@ -103,7 +103,7 @@
 
 #[derive(Args)]
 pub struct FleetDay {
-    day: PathBuf,
+    scenario: PathBuf,
     /// How many, in place of what the day says
     #[arg(long)]
     balancers: Option<usize>,
@@ -145,7 +145,7 @@
         "name = \"demo\"\nlength = \"{lasts}\"\nbalancers = {}\nseed = {}\n[fleet]\nservers = {}\n[traffic]\nrate = {:?}\n",
         demo.balancers, demo.seed, demo.servers, demo.rate
     );
-    let day = check_day(&text, "demo")?;
+    let scenario = check_day(&text, "demo")?;
     let who = Who::Binary(demo.binary.clone().unwrap_or_else(balancers::own_binary));
     let wishes = Wishes {
         live: true,
@@ -153,15 +153,15 @@
         fleet: false,
         over: Arc::clone(over),
     };
-    let figures = played(&day, day.seed, &who, &wishes)?;
+    let figures = played(&scenario, scenario.seed, &who, &wishes)?;
     write_json(demo.json.as_deref(), &figures)?;
     sound(&[&figures])
 }
 
 pub fn run(run: &Run, over: &Arc<AtomicBool>) -> Result<(), Failure> {
-    let mut day = read_day(&run.day)?;
+    let mut scenario = read_day(&run.scenario)?;
     if let Some(balancers) = run.balancers {
-        check::set_balancers(&mut day, balancers)
+        validation::set_balancers(&mut scenario, balancers)
             .map_err(|reason| Failure::Wrong(format!("--balancers: {reason}")))?;
     }
     let binaries = binaries(&run.binary);
@@ -171,13 +171,13 @@
         fleet: false,
         over: Arc::clone(over),
     };
-    let first = run.seed.unwrap_or(day.seed);
+    let first = run.seed.unwrap_or(scenario.seed);
     let mut all: Vec<Vec<Figures>> = binaries.iter().map(|_| Vec::new()).collect();
     for round in 0..run.rounds.unwrap_or(1) {
         for (binary, found) in binaries.iter().zip(&mut all) {
             if !over.load(Ordering::Relaxed) {
                 found.push(played(
-                    &day,
+                    &scenario,
                     first + round,
                     &Who::Binary(binary.clone()),
                     &wishes,
@@ -212,12 +212,12 @@
         _ => write_json(run.json.as_deref(), &all)?,
     }
     let all: Vec<_> = all.iter().flatten().collect();
-    write_report(run.report.as_deref(), &day, &all)?;
+    write_report(run.report.as_deref(), &scenario, &all)?;
     sound(&all)
 }
 
 pub fn stand(standing: &Standing, over: &Arc<AtomicBool>) -> Result<(), Failure> {
-    let day = match &standing.day {
+    let scenario = match &standing.scenario {
         Some(path) => read_day(path)?,
         None => check_day(
             &format!(
@@ -227,18 +227,24 @@
             "stand",
         )?,
     };
-    standing::stand_alone(&day, standing.page, standing.listen, &standing.config, over)
-        .map_err(Failure::Failed)
+    standing::stand_alone(
+        &scenario,
+        standing.page,
+        standing.listen,
+        &standing.config,
+        over,
+    )
+    .map_err(Failure::Failed)
 }
 
 pub fn fleet_day(options: &FleetDay, over: &Arc<AtomicBool>) -> Result<(), Failure> {
-    let mut day = read_day(&options.day)?;
+    let mut scenario = read_day(&options.scenario)?;
     if let Some(balancers) = options.balancers {
-        check::set_balancers(&mut day, balancers)
+        validation::set_balancers(&mut scenario, balancers)
             .map_err(|reason| Failure::Wrong(format!("--balancers: {reason}")))?;
     }
     if let Some(loss) = options.loss {
-        fleet::drawn::lose(&mut day, loss);
+        fleet::drawn::lose(&mut scenario, loss);
     }
     let who = Who::Binary(options.binary.clone().unwrap_or_else(balancers::own_binary));
     let wishes = Wishes {
@@ -248,23 +254,28 @@
         over: Arc::clone(over),
     };
     let Some(seeds) = options.seeds.clone() else {
-        let figures = played(&day, options.seed.unwrap_or(day.seed), &who, &wishes)?;
+        let figures = played(
+            &scenario,
+            options.seed.unwrap_or(scenario.seed),
+            &who,
+            &wishes,
+        )?;
         write_json(options.json.as_deref(), &figures)?;
         return sound(&[&figures]);
     };
     let mut all = Vec::new();
     for seed in seeds.take_while(|_| !over.load(Ordering::Relaxed)) {
-        let mut day = day.clone();
-        fleet::drawn::draw(&mut day, seed);
+        let mut scenario = scenario.clone();
+        fleet::drawn::draw(&mut scenario, seed);
         options
             .loss
             .into_iter()
-            .for_each(|loss| fleet::drawn::lose(&mut day, loss));
-        let figures = played(&day, seed, &who, &wishes)?;
+            .for_each(|loss| fleet::drawn::lose(&mut scenario, loss));
+        let figures = played(&scenario, seed, &who, &wishes)?;
         if !figures.is_sound() {
             println!(
                 "again: pinefront-testbed fleet {} --seeds {seed}..{}",
-                options.day.display(),
+                options.scenario.display(),
                 seed + 1
             );
         }
@@ -275,7 +286,7 @@
 }
 
 pub fn compare(compare: &Compare, over: &Arc<AtomicBool>) -> Result<(), Failure> {
-    let day = read_day(&compare.day)?;
+    let scenario = read_day(&compare.scenario)?;
     let policies = if compare.policy.is_empty() {
         Policy::ALL.to_vec()
     } else {
@@ -297,8 +308,8 @@
     for who in whos {
         if !over.load(Ordering::Relaxed) {
             all.push(played(
-                &day,
-                compare.seed.unwrap_or(day.seed),
+                &scenario,
+                compare.seed.unwrap_or(scenario.seed),
                 &who,
                 &wishes,
             )?);
@@ -310,7 +321,7 @@
     for run in &all {
         let (times, part) = (
             &run.latency_ms,
-            run.tickets.succeeded as f64 / run.tickets.asked.max(1) as f64,
+            run.requests.succeeded as f64 / run.requests.asked.max(1) as f64,
         );
         println!(
             "| {} | {:.3} | {:.1} % | {:.0} | {:.0} | {} |",
@@ -324,7 +335,7 @@
     }
     write_report(
         compare.report.as_deref(),
-        &day,
+        &scenario,
         &all.iter().collect::<Vec<_>>(),
     )?;
     write_json(compare.json.as_deref(), &all)
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -7,10 +7,10 @@
 use std::time::Duration;
 
 use pinefront_model::call_queue::Admission;
-use pinefront_model::day::Kind;
+use pinefront_model::checker::Observation;
 use pinefront_model::discovery::{Entry, State};
-use pinefront_model::faults::Telling;
-use pinefront_model::judge::Seen;
+use pinefront_model::scenario::FaultKind;
+use pinefront_model::timeline::DiscoveryState;
 use pinefront_model::{Micros, SECOND};
 use serde_json::json;
 use tokio::io::AsyncWriteExt;
@@ -121,23 +121,23 @@
     }
 
     async fn answer(&mut self, call: Call, kept: &mut Vec<u8>) -> io::Result<After> {
-        if self.world.line().telling(self.world.now()) == Telling::Gone {
+        if self.world.timeline().discovery_state(self.world.now()) == DiscoveryState::Unreachable {
             return Ok(After::Resets);
         }
         let (now, is_watch) = (self.world.now(), call.since.is_some());
         let slower = self
             .world
-            .line()
-            .wide(Kind::DiscoverySlow, now)
-            .map_or(1.0, |(factor, _)| factor);
+            .timeline()
+            .global_fault(FaultKind::DiscoverySlow, now)
+            .map_or(1.0, |strength| strength.factor);
         let admission = match self.world.clock.has_begun() {
             true => locked(&self.world.call_queue).admit(now, self.balancer, is_watch, slower),
             // Balancers are started before the day begins, in no time of its own.
-            false => Admission::At(now),
+            false => Admission::Admitted(now),
         };
         let turn = match admission {
-            Admission::At(turn) if !self.world.strikes(Kind::ListsRefused) => turn,
-            Admission::At(_) | Admission::Refused => {
+            Admission::Admitted(turn) if !self.world.strikes(FaultKind::ListsRefused) => turn,
+            Admission::Admitted(_) | Admission::Rejected => {
                 http::answer(&mut self.stream, "503 Service Unavailable", "", "busy\n").await?;
                 return Ok(After::Lasts);
             }
@@ -178,16 +178,23 @@
         loop {
             listed.mark_unchanged();
             let now = world.now();
-            if let Some(from) = world.line().began(Kind::WatchesSilent, began, now) {
+            if let Some(from) =
+                world
+                    .timeline()
+                    .started_between(FaultKind::WatchesSilent, began, now)
+            {
                 return Waited::Silent(from);
             }
-            let reset = world.line().began(Kind::WatchesReset, began, now).is_some();
-            if reset || world.line().telling(now) == Telling::Gone {
+            let reset = world
+                .timeline()
+                .started_between(FaultKind::WatchesReset, began, now)
+                .is_some();
+            if reset || world.timeline().discovery_state(now) == DiscoveryState::Unreachable {
                 return Waited::Reset;
             }
             let moment = told_moment(&world);
-            let (version, next) =
-                world.with_registry(|registry| (registry.version(moment), registry.next(since)));
+            let (version, next) = world
+                .with_registry(|registry| (registry.version(moment), registry.next_change(since)));
             if version > since {
                 // News waits behind what stands in the queue.
                 let backlog = locked(&world.call_queue).backlog(now);
@@ -199,9 +206,13 @@
             }
             // Staleness begins and ends by itself, so it is looked at now and then.
             let latest = tokio::time::Instant::now() + LOOKS_AT_LEAST;
-            let ends = [Kind::WatchesSilent, Kind::WatchesReset, Kind::DiscoveryGone]
-                .into_iter()
-                .filter_map(|kind| world.line().begins_next(kind, now));
+            let ends = [
+                FaultKind::WatchesSilent,
+                FaultKind::WatchesReset,
+                FaultKind::DiscoveryUnreachable,
+            ]
+            .into_iter()
+            .filter_map(|kind| world.timeline().next_start(kind, now));
             let next = next
                 .into_iter()
                 .chain(ends)
@@ -219,22 +230,23 @@
     /// Writes what a call asked for, as the day's faults have it, and notes what the balancer was told with it.
     async fn write_list(&mut self, call: Call) -> io::Result<After> {
         let world = Arc::clone(&self.world);
-        if let Some(late) = self.span_of(Kind::ListsLate) {
+        if let Some(late) = self.span_of(FaultKind::ListsLate) {
             tokio::time::sleep(late).await;
         }
         let list = List::of(
             &world,
-            call.since.filter(|_| !world.strikes(Kind::ListsWhole)),
+            call.since
+                .filter(|_| !world.strikes(FaultKind::ListsComplete)),
         );
         let answer = Answer::word(&list, &world);
         if call.since.is_some() {
-            locked(&world.call_queue).answered(world.now(), self.balancer);
+            locked(&world.call_queue).watch_answered(world.now(), self.balancer);
         }
         let cut = world
-            .strikes(Kind::ListsCut)
+            .strikes(FaultKind::ListsCut)
             .then(|| 1 + world.draw(answer.text.len() - 1));
         let written = &answer.text[..cut.unwrap_or(answer.text.len())];
-        match self.span_of(Kind::ListsInPieces) {
+        match self.span_of(FaultKind::ListsInPieces) {
             Some(over) => self.write_in_pieces(written, &answer, &list, over).await?,
             None => {
                 self.note_told(&answer, &list, 0, written.len());
@@ -244,7 +256,7 @@
         if cut.is_none() {
             self.note_gone(&list);
         }
-        let resets = world.strikes(Kind::ListsReset);
+        let resets = world.strikes(FaultKind::ListsReset);
         Ok(match (cut.is_some(), answer.lasts) {
             _ if resets => After::Resets,
             (true, _) | (_, false) => After::Closes,
@@ -274,10 +286,10 @@
     }
 
     /// A drawn span, where a fault of that kind strikes.
-    fn span_of(&self, kind: Kind) -> Option<Duration> {
-        let (_, by) = self.world.line().wide(kind, self.world.now())?;
+    fn span_of(&self, kind: FaultKind) -> Option<Duration> {
+        let strength = self.world.timeline().global_fault(kind, self.world.now())?;
         let drawn = self.world.strikes(kind);
-        drawn.then(|| Duration::from_micros(self.world.draw(by as usize + 1) as u64))
+        drawn.then(|| Duration::from_micros(self.world.draw(strength.by as usize + 1) as u64))
     }
 
     /// Entries of which the first byte lies in that part of the answer count as told.
@@ -305,12 +317,12 @@
     }
 
     fn note(&self, now: Micros, server: usize, drains: bool) {
-        self.world.note(
+        self.world.record(
             now,
-            Seen::Told {
+            Observation::EndpointReported {
                 balancer: self.balancer,
                 server,
-                drains,
+                draining: drains,
             },
         );
     }
@@ -361,7 +373,7 @@
             list.version, list.is_whole
         );
         let mut places = Vec::new();
-        if world.strikes(Kind::ListsStrange) {
+        if world.strikes(FaultKind::ListsStrange) {
             let strange = json!({"uid": "s-strange", "endpoint": "nowhere", "state": "resting"});
             body += &strange.to_string();
         }
@@ -379,8 +391,8 @@
     /// In one of the framings that HTTP/1.1 has, where pieces are to be told apart by them.
     fn framed(body: &str, places: Vec<usize>, world: &World) -> Self {
         let framing = if world
-            .line()
-            .wide(Kind::ListsInPieces, world.now())
+            .timeline()
+            .global_fault(FaultKind::ListsInPieces, world.now())
             .is_some()
         {
             world.draw(3)
@@ -415,8 +427,8 @@
 
 /// The moment whose list discovery tells now.
 fn told_moment(world: &World) -> Micros {
-    match world.line().telling(world.now()) {
-        Telling::Stale(by) => world.now().saturating_sub(by),
+    match world.timeline().discovery_state(world.now()) {
+        DiscoveryState::Stale(by) => world.now().saturating_sub(by),
         _ => world.now(),
     }
 }
--- a/crates/testbed/src/explore.rs
+++ b/crates/testbed/src/explore.rs
@@ -13,7 +13,7 @@
 use pinefront_cluster::duties::term::Term;
 use pinefront_cluster::duties::{Duties, Duty, DutyEvent, DutyTerms, LEASE_MOST, Planted};
 use pinefront_model::Micros;
-use pinefront_model::chance::Chance;
+use pinefront_model::random::RandomSource;
 use serde::Serialize;
 
 const DUTY: &str = "d";
@@ -449,7 +449,7 @@
 const WALK_STEPS: u64 = 400;
 
 fn walked(seed: u64, wish: &Wish, broken: &mut Vec<String>) -> u64 {
-    let mut chance = Chance::split(seed, "walk", 0);
+    let mut chance = RandomSource::split(seed, "walk", 0);
     let mut state = State::first(wish);
     let mut moves = Vec::new();
     for step in 0..WALK_STEPS {
--- a/crates/testbed/src/figures.rs
+++ b/crates/testbed/src/figures.rs
@@ -3,11 +3,11 @@
 use std::fmt::Write as _;
 
 use hdrhistogram::Histogram;
-use pinefront_model::judge::Ledger;
+use pinefront_model::checker::Checker;
 use pinefront_model::service::Parts;
 use serde::Serialize;
 
-use crate::clients::{Collected, Tickets};
+use crate::clients::{Collected, RequestCounts};
 use crate::fleet::Known;
 use crate::fleet::duties::DutiesFound;
 
@@ -44,12 +44,14 @@
 /// One run of a day.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Figures {
-    pub day: String,
+    #[serde(rename = "day")]
+    pub scenario: String,
     pub who: String,
     pub seed: u64,
     pub balancers: usize,
     pub servers: usize,
-    pub tickets: Tickets,
+    #[serde(rename = "tickets")]
+    pub requests: RequestCounts,
     pub latency_ms: Times,
     /// Of the load itself, from when a ticket was due to when it was written.
     pub lateness_ms: Times,
@@ -87,15 +89,15 @@
         collected: &Collected,
         parts: Parts,
         by_second: &[f64],
-        ledger: &Ledger,
+        checker: &Checker,
     ) {
-        self.tickets = collected.tickets.clone();
+        self.requests = collected.requests.clone();
         self.latency_ms = Times::of(&collected.latency);
         self.lateness_ms = Times::of(&collected.lateness);
         (self.service, self.service_parts) = (parts.total, parts);
-        self.rules_broken_count = ledger.breaks().len();
-        self.rules_broken = ledger
-            .breaks()
+        self.rules_broken_count = checker.violations().len();
+        self.rules_broken = checker
+            .violations()
             .iter()
             .take(BREAKS_TOLD)
             .map(ToString::to_string)
@@ -130,15 +132,15 @@
 
     pub fn table(&self) -> String {
         let mut out = String::new();
-        let Tickets {
+        let RequestCounts {
             asked,
             succeeded,
-            dismissed,
-            abandoned,
+            rejected,
+            failed,
             unanswered,
             left,
             unreached,
-        } = self.tickets;
+        } = self.requests;
         let mut line = |name: &str, text: String| {
             // Writing to a text cannot fail.
             let _ = writeln!(out, "  {name:<16} {text}");
@@ -146,7 +148,7 @@
         line(
             "tickets",
             format!(
-                "{asked} asked, {succeeded} succeeded, {dismissed} dismissed, {abandoned} abandoned"
+                "{asked} asked, {succeeded} succeeded, {rejected} dismissed, {failed} abandoned"
             ),
         );
         if unanswered + left + unreached > 0 {
@@ -167,7 +169,7 @@
             "service",
             format!(
                 "{:.3} (whole {:.3}, worst 10 s {:.3}, worst use case {:.3}, tail {:.3})",
-                self.service, parts.whole, parts.worst_10s, parts.worst_use_case, parts.tail
+                self.service, parts.overall, parts.worst_10s, parts.worst_class, parts.tail
             ),
         );
         if self.cpu_us_per_ticket > 0.0 {
@@ -275,7 +277,7 @@
                 line("rules", format!("{count} BROKEN"));
                 self.rules_broken
                     .iter()
-                    .for_each(|broken| line("", broken.clone()));
+                    .for_each(|record_violation| line("", record_violation.clone()));
             }
         }
         self.deaths
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -11,7 +11,7 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::path::{Path, PathBuf};
 
-use pinefront_model::day::Day;
+use pinefront_model::scenario::Scenario;
 use serde::Serialize;
 
 use crate::fleet::duties::DutiesFound;
@@ -47,11 +47,11 @@
 /// Members that vote: the first, which are seeds too.
 const VOTERS: usize = 3;
 
-fn duties(day: &Day) -> String {
-    if day.duties == 0 && !day.roster {
+fn duties(day: &Scenario) -> String {
+    if day.duties == 0 && !day.shared_endpoint_list {
         return String::new();
     }
-    let zones = if day.roster {
+    let zones = if day.shared_endpoint_list {
         day.fleet.zones.as_slice()
     } else {
         &[]
@@ -114,7 +114,7 @@
     /// Writes the operator file of one balancer at the fleet address of that place.
     pub fn operator_file(
         &self,
-        day: &Day,
+        day: &Scenario,
         number: usize,
         place: usize,
         folder: &Path,
--- a/crates/testbed/src/fleet/relays.rs
+++ b/crates/testbed/src/fleet/relays.rs
@@ -6,9 +6,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use pinefront_model::chance::Chance;
-use pinefront_model::day::Kind;
-use pinefront_model::ways::Trouble;
+use pinefront_model::network::LinkFault;
+use pinefront_model::random::RandomSource;
+use pinefront_model::scenario::FaultKind;
 
 use crate::world::{World, locked};
 
@@ -42,7 +42,7 @@
     let socket = Arc::new(tokio::net::UdpSocket::from_std(socket)?);
     let (world, relayed) = (Arc::clone(world), Arc::clone(relayed));
     let listens = floods(&world).next().is_some();
-    let mut chance = Chance::split(world.seed, "relay", (from * 1_000 + to) as u64);
+    let mut chance = RandomSource::split(world.seed, "relay", (from * 1_000 + to) as u64);
     tokio::spawn(async move {
         let mut bytes = [0; LONGEST];
         loop {
@@ -51,11 +51,14 @@
                 continue;
             };
             let mut bytes = bytes[..length].to_vec();
-            let carried = world.line().ways.carry(from, to, world.now(), &mut chance);
+            let carried = world
+                .timeline()
+                .links
+                .transmit(from, to, world.now(), &mut chance);
             if carried.copies.is_empty() {
                 relayed.lost.fetch_add(1, Ordering::Relaxed);
             }
-            carried.spoil(&mut bytes);
+            carried.corrupt(&mut bytes);
             if listens {
                 let mut listened = locked(&relayed.listened);
                 listened.push_back((to, bytes.clone()));
@@ -81,11 +84,11 @@
     Ok(())
 }
 
-fn floods(world: &World) -> impl Iterator<Item = Trouble> {
-    let troubles = world.line().ways.troubles.clone();
+fn floods(world: &World) -> impl Iterator<Item = LinkFault> {
+    let troubles = world.timeline().links.faults.clone();
     troubles
         .into_iter()
-        .filter(|trouble| trouble.kind == Kind::LinkFlood)
+        .filter(|trouble| trouble.kind == FaultKind::LinkFlood)
 }
 
 /// Strangers send what the day says to the balancers that it names: a third noise, a third of what went past before, a
@@ -105,7 +108,8 @@
             let socket = tokio::net::UdpSocket::from_std(socket)?;
             let (world, relayed, trouble) =
                 (Arc::clone(world), Arc::clone(relayed), trouble.clone());
-            let mut chance = Chance::split(world.seed, "flood", (number * 1_000 + place) as u64);
+            let mut chance =
+                RandomSource::split(world.seed, "flood", (number * 1_000 + place) as u64);
             tokio::spawn(async move {
                 let (mut ticks, mut owed) = (tokio::time::interval(BURSTS_APART), 0.0);
                 loop {
@@ -130,7 +134,7 @@
     Ok(())
 }
 
-fn strange(chance: &mut Chance, relayed: &Relayed, place: usize) -> Vec<u8> {
+fn strange(chance: &mut RandomSource, relayed: &Relayed, place: usize) -> Vec<u8> {
     let kind = chance.below(3);
     let heard: Option<Vec<u8>> = match kind {
         0 => None,
--- a/crates/testbed/src/fleet/views.rs
+++ b/crates/testbed/src/fleet/views.rs
@@ -6,9 +6,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use pinefront_model::faults::What;
 use pinefront_model::presence::{Held, Presence, Said};
 use pinefront_model::tenures::Tenures;
+use pinefront_model::timeline::TimelineEvent;
 use pinefront_model::{Micros, SECOND};
 use serde::Deserialize;
 use tokio::net::TcpStream;
@@ -55,7 +55,7 @@
     term: Option<String>,
 }
 
-/// What is true of one balancer.
+/// TimelineEvent is true of one balancer.
 #[derive(Clone, Debug, Default)]
 struct Truth {
     /// The process that runs, as it names itself; nothing until it was asked.
@@ -90,16 +90,16 @@
 
 impl Views {
     pub fn new(world: &World, balancers: usize) -> Self {
-        let line = world.line();
+        let line = world.timeline();
         let events = line
             .events
             .iter()
-            .filter(|(_, what)| what.balancer().is_some());
+            .filter(|scheduled| scheduled.event.balancer().is_some());
         let over = events
-            .map(|(at, _)| *at)
+            .map(|scheduled| scheduled.at)
             .max()
             .unwrap_or(0)
-            .max(line.ways.over());
+            .max(line.links.last_fault_end());
         let truth = vec![
             Truth {
                 runs: true,
@@ -123,25 +123,30 @@
     }
 
     /// A balancer is about to be killed, stopped, or goes on.
-    pub fn happens(&mut self, now: Micros, what: What, stall_lasts: Micros) {
+    pub fn happens(&mut self, now: Micros, what: TimelineEvent, stall_lasts: Micros) {
         let (number, runs, stopped, away) = match what {
-            What::BalancerKilled(number) => (number, false, false, Some(now)),
-            What::BalancerStopped(number) => (number, false, false, None),
-            What::BalancerPauses(number) => (
+            TimelineEvent::BalancerKilled(number) => (number, false, false, Some(now)),
+            TimelineEvent::BalancerStopped(number) => (number, false, false, None),
+            TimelineEvent::BalancerPaused(number) => (
                 number,
                 true,
                 true,
                 (stall_lasts >= LONG_STALL).then_some(now),
             ),
-            What::BalancerGoesOn(number)
-            | What::BalancerStarts(number)
-            | What::BalancerTakesPlace(number, _) => (number, true, false, None),
+            TimelineEvent::BalancerResumed(number)
+            | TimelineEvent::BalancerStarted(number)
+            | TimelineEvent::BalancerMoved { number, .. } => (number, true, false, None),
             _ => return,
         };
         let Some(truth) = self.truth.get_mut(number) else {
             return;
         };
-        if !runs || matches!(what, What::BalancerStarts(_) | What::BalancerTakesPlace(..)) {
+        if !runs
+            || matches!(
+                what,
+                TimelineEvent::BalancerStarted(_) | TimelineEvent::BalancerMoved { .. }
+            )
+        {
             truth.life = None;
             truth.refuted = 0;
             self.presence.ends(now, number, !runs && away.is_none());
@@ -276,7 +281,7 @@
         self.tenures.old_taken.len() as u64
     }
 
-    /// What was found, when the day is over.
+    /// TimelineEvent was found, when the day is over.
     pub fn found(&self) -> Known {
         let mut known = self.known.clone();
         let after = |since: Micros| since.saturating_sub(self.over) as f64 / 1_000.0;
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use pinefront_model::chance::Chance;
+use pinefront_model::random::RandomSource;
 use serde::Serialize;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -50,8 +50,10 @@
 pub struct Found {
     pub asked: u64,
     pub succeeded: u64,
-    pub dismissed: u64,
-    pub abandoned: u64,
+    #[serde(rename = "dismissed")]
+    pub rejected: u64,
+    #[serde(rename = "abandoned")]
+    pub failed: u64,
     pub unanswered: u64,
     /// Never written: the load could not keep up.
     pub dropped: u64,
@@ -145,7 +147,7 @@
         self.freed.notify_one();
     }
 
-    async fn ticket(&self, due: Instant) {
+    async fn request(&self, due: Instant) {
         let Plan {
             path, fields, wait, ..
         } = &*self.plan;
@@ -186,8 +188,8 @@
                 found.counts.succeeded += 1;
                 found.latency.saturating_record(micros(took));
             }
-            End::Status(429 | 503) => found.counts.dismissed += 1,
-            End::Status(_) => found.counts.abandoned += 1,
+            End::Status(429 | 503) => found.counts.rejected += 1,
+            End::Status(_) => found.counts.failed += 1,
             End::Unanswered => found.counts.unanswered += 1,
         }
     }
@@ -211,7 +213,7 @@
     /// Each client sends its next ticket when it has its answer, until the time is over.
     async fn closed_loop(self: Rc<Self>, until: Instant) {
         while Instant::now() < until {
-            self.ticket(Instant::now()).await;
+            self.request(Instant::now()).await;
         }
     }
 }
@@ -231,7 +233,7 @@
         }
         while let Some(moment) = due.recv().await {
             let worker = Rc::clone(&worker);
-            tokio::task::spawn_local(async move { worker.ticket(moment).await });
+            tokio::task::spawn_local(async move { worker.request(moment).await });
         }
     });
     runtime.block_on(set);
@@ -245,9 +247,9 @@
 
 /// Moments of a Poisson process.
 fn moments(rate: f64, lasts: Duration, seed: u64) -> impl Iterator<Item = (Instant, Instant)> {
-    let (began, mut chance, mut at) = (Instant::now(), Chance::split(seed, "load", 0), 0.0);
+    let (began, mut chance, mut at) = (Instant::now(), RandomSource::split(seed, "load", 0), 0.0);
     std::iter::from_fn(move || {
-        at += chance.wait(1.0 / rate);
+        at += chance.exponential(1.0 / rate);
         let moment = began + Duration::from_secs_f64(at);
         (at < lasts.as_secs_f64()).then_some((moment, moment))
     })
@@ -302,8 +304,8 @@
         let part = part.map_err(|problem| format!("the load failed: {problem}"))?;
         found.asked += part.counts.asked;
         found.succeeded += part.counts.succeeded;
-        found.dismissed += part.counts.dismissed;
-        found.abandoned += part.counts.abandoned;
+        found.rejected += part.counts.rejected;
+        found.failed += part.counts.failed;
         found.unanswered += part.counts.unanswered;
         latency += part.latency;
         lateness += part.lateness;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -34,10 +34,10 @@
 
 use crate::commands::Failure;
 use crate::commands::agreement::{AccordOf, Explore, accord_of, explore};
-use crate::commands::days::{
+use crate::commands::measuring::{LoadAt, Overhead, load_at, overhead};
+use crate::commands::scenarios::{
     Compare, Demo, FleetDay, Run, Standing, compare, demo, fleet_day, run, stand,
 };
-use crate::commands::measuring::{LoadAt, Overhead, load_at, overhead};
 use crate::commands::soaking::{Soak, soak};
 /// Runs pinefront before stand-in servers on this machine, plays days of trouble, and measures.
 ///
--- a/crates/testbed/src/overhead.rs
+++ b/crates/testbed/src/overhead.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use pinefront_model::check;
+use pinefront_model::validation;
 use serde::Serialize;
 use tokio::net::{TcpListener, TcpStream};
 
@@ -97,8 +97,9 @@
          hard_stop = \"2s\"\n",
         wishes.work.as_micros().max(1)
     );
-    let day = check::read(&text, "overhead").map_err(|problems| problems[0].to_string())?;
-    let world = Arc::new(World::new(day, 1));
+    let scenario =
+        validation::read(&text, "overhead").map_err(|problems| problems[0].to_string())?;
+    let world = Arc::new(World::new(scenario, 1));
     let folder = Folder::new().map_err(|problem| problem.to_string())?;
     let (addresses, discovery) = runtime.block_on(async {
         let mut addresses = Vec::new();
@@ -126,7 +127,7 @@
         .transpose();
     let operator = operator.map_err(|problem| problem.to_string())?;
     let child = Balancer::new(
-        &world.day,
+        &world.scenario,
         1,
         0,
         &wishes.binary,
--- a/crates/testbed/src/play.rs
+++ b/crates/testbed/src/play.rs
@@ -8,9 +8,9 @@
 use std::time::{Duration, Instant};
 
 use pinefront_model::Micros;
-use pinefront_model::day::Day;
-use pinefront_model::faults::What;
-use pinefront_model::judge::Seen;
+use pinefront_model::checker::Observation;
+use pinefront_model::scenario::Scenario;
+use pinefront_model::timeline::{ScheduledEvent, TimelineEvent};
 use pinefront_model::traffic::Arrivals;
 use tokio::runtime::Runtime;
 use tokio::sync::mpsc;
@@ -130,14 +130,21 @@
 }
 
 /// Moves a world along its timeline. What concerns balancers is handed on.
-pub async fn drive(world: Arc<World>, balancers: mpsc::UnboundedSender<What>) {
+pub async fn drive(world: Arc<World>, balancers: mpsc::UnboundedSender<TimelineEvent>) {
     let mut done = 0;
     loop {
         let (event, edge) = {
-            let line = world.line();
-            (line.events.get(done).copied(), line.next_edge(world.now()))
+            let timeline = world.timeline();
+            (
+                timeline.events.get(done).copied(),
+                timeline.next_condition_change(world.now()),
+            )
         };
-        let next = event.map(|(at, _)| at).into_iter().chain(edge).min();
+        let next = event
+            .map(|scheduled| scheduled.at)
+            .into_iter()
+            .chain(edge)
+            .min();
         let latest = Instant::now() + Duration::from_secs(1);
         let until = next.map_or(latest, |next| world.clock.at(next).min(latest));
         tokio::select! {
@@ -146,8 +153,10 @@
         }
         world.apply_conditions();
         loop {
-            let event = world.line().events.get(done).copied();
-            let Some((_, what)) = event.filter(|(at, _)| *at <= world.now()) else {
+            let event = world.timeline().events.get(done).copied();
+            let Some(ScheduledEvent { event: what, .. }) =
+                event.filter(|scheduled| scheduled.at <= world.now())
+            else {
                 break;
             };
             done += 1;
@@ -186,12 +195,12 @@
     let duty_lines = DutyLines::default();
     let mut hear = match fleet {
         true => Some(
-            Addresses::new(*world.day.balancers.get_ref())
+            Addresses::new(*world.scenario.balancers.get_ref())
                 .map_err(|p| format!("no addresses: {p}"))?,
         ),
         false => None,
     };
-    let system = match System::is_wanted(&world.day) {
+    let system = match System::is_wanted(&world.scenario) {
         true => Some(System::build(&folder.0).map_err(|problem| format!("no library: {problem}"))?),
         false => None,
     };
@@ -211,7 +220,7 @@
         flood(world, &hear.heard_at, &relayed)
             .map_err(|problem| format!("no strangers: {problem}"))?;
     }
-    for number in 0..*world.day.balancers.get_ref() {
+    for number in 0..*world.scenario.balancers.get_ref() {
         let mut discovery = Vec::new();
         for _ in 0..2 {
             let address = discovery::serve(world, number).await;
@@ -230,12 +239,12 @@
             Who::Binary(binary) => {
                 let operator = hear
                     .as_ref()
-                    .map(|hear| hear.operator_file(&world.day, number, number, &folder.0));
+                    .map(|hear| hear.operator_file(&world.scenario, number, number, &folder.0));
                 let operator = operator
                     .transpose()
                     .map_err(|problem| format!("no operator file: {problem}"))?;
                 let child = Balancer::new(
-                    &world.day,
+                    &world.scenario,
                     world.seed,
                     number,
                     binary,
@@ -281,25 +290,29 @@
     load: Arc<Load>,
     children: Arc<Mutex<Vec<Balancer>>>,
     views: Arc<Mutex<Views>>,
-    mut events: mpsc::UnboundedReceiver<What>,
+    mut events: mpsc::UnboundedReceiver<TimelineEvent>,
 ) {
     while let Some(what) = events.recv().await {
         let now = load.world.now();
-        if matches!(what, What::BalancerPauses(_) | What::BalancerGoesOn(_)) {
+        if matches!(
+            what,
+            TimelineEvent::BalancerPaused(_) | TimelineEvent::BalancerResumed(_)
+        ) {
             // In the order in which they come: a stop and its end lie close together.
-            let stops = matches!(what, What::BalancerPauses(_));
+            let stops = matches!(what, TimelineEvent::BalancerPaused(_));
             locked(&views).happens(now, what, stall_lasts(&load.world, what));
-            if let What::BalancerPauses(balancer) | What::BalancerGoesOn(balancer) = what
+            if let TimelineEvent::BalancerPaused(balancer)
+            | TimelineEvent::BalancerResumed(balancer) = what
                 && let Some(child) = locked(&children).get(balancer)
             {
                 child.stop(stops);
                 load.world.disturb(balancer);
                 load.world
-                    .note(load.world.now(), Seen::Stalled { balancer });
+                    .record(load.world.now(), Observation::BalancerStalled { balancer });
             }
             continue;
         }
-        if let What::BalancerReloads(balancer) = what {
+        if let TimelineEvent::BalancerReloaded(balancer) = what {
             if let Some(child) = locked(&children).get_mut(balancer)
                 && let Err(problem) = child.reload()
             {
@@ -307,7 +320,9 @@
             }
             continue;
         }
-        if let What::BalancerKilled(balancer) | What::BalancerStopped(balancer) = what {
+        if let TimelineEvent::BalancerKilled(balancer) | TimelineEvent::BalancerStopped(balancer) =
+            what
+        {
             let list = load.world.list_now();
             if let Some(child) = locked(&children).get_mut(balancer)
                 && let Err(problem) = child.knows(list)
@@ -316,39 +331,53 @@
             }
             load.world.lives(balancer, false);
         }
-        if !matches!(what, What::BalancerStarts(_) | What::BalancerTakesPlace(..)) {
+        if !matches!(
+            what,
+            TimelineEvent::BalancerStarted(_) | TimelineEvent::BalancerMoved { .. }
+        ) {
             locked(&views).happens(now, what, 0);
         }
         let views = Arc::clone(&views);
         let (load, children) = (Arc::clone(&load), Arc::clone(&children));
         tokio::spawn(async move {
             match what {
-                What::BalancerKilled(balancer) => {
-                    load.world.note(load.world.now(), Seen::Killed { balancer });
+                TimelineEvent::BalancerKilled(balancer) => {
+                    load.world
+                        .record(load.world.now(), Observation::BalancerKilled { balancer });
                     if let Some(child) = locked(&children).get_mut(balancer) {
                         child.kill();
                     }
-                    load.world.note(load.world.now(), Seen::Killed { balancer });
+                    load.world
+                        .record(load.world.now(), Observation::BalancerKilled { balancer });
                     tokio::time::sleep(DEATH_SEEN).await;
                     load.front.set(balancer, false);
                 }
-                What::BalancerStopped(balancer) => {
+                TimelineEvent::BalancerStopped(balancer) => {
                     if let Some(child) = locked(&children).get_mut(balancer) {
                         child.tell_to_end();
                     }
                     tokio::time::sleep(STOP_SEEN).await;
                     load.front.set(balancer, false);
                 }
-                What::BalancerStarts(balancer) | What::BalancerTakesPlace(balancer, _) => {
+                TimelineEvent::BalancerStarted(balancer)
+                | TimelineEvent::BalancerMoved {
+                    number: balancer, ..
+                } => {
                     let started = match locked(&children).get_mut(balancer) {
                         Some(child) => {
                             locked(&views).happens(load.world.now(), what, 0);
                             // One that was told to stop and has not is killed first, as an operator would.
                             if child.is_running() && !child.has_died() {
-                                load.world.note(load.world.now(), Seen::Killed { balancer });
+                                load.world.record(
+                                    load.world.now(),
+                                    Observation::BalancerKilled { balancer },
+                                );
                                 child.kill();
                             }
-                            if let What::BalancerTakesPlace(_, place) = what {
+                            if let TimelineEvent::BalancerMoved {
+                                address_of: place, ..
+                            } = what
+                            {
                                 child.operator = child.operator.as_ref().map(|file| {
                                     file.with_file_name(format!("b{balancer}-at-{place}.toml"))
                                 });
@@ -374,32 +403,41 @@
 }
 
 /// How long a balancer that is stopped now stays so.
-fn stall_lasts(world: &World, what: What) -> Micros {
-    let What::BalancerPauses(balancer) = what else {
+fn stall_lasts(world: &World, what: TimelineEvent) -> Micros {
+    let TimelineEvent::BalancerPaused(balancer) = what else {
         return 0;
     };
     let now = world.now();
-    let goes_on = |at: &&(Micros, What)| at.0 > now && at.1 == What::BalancerGoesOn(balancer);
+    let goes_on = |scheduled: &&ScheduledEvent| {
+        scheduled.at > now && scheduled.event == TimelineEvent::BalancerResumed(balancer)
+    };
     world
-        .line()
+        .timeline()
         .events
         .iter()
         .find(goes_on)
-        .map_or(0, |(at, _)| at - now)
+        .map_or(0, |scheduled| scheduled.at - now)
 }
 
 /// Plays a day from start to end and tells what was found.
-pub fn play(day: &Day, seed: u64, who: &Who, wishes: &Wishes) -> Result<Figures, String> {
+pub fn play(scenario: &Scenario, seed: u64, who: &Who, wishes: &Wishes) -> Result<Figures, String> {
     let runtime = runtime().map_err(|problem| format!("cannot start threads: {problem}"))?;
-    let world = Arc::new(World::new(day.clone(), seed));
+    let world = Arc::new(World::new(scenario.clone(), seed));
     let balancing = runtime.block_on(async {
         start_servers(&world).await?;
         start_balancers(&world, who, wishes.fleet).await
     })?;
     // Who takes another's place finds its file there.
-    for (_, what) in &world.line().events {
-        if let (What::BalancerTakesPlace(number, place), Some(hear)) = (what, &balancing.hear) {
-            hear.operator_file(&world.day, *number, *place, &balancing.folder.0)
+    for ScheduledEvent { event: what, .. } in &world.timeline().events {
+        if let (
+            TimelineEvent::BalancerMoved {
+                number,
+                address_of: place,
+            },
+            Some(hear),
+        ) = (what, &balancing.hear)
+        {
+            hear.operator_file(&world.scenario, *number, *place, &balancing.folder.0)
                 .map_err(|problem| format!("no operator file: {problem}"))?;
         }
     }
@@ -447,7 +485,7 @@
         flooded: balancing.relayed.flooded.load(Ordering::Relaxed),
         ..locked(&views).found()
     });
-    locked(&world.ledger).finish(world.now());
+    locked(&world.checker).finish(world.now());
     let (mut cpu, mut memory, mut deaths, mut violations) = (0, 0, Vec::new(), 0);
     for child in locked(&balancing.children).iter_mut() {
         let used = child.used();
@@ -457,7 +495,10 @@
         deaths.append(&mut child.deaths);
         violations += child.violations.load(Ordering::Relaxed);
     }
-    if let Some(known) = known.as_mut().filter(|_| day.duties > 0 || day.roster) {
+    if let Some(known) = known
+        .as_mut()
+        .filter(|_| scenario.duties > 0 || scenario.shared_endpoint_list)
+    {
         // The readers of the processes' logs end with these.
         std::thread::sleep(RUNS_OUT);
         known.duties = Some(
@@ -473,12 +514,12 @@
         .iter()
         .map(|stand| stand.sends.load(Ordering::Relaxed))
         .collect();
-    let asked = collected.tickets.asked.max(1) as f64;
+    let asked = collected.requests.asked.max(1) as f64;
     let mut found = Figures {
-        day: day.name.clone(),
+        scenario: scenario.name.clone(),
         who: who.name(),
         seed,
-        balancers: *day.balancers.get_ref(),
+        balancers: *scenario.balancers.get_ref(),
         servers: sends.len(),
         deaths,
         violations,
@@ -494,9 +535,9 @@
     let tally = &collected.tally;
     found.take(
         &collected,
-        tally.parts(day),
-        &tally.by_second(day),
-        &locked(&world.ledger),
+        tally.parts(scenario),
+        &tally.by_second(scenario),
+        &locked(&world.checker),
     );
     if found.lateness_ms.p99 > LATE_MS {
         found.why_invalid.push(format!(
@@ -531,10 +572,10 @@
             Arc::clone(&dropped),
         );
         std::thread::spawn(move || {
-            let line = world.line().clone();
-            let due = Arrivals::new(&world.day, &line, world.seed);
+            let line = world.timeline().clone();
+            let due = Arrivals::new(&world.scenario, &line, world.seed);
             pace(
-                due.map(|ticket| (world.clock.at(ticket.due), ticket)),
+                due.map(|request| (world.clock.at(request.scheduled_at), request)),
                 &senders,
                 &over,
                 &dropped,
@@ -577,16 +618,16 @@
 fn tell_live(load: &Load) {
     let collected = locked(&load.collected);
     let (asked, p99) = (
-        collected.tickets.asked,
+        collected.requests.asked,
         collected.latency.value_at_quantile(0.99) as f64 / 1000.0,
     );
     let text = format!(
         "\r{:>4} s  {asked} asked  {} succeeded  {} dismissed  {} abandoned  p99 {p99:.0} ms  {} rules broken   ",
         load.world.now() / 1_000_000,
-        collected.tickets.succeeded,
-        collected.tickets.dismissed,
-        collected.tickets.abandoned,
-        locked(&load.world.ledger).breaks().len(),
+        collected.requests.succeeded,
+        collected.requests.rejected,
+        collected.requests.failed,
+        locked(&load.world.checker).violations().len(),
     );
     drop(collected);
     // A terminal that is gone needs no line.
@@ -597,12 +638,10 @@
     let Some(address) = balancing.addresses.first() else {
         return;
     };
-    let redoable = world
-        .day
-        .use_cases
-        .iter()
-        .find(|class| class.get_ref().effect == pinefront_model::day::Effect::Redoable);
-    if let Some(class) = redoable {
+    let idempotent = world.scenario.classes.iter().find(|class| {
+        class.get_ref().idempotency == pinefront_model::scenario::Idempotency::Idempotent
+    });
+    if let Some(class) = idempotent {
         let name = &class.get_ref().name;
         eprintln!("Ask a balancer yourself while this runs (a new X-Txn each time):");
         eprintln!(
--- a/crates/testbed/src/play/tests.rs
+++ b/crates/testbed/src/play/tests.rs
@@ -3,8 +3,8 @@
 use super::*;
 use crate::baseline::Policy;
 
-fn day(rest: &str) -> Day {
-    pinefront_model::check::read(&format!("name = 'd'\nlength = '1500ms'\n{rest}"), "d.toml")
+fn scenario(rest: &str) -> Scenario {
+    pinefront_model::validation::read(&format!("name = 'd'\nlength = '1500ms'\n{rest}"), "d.toml")
         .unwrap()
 }
 
@@ -20,29 +20,32 @@
 )]
 fn every_try_has_one_end(#[case] rest: &str) {
     let found = play(
-        &day(rest),
+        &scenario(rest),
         1,
         &Who::Policy(Policy::TwoChoices),
         &Wishes::default(),
     )
     .unwrap();
-    let tickets = &found.tickets;
-    let ends = tickets.succeeded
-        + tickets.dismissed
-        + tickets.abandoned
-        + tickets.unanswered
-        + tickets.left
-        + tickets.unreached;
-    assert!(tickets.asked > 100 && tickets.succeeded > 0, "{tickets:?}");
-    assert_eq!(tickets.asked, ends, "{tickets:?}");
-    assert_eq!(tickets.left > 0, rest.contains("leaves"));
+    let requests = &found.requests;
+    let ends = requests.succeeded
+        + requests.rejected
+        + requests.failed
+        + requests.unanswered
+        + requests.left
+        + requests.unreached;
+    assert!(
+        requests.asked > 100 && requests.succeeded > 0,
+        "{requests:?}"
+    );
+    assert_eq!(requests.asked, ends, "{requests:?}");
+    assert_eq!(requests.left > 0, rest.contains("leaves"));
 }
 
 #[test]
 fn a_drain_takes_a_server_away_and_brings_another() {
     let rest = "[discovery]\ndelay = ['1ms', '2ms']\n[[faults]]\nkind = 'drain'\nat = '300ms'\nfor = '600ms'\nservers = [0]";
     let found = play(
-        &day(rest),
+        &scenario(rest),
         1,
         &Who::Policy(Policy::RoundRobin),
         &Wishes::default(),
@@ -66,7 +69,13 @@
 #[case("/bin/false", "balancer 0 ended by itself")]
 #[case("/does/not/exist", "cannot start a balancer: /does/not/exist")]
 fn a_balancer_that_does_not_start_is_told(#[case] binary: &str, #[case] wanted: &str) {
-    let problem = play(&day(""), 1, &Who::Binary(binary.into()), &Wishes::default()).unwrap_err();
+    let problem = play(
+        &scenario(""),
+        1,
+        &Who::Binary(binary.into()),
+        &Wishes::default(),
+    )
+    .unwrap_err();
     assert!(problem.contains(wanted), "{problem}");
 }
 
@@ -74,6 +83,6 @@
 fn a_day_that_is_ended_early_tells_what_it_found() {
     let wishes = Wishes::default();
     wishes.over.store(true, Ordering::Relaxed);
-    let found = play(&day(""), 1, &Who::Policy(Policy::Random), &wishes).unwrap();
-    assert!(found.cut_short && found.tickets.asked == 0);
+    let found = play(&scenario(""), 1, &Who::Policy(Policy::Random), &wishes).unwrap();
+    assert!(found.cut_short && found.requests.asked == 0);
 }
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
 
-use pinefront_model::day::Day;
+use pinefront_model::scenario::Scenario;
 use plotters::prelude::*;
 
 use crate::figures::{Figures, Second};
@@ -139,9 +139,9 @@
         .iter()
         .enumerate()
         .map(|(second, figures)| (second as f64, of(figures)));
-    let label = format!("{} (seed {}){name}", run.who, run.seed);
+    let idempotency_key = format!("{} (seed {}){name}", run.who, run.seed);
     Curve {
-        name: label,
+        name: idempotency_key,
         points: points.collect(),
         colour: &COLOURS[number % COLOURS.len()],
     }
@@ -156,11 +156,11 @@
         "<tr><td>{}<td>{}<td>{}<td>{}<td>{}<td>{}<td>{}<td>{:.3}<td>{:.1}<td>{:.1}<td>{:.3}<td>{:.0}<td>{:.1}<td>{rules}<td>{}\n",
         text(&run.who),
         run.seed,
-        run.tickets.asked,
-        run.tickets.succeeded,
-        run.tickets.dismissed,
-        run.tickets.abandoned,
-        run.tickets.unanswered + run.tickets.unreached,
+        run.requests.asked,
+        run.requests.succeeded,
+        run.requests.rejected,
+        run.requests.failed,
+        run.requests.unanswered + run.requests.unreached,
         run.service,
         run.latency_ms.p50,
         run.latency_ms.p99,
@@ -172,16 +172,16 @@
 }
 
 /// The whole page.
-pub fn page(day: &Day, runs: &[&Figures]) -> Result<String, String> {
-    let length = day.length.get_ref().0 as f64 / 1e6;
-    let faults: Vec<(f64, f64)> = day
+pub fn page(scenario: &Scenario, runs: &[&Figures]) -> Result<String, String> {
+    let length = scenario.length.get_ref().0 as f64 / 1e6;
+    let faults: Vec<(f64, f64)> = scenario
         .faults
         .iter()
         .map(|fault| fault.get_ref())
         .map(|fault| {
             (
                 fault.at.0 as f64 / 1e6,
-                (fault.at.0 + fault.over.0 + fault.lasts.0) as f64 / 1e6,
+                (fault.at.0 + fault.over.0 + fault.duration.0) as f64 / 1e6,
             )
         })
         .collect();
@@ -231,11 +231,11 @@
          pre{{white-space:pre-wrap;background:#f6f6f6;padding:.5em}}</style></head><body>\n\
          <h1>{name}</h1>\n<p>{about}</p>\n<p>{servers} servers, {balancers} balancers, {rate} tickets a second, {length:.0} s. \
          All servers and clients are stand-ins on this machine. Bands are faults.</p>\n",
-        name = text(&day.name),
-        about = text(&day.about),
-        servers = day.fleet.servers.get_ref(),
-        balancers = day.balancers.get_ref(),
-        rate = day.traffic.rate.get_ref(),
+        name = text(&scenario.name),
+        about = text(&scenario.about),
+        servers = scenario.fleet.servers.get_ref(),
+        balancers = scenario.balancers.get_ref(),
+        rate = scenario.traffic.rate.get_ref(),
     );
     out.push_str(
         "<table><tr><th>who<th>seed<th>asked<th>succeeded<th>dismissed<th>abandoned<th>no answer<th>service<th>p50 ms\
@@ -247,10 +247,10 @@
         out,
         "</table>\n<h2>Service by second</h2>\n{service}\n<h2>Answer times by second</h2>\n{times}\n"
     );
-    if !day.faults.is_empty() {
+    if !scenario.faults.is_empty() {
         out.push_str("<h2>Faults</h2>\n<ul>\n");
-        for fault in day.faults.iter().map(|fault| fault.get_ref()) {
-            let (at, lasts) = (fault.at.0 as f64 / 1e6, fault.lasts.0 as f64 / 1e6);
+        for fault in scenario.faults.iter().map(|fault| fault.get_ref()) {
+            let (at, lasts) = (fault.at.0 as f64 / 1e6, fault.duration.0 as f64 / 1e6);
             let over = if fault.over.0 > 0 {
                 format!(", one after the other over {} s", fault.over.0 as f64 / 1e6)
             } else {
@@ -272,16 +272,16 @@
     }
     out.push_str("<h2>Rules</h2>\n");
     for run in runs {
-        let broken = run
+        let record_violation = run
             .rules_broken
             .iter()
             .chain(&run.deaths)
             .map(|line| text(line))
             .collect::<Vec<_>>();
-        let said = if broken.is_empty() {
+        let said = if record_violation.is_empty() {
             "no rule broken, no balancer died".to_owned()
         } else {
-            broken.join("\n")
+            record_violation.join("\n")
         };
         let _ = writeln!(
             out,
@@ -295,11 +295,11 @@
 }
 
 /// Writes the page into a folder and says where.
-pub fn write(folder: &Path, day: &Day, runs: &[&Figures]) -> Result<PathBuf, String> {
+pub fn write(folder: &Path, scenario: &Scenario, runs: &[&Figures]) -> Result<PathBuf, String> {
     let failed = |problem: std::io::Error| format!("{}: {problem}", folder.display());
     std::fs::create_dir_all(folder).map_err(failed)?;
     let path = folder.join("report.html");
-    std::fs::write(&path, page(day, runs)?).map_err(failed)?;
+    std::fs::write(&path, page(scenario, runs)?).map_err(failed)?;
     Ok(path)
 }
 
@@ -309,9 +309,11 @@
 
     #[test]
     fn what_a_run_says_cannot_break_the_page() {
-        let day =
-            pinefront_model::check::read("name = 'd'\nlength = '2s'\nabout = '<b>&'", "d.toml")
-                .unwrap();
+        let scenario = pinefront_model::validation::read(
+            "name = 'd'\nlength = '2s'\nabout = '<b>&'",
+            "d.toml",
+        )
+        .unwrap();
         let run = Figures {
             who: "a<script>".into(),
             seconds: vec![
@@ -328,14 +330,15 @@
             rules_broken_count: 1,
             ..Figures::default()
         };
-        let page = page(&day, &[&run]).unwrap();
+        let page = page(&scenario, &[&run]).unwrap();
         assert!(page.contains("&lt;b&gt;&amp;") && page.contains("rule 1 &lt;i&gt;"));
         assert!(!page.contains("<script>") && page.matches("<svg").count() == 5);
     }
 
     #[test]
     fn an_empty_run_has_a_page_too() {
-        let day = pinefront_model::check::read("name = 'd'\nlength = '2s'", "d.toml").unwrap();
-        assert!(page(&day, &[&Figures::default()]).is_ok());
+        let scenario =
+            pinefront_model::validation::read("name = 'd'\nlength = '2s'", "d.toml").unwrap();
+        assert!(page(&scenario, &[&Figures::default()]).is_ok());
     }
 }
--- a/crates/testbed/src/soak/coverage.rs
+++ b/crates/testbed/src/soak/coverage.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use pinefront_model::day::{Day, Fault};
+use pinefront_model::scenario::{Fault, Scenario};
 use pinefront_model::{Micros, SECOND};
 use serde::Serialize;
 
@@ -12,7 +12,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Pair {
     pub troubles: [String; 2],
-    pub days: usize,
+    #[serde(rename = "days")]
+    pub scenarios: usize,
     /// Requests asked while both held, by the mean rate of the day.
     pub requests: u64,
 }
@@ -21,7 +22,7 @@
 fn span(fault: &Fault) -> (Micros, Micros) {
     (
         fault.at.0,
-        fault.at.0 + fault.over.0 + fault.lasts.0.max(SECOND),
+        fault.at.0 + fault.over.0 + fault.duration.0.max(SECOND),
     )
 }
 
@@ -31,10 +32,14 @@
 }
 
 /// All pairs of all days, with how many requests each day had.
-pub fn pairs(days: &[(u64, Day)]) -> Vec<Pair> {
+pub fn pairs(scenarios: &[(u64, Scenario)]) -> Vec<Pair> {
     let mut met: BTreeMap<[String; 2], (usize, u64)> = BTreeMap::new();
-    for (asked, day) in days {
-        let faults: Vec<&Fault> = day.faults.iter().map(|fault| fault.get_ref()).collect();
+    for (asked, scenario) in scenarios {
+        let faults: Vec<&Fault> = scenario
+            .faults
+            .iter()
+            .map(|fault| fault.get_ref())
+            .collect();
         for (place, one) in faults.iter().enumerate() {
             for other in &faults[..place] {
                 let both = overlap(one, other);
@@ -45,14 +50,14 @@
                 troubles.sort();
                 let pair = met.entry(troubles).or_default();
                 pair.0 += 1;
-                pair.1 += asked * both / day.length.get_ref().0.max(1);
+                pair.1 += asked * both / scenario.length.get_ref().0.max(1);
             }
         }
     }
     met.into_iter()
-        .map(|(troubles, (days, requests))| Pair {
+        .map(|(troubles, (scenarios, requests))| Pair {
             troubles,
-            days,
+            scenarios,
             requests,
         })
         .collect()
--- a/crates/testbed/src/soak/mod.rs
+++ b/crates/testbed/src/soak/mod.rs
@@ -9,8 +9,8 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 
-use pinefront_model::check;
-use pinefront_model::day::Day;
+use pinefront_model::scenario::Scenario;
+use pinefront_model::validation;
 use serde::Serialize;
 
 use crate::figures::Figures;
@@ -41,12 +41,14 @@
     /// False where the machine lagged: what it found is shown and does not count for it.
     pub valid: bool,
     pub why_invalid: Vec<String>,
-    pub broken: Vec<String>,
+    #[serde(rename = "broken")]
+    pub violated_rules: Vec<String>,
     pub broken_count: usize,
     pub violations: u64,
     pub deaths: Vec<String>,
     /// The command that plays it again, where it failed.
-    pub again: Option<String>,
+    #[serde(rename = "again")]
+    pub retry: Option<String>,
 }
 
 impl Played {
@@ -70,8 +72,8 @@
 }
 
 /// Reads a schedule that was drawn.
-pub fn day_of(text: &str) -> Result<Day, String> {
-    check::read(text, "soak").map_err(|problems| {
+pub fn day_of(text: &str) -> Result<Scenario, String> {
+    validation::read(text, "soak").map_err(|problems| {
         problems
             .iter()
             .map(ToString::to_string)
@@ -80,32 +82,32 @@
     })
 }
 
-fn played(seed: u64, day: &Day, figures: &Figures) -> Played {
+fn played(seed: u64, scenario: &Scenario, figures: &Figures) -> Played {
     Played {
         seed,
-        troubles: schedule::troubles(day),
-        asked: figures.tickets.asked,
-        succeeded: figures.tickets.succeeded,
+        troubles: schedule::troubles(scenario),
+        asked: figures.requests.asked,
+        succeeded: figures.requests.succeeded,
         valid: figures.valid,
         why_invalid: figures.why_invalid.clone(),
-        broken: figures.rules_broken.clone(),
+        violated_rules: figures.rules_broken.clone(),
         broken_count: figures.rules_broken_count,
         violations: figures.violations,
         deaths: figures.deaths.clone(),
-        again: None,
+        retry: None,
     }
 }
 
 /// Plays one seed. A failing one is kept as a file, as small as it can be made where that is wanted.
-fn one(wish: &Wish, seed: u64, over: &Arc<AtomicBool>) -> Result<(Played, Day), String> {
+fn one(wish: &Wish, seed: u64, over: &Arc<AtomicBool>) -> Result<(Played, Scenario), String> {
     let text = schedule::draw(seed, &wish.shape);
-    let day = day_of(&text)?;
+    let scenario = day_of(&text)?;
     let wishes = Wishes {
         over: Arc::clone(over),
         ..Wishes::default()
     };
-    let figures = play(&day, seed, &wish.who, &wishes)?;
-    let mut played = played(seed, &day, &figures);
+    let figures = play(&scenario, seed, &wish.who, &wishes)?;
+    let mut played = played(seed, &scenario, &figures);
     if !played.is_sound() {
         let text = if wish.shrinks {
             shrink::shrink(&text, seed, &wish.who, over)
@@ -115,12 +117,12 @@
         std::fs::create_dir_all(&wish.save).map_err(|problem| problem.to_string())?;
         let path = wish.save.join(format!("soak-{seed}.toml"));
         std::fs::write(&path, text).map_err(|problem| format!("{}: {problem}", path.display()))?;
-        played.again = Some(format!(
+        played.retry = Some(format!(
             "pinefront-testbed run {} --seed {seed}",
             path.display()
         ));
     }
-    Ok((played, day))
+    Ok((played, scenario))
 }
 
 fn say(played: &Played) {
@@ -137,10 +139,10 @@
         played.troubles.join(" + ")
     );
     played
-        .broken
+        .violated_rules
         .iter()
         .take(3)
-        .for_each(|broken| println!("    {broken}"));
+        .for_each(|record_violation| println!("    {record_violation}"));
     if played.violations > 0 {
         println!("    {} violations of balancers' guards", played.violations);
     }
@@ -149,15 +151,15 @@
         .iter()
         .for_each(|death| println!("    {death}"));
     played
-        .again
+        .retry
         .iter()
-        .for_each(|again| println!("    again: {again}"));
+        .for_each(|retry| println!("    again: {retry}"));
 }
 
 /// Plays all seeds, some side by side.
 pub fn soak(wish: &Wish, over: &Arc<AtomicBool>) -> Found {
     let next = AtomicU64::new(wish.seeds.start);
-    let (found, days) = (Mutex::new(Found::default()), Mutex::new(Vec::new()));
+    let (found, scenarios) = (Mutex::new(Found::default()), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
         for _ in 0..wish.parallel.max(1) {
             scope.spawn(|| {
@@ -167,9 +169,9 @@
                         return;
                     }
                     match one(wish, seed, over) {
-                        Ok((played, day)) => {
+                        Ok((played, scenario)) => {
                             say(&played);
-                            locked(&days).push((played.asked, day));
+                            locked(&scenarios).push((played.asked, scenario));
                             locked(&found).played.push(played);
                         }
                         Err(problem) => {
@@ -194,7 +196,7 @@
     };
     (found.failed, found.doubtful) = (broke(true), broke(false));
     found.invalid = found.played.iter().filter(|played| !played.valid).count();
-    found.pairs = coverage::pairs(&locked(&days));
+    found.pairs = coverage::pairs(&locked(&scenarios));
     found
 }
 
--- a/crates/testbed/src/soak/schedule.rs
+++ b/crates/testbed/src/soak/schedule.rs
@@ -2,8 +2,8 @@
 
 use std::fmt::Write as _;
 
-use pinefront_model::chance::Chance;
-use pinefront_model::day::{Day, Kind};
+use pinefront_model::random::RandomSource;
+use pinefront_model::scenario::{FaultKind, Scenario};
 
 /// What is wanted of every day.
 #[derive(Clone, Debug)]
@@ -18,9 +18,9 @@
 }
 
 /// A kind of trouble, and what is drawn for it.
-struct Trouble {
+struct LinkFault {
     name: &'static str,
-    kind: Kind,
+    kind: FaultKind,
     /// Milliseconds that it lasts, at least and at most.
     lasts: [u64; 2],
     /// Its factor, at least and at most, where it takes one.
@@ -33,8 +33,8 @@
     balancers: Option<f64>,
 }
 
-const fn of(name: &'static str, kind: Kind, lasts: [u64; 2]) -> Trouble {
-    Trouble {
+const fn of(name: &'static str, kind: FaultKind, lasts: [u64; 2]) -> LinkFault {
+    LinkFault {
         name,
         kind,
         lasts,
@@ -45,122 +45,146 @@
     }
 }
 
-const TROUBLES: [Trouble; 29] = [
-    Trouble {
+const TROUBLES: [LinkFault; 29] = [
+    LinkFault {
         balancers: Some(0.5),
-        ..of("balancer_stopped", Kind::BalancerStopped, [3_000, 6_000])
+        ..of(
+            "balancer_stopped",
+            FaultKind::BalancerStopped,
+            [3_000, 6_000],
+        )
     },
-    Trouble {
+    LinkFault {
         balancers: Some(0.5),
-        ..of("balancer_killed", Kind::BalancerKilled, [300, 3_000])
+        ..of("balancer_killed", FaultKind::BalancerKilled, [300, 3_000])
     },
-    Trouble {
+    LinkFault {
         balancers: Some(0.3),
-        ..of("balancer_stalled", Kind::BalancerStalled, [100, 2_000])
+        ..of("balancer_stalled", FaultKind::BalancerStalled, [100, 2_000])
     },
-    Trouble {
+    LinkFault {
         balancers: Some(1.0),
-        ..of("balancer_reloaded", Kind::BalancerReloaded, [0, 0])
+        ..of("balancer_reloaded", FaultKind::BalancerReloaded, [0, 0])
     },
-    Trouble {
+    LinkFault {
         servers: Some(0.5),
-        ..of("drain", Kind::Drain, [3_000, 6_000])
+        ..of("drain", FaultKind::Drain, [3_000, 6_000])
     },
-    Trouble {
+    LinkFault {
         servers: Some(0.4),
-        ..of("crash", Kind::Crash, [500, 4_000])
+        ..of("crash", FaultKind::Crash, [500, 4_000])
     },
-    Trouble {
+    LinkFault {
         servers: Some(0.4),
-        ..of("cold", Kind::Cold, [1_000, 1_000])
+        ..of("cold", FaultKind::Cold, [1_000, 1_000])
     },
-    Trouble {
+    LinkFault {
         servers: Some(0.5),
-        ..of("freeze", Kind::Freeze, [300, 4_000])
+        ..of("freeze", FaultKind::Freeze, [300, 4_000])
     },
-    Trouble {
+    LinkFault {
         servers: Some(0.4),
-        ..of("silent", Kind::Silent, [300, 4_000])
+        ..of("silent", FaultKind::Silent, [300, 4_000])
     },
-    Trouble {
+    LinkFault {
         servers: Some(0.5),
         factor: Some([0.1, 0.6]),
-        ..of("lost", Kind::Lost, [2_000, 5_000])
+        ..of("lost", FaultKind::Lost, [2_000, 5_000])
     },
-    Trouble {
+    LinkFault {
         servers: Some(0.6),
         factor: Some([0.1, 0.8]),
-        ..of("errors", Kind::Errors, [2_000, 5_000])
+        ..of("errors", FaultKind::Errors, [2_000, 5_000])
     },
-    Trouble {
+    LinkFault {
         servers: Some(0.6),
         factor: Some([0.1, 0.8]),
-        ..of("spoilt", Kind::Spoilt, [2_000, 5_000])
+        ..of("spoilt", FaultKind::Corrupted, [2_000, 5_000])
     },
-    Trouble {
+    LinkFault {
         servers: Some(0.6),
         factor: Some([0.1, 0.8]),
-        ..of("reset", Kind::Reset, [2_000, 5_000])
+        ..of("reset", FaultKind::Reset, [2_000, 5_000])
     },
-    Trouble {
+    LinkFault {
         servers: Some(0.5),
         factor: Some([2.0, 8.0]),
-        ..of("slow", Kind::Slow, [2_000, 5_000])
+        ..of("slow", FaultKind::Slow, [2_000, 5_000])
     },
-    of("discovery_gone", Kind::DiscoveryGone, [1_000, 6_000]),
-    Trouble {
+    of(
+        "discovery_gone",
+        FaultKind::DiscoveryUnreachable,
+        [1_000, 6_000],
+    ),
+    LinkFault {
         by: Some([500, 4_000]),
-        ..of("discovery_stale", Kind::DiscoveryStale, [2_000, 5_000])
+        ..of("discovery_stale", FaultKind::DiscoveryStale, [2_000, 5_000])
     },
-    of("watches_silent", Kind::WatchesSilent, [500, 3_000]),
-    Trouble {
+    of("watches_silent", FaultKind::WatchesSilent, [500, 3_000]),
+    LinkFault {
         factor: Some([1.3, 2.5]),
-        ..of("burst", Kind::Burst, [1_000, 4_000])
+        ..of("burst", FaultKind::Burst, [1_000, 4_000])
     },
-    Trouble {
+    LinkFault {
         factor: Some([0.2, 1.0]),
-        ..of("clients_in_pieces", Kind::ClientsInPieces, [2_000, 6_000])
+        ..of(
+            "clients_in_pieces",
+            FaultKind::ClientsInPieces,
+            [2_000, 6_000],
+        )
     },
-    Trouble {
+    LinkFault {
         factor: Some([1.0, 5.0]),
-        ..of("clients_stop", Kind::ClientsStop, [2_000, 6_000])
+        ..of("clients_stop", FaultKind::ClientsStop, [2_000, 6_000])
     },
-    Trouble {
+    LinkFault {
         factor: Some([0.2, 1.0]),
-        ..of("clients_pipeline", Kind::ClientsPipeline, [2_000, 6_000])
+        ..of(
+            "clients_pipeline",
+            FaultKind::ClientsPipeline,
+            [2_000, 6_000],
+        )
     },
-    Trouble {
+    LinkFault {
         factor: Some([0.2, 1.0]),
-        ..of("answers_in_pieces", Kind::AnswersInPieces, [2_000, 6_000])
+        ..of(
+            "answers_in_pieces",
+            FaultKind::AnswersInPieces,
+            [2_000, 6_000],
+        )
     },
-    Trouble {
+    LinkFault {
         factor: Some([0.2, 1.0]),
-        ..of("answers_unended", Kind::AnswersUnended, [2_000, 6_000])
+        ..of("answers_unended", FaultKind::AnswersUnended, [2_000, 6_000])
     },
-    Trouble {
+    LinkFault {
         factor: Some([0.05, 0.5]),
-        ..of("answers_twice", Kind::AnswersTwice, [2_000, 6_000])
+        ..of("answers_twice", FaultKind::AnswersTwice, [2_000, 6_000])
     },
-    Trouble {
+    LinkFault {
         by: Some([5, 300]),
-        ..of("idle_closed", Kind::IdleClosed, [2_000, 6_000])
+        ..of("idle_closed", FaultKind::IdleClosed, [2_000, 6_000])
     },
-    Trouble {
+    LinkFault {
         factor: Some([0.01, 0.3]),
-        ..of("system_fails", Kind::SystemFails, [2_000, 6_000])
+        ..of("system_fails", FaultKind::SystemFails, [2_000, 6_000])
     },
-    Trouble {
+    LinkFault {
         factor: Some([0.05, 0.5]),
-        ..of("calls_short", Kind::CallsShort, [2_000, 6_000])
+        ..of("calls_short", FaultKind::CallsShort, [2_000, 6_000])
     },
-    Trouble {
+    LinkFault {
         factor: Some([0.001, 0.02]),
-        ..of("connections_break", Kind::ConnectionsBreak, [2_000, 6_000])
+        ..of(
+            "connections_break",
+            FaultKind::ConnectionsBreak,
+            [2_000, 6_000],
+        )
     },
-    Trouble {
+    LinkFault {
         factor: Some([0.001, 0.02]),
         by: Some([50, 150]),
-        ..of("held_up", Kind::HeldUp, [2_000, 6_000])
+        ..of("held_up", FaultKind::HeldUp, [2_000, 6_000])
     },
 ];
 
@@ -171,13 +195,13 @@
 const SERVERS: [usize; 2] = [8, 16];
 
 /// The name of a trouble in a schedule.
-pub fn name(kind: Kind) -> String {
+pub fn name(kind: FaultKind) -> String {
     let known = TROUBLES
         .iter()
         .find(|trouble| trouble.kind == kind)
         .map(|trouble| trouble.name);
     known
-        .unwrap_or(if kind == Kind::ClockSteps {
+        .unwrap_or(if kind == FaultKind::ClockSteps {
             "clock_steps"
         } else {
             "other"
@@ -186,8 +210,9 @@
 }
 
 /// The troubles of a day by name.
-pub fn troubles(day: &Day) -> Vec<String> {
-    day.faults
+pub fn troubles(scenario: &Scenario) -> Vec<String> {
+    scenario
+        .faults
         .iter()
         .map(|fault| name(fault.get_ref().kind))
         .collect()
@@ -195,7 +220,7 @@
 
 /// Draws a day as a file would hold it.
 pub fn draw(seed: u64, shape: &Shape) -> String {
-    let mut chance = Chance::split(seed, "soak", 0);
+    let mut chance = RandomSource::split(seed, "soak", 0);
     let balancers = shape.balancers.unwrap_or_else(|| 4 + chance.below(9));
     let mut text = head(seed, shape, balancers, &mut chance);
     let mut taken: Vec<&str> = Vec::new();
@@ -264,8 +289,8 @@
 }
 
 /// The settings of a day.
-fn head(seed: u64, shape: &Shape, balancers: usize, chance: &mut Chance) -> String {
-    let pick = |chance: &mut Chance, from: &[&str]| from[chance.below(from.len())].to_owned();
+fn head(seed: u64, shape: &Shape, balancers: usize, chance: &mut RandomSource) -> String {
+    let pick = |chance: &mut RandomSource, from: &[&str]| from[chance.below(from.len())].to_owned();
     let group = pick(chance, &["all", "zone", "cell"]);
     let window = pick(chance, &["500ms", "1s", "2500ms"]);
     let grace = pick(chance, &["250ms", "400ms", "1s", "2s"]);
@@ -292,13 +317,13 @@
 
 fn write_trouble(
     text: &mut String,
-    trouble: &Trouble,
+    trouble: &LinkFault,
     [at, most]: [u64; 2],
     balancers: usize,
     servers: &[usize],
-    chance: &mut Chance,
+    chance: &mut RandomSource,
 ) {
-    let between = |chance: &mut Chance, [least, most]: [u64; 2]| {
+    let between = |chance: &mut RandomSource, [least, most]: [u64; 2]| {
         least + chance.below((most - least + 1) as usize) as u64
     };
     let lasts = between(chance, trouble.lasts).min(most);
--- a/crates/testbed/src/soak/shrink.rs
+++ b/crates/testbed/src/soak/shrink.rs
@@ -14,7 +14,7 @@
         over: Arc::clone(over),
         ..Wishes::default()
     };
-    let played = day_of(text).and_then(|day| play(&day, seed, who, &wishes));
+    let played = day_of(text).and_then(|scenario| play(&scenario, seed, who, &wishes));
     played.is_ok_and(|figures| !figures.is_sound())
 }
 
--- a/crates/testbed/src/soak/tests.rs
+++ b/crates/testbed/src/soak/tests.rs
@@ -14,19 +14,20 @@
     #[test]
     fn every_seed_draws_a_day_that_can_be_played(seed in any::<u64>()) {
         let text = schedule::draw(seed, &SHAPE);
-        let day = day_of(&text);
-        prop_assert!(day.is_ok(), "{:?}\n{text}", day.err());
+        let scenario = day_of(&text);
+        prop_assert!(scenario.is_ok(), "{:?}\n{text}", scenario.err());
         prop_assert_eq!(schedule::draw(seed, &SHAPE), text);
     }
 }
 
 #[test]
 fn troubles_overlap_in_most_days() {
-    let days: Vec<_> = (0..50)
+    let scenarios: Vec<_> = (0..50)
         .map(|seed| (0, day_of(&schedule::draw(seed, &SHAPE)).unwrap()))
         .collect();
-    let met = |day: &(u64, Day)| !coverage::pairs(std::slice::from_ref(day)).is_empty();
-    assert!(days.iter().filter(|day| met(day)).count() >= 45);
+    let met =
+        |scenario: &(u64, Scenario)| !coverage::pairs(std::slice::from_ref(scenario)).is_empty();
+    assert!(scenarios.iter().filter(|scenario| met(scenario)).count() >= 45);
 }
 
 #[test]
--- a/crates/testbed/src/stand.rs
+++ b/crates/testbed/src/stand.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use pinefront_model::Micros;
-use pinefront_model::day::Kind;
-use pinefront_model::judge::Seen;
-use pinefront_model::server::{How, Report};
+use pinefront_model::checker::Observation;
+use pinefront_model::scenario::FaultKind;
+use pinefront_model::server::{JobOutcome, Report};
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
@@ -104,11 +104,11 @@
 
 /// Takes tickets on a connection, one after the other, until it ends.
 async fn carry(world: &World, stand: &Stand, stream: &mut TcpStream) -> Over {
-    let usual_idle = Duration::from_micros(world.day.fleet.idle.0);
+    let usual_idle = Duration::from_micros(world.scenario.fleet.idle_timeout.0);
     let mut kept = Vec::new();
-    let mut handshake = world.day.fleet.handshake.0 as f64;
+    let mut handshake = world.scenario.fleet.handshake_work.0 as f64;
     loop {
-        let mut began: Option<Micros> = (!kept.is_empty()).then(|| world.now());
+        let mut started_at: Option<Micros> = (!kept.is_empty()).then(|| world.now());
         let asked = loop {
             match if kept.is_empty() {
                 Ok(None)
@@ -119,12 +119,14 @@
                 Ok(None) => {}
                 Err(_) => return Over::Closed,
             }
-            let short = world.line().wide(Kind::IdleClosed, world.now());
-            let idle = short.map_or(usual_idle, |(_, by)| {
-                usual_idle.min(Duration::from_micros(by))
+            let short = world
+                .timeline()
+                .global_fault(FaultKind::IdleClosed, world.now());
+            let idle = short.map_or(usual_idle, |strength| {
+                usual_idle.min(Duration::from_micros(strength.by))
             });
             match timeout(idle, http::more(stream, &mut kept)).await {
-                Ok(Ok(true)) => _ = began.get_or_insert_with(|| world.now()),
+                Ok(Ok(true)) => _ = started_at.get_or_insert_with(|| world.now()),
                 Err(_) if short.is_some() && kept.is_empty() && world.drawn(0.5) => {
                     return Over::Reset;
                 }
@@ -132,7 +134,7 @@
                 _ => return Over::Closed,
             }
         };
-        let began = began.unwrap_or_else(|| world.now());
+        let started_at = started_at.unwrap_or_else(|| world.now());
         kept.drain(..asked.end);
         let Some(id) = asked.id else {
             if http::answer(stream, "404 Not Found", "", "no ticket\n")
@@ -143,7 +145,7 @@
             }
             continue;
         };
-        let (known, Some(ticket)) = world.ticket(&id, &asked.path) else {
+        let (known, Some(request)) = world.request(&id, &asked.path) else {
             if http::answer(stream, "400 Bad Request", "", "no such ticket\n")
                 .await
                 .is_err()
@@ -152,36 +154,41 @@
             }
             continue;
         };
-        if let Some((ticket, told)) = known.zip(asked.remaining_ms) {
-            world.note(
+        if let Some((request, remaining_ms)) = known.zip(asked.remaining_ms) {
+            world.record(
                 world.now(),
-                Seen::ToldTime {
-                    ticket,
-                    began,
-                    told: told * 1000,
+                Observation::TimeoutAdvertised {
+                    request,
+                    started_at,
+                    remaining: remaining_ms * 1000,
                 },
             );
         }
-        let (job, answer) =
-            world.sent(stand, known, &ticket, began, std::mem::take(&mut handshake));
+        let (job, answer) = world.sent(
+            stand,
+            known,
+            &request,
+            started_at,
+            std::mem::take(&mut handshake),
+        );
         let how = tokio::select! {
-            how = answer => how.unwrap_or(How::Died),
+            how = answer => how.unwrap_or(JobOutcome::ServerDied),
             // More bytes are no end: they are kept for the next ticket. An end is a call off.
             () = ended(stream, &mut kept) => {
-                world.called_off(stand, job);
+                world.cancelled(stand, job);
                 return Over::Closed;
             }
         };
-        if how == How::Answered && world.strikes(Kind::AnswersUnended) {
+        if how == JobOutcome::Succeeded && world.strikes(FaultKind::AnswersUnended) {
             return unended(stream, &id, world.drawn(RESET_ON_THE_WAY)).await;
         }
         let written = match how {
-            How::Answered => succeeded(world, stand, stream, &id).await,
-            How::Spoilt => {
+            JobOutcome::Succeeded => succeeded(world, stand, stream, &id).await,
+            JobOutcome::Corrupted => {
                 spoilt(world, stream, &id).await;
                 return Over::Closed;
             }
-            How::Full => {
+            JobOutcome::Rejected => {
                 http::answer(
                     stream,
                     "503 Service Unavailable",
@@ -190,9 +197,11 @@
                 )
                 .await
             }
-            How::Failed => http::answer(stream, "500 Internal Server Error", "", "failed\n").await,
-            How::Reset | How::Died => return Over::Reset,
-            How::Swallowed => {
+            JobOutcome::Failed => {
+                http::answer(stream, "500 Internal Server Error", "", "failed\n").await
+            }
+            JobOutcome::ConnectionReset | JobOutcome::ServerDied => return Over::Reset,
+            JobOutcome::Unanswered => {
                 ended(stream, &mut kept).await;
                 return Over::Closed;
             }
@@ -217,13 +226,13 @@
     let load = stand
         .report(world.now())
         .map_or_else(String::new, |load| load_field(&load));
-    if world.strikes(Kind::AnswersInPieces) {
+    if world.strikes(FaultKind::AnswersInPieces) {
         let text = http::answer_text("200 OK", &load, &body(id));
         http::in_pieces(stream, text.as_bytes(), PIECES).await?;
     } else {
         http::answer(stream, "200 OK", &load, &body(id)).await?;
     }
-    if world.strikes(Kind::AnswersTwice) {
+    if world.strikes(FaultKind::AnswersTwice) {
         tokio::time::sleep(Duration::from_micros(1 + world.draw(LATE_MOST_US) as u64)).await;
         http::answer(stream, "200 OK", "", "a second answer\n").await?;
     }
--- a/crates/testbed/src/standing.rs
+++ b/crates/testbed/src/standing.rs
@@ -8,8 +8,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use pinefront_model::check;
-use pinefront_model::day::Day;
+use pinefront_model::scenario::Scenario;
+use pinefront_model::validation;
 use serde_json::json;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
@@ -21,14 +21,14 @@
 const LOOKS_APART: Duration = Duration::from_millis(100);
 
 pub fn stand_alone(
-    day: &Day,
+    scenario: &Scenario,
     page: SocketAddr,
     listen: SocketAddr,
     config: &Path,
     over: &AtomicBool,
 ) -> Result<(), String> {
     let runtime = runtime().map_err(|problem| format!("cannot start threads: {problem}"))?;
-    let world = Arc::new(World::new(day.clone(), day.seed));
+    let world = Arc::new(World::new(scenario.clone(), scenario.seed));
     let done = runtime.block_on(async {
         start_servers(&world).await?;
         let discovery = discovery::serve(&world, 0)
@@ -40,7 +40,7 @@
         let page = pages.local_addr().map_err(|problem| problem.to_string())?;
         let told = json!({
             "name": "b0", "listen": listen.to_string(), "discovery": discovery.to_string(),
-            "seed": format!("{:016x}", day.seed), "settings": balancers::settings(day, 0),
+            "seed": format!("{:016x}", scenario.seed), "settings": balancers::settings(scenario, 0),
         });
         std::fs::write(config, format!("{told:#}\n"))
             .map_err(|problem| format!("{}: {problem}", config.display()))?;
@@ -143,7 +143,8 @@
 }
 
 fn add(world: &World, form: &str) -> Result<String, String> {
-    let fault = check::by_hand(&world.day, &fault_text(form)?, world.now())?;
+    let fault = validation::read_single_fault(&world.scenario, &fault_text(form)?, world.now())
+        .map_err(|problem| problem.to_string())?;
     world.add_fault(&fault);
     Ok(format!(
         "{:?} from {:.1} s on\n",
@@ -167,10 +168,10 @@
             format!(
                 "<tr><td>{number}<td>{}<td>{address}<td>{}<td>{}<td>{:.2}<td>{:.0} %<td>{sends}<td>{}<td>{:.0} %<td>{state}",
                 spec.id,
-                world.day.fleet.zones[spec.zone],
-                world.day.machines[spec.machine].get_ref().name,
+                world.scenario.fleet.zones[spec.zone],
+                world.scenario.machines[spec.machine].get_ref().name,
                 spec.speed,
-                100.0 * server.warmth(now),
+                100.0 * server.slow_start_factor(now),
                 load.in_flight,
                 100.0 * load.utilisation,
             )
--- a/crates/testbed/src/stopping.rs
+++ b/crates/testbed/src/stopping.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use pinefront_model::day::Kind;
+use pinefront_model::scenario::FaultKind;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::time::timeout;
@@ -21,11 +21,14 @@
 pub async fn stop_in_the_middle(world: Arc<World>, balancers: Vec<SocketAddr>) {
     loop {
         tokio::time::sleep(LOOKS_APART).await;
-        let Some((rate, _)) = world.line().wide(Kind::ClientsStop, world.now()) else {
+        let Some(strength) = world
+            .timeline()
+            .global_fault(FaultKind::ClientsStop, world.now())
+        else {
             continue;
         };
         for (number, address) in balancers.iter().enumerate() {
-            if world.drawn((rate * LOOKS_APART.as_secs_f64()).min(1.0)) {
+            if world.drawn((strength.factor * LOOKS_APART.as_secs_f64()).min(1.0)) {
                 tokio::spawn(client(Arc::clone(&world), number, *address));
             }
         }
@@ -63,6 +66,6 @@
         let kind = if used { "used" } else { "new" };
         let what =
             format!("balancer {balancer} kept half a request on a {kind} connection for over 3 s");
-        locked(&world.ledger).broken(1, world.now(), what);
+        locked(&world.checker).record_violation(1, world.now(), what);
     }
 }
--- a/crates/testbed/src/system.rs
+++ b/crates/testbed/src/system.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use pinefront_model::Micros;
-use pinefront_model::day::{Day, Kind};
-use pinefront_model::faults::Timeline;
+use pinefront_model::scenario::{FaultKind, Scenario};
+use pinefront_model::timeline::Timeline;
 
 use crate::world::World;
 
@@ -36,25 +36,29 @@
     pub held_up: i64,
     pub held_up_us: i64,
     pub clock_offset_us: i64,
-    pub breaks: i64,
+    pub violations: i64,
 }
 
 impl Control {
     /// What the day says of that moment.
     pub fn at(line: &Timeline, now: Micros) -> Self {
         let part = |kind| {
-            line.wide(kind, now)
-                .map_or(0, |(factor, _)| (factor * MILLION) as i64)
+            line.global_fault(kind, now)
+                .map_or(0, |strength| (strength.factor * MILLION) as i64)
         };
-        let clock = line.wide(Kind::ClockSteps, now);
+        let clock = line.global_fault(FaultKind::ClockSteps, now);
         Self {
-            fails: part(Kind::SystemFails),
-            is_short: part(Kind::CallsShort),
-            interrupted: part(Kind::CallsShort),
-            held_up: part(Kind::HeldUp),
-            held_up_us: line.wide(Kind::HeldUp, now).map_or(0, |(_, by)| by as i64),
-            clock_offset_us: clock.map_or(0, |(factor, by)| (by as f64 * factor.signum()) as i64),
-            breaks: part(Kind::ConnectionsBreak),
+            fails: part(FaultKind::SystemFails),
+            is_short: part(FaultKind::CallsShort),
+            interrupted: part(FaultKind::CallsShort),
+            held_up: part(FaultKind::HeldUp),
+            held_up_us: line
+                .global_fault(FaultKind::HeldUp, now)
+                .map_or(0, |strength| strength.by as i64),
+            clock_offset_us: clock.map_or(0, |strength| {
+                (strength.by as f64 * strength.factor.signum()) as i64
+            }),
+            violations: part(FaultKind::ConnectionsBreak),
         }
     }
 
@@ -66,7 +70,7 @@
             self.held_up,
             self.held_up_us,
             self.clock_offset_us,
-            self.breaks,
+            self.violations,
         ];
         fields
             .iter()
@@ -77,8 +81,9 @@
 
 impl System {
     /// Whether a day needs the library.
-    pub fn is_wanted(day: &Day) -> bool {
-        day.faults
+    pub fn is_wanted(scenario: &Scenario) -> bool {
+        scenario
+            .faults
             .iter()
             .any(|fault| fault.get_ref().kind.is_of_system())
     }
@@ -123,7 +128,7 @@
     let mut told = Control::default();
     loop {
         tokio::time::sleep(TOLD_EVERY).await;
-        let control = Control::at(&world.line(), world.now());
+        let control = Control::at(&world.timeline(), world.now());
         if control != told && system.tell(&control).is_ok() {
             told = control;
         }
