--- a/crates/testbed/src/tests.rs
+++ b/crates/testbed/src/tests.rs
@@ -8,14 +8,14 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-use pinefront_model::check;
-use pinefront_model::day::Day;
+use pinefront_model::scenario::Scenario;
 use pinefront_model::service::Parts;
-use pinefront_model::traffic::Ticket;
+use pinefront_model::traffic::Request;
+use pinefront_model::validation;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use crate::clients::Tickets;
+use crate::clients::RequestCounts;
 use crate::figures::{Figures, Second, Times};
 use crate::fleet::Known;
 use crate::fleet::duties::DutiesFound;
@@ -39,8 +39,8 @@
     assert_eq!(text, recorded, "{name}");
 }
 
-fn day(text: &str) -> Day {
-    check::read(text, "d.toml").unwrap()
+fn scenario(text: &str) -> Scenario {
+    validation::read(text, "d.toml").unwrap()
 }
 
 #[test]
@@ -115,16 +115,16 @@
 
 fn figures() -> Figures {
     Figures {
-        day: "day name".into(),
+        scenario: "day name".into(),
         who: "pinefront".into(),
         seed: 21,
         balancers: 22,
         servers: 23,
-        tickets: Tickets {
+        requests: RequestCounts {
             asked: 24,
             succeeded: 25,
-            dismissed: 26,
-            abandoned: 27,
+            rejected: 26,
+            failed: 27,
             unanswered: 28,
             left: 29,
             unreached: 30,
@@ -135,9 +135,9 @@
         why_invalid: vec!["late".into()],
         service: 0.33,
         service_parts: Parts {
-            whole: 0.34,
+            overall: 0.34,
             worst_10s: 0.35,
-            worst_use_case: 0.36,
+            worst_class: 0.36,
             worst_tenant: 0.37,
             tail: 0.38,
             total: 0.39,
@@ -166,8 +166,8 @@
     load::Found {
         asked: 60,
         succeeded: 61,
-        dismissed: 62,
-        abandoned: 63,
+        rejected: 62,
+        failed: 63,
         unanswered: 64,
         dropped: 65,
         rate_asked: 66.5,
@@ -209,7 +209,7 @@
         invalid: 92,
         pairs: soak::coverage::pairs(&[(
             100,
-            day(
+            scenario(
                 "name = 'd'\nlength = '20s'\n[[faults]]\nkind = 'burst'\nat = '1s'\nfor = '2s'\n\
                  [[faults]]\nkind = 'spoilt'\nat = '2s'\nfor = '2s'",
             ),
@@ -224,11 +224,11 @@
         succeeded: 96,
         valid: true,
         why_invalid: vec!["late".into()],
-        broken: vec!["rule 2".into()],
+        violated_rules: vec!["rule 2".into()],
         broken_count: 97,
         violations: 98,
         deaths: vec!["died".into()],
-        again: Some("run".into()),
+        retry: Some("run".into()),
     });
     found
 }
@@ -248,10 +248,10 @@
 
 /// A world whose servers listen at fixed addresses; its clock stands at 0.
 fn world(rest: &str) -> Arc<World> {
-    let day = day(&format!(
+    let scenario = scenario(&format!(
         "name = 'd'\nlength = '20s'\n[fleet]\nservers = 3\n[discovery]\ndelay = ['0s', '0s']\n{rest}"
     ));
-    let world = Arc::new(World::new(day, 1));
+    let world = Arc::new(World::new(scenario, 1));
     for number in 0..3 {
         let address = format!("10.0.0.{}:8000", number + 1).parse().unwrap();
         world.listens(number, address, false);
@@ -310,8 +310,8 @@
     }
     let world = world("");
     for what in [
-        pinefront_model::faults::What::Drains(0),
-        pinefront_model::faults::What::Dies(1),
+        pinefront_model::timeline::TimelineEvent::DrainStarted(0),
+        pinefront_model::timeline::TimelineEvent::ServerCrashed(1),
     ] {
         world.happens(what);
     }
@@ -348,17 +348,17 @@
     for (title, rest, request) in cases {
         let full = title == "full";
         let head = "name = 'd'\nlength = '20s'\n[fleet]\nreports = '0s'\n";
-        let day = day(&format!("{head}{rest}{usual}"));
-        let world = Arc::new(World::new(day, 1));
+        let scenario = scenario(&format!("{head}{rest}{usual}"));
+        let world = Arc::new(World::new(scenario, 1));
         world.clock.begin();
         world.apply_conditions();
         stand::server(&world, 0, false).await.unwrap();
         let address = world.stand(0).unwrap().address().unwrap();
         if full {
-            let occupied = Ticket {
+            let occupied = Request {
                 number: 1,
                 work: 60_000_000.0,
-                ..Ticket::default()
+                ..Request::default()
             };
             let stand = world.stand(0).unwrap();
             for _ in 0..stand.with(|server| server.spec.cores) {
@@ -382,25 +382,25 @@
 
 #[test]
 fn clients_and_balancers_are_told_as_recorded() {
-    let day = day(EVERY_KEY);
-    let world = World::new(day.clone(), 1);
+    let scenario = scenario(EVERY_KEY);
+    let world = World::new(scenario.clone(), 1);
     let mut text = String::new();
-    for (use_case, tries, tenant) in [(0, 1, 0), (1, 1, 1), (1, 2, 0), (2, 3, 9)] {
-        let ticket = Ticket {
+    for (class, attempt, tenant) in [(0, 1, 0), (1, 1, 1), (1, 2, 0), (2, 3, 9)] {
+        let request = Request {
             number: 0xabc,
-            tries,
-            use_case,
+            attempt,
+            class,
             tenant,
             key: 77,
-            label: 0xdef,
-            wait: 1_234_567,
-            ..Ticket::default()
+            idempotency_key: 0xdef,
+            timeout: 1_234_567,
+            ..Request::default()
         };
-        let request = clients::request(&world, &ticket);
+        let request = clients::request_text(&world, &request);
         text += &format!("{:?}\n", String::from_utf8(request).unwrap());
     }
-    text += &serde_json::to_string_pretty(&balancers::settings(&day, 4)).unwrap();
-    let plain = self::day("name = 'd'\nlength = '20s'\n[discovery]\nask_within = '0s'");
+    text += &serde_json::to_string_pretty(&balancers::settings(&scenario, 4)).unwrap();
+    let plain = self::scenario("name = 'd'\nlength = '20s'\n[discovery]\nask_within = '0s'");
     text += "\n";
     text += &serde_json::to_string_pretty(&balancers::settings(&plain, 0)).unwrap();
     text += "\n";
@@ -417,7 +417,7 @@
         held_up: 4,
         held_up_us: 5,
         clock_offset_us: 6,
-        breaks: 7,
+        violations: 7,
     };
     assert_eq!(control.bytes(), bytes);
 }
--- a/crates/testbed/src/told.rs
+++ b/crates/testbed/src/told.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use pinefront_model::checker::Observation;
 use pinefront_model::discovery::State;
-use pinefront_model::faults::Telling;
-use pinefront_model::judge::Seen;
+use pinefront_model::timeline::DiscoveryState;
 use pinefront_model::{Micros, SECOND};
 
 use crate::world::World;
@@ -16,7 +16,7 @@
 const LOOKS_APART: Duration = Duration::from_millis(20);
 
 /// A server that is to get nothing more: since when the list says so, and when all count as told.
-struct Leaving {
+struct Draining {
     counts_at: Micros,
     /// By balancer, which of its lives was noted as told.
     noted: BTreeMap<usize, u64>,
@@ -24,11 +24,11 @@
 
 /// Notes what counts as told, until the runtime ends.
 pub async fn count(world: Arc<World>, balancers: usize) {
-    let mut leaving: BTreeMap<usize, Leaving> = BTreeMap::new();
+    let mut leaving: BTreeMap<usize, Draining> = BTreeMap::new();
     loop {
         tokio::time::sleep(LOOKS_APART).await;
         let now = world.now();
-        let gone = world.line().telling(now) != Telling::Fine;
+        let gone = world.timeline().discovery_state(now) != DiscoveryState::Available;
         let (_, entries) = world.with_registry(|registry| registry.since(now, 0));
         for entry in entries {
             if entry.state == State::Active {
@@ -36,7 +36,7 @@
                 continue;
             }
             let counts_at = now + COUNTS_AFTER;
-            let known = leaving.entry(entry.server).or_insert(Leaving {
+            let known = leaving.entry(entry.server).or_insert(Draining {
                 counts_at,
                 noted: BTreeMap::new(),
             });
@@ -48,12 +48,12 @@
                 let told = now >= known.counts_at.max(world.excused_until(balancer));
                 if told && life.is_some() && known.noted.insert(balancer, life.unwrap_or(0)) != life
                 {
-                    world.note(
+                    world.record(
                         now,
-                        Seen::Told {
+                        Observation::EndpointReported {
                             balancer,
                             server: entry.server,
-                            drains: true,
+                            draining: true,
                         },
                     );
                 }
--- a/crates/testbed/src/world.rs
+++ b/crates/testbed/src/world.rs
@@ -8,14 +8,16 @@
 
 use pinefront_model::Micros;
 use pinefront_model::call_queue::CallQueue;
-use pinefront_model::chance::Chance;
-use pinefront_model::day::{Day, Effect, Fault, Group, Kind};
+use pinefront_model::checker::{AttemptTarget, Checker, Observation};
 use pinefront_model::discovery::{Entry, Registry, State};
-use pinefront_model::faults::{Timeline, What};
 use pinefront_model::fleet;
-use pinefront_model::judge::{Ledger, Place, Seen};
-use pinefront_model::server::{Arrival, Done, How, REPEAT_WORK, Repeats, Report, Server, Spec};
-use pinefront_model::traffic::Ticket;
+use pinefront_model::random::RandomSource;
+use pinefront_model::scenario::{Fault, FaultKind, Idempotency, IdempotencyScope, Scenario};
+use pinefront_model::server::{
+    DUPLICATE_WORK_US, DuplicateFilter, FinishedJob, Job, JobOutcome, Report, Server, ServerSpec,
+};
+use pinefront_model::timeline::{Timeline, TimelineEvent};
+use pinefront_model::traffic::Request;
 use tokio::sync::{Notify, oneshot, watch};
 
 use crate::clock::Clock;
@@ -41,22 +43,22 @@
 }
 
 struct Waiter {
-    ticket: Option<u64>,
-    answer: oneshot::Sender<How>,
+    request: Option<u64>,
+    answer: oneshot::Sender<JobOutcome>,
 }
 
 /// Tickets by number, and until when each is known.
 #[derive(Default)]
 struct Known {
-    tickets: HashMap<u64, Ticket>,
+    requests: HashMap<u64, Request>,
     until: VecDeque<(Micros, u64)>,
 }
 
 pub struct World {
-    pub day: Day,
+    pub scenario: Scenario,
     pub seed: u64,
     pub clock: Clock,
-    line: RwLock<Timeline>,
+    timeline: RwLock<Timeline>,
     /// Told when a fault was added by hand.
     pub added: Notify,
     stands: RwLock<Vec<Arc<Stand>>>,
@@ -64,13 +66,13 @@
     pub call_queue: Mutex<CallQueue>,
     /// Told when the list changes.
     pub listed: watch::Sender<u64>,
-    pub ledger: Mutex<Ledger>,
+    pub checker: Mutex<Checker>,
     /// Calls that discovery took.
     pub calls: AtomicU64,
-    tickets: Mutex<Known>,
-    repeats: Mutex<Repeats>,
+    requests: Mutex<Known>,
+    duplicates: Mutex<DuplicateFilter>,
     jobs: AtomicU64,
-    chance: Mutex<Chance>,
+    chance: Mutex<RandomSource>,
     /// By balancer: its lives so far and whether it runs, and until when a silent watch excuses it.
     lives: Mutex<HashMap<usize, (u64, bool)>>,
     excused: Mutex<HashMap<usize, Micros>>,
@@ -84,33 +86,33 @@
 }
 
 impl World {
-    pub fn new(day: Day, seed: u64) -> Self {
-        let specs = fleet::specs(&day, seed);
-        let line = Timeline::new(&day, &specs, seed);
-        let registry = Registry::new(&day.discovery, specs.len(), seed);
+    pub fn new(scenario: Scenario, seed: u64) -> Self {
+        let specs = fleet::specs(&scenario, seed);
+        let timeline = Timeline::new(&scenario, &specs, seed);
+        let registry = Registry::new(&scenario.discovery, specs.len(), seed);
         let stands = specs
             .into_iter()
-            .map(|spec| Arc::new(Stand::new(&day, seed, spec)))
+            .map(|spec| Arc::new(Stand::new(&scenario, seed, spec)))
             .collect();
         Self {
-            ledger: Mutex::new(Ledger::new(&day)),
+            checker: Mutex::new(Checker::new(&scenario)),
             seed,
             clock: Clock::default(),
-            line: RwLock::new(line),
+            timeline: RwLock::new(timeline),
             added: Notify::new(),
             stands: RwLock::new(stands),
             registry: Mutex::new(registry),
-            call_queue: Mutex::new(CallQueue::new(&day.discovery)),
+            call_queue: Mutex::new(CallQueue::new(&scenario.discovery)),
             listed: watch::Sender::new(0),
-            tickets: Mutex::default(),
-            repeats: Mutex::default(),
+            requests: Mutex::default(),
+            duplicates: Mutex::default(),
             calls: AtomicU64::new(0),
             jobs: AtomicU64::new(0),
-            chance: Mutex::new(Chance::split(seed, "spoilt", 0)),
+            chance: Mutex::new(RandomSource::split(seed, "spoilt", 0)),
             lives: Mutex::default(),
             excused: Mutex::default(),
             disturbed: Mutex::default(),
-            day,
+            scenario,
         }
     }
 
@@ -119,21 +121,24 @@
     }
 
     /// The timeline as it stands.
-    pub fn line(&self) -> RwLockReadGuard<'_, Timeline> {
-        self.line.read().unwrap_or_else(PoisonError::into_inner)
+    pub fn timeline(&self) -> RwLockReadGuard<'_, Timeline> {
+        self.timeline.read().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Adds a fault by hand, from now on.
     pub fn add_fault(&self, fault: &Fault) {
-        let specs: Vec<Spec> = self
+        let specs: Vec<ServerSpec> = self
             .stands()
             .iter()
             .map(|stand| stand.with(|server| server.spec.clone()))
             .collect();
-        let mut line = self.line.write().unwrap_or_else(PoisonError::into_inner);
-        let place = line.hits().len() + self.day.faults.len();
-        line.add(&self.day, &specs, self.seed, place, fault);
-        drop(line);
+        let mut timeline = self
+            .timeline
+            .write()
+            .unwrap_or_else(PoisonError::into_inner);
+        let index = timeline.server_faults().len() + self.scenario.faults.len();
+        timeline.add(&self.scenario, &specs, self.seed, index, fault);
+        drop(timeline);
         self.added.notify_one();
     }
 
@@ -141,9 +146,11 @@
     pub fn apply_conditions(&self) {
         let now = self.now();
         for (number, stand) in self.stands().iter().enumerate() {
-            let condition = self.line().condition(number, now);
+            let condition = self.timeline().condition(number, now);
             if stand.with(|server| *server.condition() != condition) {
-                self.change(stand, |server, now, out| server.set(now, condition, out));
+                self.change(stand, |server, now, out| {
+                    server.set_condition(now, condition, out)
+                });
             }
         }
     }
@@ -163,8 +170,8 @@
             .cloned()
     }
 
-    pub fn note(&self, at: Micros, seen: Seen) {
-        locked(&self.ledger).note(at, seen);
+    pub fn record(&self, at: Micros, seen: Observation) {
+        locked(&self.checker).record(at, seen);
     }
 
     /// A draw for spoilt answers.
@@ -178,9 +185,9 @@
     }
 
     /// Whether a fault of that kind holds now and hits this time.
-    pub fn strikes(&self, kind: Kind) -> bool {
-        let wide = self.line().wide(kind, self.now());
-        wide.is_some_and(|(factor, _)| self.drawn(factor))
+    pub fn strikes(&self, kind: FaultKind) -> bool {
+        let wide = self.timeline().global_fault(kind, self.now());
+        wide.is_some_and(|strength| self.drawn(strength.factor))
     }
 
     /// A balancer's process began or ended.
@@ -232,24 +239,28 @@
     }
 
     /// A ticket goes out: servers that get it know what it is.
-    pub fn expect(&self, ticket: &Ticket) {
+    pub fn expect(&self, request: &Request) {
         let now = self.now();
-        let mut tickets = locked(&self.tickets);
-        while tickets.until.front().is_some_and(|(until, _)| *until < now) {
-            if let Some((_, number)) = tickets.until.pop_front() {
-                tickets.tickets.remove(&number);
+        let mut requests = locked(&self.requests);
+        while requests
+            .until
+            .front()
+            .is_some_and(|(until, _)| *until < now)
+        {
+            if let Some((_, number)) = requests.until.pop_front() {
+                requests.requests.remove(&number);
             }
         }
-        tickets.tickets.insert(ticket.number, ticket.clone());
-        tickets
+        requests.requests.insert(request.number, request.clone());
+        requests
             .until
-            .push_back((now + ticket.wait + KNOWN_FOR, ticket.number));
+            .push_back((now + request.timeout + KNOWN_FOR, request.number));
     }
 
     /// A ticket by its id; of one that the lab did not send, what a usual ticket of that path would be.
-    pub fn ticket(&self, id: &str, path: &str) -> (Option<u64>, Option<Ticket>) {
+    pub fn request(&self, id: &str, path: &str) -> (Option<u64>, Option<Request>) {
         let known = u64::from_str_radix(id, 16).ok();
-        let found = known.and_then(|number| locked(&self.tickets).tickets.get(&number).cloned());
+        let found = known.and_then(|number| locked(&self.requests).requests.get(&number).cloned());
         if found.is_some() {
             return (known, found);
         }
@@ -258,24 +269,23 @@
             .split(['/', '?'])
             .next()
             .unwrap_or("");
-        let use_case = self
-            .day
-            .use_cases
+        let class = self
+            .scenario
+            .classes
             .iter()
-            .position(|use_case| use_case.get_ref().name == name);
-        let ticket = use_case.map(|use_case| {
-            let class = self.day.use_cases[use_case].get_ref();
-            let (work, waits, wait) = (class.work.0 as f64, class.waits.0, class.hard_stop.0);
-            Ticket {
-                tries: 1,
-                use_case,
-                work,
-                waits,
-                wait,
-                ..Ticket::default()
+            .position(|class| class.get_ref().name == name);
+        let request = class.map(|class| {
+            let settings = self.scenario.classes[class].get_ref();
+            Request {
+                attempt: 1,
+                class,
+                work: settings.work.0 as f64,
+                off_core_time: settings.off_core_time.0,
+                timeout: settings.deadline.0,
+                ..Request::default()
             }
         });
-        (None, ticket)
+        (None, request)
     }
 
     /// A dispatch came whole to a server. What comes of it is sent when it is known.
@@ -283,66 +293,78 @@
         &self,
         stand: &Stand,
         known: Option<u64>,
-        ticket: &Ticket,
-        began: Micros,
+        request: &Request,
+        started_at: Micros,
         extra: f64,
-    ) -> (u64, oneshot::Receiver<How>) {
+    ) -> (u64, oneshot::Receiver<JobOutcome>) {
         let now = self.now();
         let job = self.jobs.fetch_add(1, Ordering::Relaxed);
         let (answer, receiver) = oneshot::channel();
         stand.sends.fetch_add(1, Ordering::Relaxed);
-        let class = self.day.use_cases[ticket.use_case].get_ref();
+        let class = self.scenario.classes[request.class].get_ref();
         let mut state = locked(&stand.state);
         let spec = &state.server.spec;
-        let cold = (state.server.warmth(now) < 1.0).then(|| state.server.capacity(now));
-        let place = Place {
+        let slow_start_capacity =
+            (state.server.slow_start_factor(now) < 1.0).then(|| state.server.capacity(now));
+        let target = AttemptTarget {
             server: spec.number,
             zone: spec.zone,
             cell: spec.cell,
-            cold,
+            slow_start_capacity,
         };
-        let group = match class.group {
-            Group::All => 0,
-            Group::Zone => 1 + spec.zone,
-            Group::Cell => 1000 + spec.cell,
+        let group = match class.scope {
+            IdempotencyScope::All => 0,
+            IdempotencyScope::Zone => 1 + spec.zone,
+            IdempotencyScope::Cell => 1000 + spec.cell,
         };
         if let Some(number) = known {
-            self.note(
+            self.record(
                 now,
-                Seen::Sent {
-                    ticket: number,
-                    place,
-                    began,
-                    work: ticket.work,
+                Observation::AttemptReceived {
+                    request: number,
+                    target,
+                    started_at,
+                    work: request.work,
                 },
             );
         }
-        let labelled = known.is_some() && class.effect == Effect::Labelled;
-        let repeat =
-            labelled && locked(&self.repeats).is_repeat(now, group, ticket.label, class.window.0);
-        let work = extra + if repeat { REPEAT_WORK } else { ticket.work };
+        let has_idempotency_key =
+            known.is_some() && class.idempotency == Idempotency::IdempotencyKey;
+        let duplicate = has_idempotency_key
+            && locked(&self.duplicates).is_duplicate(
+                now,
+                group,
+                request.idempotency_key,
+                class.idempotency_window.0,
+            );
+        let work = extra
+            + if duplicate {
+                DUPLICATE_WORK_US
+            } else {
+                request.work
+            };
         state.waiting.insert(
             job,
             Waiter {
-                ticket: known,
+                request: known,
                 answer,
             },
         );
         let mut out = Vec::new();
-        let fell = state.server.fell();
-        state.server.arrive(
+        let had_crashed = state.server.crashed_in_slow_start();
+        state.server.receive(
             now,
-            Arrival {
-                job,
+            Job {
+                id: job,
                 work,
-                waits: ticket.waits,
-                key: Some(ticket.key),
+                off_core_time: request.off_core_time,
+                key: Some(request.key),
             },
             &mut out,
         );
-        if state.server.fell() && !fell {
+        if state.server.crashed_in_slow_start() && !had_crashed {
             let server = state.server.spec.number;
-            self.note(now, Seen::Fell { server });
+            self.record(now, Observation::ServerOverloaded { server });
             stand.life.send_modify(|life| *life += 1);
         }
         self.deliver(&mut state, now, out);
@@ -352,7 +374,11 @@
     }
 
     /// Changes a server and delivers what came of it.
-    pub fn change(&self, stand: &Stand, change: impl FnOnce(&mut Server, Micros, &mut Vec<Done>)) {
+    pub fn change(
+        &self,
+        stand: &Stand,
+        change: impl FnOnce(&mut Server, Micros, &mut Vec<FinishedJob>),
+    ) {
         let now = self.now();
         let mut state = locked(&stand.state);
         let mut out = Vec::new();
@@ -369,63 +395,63 @@
         let mut out = Vec::new();
         state.server.advance(now, &mut out);
         self.deliver(&mut state, now, out);
-        state.server.next()
+        state.server.next_event()
     }
 
-    fn deliver(&self, state: &mut StandState, now: Micros, out: Vec<Done>) {
+    fn deliver(&self, state: &mut StandState, now: Micros, out: Vec<FinishedJob>) {
         let server = state.server.spec.number;
         for done in out {
-            let Some(waiter) = state.waiting.remove(&done.job) else {
+            let Some(waiter) = state.waiting.remove(&done.id) else {
                 continue;
             };
-            if let Some(ticket) = waiter.ticket {
-                if done.how.ran() {
-                    self.note(now, Seen::Ran { ticket, server });
-                } else if done.how == How::Full {
-                    self.note(now, Seen::NotRun { ticket, server });
+            if let Some(request) = waiter.request {
+                if done.outcome.ran() {
+                    self.record(now, Observation::AttemptRan { request, server });
+                } else if done.outcome == JobOutcome::Rejected {
+                    self.record(now, Observation::AttemptNotRun { request, server });
                 }
             }
             // Whoever waited may be gone.
-            let _ = waiter.answer.send(done.how);
+            let _ = waiter.answer.send(done.outcome);
         }
     }
 
     /// Nobody waits for a dispatch any more.
-    pub fn called_off(&self, stand: &Stand, job: u64) {
-        self.change(stand, |server, now, out| server.call_off(now, job, out));
+    pub fn cancelled(&self, stand: &Stand, job: u64) {
+        self.change(stand, |server, now, out| server.cancel(now, job, out));
         locked(&stand.state).waiting.remove(&job);
     }
 
     /// What a fault or the day's plan does to a server or the fleet. Returns servers that need a stand-in on sockets.
-    pub fn happens(&self, what: What) -> Vec<usize> {
+    pub fn happens(&self, what: TimelineEvent) -> Vec<usize> {
         match what {
-            What::Drains(server) => {
-                self.list(server, State::Leaving);
+            TimelineEvent::DrainStarted(server) => {
+                self.list(server, State::Draining);
                 Vec::new()
             }
-            What::Leaves(server) => {
+            TimelineEvent::DrainFinished(server) => {
                 self.kill(server);
-                self.list(server, State::Left);
+                self.list(server, State::Removed);
                 self.newcomers(1, Some(server))
             }
-            What::Dies(server) => {
+            TimelineEvent::ServerCrashed(server) => {
                 self.kill(server);
-                self.list(server, State::Left);
+                self.list(server, State::Removed);
                 Vec::new()
             }
-            What::Returns(server) | What::StartsAnew(server) => {
+            TimelineEvent::ServerRestored(server) | TimelineEvent::ServerRestarted(server) => {
                 self.kill(server);
                 self.start_again(server);
                 vec![server]
             }
-            What::Grow(count) => self.newcomers(count, None),
-            What::BalancerKilled(_)
-            | What::BalancerStopped(_)
-            | What::BalancerStarts(_)
-            | What::BalancerTakesPlace(..)
-            | What::BalancerReloads(_)
-            | What::BalancerPauses(_)
-            | What::BalancerGoesOn(_) => Vec::new(),
+            TimelineEvent::ServersAdded(count) => self.newcomers(count, None),
+            TimelineEvent::BalancerKilled(_)
+            | TimelineEvent::BalancerStopped(_)
+            | TimelineEvent::BalancerStarted(_)
+            | TimelineEvent::BalancerMoved { .. }
+            | TimelineEvent::BalancerReloaded(_)
+            | TimelineEvent::BalancerPaused(_)
+            | TimelineEvent::BalancerResumed(_) => Vec::new(),
         }
     }
 
@@ -443,13 +469,13 @@
         };
         let now = self.now();
         let mut state = locked(&stand.state);
-        let spec = Spec {
-            born: Some(now),
+        let spec = ServerSpec {
+            started_at: Some(now),
             ..state.server.spec.clone()
         };
         let life = *stand.life.borrow();
-        let chance = Chance::split(self.seed, "server", number as u64 + (life << 32));
-        state.server = Server::new(spec, &self.day.fleet, &self.day.rules, chance);
+        let chance = RandomSource::split(self.seed, "server", number as u64 + (life << 32));
+        state.server = Server::new(spec, &self.scenario.fleet, &self.scenario.rules, chance);
     }
 
     fn newcomers(&self, count: usize, like: Option<usize>) -> Vec<usize> {
@@ -460,8 +486,8 @@
         let mut stands = self.stands.write().unwrap_or_else(PoisonError::into_inner);
         let first = stands.len();
         for number in first..first + count {
-            let spec = fleet::newcomer(&self.day, self.seed, number, like.as_ref(), now);
-            stands.push(Arc::new(Stand::new(&self.day, self.seed, spec)));
+            let spec = fleet::new_server(&self.scenario, self.seed, number, like.as_ref(), now);
+            stands.push(Arc::new(Stand::new(&self.scenario, self.seed, spec)));
         }
         (first..first + count).collect()
     }
@@ -477,15 +503,15 @@
     }
 
     fn list(&self, server: usize, state: State) {
-        let born = self
+        let started_at = self
             .stand(server)
-            .and_then(|stand| locked(&stand.state).server.spec.born);
+            .and_then(|stand| locked(&stand.state).server.spec.started_at);
         locked(&self.registry).change(
             self.now(),
             Entry {
                 server,
                 state,
-                born,
+                started_at,
             },
         );
         self.listed.send_modify(|count| *count += 1);
@@ -502,21 +528,21 @@
         let spec = &state.server.spec;
         let word = match entry.state {
             State::Active => "active",
-            State::Leaving => "leaving",
-            State::Left => "left",
+            State::Draining => "leaving",
+            State::Removed => "left",
         };
         Some(serde_json::json!({
-            "uid": spec.id, "endpoint": state.address?.to_string(), "az": self.day.fleet.zones.get(spec.zone)?,
-            "model": self.day.machines.get(spec.machine)?.get_ref().name, "pod_group": spec.cell, "state": word,
-            "capacity_hint": 1.0, "boot_ms": entry.born.map_or(0, |born| self.clock.unix_ms(born)),
+            "uid": spec.id, "endpoint": state.address?.to_string(), "az": self.scenario.fleet.zones.get(spec.zone)?,
+            "model": self.scenario.machines.get(spec.machine)?.get_ref().name, "pod_group": spec.cell, "state": word,
+            "capacity_hint": 1.0, "boot_ms": entry.started_at.map_or(0, |started_at| self.clock.unix_ms(started_at)),
         }))
     }
 }
 
 impl Stand {
-    fn new(day: &Day, seed: u64, spec: Spec) -> Self {
-        let chance = Chance::split(seed, "server", spec.number as u64);
-        let server = Server::new(spec, &day.fleet, &day.rules, chance);
+    fn new(scenario: &Scenario, seed: u64, spec: ServerSpec) -> Self {
+        let chance = RandomSource::split(seed, "server", spec.number as u64);
+        let server = Server::new(spec, &scenario.fleet, &scenario.rules, chance);
         Self {
             state: Mutex::new(StandState {
                 server,
