--- a/crates/testbed/src/fleet/views.rs
+++ b/crates/testbed/src/fleet/views.rs
@@ -61,7 +61,7 @@
     term: Option<String>,
 }
 
-/// TimelineEvent is true of one balancer.
+/// What is true of one balancer.
 #[derive(Clone, Debug, Default)]
 struct Truth {
     /// The process that runs, as it names itself; nothing until it was asked.
