--- a/crates/proxy/src/connections/accept.rs
+++ b/crates/proxy/src/connections/accept.rs
@@ -159,7 +159,7 @@
 
     /// Frees a descriptor: a client's connection that keeps us waiting, or else an idle one to an endpoint.
     fn free_descriptor(&mut self) -> bool {
-        self.close_idle_client() || self.close_one_idle_endpoint_connection()
+        self.close_idle_client() || self.evict_idle_endpoint_connection()
     }
 
     /// Closes the client's connection that has kept us waiting for longest, between requests or with part of a request.
--- /dev/null
+++ b/crates/proxy/src/connections/attempt.rs
@@ -0,0 +1,188 @@
+//! Attempts and health checks: started on a connection, and their ends reported to the policy.
+
+use std::rc::Rc;
+
+use bytes::Bytes;
+use pinefront_policy::{AttemptOutcome, Micros};
+use slog::info;
+
+use crate::close_reason::CloseReason;
+use crate::state::endpoint_connection::Exchange;
+use crate::state::keys::{EndpointConnectionKey, EndpointKey, RequestKey};
+use crate::state::proxy::{Proxy, ProxyState};
+use crate::state::timers::TimerEvent;
+
+impl Proxy {
+    /// Ends an attempt that was started at `sent`, in microseconds, without a response.
+    pub fn attempt_finished(
+        &mut self,
+        request: RequestKey,
+        number: usize,
+        outcome: AttemptOutcome,
+        sent: Micros,
+    ) {
+        let mut state = self.state.borrow_mut();
+        let now = state.now();
+        state.counters.count_outcome(outcome);
+        let finished = state
+            .requests
+            .finish_attempt(request, number, outcome, sent);
+        drop(state);
+        if let Some(finished) = finished {
+            let elapsed = now.saturating_sub(sent);
+            self.report_attempt(now, &finished.request_id, number, outcome, elapsed);
+        }
+    }
+
+    /// Reports the end of an attempt to the policy, also where no client waits any more: the next request of the same
+    /// ordering key waits for it.
+    pub fn report_attempt(
+        &mut self,
+        now: Micros,
+        request: &str,
+        number: usize,
+        outcome: AttemptOutcome,
+        elapsed: Micros,
+    ) {
+        let is_final = outcome == AttemptOutcome::Succeeded;
+        if !is_final {
+            info!(self.state.borrow().log, "attempt ended"; "request" => request, "attempt" => number,
+                "outcome" => ?outcome);
+        }
+        self.balancer
+            .attempt_ended(now, request, number, is_final, outcome, elapsed);
+    }
+
+    /// Reports to the policy whether an endpoint answered a health check.
+    pub fn probe_finished(&mut self, endpoint: EndpointKey, answered: bool) {
+        let mut state = self.state.borrow_mut();
+        let now = state.now();
+        let Some(endpoint) = state.endpoints.get(endpoint) else {
+            return;
+        };
+        let id = Rc::clone(&endpoint.id);
+        state.counters.probes_answered += u64::from(answered);
+        drop(state);
+        self.balancer.probe_completed(now, &id, answered);
+    }
+}
+
+impl ProxyState {
+    /// Starts an attempt of a request, which times out at `expire_at`, in microseconds.
+    pub fn start_attempt(&mut self, id: &str, endpoint: &str, expire_at: Micros) {
+        let now = self.now();
+        let Some(key) = self.requests.key_of(id) else {
+            return;
+        };
+        self.counters.attempts += 1;
+        let connection = match self.endpoints.key_of(endpoint) {
+            _ if expire_at <= now => Err(AttemptOutcome::NotSent),
+            Some(endpoint) => self.connection_to(endpoint),
+            None => Err(AttemptOutcome::Unreachable),
+        };
+        let Some(request) = self.requests.get_mut(key) else {
+            return;
+        };
+        let number = request.attempts.len();
+        request.attempts.push(connection.ok());
+        let exchange = Exchange {
+            request: key,
+            number,
+            sent: now,
+            expire_at,
+        };
+        match connection {
+            Ok(connection) => self.start_exchange(connection, exchange),
+            Err(outcome) => self.schedule_attempt_end(now, key, number, outcome),
+        }
+    }
+
+    /// Starts the exchange of an attempt on a connection. Where that is not established yet, the request is written once
+    /// it is.
+    fn start_exchange(&mut self, key: EndpointConnectionKey, exchange: Exchange) {
+        let now = exchange.sent;
+        let connect_by = now + self.config.connect_timeout;
+        let Some(connection) = self.endpoint_connections.get_mut(key) else {
+            return;
+        };
+        connection.exchange = Some(exchange);
+        if !connection.connected {
+            let at = connect_by.min(exchange.expire_at);
+            return self.set_endpoint_connection_timer(key, at);
+        }
+        self.counters.endpoint_connections_reused += 1;
+        if let Err(refusal) = self.write_attempt(key, now) {
+            self.close_endpoint_connection(key, CloseReason::NotSent(refusal));
+            let outcome = AttemptOutcome::NotSent;
+            return self.schedule_attempt_end(now, exchange.request, exchange.number, outcome);
+        }
+        self.flush_endpoint_connection(key, now);
+        self.set_endpoint_connection_timer(key, exchange.expire_at);
+    }
+
+    /// Cancels an attempt by closing its connection, by which the endpoint sees that no response is awaited.
+    pub fn cancel_attempt(&mut self, id: &str, number: usize) {
+        let Some(key) = self.requests.key_of(id) else {
+            return;
+        };
+        let attempts = self.requests.get(key).map(|request| &request.attempts);
+        let Some(connection) = attempts.and_then(|attempts| attempts.get(number).copied()?) else {
+            return;
+        };
+        self.close_endpoint_connection(connection, CloseReason::Cancelled);
+        let now = self.now();
+        self.schedule_attempt_end(now, key, number, AttemptOutcome::Cancelled);
+    }
+
+    /// Reports the end of an attempt in a later iteration, as this is a call of the policy.
+    fn schedule_attempt_end(
+        &mut self,
+        now: Micros,
+        request: RequestKey,
+        number: usize,
+        outcome: AttemptOutcome,
+    ) {
+        let event = TimerEvent::AttemptEnded {
+            request,
+            number,
+            outcome,
+        };
+        self.timers.schedule(now, event);
+    }
+
+    /// Polls an endpoint for its load at the path in the configuration.
+    pub fn probe(&mut self, id: &str) {
+        let now = self.now();
+        self.counters.probes += 1;
+        let Some(endpoint) = self.endpoints.key_of(id) else {
+            return;
+        };
+        if self.send_probe(endpoint, now).is_none() {
+            let event = TimerEvent::ProbeNotSent(endpoint);
+            self.timers.schedule(now, event);
+        }
+    }
+
+    /// Sends a health check; none where that is not possible. It waits as long as connecting may take: a later answer
+    /// reports another load.
+    fn send_probe(&mut self, endpoint: EndpointKey, now: Micros) -> Option<()> {
+        let path = self.config.probe_path.clone()?;
+        let key = self.connection_to(endpoint).ok()?;
+        let address = self.endpoints.get(endpoint)?.address?;
+        let expire_at = now + self.config.connect_timeout;
+        let connection = self.endpoint_connections.get_mut(key)?;
+        connection.exchange = Some(Exchange {
+            request: RequestKey::default(),
+            number: 0,
+            sent: now,
+            expire_at,
+        });
+        let head = format!("GET {path} HTTP/1.1\r\nHost: {address}\r\n\r\n");
+        connection.write_buffer.push(Bytes::from(head));
+        if connection.connected {
+            self.flush_endpoint_connection(key, now);
+        }
+        self.set_endpoint_connection_timer(key, expire_at);
+        Some(())
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/connections/client_response.rs
@@ -0,0 +1,149 @@
+//! Responses to clients: the response of an endpoint, the balancer's own pages, rejections and errors.
+
+use bytes::Bytes;
+
+use crate::close_reason::CloseReason;
+use crate::connections::client_lifetime::TRANSFER_TIMEOUT_US;
+use crate::state::keys::{ClientKey, RequestKey};
+use crate::state::proxy::ProxyState;
+use crate::state::timers::TimerEvent;
+
+/// A response to a client. Its `Content-Length` follows from the body.
+pub struct ClientResponse {
+    /// The status code.
+    pub status: u16,
+    /// Slices of the other header fields, each line with its line end.
+    pub fields: Vec<Bytes>,
+    /// Slices of the body.
+    pub body: Vec<Bytes>,
+}
+
+impl ClientResponse {
+    /// A response without fields and body.
+    pub fn empty(status: u16) -> Self {
+        Self {
+            status,
+            fields: Vec::new(),
+            body: Vec::new(),
+        }
+    }
+}
+
+impl ProxyState {
+    /// Sends the final response to a request, if its client still waits for one.
+    pub fn respond(&mut self, request: RequestKey, response: ClientResponse) {
+        let Some(key) = self.detach_client(request) else {
+            return;
+        };
+        // Many clients send one request and keep their connection: where too many do, none is kept.
+        if self.is_over_connection_threshold()
+            && let Some(client) = self.clients.get_mut(key)
+            && client.read_buffer.bytes().is_empty()
+        {
+            client
+                .close_reason
+                .get_or_insert(CloseReason::ConnectionLimit);
+        }
+        self.write_response(key, response);
+    }
+
+    fn is_over_connection_threshold(&self) -> bool {
+        let used = self
+            .clients
+            .values()
+            .filter(|client| client.requests_received > 0);
+        used.count() > self.config.crowd_threshold
+    }
+
+    /// Writes a response to a client's connection.
+    pub fn write_response(&mut self, key: ClientKey, response: ClientResponse) {
+        let Some(client) = self.clients.get_mut(key) else {
+            return;
+        };
+        // Requests that were read ahead are answered before the shutdown closes the connection.
+        if self.closing && client.read_buffer.bytes().is_empty() {
+            client.close_reason.get_or_insert(CloseReason::Shutdown);
+        } else if client.no_keep_alive {
+            client
+                .close_reason
+                .get_or_insert(CloseReason::ClientNoKeepAlive);
+        }
+        let head = response_head(&response, client.close_reason.is_some());
+        client.write_buffer.push(Bytes::from(head));
+        client.write_buffer.extend(response.fields);
+        client.write_buffer.push(Bytes::from_static(b"\r\n"));
+        client.write_buffer.extend(response.body);
+        client.answered += 1;
+        // A lost connection shows when it is read next.
+        let _ = client.write_buffer.drain(&client.socket.stream);
+        if client.write_buffer.is_empty() {
+            self.client_idle(key);
+        } else {
+            self.set_client_timer(key, TRANSFER_TIMEOUT_US);
+        }
+        self.continue_after_response(key);
+    }
+
+    /// Once a response is written, closes the connection if it is to be closed, or turns to the next request.
+    pub fn continue_after_response(&mut self, key: ClientKey) {
+        let Some(client) = self.clients.get_mut(key) else {
+            return;
+        };
+        if client.awaits_response() || client.is_lingering {
+            return;
+        }
+        if let Some(reason) = client.close_reason {
+            self.shut_down_client(key, reason);
+        } else if !client.read_buffer.bytes().is_empty() {
+            // In a later iteration, as this may be a call of the policy.
+            let now = self.clock.now();
+            self.timers.schedule(now, TimerEvent::NextRequest(key));
+        }
+    }
+
+    /// Answers a message that is not a valid request.
+    pub fn reject(&mut self, key: ClientKey, status: u16) {
+        self.counters.requests_malformed += 1;
+        let mut response = ClientResponse::empty(status);
+        if status == 405 {
+            response
+                .fields
+                .push(Bytes::from_static(b"Allow: GET, POST\r\n"));
+        }
+        self.write_response(key, response);
+    }
+
+    /// Answers a message after which nothing more can be read from the connection, and closes it.
+    pub fn reject_and_close(&mut self, key: ClientKey, status: u16, reason: CloseReason) {
+        if let Some(client) = self.clients.get_mut(key) {
+            client.close_reason = Some(reason);
+        }
+        self.reject(key, status);
+    }
+}
+
+fn response_head(response: &ClientResponse, closes: bool) -> String {
+    let status = response.status;
+    let length: usize = response.body.iter().map(Bytes::len).sum();
+    let connection = if closes { "Connection: close\r\n" } else { "" };
+    format!(
+        "HTTP/1.1 {status} {}\r\nContent-Length: {length}\r\n{connection}",
+        reason_phrase(status)
+    )
+}
+
+fn reason_phrase(status: u16) -> &'static str {
+    match status {
+        200 => "OK",
+        400 => "Bad Request",
+        404 => "Not Found",
+        405 => "Method Not Allowed",
+        408 => "Request Timeout",
+        409 => "Conflict",
+        413 => "Content Too Large",
+        431 => "Request Header Fields Too Large",
+        502 => "Bad Gateway",
+        503 => "Service Unavailable",
+        _ => "Answer",
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/connections/endpoint_pool.rs
@@ -0,0 +1,250 @@
+//! The pool of connections to endpoints: opened, kept idle for reuse, closed.
+
+use std::io::{self, ErrorKind};
+use std::net::SocketAddr;
+
+use pinefront_policy::{AttemptOutcome, Micros};
+use slog::{info, warn};
+
+use crate::close_reason::CloseReason;
+use crate::state::buffers::{ReadBuffer, WriteBuffer};
+use crate::state::endpoint_connection::EndpointConnection;
+use crate::state::keys::{EndpointConnectionKey, EndpointKey};
+use crate::state::proxy::ProxyState;
+use crate::state::socket::{RegisteredSocket, connect};
+use crate::state::timers::TimerEvent;
+
+/// Share of the idle time in the settings after which we close first: a request written to a connection that the
+/// endpoint is closing would be lost.
+const IDLE_SHARE: f64 = 0.8;
+/// How long a connection is not reused after a response, so that a close or further bytes of the endpoint are noticed
+/// before the next request is written to it and takes them for its response.
+pub const REUSE_DELAY_US: Micros = 8_000;
+/// How long the connections of an endpoint carry one request each after it sent unsolicited bytes.
+const SINGLE_USE_US: Micros = 10_000_000;
+/// The shortest time between two log lines about a shortage of descriptors.
+const SHORTAGE_LOG_INTERVAL_US: Micros = 1_000_000;
+
+impl ProxyState {
+    /// Returns an idle connection to an endpoint, or opens one.
+    ///
+    /// # Errors
+    ///
+    /// Fails with the outcome of the attempt when no connection can be opened.
+    pub fn connection_to(
+        &mut self,
+        endpoint: EndpointKey,
+    ) -> Result<EndpointConnectionKey, AttemptOutcome> {
+        while let Some(key) = self.take_idle_connection(endpoint) {
+            if self.is_reusable(key, endpoint) {
+                return Ok(key);
+            }
+        }
+        if self.endpoint_connections.len() >= self.config.max_endpoint_connections
+            && !self.evict_idle_endpoint_connection()
+        {
+            self.log_descriptor_shortage();
+            return Err(AttemptOutcome::NotSent);
+        }
+        let address = self
+            .endpoints
+            .get(endpoint)
+            .and_then(|endpoint| endpoint.address);
+        let opened = match address {
+            Some(address) => self.open_endpoint_connection(endpoint, address),
+            None => Err(ErrorKind::NotFound.into()),
+        };
+        opened.map_err(|error| {
+            warn!(self.log, "cannot connect"; "reason" => CloseReason::NotRegistered.code(), "error" => %error);
+            // A shortage of our own must not be held against the endpoint.
+            if is_remote_failure(&error) { AttemptOutcome::Unreachable } else { AttemptOutcome::NotSent }
+        })
+    }
+
+    /// Takes the idle connection used last, of those whose reuse delay has passed, from its endpoint.
+    fn take_idle_connection(&mut self, endpoint: EndpointKey) -> Option<EndpointConnectionKey> {
+        let now = self.now();
+        let idle = &mut self.endpoints.get_mut(endpoint)?.idle;
+        let is_rested = |key: &EndpointConnectionKey| {
+            self.endpoint_connections
+                .get(*key)
+                .is_none_or(|connection| connection.answered + REUSE_DELAY_US <= now)
+        };
+        let position = idle.iter().rposition(is_rested)?;
+        Some(idle.remove(position))
+    }
+
+    /// Whether an idle connection is still open and silent. Another one is closed: a request written to it would be lost,
+    /// or take unsolicited bytes for its response.
+    fn is_reusable(&mut self, key: EndpointConnectionKey, endpoint: EndpointKey) -> bool {
+        let Some(connection) = self.endpoint_connections.get(key) else {
+            return false;
+        };
+        match connection.socket.stream.peek(&mut [0]) {
+            Err(error) if error.kind() == ErrorKind::WouldBlock => return true,
+            Ok(count) if count > 0 => self.received_unsolicited(endpoint),
+            Ok(_) | Err(_) => {}
+        }
+        self.close_endpoint_connection(key, CloseReason::EndpointClosed);
+        false
+    }
+
+    fn open_endpoint_connection(
+        &mut self,
+        endpoint: EndpointKey,
+        address: SocketAddr,
+    ) -> io::Result<EndpointConnectionKey> {
+        let stream = connect(address)?;
+        let key = self.endpoint_connections.try_insert_with_key(|key| {
+            let socket = RegisteredSocket::new(&self.handle, stream, move |proxy| {
+                proxy.endpoint_connection_ready(key);
+            })?;
+            Ok::<_, io::Error>(EndpointConnection {
+                socket,
+                endpoint,
+                address,
+                connected: false,
+                read_buffer: ReadBuffer::default(),
+                write_buffer: WriteBuffer::default(),
+                exchange: None,
+                requests_carried: 0,
+                answered: 0,
+                timer: None,
+            })
+        })?;
+        self.counters.endpoint_connections_opened += 1;
+        Ok(key)
+    }
+
+    /// Counts a shortage of descriptors, and logs it now and then.
+    fn log_descriptor_shortage(&mut self) {
+        let now = self.now();
+        self.counters.endpoint_connections_exhausted += 1;
+        if now >= self.shortage_logged_at + SHORTAGE_LOG_INTERVAL_US {
+            self.shortage_logged_at = now;
+            warn!(self.log, "no descriptor left for an endpoint";
+                "endpoint_connections" => self.endpoint_connections.len());
+        }
+    }
+
+    /// Schedules the timer of a connection.
+    pub fn set_endpoint_connection_timer(&mut self, key: EndpointConnectionKey, at: Micros) {
+        if let Some(connection) = self.endpoint_connections.get_mut(key) {
+            let event = TimerEvent::EndpointConnection(key);
+            self.timers.move_to(&mut connection.timer, at, event);
+        }
+    }
+
+    /// Sends what waits on a connection. A failure is handled in a later iteration, as this may be a call of the policy.
+    pub fn flush_endpoint_connection(&mut self, key: EndpointConnectionKey, now: Micros) {
+        if let Some(connection) = self.endpoint_connections.get_mut(key)
+            && connection
+                .write_buffer
+                .drain(&connection.socket.stream)
+                .is_err()
+        {
+            let event = TimerEvent::EndpointConnectionReady(key);
+            self.timers.schedule(now, event);
+        }
+    }
+
+    /// Notes that an endpoint sent bytes that are no response. It may do so again later than the reuse delay, and then
+    /// the next request would take them for its response.
+    pub fn received_unsolicited(&mut self, endpoint: EndpointKey) {
+        let until = self.now() + SINGLE_USE_US;
+        let Some(endpoint) = self.endpoints.get_mut(endpoint) else {
+            return;
+        };
+        endpoint.single_use_until = until;
+        warn!(self.log, "endpoint sent unsolicited bytes"; "endpoint" => &*endpoint.id);
+    }
+
+    /// Keeps a connection for the next request, or closes it where its endpoint gets none on it.
+    pub fn keep_idle(&mut self, key: EndpointConnectionKey) {
+        let now = self.now();
+        let until = now + (self.config.idle as f64 * IDLE_SHARE) as Micros;
+        let Some(connection) = self.endpoint_connections.get_mut(key) else {
+            return;
+        };
+        connection.answered = now;
+        let reason = match self.endpoints.get_mut(connection.endpoint) {
+            Some(endpoint) if now < endpoint.single_use_until => CloseReason::UnsolicitedResponse,
+            Some(endpoint) if endpoint.draining_since.is_some() => CloseReason::Draining,
+            Some(endpoint) if endpoint.address != Some(connection.address) => {
+                CloseReason::AddressChanged
+            }
+            Some(endpoint) => {
+                endpoint.idle.push(key);
+                return self.set_endpoint_connection_timer(key, until);
+            }
+            None => CloseReason::Draining,
+        };
+        self.close_endpoint_connection(key, reason);
+    }
+
+    /// Closes the idle connection that expires first, to free a descriptor. Returns whether there was one.
+    pub fn evict_idle_endpoint_connection(&mut self) -> bool {
+        let idle = self
+            .endpoint_connections
+            .iter()
+            .filter(|(_, connection)| connection.exchange.is_none() && connection.connected);
+        let first = idle.min_by_key(|(_, connection)| connection.timer);
+        let Some((key, _)) = first else {
+            return false;
+        };
+        self.close_endpoint_connection(key, CloseReason::Evicted);
+        true
+    }
+
+    /// Closes all idle connections to an endpoint.
+    pub fn close_idle_endpoint_connections(&mut self, endpoint: EndpointKey, reason: CloseReason) {
+        let Some(endpoint) = self.endpoints.get_mut(endpoint) else {
+            return;
+        };
+        for key in std::mem::take(&mut endpoint.idle) {
+            self.close_endpoint_connection(key, reason);
+        }
+    }
+
+    /// Closes a connection and removes it from the table. Where the reason casts doubt on the endpoint's other
+    /// connections, its idle ones are closed too.
+    pub fn close_endpoint_connection(&mut self, key: EndpointConnectionKey, reason: CloseReason) {
+        let Some(mut connection) = self.endpoint_connections.remove(key) else {
+            return;
+        };
+        self.timers.clear(&mut connection.timer);
+        self.handle.remove(connection.socket.token);
+        self.counters.endpoint_connections_closed += 1;
+        if let Some(endpoint) = self.endpoints.get_mut(connection.endpoint) {
+            endpoint.idle.retain(|idle| *idle != key);
+            info!(self.log, "endpoint connection closed"; "reason" => reason.code(), "endpoint" => &*endpoint.id,
+                "requests_carried" => connection.requests_carried);
+        }
+        let is_doubtful = reason.casts_doubt_on_endpoint()
+            || (reason == CloseReason::Cancelled && self.is_unresponsive(&connection));
+        if is_doubtful {
+            self.close_idle_endpoint_connections(connection.endpoint, CloseReason::Stale);
+        }
+    }
+
+    /// Whether nothing was received on a connection for longer than connecting may take.
+    fn is_unresponsive(&self, connection: &EndpointConnection) -> bool {
+        let waited = connection
+            .exchange
+            .as_ref()
+            .map_or(0, |exchange| self.now().saturating_sub(exchange.sent));
+        waited > self.config.connect_timeout && connection.read_buffer.bytes().is_empty()
+    }
+}
+
+/// Whether a connection failed at the remote side or on the network, not for a shortage of our own.
+pub fn is_remote_failure(error: &io::Error) -> bool {
+    matches!(
+        error.kind(),
+        ErrorKind::ConnectionRefused
+            | ErrorKind::ConnectionReset
+            | ErrorKind::HostUnreachable
+            | ErrorKind::NetworkUnreachable
+            | ErrorKind::TimedOut
+    )
+}
--- a/crates/proxy/src/connections/http_message.rs
+++ b/crates/proxy/src/connections/http_message.rs
@@ -9,16 +9,16 @@
 mod tests;
 
 /// Longest head and most fields taken from either side: what proxies commonly bear.
-pub const HEAD_MOST: usize = 16 * 1024;
-pub const FIELDS_MOST: usize = 64;
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
+pub const MAX_FIELDS: usize = 64;
 /// Longest body that the protocol allows.
-pub const BODY_MOST: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 /// What the framing of a chunked body may take beside it.
-const CHUNKING_MOST: usize = 16 * 1024;
+const MAX_CHUNK_FRAMING_BYTES: usize = 16 * 1024;
 /// What a whole message may take in a read buffer.
-pub const MESSAGE_MOST: usize = HEAD_MOST + BODY_MOST + CHUNKING_MOST;
+pub const MAX_MESSAGE_BYTES: usize = MAX_HEAD_BYTES + MAX_BODY_BYTES + MAX_CHUNK_FRAMING_BYTES;
 /// Longest line that tells the size of a chunk, extensions included.
-const CHUNK_LINE_MOST: usize = 256;
+const MAX_CHUNK_LINE_BYTES: usize = 256;
 
 /// How a message's end is found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,12 +36,31 @@
 /// A body as far as it has come: the slices that hold it and where the message ends.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Body {
-    Complete(Vec<Range<usize>>, usize),
+    /// All of it was received.
+    Complete {
+        /// Where the body lies.
+        slices: Vec<Range<usize>>,
+        /// Where the message ends.
+        end: usize,
+    },
+    /// Part of it is missing.
     Partial,
+    /// It is longer than allowed.
     TooLong,
+    /// Its chunks are malformed.
     Malformed,
 }
 
+impl Body {
+    /// A complete body that lies in one piece.
+    fn contiguous(from: usize, end: usize) -> Self {
+        Self::Complete {
+            slices: std::iter::once(from..end).collect(),
+            end,
+        }
+    }
+}
+
 /// A field's value without blanks around it, where it is text.
 pub fn field<'a>(fields: &[Header<'a>], name: &str) -> Option<&'a str> {
     let named = fields
@@ -115,14 +134,9 @@
     match framing {
         Framing::Length(length) if length > most => Body::TooLong,
         Framing::Length(length) if bytes.len() < from + length => Body::Partial,
-        Framing::Length(length) => Body::Complete(
-            std::iter::once(from..from + length).collect(),
-            from + length,
-        ),
+        Framing::Length(length) => Body::contiguous(from, from + length),
         Framing::UntilClose if bytes.len() - from > most => Body::TooLong,
-        Framing::UntilClose if ended => {
-            Body::Complete(std::iter::once(from..bytes.len()).collect(), bytes.len())
-        }
+        Framing::UntilClose if ended => Body::contiguous(from, bytes.len()),
         Framing::UntilClose => Body::Partial,
         Framing::Chunked => chunks(bytes, from, most),
     }
@@ -173,7 +187,9 @@
                 }
                 at = to + 2;
             }
-            Ok(httparse::Status::Partial) if rest.len() < CHUNK_LINE_MOST => return Body::Partial,
+            Ok(httparse::Status::Partial) if rest.len() < MAX_CHUNK_LINE_BYTES => {
+                return Body::Partial;
+            }
             Ok(httparse::Status::Partial) | Err(_) => return Body::Malformed,
         }
     }
@@ -181,10 +197,13 @@
 
 /// Fields after the last chunk are read over.
 fn trailers(bytes: &[u8], at: usize, slices: Vec<Range<usize>>) -> Body {
-    let mut fields = [httparse::EMPTY_HEADER; FIELDS_MOST];
+    let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
     match httparse::parse_headers(&bytes[at..], &mut fields) {
-        Ok(httparse::Status::Complete((length, _))) => Body::Complete(slices, at + length),
-        Ok(httparse::Status::Partial) if bytes.len() - at < HEAD_MOST => Body::Partial,
+        Ok(httparse::Status::Complete((length, _))) => Body::Complete {
+            slices,
+            end: at + length,
+        },
+        Ok(httparse::Status::Partial) if bytes.len() - at < MAX_HEAD_BYTES => Body::Partial,
         Ok(httparse::Status::Partial) | Err(_) => Body::Malformed,
     }
 }
@@ -229,3 +248,9 @@
     }
     slices
 }
+
+/// Parts of a message's buffer.
+pub fn slices(message: &Bytes, ranges: &[Range<usize>]) -> Vec<Bytes> {
+    let slice = |range: &Range<usize>| message.slice(range.clone());
+    ranges.iter().map(slice).collect()
+}
--- /dev/null
+++ b/crates/proxy/src/connections/load_report/tests.rs
@@ -0,0 +1,42 @@
+use rstest::rstest;
+
+use super::*;
+
+fn report(utilisation: Option<f64>, queue: Option<f64>, in_flight: Option<f64>) -> LoadReport {
+    LoadReport {
+        utilisation,
+        queue,
+        in_flight,
+    }
+}
+
+#[rstest]
+#[case(
+    "TEXT inflight=7, queue=2, util=0.61",
+    report(Some(0.61), Some(2.0), Some(7.0))
+)]
+#[case("busy=0.5,q=1", report(Some(0.5), Some(1.0), None))]
+#[case("TEXT inflight=7", report(None, None, Some(7.0)))]
+#[case("TEXT util=NaN, queue=inf", report(None, None, None))]
+#[case("nonsense", report(None, None, None))]
+fn loads_are_read_as_far_as_they_can_be(#[case] text: &str, #[case] expected: LoadReport) {
+    assert_eq!(parse_load_report(text), expected);
+}
+
+#[rstest]
+#[case::none(&[], None)]
+#[case::what_cannot_be_read_tells_nothing(&["%%%"], None)]
+#[case::behind_what_cannot_be_read(&["{", "TEXT util=0.5"], Some(report(Some(0.5), None, None)))]
+fn the_report_that_can_be_read_counts(
+    #[case] texts: &[&'static str],
+    #[case] expected: Option<LoadReport>,
+) {
+    let field = |text: &&'static str| Header {
+        name: "X-Pressure",
+        value: text.as_bytes(),
+    };
+    assert_eq!(
+        load_report(&texts.iter().map(field).collect::<Vec<_>>()),
+        expected
+    );
+}
--- a/crates/proxy/src/connections/mod.rs
+++ b/crates/proxy/src/connections/mod.rs
@@ -1,9 +1,17 @@
 //! HTTP/1.1 connections of clients and to endpoints, and what is exchanged on them.
 
 pub mod accept;
+pub mod attempt;
 pub mod client;
+pub mod client_lifetime;
+pub mod client_response;
 pub mod endpoint;
+pub mod endpoint_pool;
 pub mod http_message;
+pub mod load_report;
+pub mod own_pages;
 pub mod request;
+pub mod request_parser;
 pub mod response;
+pub mod response_parser;
 pub mod send_guard;
--- a/crates/proxy/src/connections/request.rs
+++ b/crates/proxy/src/connections/request.rs
@@ -1,19 +1,17 @@
-//! Requests: what clients ask is checked and decoded, and goes to the module as a request.
+//! Requests of clients: received, checked and passed to the policy.
 
-use std::ops::Range;
 use std::rc::Rc;
 
 use bytes::Bytes;
-use httparse::{Header, Status};
+use httparse::Request as RequestHead;
 use pinefront_policy::{Idempotency, Micros};
-use siphasher::sip::SipHasher13;
 
 use crate::close_reason::CloseReason;
-use crate::config::Config;
-use crate::connections::http_message::{
-    self, BODY_MOST, Body, Conflicting, FIELDS_MOST, Framing, HEAD_MOST, MESSAGE_MOST,
+use crate::connections::http_message::{self, MAX_FIELDS};
+use crate::connections::request_parser::{
+    InvalidMessage, RequestMessage, expects_continue, parse_request, path_of, request_parameters,
 };
-use crate::state::client_connection::{ClientConnection, READ_AHEAD_BYTES};
+use crate::state::client_connection::READ_AHEAD_BYTES;
 use crate::state::keys::ClientKey;
 use crate::state::proxy::{Proxy, ProxyState};
 use crate::state::request::Request;
@@ -21,164 +19,156 @@
 #[cfg(test)]
 mod tests;
 
-/// Longest id taken.
-const ID_MOST: usize = 128;
-/// An answer must be with the client by its hard stop, and is so much under way at most; of short times it
-/// takes no more than this part.
-const WAY_BACK: Micros = 10_000;
-const WAY_BACK_PART: u64 = 10;
-/// How soon after it was accepted a connection's request counts as sent before that.
-const AT_ONCE: Micros = 20_000;
-/// The longest wait believed of a client: beyond it lies no use case, only overflow.
-const WAIT_MOST_MS: u64 = 3_600_000;
+/// Time reserved for the way of the response back to the client.
+const MAX_RETURN_TIME_US: Micros = 10_000;
+/// The divisor of short remaining times that bounds this reserve.
+const RETURN_TIME_DIVISOR: Micros = 10;
+/// How soon after it was accepted a connection's request may have been sent before that.
+const SENT_BEFORE_ACCEPT_US: Micros = 20_000;
 
 impl Proxy {
-    /// Takes the first whole message out of a client's read buffer, if there is one.
+    /// Takes the first complete request from a client's read buffer, if there is one, and passes it to the policy.
     pub fn read_request(&mut self, key: ClientKey) {
         let mut borrowed = self.state.borrow_mut();
         let state = &mut *borrowed;
-        let long = |client: &ClientConnection| client.read_buffer.bytes().len() > READ_AHEAD_BYTES;
-        if state.clients.get(key).is_some_and(long)
-            && state.buffered_bytes() > state.config.max_message_bytes
-        {
-            // Nothing of it was sent on. Small messages go on being taken: they are bounded by their number.
-            return state.reject_and_close(key, 503, CloseReason::MemoryLimit);
-        }
-        let Some(client) = state.clients.get_mut(key) else {
+        let Some(message) = state.take_request_message(key) else {
             return;
         };
-        let (head, body, end) = match parse_request(client.read_buffer.bytes()) {
-            Ok(Some(found)) => found,
-            Ok(None) => {
-                if !client.sent_continue && expects_continue(client.read_buffer.bytes()) {
-                    client.sent_continue = true;
-                    client
-                        .write_buffer
-                        .push(Bytes::from_static(b"HTTP/1.1 100 Continue\r\n\r\n"));
-                    // A broken connection shows itself when it is next read.
-                    let _ = client.write_buffer.drain(&client.socket.stream);
-                }
-                return state.wait_for_rest(key);
-            }
-            Err((status, reason)) => {
-                return state.reject_and_close(key, status, reason);
-            }
-        };
-        let message = client.read_buffer.take(end);
-        (client.sent_continue, client.partial_request) = (false, None);
-        let mut fields = [httparse::EMPTY_HEADER; FIELDS_MOST];
-        let mut asked = httparse::Request::new(&mut fields);
-        let (Ok(_), Some(method), Some(target)) =
-            (asked.parse(&message[..head]), asked.method, asked.path)
-        else {
-            // Cannot be: it was parsed a moment ago.
+        let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
+        let mut head = RequestHead::new(&mut fields);
+        let parsed = head.parse(&message.bytes[..message.head_length]);
+        let (Ok(_), Some(method), Some(target)) = (parsed, head.method, head.path) else {
+            // Does not happen: the same bytes were parsed to find the end of the message.
             return state.reject_and_close(key, 400, CloseReason::Malformed);
         };
-        let fields = &*asked.headers;
-        // HTTP/1.0 has no connection that lasts unless both sides say so, and we do not.
-        client.no_keep_alive =
-            http_message::contains_token(fields, "connection", "close") || asked.version == Some(0);
-        let path = path(target);
-        // A class may be named like a page: what carries an id is a client's request.
-        if http_message::field(fields, "x-txn").is_none() && state.serve_own_page(key, method, path)
+        state.note_keep_alive(key, &head);
+        let path = path_of(target);
+        // A class may be named like a page: a request with an id belongs to a class.
+        if http_message::field(head.headers, "x-txn").is_none()
+            && state.serve_own_page(key, method, path)
         {
             return;
         }
-        let Some(class) = class(&state.config, fields, path) else {
-            return state.reject(key, 404);
+        let parameters = match request_parameters(&state.config, method, path, head.headers) {
+            Ok(parameters) => parameters,
+            Err(status) => return state.reject(key, status),
         };
-        let wanted = if state.config.idempotencies[class] == Idempotency::Idempotent {
-            "GET"
-        } else {
-            "POST"
-        };
-        if method != wanted {
-            return state.reject(key, 405);
+        if state.requests.key_of(parameters.id).is_some() {
+            return state.reject(key, 409);
         }
-        let labelled = matches!(
-            state.config.idempotencies[class],
-            Idempotency::IdempotencyKey { .. }
+        let now = state.now();
+        let deadline = state.request_deadline(key, now, parameters.remaining);
+        let idempotency = state.config.idempotencies[parameters.class];
+        let id = state.add_request(key, parameters.id, idempotency, &message, &head);
+        drop(borrowed);
+        self.balancer.request_arrived(
+            now,
+            &id,
+            parameters.class,
+            parameters.tenant,
+            deadline,
+            parameters.estimate,
+            parameters.ordering_key,
         );
-        let (id, wait) = (request_id(fields), remaining(fields));
-        let (Some(id), Some(wait)) = (id, wait) else {
-            return state.reject(key, 400);
+    }
+}
+
+impl ProxyState {
+    /// Takes a complete message from the front of a client's read buffer. Where there is none, waits for the rest of
+    /// it or rejects it.
+    fn take_request_message(&mut self, key: ClientKey) -> Option<RequestMessage> {
+        let unread = self.clients.get(key)?.read_buffer.bytes().len();
+        // Nothing of the request was sent yet. Small messages are still accepted: they are bounded by their number.
+        if unread > READ_AHEAD_BYTES && self.buffered_bytes() > self.config.max_message_bytes {
+            self.reject_and_close(key, 503, CloseReason::MemoryLimit);
+            return None;
+        }
+        let client = self.clients.get_mut(key)?;
+        match parse_request(client.read_buffer.bytes()) {
+            Ok(Some(frame)) => {
+                client.sent_continue = false;
+                client.partial_request = None;
+                Some(RequestMessage {
+                    bytes: client.read_buffer.take(frame.end),
+                    head_length: frame.head_length,
+                    body: frame.body,
+                })
+            }
+            Ok(None) => {
+                self.send_continue(key);
+                self.wait_for_rest(key);
+                None
+            }
+            Err(InvalidMessage { status, reason }) => {
+                self.reject_and_close(key, status, reason);
+                None
+            }
+        }
+    }
+
+    /// Sends `100 Continue` once, if the request at the front of the read buffer asks for it.
+    fn send_continue(&mut self, key: ClientKey) {
+        let Some(client) = self.clients.get_mut(key) else {
+            return;
         };
-        if labelled && http_message::only_field(fields, "idempotency-key").is_none_or(str::is_empty)
-        {
-            return state.reject(key, 400);
+        if client.sent_continue || !expects_continue(client.read_buffer.bytes()) {
+            return;
         }
-        if state.requests.key_of(id).is_some() {
-            // A second request under one id would push out the first, which then had no answer.
-            return state.reject(key, 409);
+        client.sent_continue = true;
+        client
+            .write_buffer
+            .push(Bytes::from_static(b"HTTP/1.1 100 Continue\r\n\r\n"));
+        // A lost connection shows when it is read next.
+        let _ = client.write_buffer.drain(&client.socket.stream);
+    }
+
+    /// Notes whether the client wants the connection closed after this response. HTTP/1.0 has no persistent connections
+    /// unless both sides ask for them, which we do not.
+    fn note_keep_alive(&mut self, key: ClientKey, head: &RequestHead) {
+        if let Some(client) = self.clients.get_mut(key) {
+            client.no_keep_alive =
+                http_message::contains_token(head.headers, "connection", "close")
+                    || head.version == Some(0);
         }
-        let now = state.now();
-        // What a new connection brings is read a turn after it was accepted, and may have lain as long as that waited.
-        let waited = state
+    }
+
+    /// When the response must be on its way to the client, in microseconds. The remaining time counts from when the
+    /// request was sent: it may have waited in the socket, and a new connection in the backlog before that.
+    fn request_deadline(&self, key: ClientKey, now: Micros, remaining: Micros) -> Micros {
+        let in_backlog = self
             .clients
             .get(key)
-            .filter(|client| now < client.opened + AT_ONCE);
-        let late = state
-            .loop_iteration
-            .late(now)
-            .max(waited.map_or(0, |client| client.waited));
-        let spent = WAY_BACK.min(wait / WAY_BACK_PART) + late;
-        let hard_stop = (now + wait).saturating_sub(spent).max(now);
-        let account = http_message::field(fields, "x-org")
-            .map_or(state.config.tenants.len(), |name| {
-                state.config.tenant_index(name)
-            });
-        let hint = http_message::field(fields, "x-estimate").and_then(|hint| hint.parse().ok());
-        let ordering_key = http_message::field(fields, "x-entity").map(ordering_key_hash);
-        let idempotency = state.config.idempotencies[class];
-        let request = state.add_request(key, id, idempotency, &message, &asked, &body);
-        drop(borrowed);
-        self.balancer
-            .request_arrived(now, &request, class, account, hard_stop, hint, ordering_key);
+            .filter(|client| now < client.opened + SENT_BEFORE_ACCEPT_US)
+            .map_or(0, |client| client.waited);
+        let waited = self.loop_iteration.late(now).max(in_backlog);
+        let return_time = MAX_RETURN_TIME_US.min(remaining / RETURN_TIME_DIVISOR);
+        (now + remaining)
+            .saturating_sub(return_time + waited)
+            .max(now)
     }
-}
 
-impl ProxyState {
+    /// Adds a request of a client to the table and returns its id.
     pub fn add_request(
         &mut self,
         key: ClientKey,
         id: &str,
         idempotency: Idempotency,
-        message: &Bytes,
-        asked: &httparse::Request,
-        body: &[Range<usize>],
+        message: &RequestMessage,
+        head: &RequestHead,
     ) -> Rc<str> {
-        let part = |text: Option<&str>| {
-            message.slice(http_message::byte_range(
-                message,
-                text.unwrap_or("").as_bytes(),
-            ))
-        };
-        let (space, version) = (
-            Bytes::from_static(b" "),
-            Bytes::from_static(b" HTTP/1.1\r\n"),
-        );
-        let mut head = vec![part(asked.method), space, part(asked.path), version];
-        head.extend(http_message::lines(message, asked.headers, |name| {
-            http_message::is_end_to_end(name) && !name.eq_ignore_ascii_case("x-remaining-ms")
-        }));
-        let body = body
-            .iter()
-            .map(|range| message.slice(range.clone()))
-            .collect();
         let id: Rc<str> = Rc::from(id);
-        let request = Request {
+        let request = self.requests.insert(Request {
             id: Rc::clone(&id),
             client: Some(key),
-            head,
-            body,
-            has_host: http_message::field(asked.headers, "host").is_some(),
-            has_body: asked.method != Some("GET"),
-            length: message.len(),
+            head: forwarded_head(&message.bytes, head),
+            body: http_message::slices(&message.bytes, &message.body),
+            has_host: http_message::field(head.headers, "host").is_some(),
+            has_body: head.method != Some("GET"),
+            length: message.bytes.len(),
             attempts: Vec::new(),
             idempotency,
             may_have_run_since: None,
-        };
-        let request = self.requests.insert(request);
+        });
         self.counters.requests_received += 1;
         if let Some(client) = self.clients.get_mut(key) {
             client.request = Some(request);
@@ -187,114 +177,22 @@
         }
         id
     }
-
-    /// Pages about the balancer itself.
-    fn serve_own_page(&mut self, key: ClientKey, method: &str, path: &str) -> bool {
-        let (status, text) = match path {
-            "/health/ready" if self.stopping.is_some() || !self.discovery.stands() => {
-                (503, "not ready\n".into())
-            }
-            "/health/ready" => (200, "ready\n".into()),
-            "/health/live" => (200, "live\n".into()),
-            "/stats" => (200, self.counters.to_string()),
-            _ if path.starts_with("/duty/") => match &self.fleet {
-                Some(fleet) => fleet.borrow().duty_page(&path["/duty/".len()..]),
-                None => return false,
-            },
-            "/fleet" => match &self.fleet {
-                Some(fleet) => (200, fleet.borrow().page()),
-                None => return false,
-            },
-            _ => return false,
-        };
-        match method {
-            "GET" => self.write_answer(key, status, Vec::new(), vec![Bytes::from(text)]),
-            _ => self.reject(key, 405),
-        }
-        true
-    }
-}
-
-/// Whether a whole head asks for word before its sender goes on with the body.
-fn expects_continue(kept: &[u8]) -> bool {
-    let mut fields = [httparse::EMPTY_HEADER; FIELDS_MOST];
-    let mut asked = httparse::Request::new(&mut fields);
-    let whole = asked.parse(kept).is_ok_and(|status| status.is_complete());
-    whole && http_message::contains_token(asked.headers, "expect", "100-continue")
-}
-
-type Found = (usize, Vec<Range<usize>>, usize);
-
-/// The length of the head, where the body lies and where the message ends; nothing while part is missing.
-fn parse_request(kept: &[u8]) -> Result<Option<Found>, (u16, CloseReason)> {
-    let mut fields = [httparse::EMPTY_HEADER; FIELDS_MOST];
-    let mut asked = httparse::Request::new(&mut fields);
-    let head = match asked.parse(kept) {
-        Ok(Status::Complete(head)) if head <= HEAD_MOST => head,
-        Ok(Status::Partial) if kept.len() < HEAD_MOST => return Ok(None),
-        Ok(_) | Err(httparse::Error::TooManyHeaders) => {
-            return Err((431, CloseReason::HeadTooLarge));
-        }
-        Err(_) => return Err((400, CloseReason::Malformed)),
-    };
-    if !http_message::has_only_crlf(&kept[..head]) {
-        return Err((400, CloseReason::Malformed));
-    }
-    let framing = match http_message::framing(asked.headers) {
-        Ok(Framing::UntilClose) => Framing::Length(0),
-        // HTTP/1.0 knows no chunks: others would read this body otherwise.
-        Ok(Framing::Chunked) if asked.version == Some(0) => {
-            return Err((400, CloseReason::Malformed));
-        }
-        Ok(framing) => framing,
-        Err(Conflicting) => return Err((400, CloseReason::Malformed)),
-    };
-    match http_message::body(kept, head, framing, false, BODY_MOST) {
-        // One that fills the read buffer would leave the next unread in the socket, and nothing would call us back.
-        Body::Complete(ranges, end) if end < MESSAGE_MOST => Ok(Some((head, ranges, end))),
-        Body::Partial if kept.len() < MESSAGE_MOST => Ok(None),
-        Body::Complete(..) | Body::Partial | Body::TooLong => Err((413, CloseReason::BodyTooLarge)),
-        Body::Malformed => Err((400, CloseReason::Malformed)),
-    }
 }
 
-/// The path of a target, which may name a host before it and a query behind it.
-fn path(target: &str) -> &str {
-    let path = match target.split_once("://") {
-        Some((_, rest)) if !target.starts_with('/') => {
-            &rest[rest.find('/').unwrap_or(rest.len())..]
-        }
-        _ => target,
+/// The request line and the fields that are forwarded to endpoints, as slices of the message.
+fn forwarded_head(message: &Bytes, head: &RequestHead) -> Vec<Bytes> {
+    let part = |text: Option<&str>| {
+        let text = text.unwrap_or("").as_bytes();
+        message.slice(http_message::byte_range(message, text))
     };
-    path.split('?').next().unwrap_or(path)
-}
-
-/// The use case named by the first part of the path and, where it is given, by the class field.
-fn class(config: &Config, fields: &[Header], path: &str) -> Option<usize> {
-    let named = path.strip_prefix('/')?.split('/').next()?;
-    match http_message::field(fields, "x-lane") {
-        Some(lane) if lane != named => None,
-        _ => config
-            .classes
-            .iter()
-            .position(|name| name == named && !name.is_empty()),
-    }
-}
-
-fn request_id<'a>(fields: &[Header<'a>]) -> Option<&'a str> {
-    let id = http_message::only_field(fields, "x-txn")?;
-    (!id.is_empty() && id.len() <= ID_MOST && id.bytes().all(|byte| byte.is_ascii_graphic()))
-        .then_some(id)
-}
-
-/// A key as a number, alike at all balancers whatever its length. Keys that meet in one only wait for each other.
-fn ordering_key_hash(text: &str) -> u64 {
-    SipHasher13::new().hash(text.as_bytes())
-}
-
-/// How long the client waits, in microseconds.
-fn remaining(fields: &[Header]) -> Option<Micros> {
-    let text = http_message::only_field(fields, "x-remaining-ms")?;
-    let digits = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
-    digits.then(|| 1000 * text.parse().unwrap_or(WAIT_MOST_MS).min(WAIT_MOST_MS))
+    let mut slices = vec![
+        part(head.method),
+        Bytes::from_static(b" "),
+        part(head.path),
+        Bytes::from_static(b" HTTP/1.1\r\n"),
+    ];
+    slices.extend(http_message::lines(message, head.headers, |name| {
+        http_message::is_end_to_end(name) && !name.eq_ignore_ascii_case("x-remaining-ms")
+    }));
+    slices
 }
--- /dev/null
+++ b/crates/proxy/src/connections/request_parser.rs
@@ -0,0 +1,214 @@
+//! Parsing of clients' requests: where a message ends, and what its head asks for.
+
+use std::ops::Range;
+
+use bytes::Bytes;
+use httparse::{Header, Request, Status};
+use pinefront_policy::{Idempotency, Micros};
+use siphasher::sip::SipHasher13;
+
+use crate::close_reason::CloseReason;
+use crate::config::Config;
+use crate::connections::http_message::{
+    self, Body, Conflicting, Framing, MAX_BODY_BYTES, MAX_FIELDS, MAX_HEAD_BYTES, MAX_MESSAGE_BYTES,
+};
+
+#[cfg(test)]
+mod tests;
+
+/// Longest request id.
+const MAX_ID_BYTES: usize = 128;
+/// The longest remaining time believed of a client, in milliseconds; it guards against overflow.
+const MAX_REMAINING_MS: u64 = 3_600_000;
+/// Microseconds in a millisecond.
+const US_PER_MS: Micros = 1_000;
+
+/// The extent of a complete request message in a buffer.
+pub struct RequestFrame {
+    /// Bytes of the head.
+    pub head_length: usize,
+    /// Where the body lies.
+    pub body: Vec<Range<usize>>,
+    /// Where the message ends.
+    pub end: usize,
+}
+
+/// A message that cannot be read any further.
+pub struct InvalidMessage {
+    /// The status to answer with.
+    pub status: u16,
+    /// Why the connection closes.
+    pub reason: CloseReason,
+}
+
+impl InvalidMessage {
+    fn new(status: u16, reason: CloseReason) -> Self {
+        Self { status, reason }
+    }
+
+    fn malformed() -> Self {
+        Self::new(400, CloseReason::Malformed)
+    }
+}
+
+/// A complete request message.
+pub struct RequestMessage {
+    /// The message's bytes.
+    pub bytes: Bytes,
+    /// Bytes of the head.
+    pub head_length: usize,
+    /// Where the body lies.
+    pub body: Vec<Range<usize>>,
+}
+
+/// What the head of a request asks for.
+pub struct RequestParameters<'a> {
+    /// The id that the client gave the request.
+    pub id: &'a str,
+    /// The index of its class.
+    pub class: usize,
+    /// The index of its tenant; the number of tenants where the settings don't name it.
+    pub tenant: usize,
+    /// How long the client waits, in microseconds.
+    pub remaining: Micros,
+    /// The client's estimate of the work; only its relation to other estimates counts.
+    pub estimate: Option<u64>,
+    /// The hash of the key by which requests are ordered.
+    pub ordering_key: Option<u64>,
+}
+
+/// Finds the end of the message at the front of the bytes; none while part of it is missing.
+///
+/// # Errors
+///
+/// Fails when the message is malformed or too large.
+pub fn parse_request(bytes: &[u8]) -> Result<Option<RequestFrame>, InvalidMessage> {
+    let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
+    let mut head = Request::new(&mut fields);
+    let head_length = match head.parse(bytes) {
+        Ok(Status::Complete(length)) if length <= MAX_HEAD_BYTES => length,
+        Ok(Status::Partial) if bytes.len() < MAX_HEAD_BYTES => return Ok(None),
+        Ok(_) | Err(httparse::Error::TooManyHeaders) => {
+            return Err(InvalidMessage::new(431, CloseReason::HeadTooLarge));
+        }
+        Err(_) => return Err(InvalidMessage::malformed()),
+    };
+    if !http_message::has_only_crlf(&bytes[..head_length]) {
+        return Err(InvalidMessage::malformed());
+    }
+    let framing = request_framing(&head)?;
+    match http_message::body(bytes, head_length, framing, false, MAX_BODY_BYTES) {
+        // A message that fills the buffer would leave the next one unread in the socket, without a further event.
+        Body::Complete { slices, end } if end < MAX_MESSAGE_BYTES => Ok(Some(RequestFrame {
+            head_length,
+            body: slices,
+            end,
+        })),
+        Body::Partial if bytes.len() < MAX_MESSAGE_BYTES => Ok(None),
+        Body::Complete { .. } | Body::Partial | Body::TooLong => {
+            Err(InvalidMessage::new(413, CloseReason::BodyTooLarge))
+        }
+        Body::Malformed => Err(InvalidMessage::malformed()),
+    }
+}
+
+fn request_framing(head: &Request) -> Result<Framing, InvalidMessage> {
+    match http_message::framing(head.headers) {
+        Ok(Framing::UntilClose) => Ok(Framing::Length(0)),
+        // HTTP/1.0 knows no chunks: others would read this body differently.
+        Ok(Framing::Chunked) if head.version == Some(0) => Err(InvalidMessage::malformed()),
+        Ok(framing) => Ok(framing),
+        Err(Conflicting) => Err(InvalidMessage::malformed()),
+    }
+}
+
+/// Whether a complete head asks for `100 Continue` before the body is sent.
+pub fn expects_continue(bytes: &[u8]) -> bool {
+    let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
+    let mut head = Request::new(&mut fields);
+    let is_complete = head.parse(bytes).is_ok_and(|status| status.is_complete());
+    is_complete && http_message::contains_token(head.headers, "expect", "100-continue")
+}
+
+/// Reads from the head what the request asks for.
+///
+/// # Errors
+///
+/// Fails with the status to answer with: 404 for an unknown class, 405 for a method that the class does not have, 400
+/// for missing or malformed fields.
+pub fn request_parameters<'a>(
+    config: &Config,
+    method: &str,
+    path: &str,
+    fields: &[Header<'a>],
+) -> Result<RequestParameters<'a>, u16> {
+    let class = class_index(config, fields, path).ok_or(404_u16)?;
+    let idempotency = config.idempotencies[class];
+    let expected_method = match idempotency {
+        Idempotency::Idempotent => "GET",
+        _ => "POST",
+    };
+    if method != expected_method {
+        return Err(405);
+    }
+    let id = request_id(fields).ok_or(400_u16)?;
+    let remaining = remaining_time(fields).ok_or(400_u16)?;
+    let needs_key = matches!(idempotency, Idempotency::IdempotencyKey { .. });
+    if needs_key && http_message::only_field(fields, "idempotency-key").is_none_or(str::is_empty) {
+        return Err(400);
+    }
+    let tenant = http_message::field(fields, "x-org")
+        .map_or(config.tenants.len(), |name| config.tenant_index(name));
+    Ok(RequestParameters {
+        id,
+        class,
+        tenant,
+        remaining,
+        estimate: http_message::field(fields, "x-estimate").and_then(|text| text.parse().ok()),
+        ordering_key: http_message::field(fields, "x-entity").map(ordering_key_hash),
+    })
+}
+
+/// The path of a target, which may name a host before it and a query behind it.
+pub fn path_of(target: &str) -> &str {
+    let path = match target.split_once("://") {
+        Some((_, rest)) if !target.starts_with('/') => {
+            &rest[rest.find('/').unwrap_or(rest.len())..]
+        }
+        _ => target,
+    };
+    path.split('?').next().unwrap_or(path)
+}
+
+/// The class named by the first part of the path and, where it is given, by the class field.
+fn class_index(config: &Config, fields: &[Header], path: &str) -> Option<usize> {
+    let named = path.strip_prefix('/')?.split('/').next()?;
+    match http_message::field(fields, "x-lane") {
+        Some(lane) if lane != named => None,
+        _ => config
+            .classes
+            .iter()
+            .position(|name| name == named && !name.is_empty()),
+    }
+}
+
+fn request_id<'a>(fields: &[Header<'a>]) -> Option<&'a str> {
+    let id = http_message::only_field(fields, "x-txn")?;
+    let is_printable = id.bytes().all(|byte| byte.is_ascii_graphic());
+    (!id.is_empty() && id.len() <= MAX_ID_BYTES && is_printable).then_some(id)
+}
+
+/// The hash of an ordering key, the same at all balancers. Requests whose keys share a hash only wait for each other.
+fn ordering_key_hash(text: &str) -> u64 {
+    SipHasher13::new().hash(text.as_bytes())
+}
+
+/// How long the client waits, in microseconds.
+fn remaining_time(fields: &[Header]) -> Option<Micros> {
+    let text = http_message::only_field(fields, "x-remaining-ms")?;
+    let is_number = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
+    is_number.then(|| {
+        let remaining_ms = text.parse().unwrap_or(MAX_REMAINING_MS);
+        US_PER_MS * remaining_ms.min(MAX_REMAINING_MS)
+    })
+}
--- a/crates/proxy/src/connections/response.rs
+++ b/crates/proxy/src/connections/response.rs
@@ -1,198 +1,146 @@
-//! Endpoints' answers: found whole, read, and passed on.
+//! Responses of endpoints: read, reported to the policy and forwarded to clients.
 
 use std::ops::Range;
 use std::rc::Rc;
 
-use httparse::{Header, Response, Status};
+use bytes::Bytes;
+use httparse::{Header, Response};
 use pinefront_policy::AttemptOutcome;
 
 use crate::close_reason::CloseReason;
-use crate::connections::http_message::{
-    self, BODY_MOST, Body, FIELDS_MOST, Framing, HEAD_MOST, MESSAGE_MOST,
-};
-use crate::state::buffers::ReadBuffer;
-use crate::state::keys::EndpointConnectionKey;
-use crate::state::proxy::Proxy;
+use crate::connections::client_response::ClientResponse;
+use crate::connections::http_message::{self, MAX_FIELDS};
+use crate::connections::load_report::{LOAD_REPORT_FIELD, load_report};
+use crate::connections::response_parser::ResponseFrame;
+use crate::state::endpoint_connection::Exchange;
+use crate::state::keys::{EndpointConnectionKey, EndpointKey};
+use crate::state::proxy::{Proxy, ProxyState};
+use crate::state::request::FinishedAttempt;
 
-#[cfg(test)]
-mod tests;
-
-/// Most words of an answer to come that are read over at once: a server that says nothing else never answers.
-const WORDS_MOST: usize = 16;
-
-/// What was found in the read buffer of a connection to an endpoint.
-pub enum Look {
-    /// Part of the response is missing.
-    Nothing,
-    /// The connection's end, as the attempt on it sees it.
-    Over(AttemptOutcome, CloseReason),
-    /// A complete response: the length of its head, where its body lies and where it ends, and whether the
-    /// connection can be reused.
-    Answer(usize, Vec<Range<usize>>, usize, bool),
+/// A complete response, taken from its connection.
+struct ReceivedResponse {
+    message: Bytes,
+    exchange: Exchange,
+    endpoint: EndpointKey,
+    endpoint_id: Rc<str>,
 }
 
 impl Proxy {
-    pub fn response_received(
-        &mut self,
-        key: EndpointConnectionKey,
-        head: usize,
-        body: &[Range<usize>],
-        end: usize,
-        whole: bool,
-    ) {
+    /// Handles a complete response at the front of a connection's read buffer.
+    pub fn response_received(&mut self, key: EndpointConnectionKey, frame: &ResponseFrame) {
         let mut borrowed = self.state.borrow_mut();
         let state = &mut *borrowed;
         let now = state.now();
-        let Some(connection) = state.endpoint_connections.get_mut(key) else {
-            return;
-        };
-        let Some(exchange) = connection.exchange.take() else {
-            return;
-        };
-        let (probe_completed, endpoint_key) = (exchange.is_probe(), connection.endpoint);
-        let Some(endpoint) = state
-            .endpoints
-            .get(endpoint_key)
-            .map(|endpoint| Rc::clone(&endpoint.id))
-        else {
+        let Some(received) = state.take_response(key, frame) else {
             return;
         };
-        let message = connection.read_buffer.take(end);
-        let mut fields = [httparse::EMPTY_HEADER; FIELDS_MOST];
-        let mut response = Response::new(&mut fields);
-        // It was parsed a moment ago; if that failed now, it would be taken for a failure.
-        let parsed = response.parse(&message[..head]);
-        let status = response.code.filter(|_| parsed.is_ok()).unwrap_or(0);
-        let turned_away = http_message::field(response.headers, "x-turned-away") == Some("1");
-        let ending = match status {
-            200 => AttemptOutcome::Succeeded,
-            503 | 504 if turned_away => AttemptOutcome::Rejected,
-            _ => AttemptOutcome::Failed,
-        };
-        let load = match state.config.reports_load || probe_completed {
-            true => load(response.headers),
-            false => None,
-        };
-        connection.requests_carried += 1;
+        let exchange = received.exchange;
+        let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
+        let mut head = Response::new(&mut fields);
+        // The same bytes were parsed to find the end of the message; a failure here would count as a failed attempt.
+        let parsed = head.parse(&received.message[..frame.head_length]);
+        let outcome = outcome_of(head.code.filter(|_| parsed.is_ok()), head.headers);
+        let reports_load = state.config.reports_load || exchange.is_probe();
+        let load = load_report(head.headers).filter(|_| reports_load);
         state.counters.load_reports += u64::from(load.is_some());
-        let has_unsolicited_bytes = !connection.read_buffer.bytes().is_empty();
-        match whole
-            && connection.write_buffer.is_empty()
-            && connection.read_buffer.bytes().is_empty()
-        {
-            true => state.keep_idle(key),
-            false => state.close_endpoint_connection(key, CloseReason::EndpointNoKeepAlive),
-        }
-        if has_unsolicited_bytes {
-            state.received_unsolicited(endpoint_key);
-        }
-        let finished =
-            state
-                .requests
-                .finish_attempt(exchange.request, exchange.number, ending, exchange.sent);
-        if !probe_completed {
-            state.count_ending(ending);
-        }
-        let last = ending == AttemptOutcome::Succeeded;
-        if last
+        state.release_endpoint_connection(key, frame.is_reusable);
+        let finished = state.finish_exchange(&exchange, outcome);
+        if outcome == AttemptOutcome::Succeeded
             && finished
                 .as_ref()
                 .is_some_and(|finished| finished.is_awaited)
         {
-            let own = |name: &str| {
-                http_message::is_end_to_end(name) && !name.eq_ignore_ascii_case("x-pressure")
-            };
-            let lines = http_message::lines(&message, response.headers, own);
-            let body = body
-                .iter()
-                .map(|range| message.slice(range.clone()))
-                .collect();
             state.counters.requests_succeeded += 1;
-            state.answer(exchange.request, 200, lines, body);
+            let response = forwarded_response(&received.message, head.headers, &frame.body);
+            state.respond(exchange.request, response);
         }
         drop(borrowed);
-        if let Some((busy, queue, held)) = load {
+        if let Some(load) = load {
+            let id = &received.endpoint_id;
             self.balancer
-                .load_reported(now, &endpoint, busy, queue, held);
+                .load_reported(now, id, load.utilisation, load.queue, load.in_flight);
         }
-        if probe_completed {
-            return self.probe_finished(endpoint_key, last);
+        if exchange.is_probe() {
+            return self.probe_finished(received.endpoint, outcome == AttemptOutcome::Succeeded);
         }
         if let Some(finished) = finished {
-            let id = finished.request_id;
-            self.state
-                .borrow()
-                .log_attempt(&id, exchange.number, ending);
-            let took = now.saturating_sub(exchange.sent);
-            self.balancer
-                .attempt_ended(now, &id, exchange.number, last, ending, took);
+            let elapsed = now.saturating_sub(exchange.sent);
+            let id = &finished.request_id;
+            self.report_attempt(now, id, exchange.number, outcome, elapsed);
         }
     }
 }
 
-/// The whole answer at the front of an read_buffer; `Nothing` while part is missing, none for nonsense. `ended` says that the
-/// connection ended in order, which is the end of an answer that states no length; a reset is none.
-pub fn parse_response(read_buffer: &mut ReadBuffer, ended: bool) -> Option<Look> {
-    for _ in 0..=WORDS_MOST {
-        let kept = read_buffer.bytes();
-        let mut fields = [httparse::EMPTY_HEADER; FIELDS_MOST];
-        let mut response = Response::new(&mut fields);
-        let head = match response.parse(kept).ok()? {
-            Status::Complete(head) if head <= HEAD_MOST => head,
-            Status::Partial if kept.len() < HEAD_MOST => return Some(Look::Nothing),
-            Status::Complete(_) | Status::Partial => return None,
+impl ProxyState {
+    /// Takes a response and its exchange from a connection.
+    fn take_response(
+        &mut self,
+        key: EndpointConnectionKey,
+        frame: &ResponseFrame,
+    ) -> Option<ReceivedResponse> {
+        let connection = self.endpoint_connections.get_mut(key)?;
+        let exchange = connection.exchange.take()?;
+        let endpoint = connection.endpoint;
+        let endpoint_id = Rc::clone(&self.endpoints.get(endpoint)?.id);
+        connection.requests_carried += 1;
+        Some(ReceivedResponse {
+            message: connection.read_buffer.take(frame.end),
+            exchange,
+            endpoint,
+            endpoint_id,
+        })
+    }
+
+    /// Keeps a connection for reuse after a response, or closes it. Bytes behind the response are unsolicited.
+    fn release_endpoint_connection(&mut self, key: EndpointConnectionKey, is_reusable: bool) {
+        let Some(connection) = self.endpoint_connections.get(key) else {
+            return;
         };
-        match response.code? {
-            101 => return None,
-            // Word of an answer to come.
-            100..=199 => {
-                read_buffer.take(head);
-                continue;
-            }
-            _ => {}
+        let endpoint = connection.endpoint;
+        let has_unsolicited_bytes = !connection.read_buffer.bytes().is_empty();
+        if is_reusable && connection.write_buffer.is_empty() && !has_unsolicited_bytes {
+            self.keep_idle(key);
+        } else {
+            self.close_endpoint_connection(key, CloseReason::EndpointNoKeepAlive);
+        }
+        if has_unsolicited_bytes {
+            self.received_unsolicited(endpoint);
         }
-        let framing = match response.code? {
-            204 | 304 => Framing::Length(0),
-            _ => http_message::framing(response.headers).ok()?,
-        };
-        let lasts = http_message::is_keep_alive(&response, framing);
-        return match http_message::body(kept, head, framing, ended, BODY_MOST) {
-            Body::Complete(ranges, end) => Some(Look::Answer(head, ranges, end, lasts)),
-            Body::Partial if kept.len() < MESSAGE_MOST => Some(Look::Nothing),
-            Body::Partial | Body::TooLong | Body::Malformed => None,
-        };
     }
-    None
-}
 
-/// What an endpoint tells of its load: how busy it is, and its queue or else what it holds. A report that can't be
-/// read tells nothing, not that there is no load.
-fn load(fields: &[Header]) -> Option<Load> {
-    http_message::texts(fields, "x-pressure")
-        .map(figures)
-        .find(|told| *told != (None, None, None))
+    /// Records the end of an attempt; none for a health check and where the request is no longer in flight.
+    fn finish_exchange(
+        &mut self,
+        exchange: &Exchange,
+        outcome: AttemptOutcome,
+    ) -> Option<FinishedAttempt> {
+        if exchange.is_probe() {
+            return None;
+        }
+        self.counters.count_outcome(outcome);
+        self.requests
+            .finish_attempt(exchange.request, exchange.number, outcome, exchange.sent)
+    }
 }
 
-/// How busy an endpoint is, its queue, and what it holds in all.
-pub type Load = (Option<f64>, Option<f64>, Option<f64>);
+/// The outcome of an attempt by the status and the fields of its response.
+fn outcome_of(status: Option<u16>, fields: &[Header]) -> AttemptOutcome {
+    let is_rejected = http_message::field(fields, "x-turned-away") == Some("1");
+    match status {
+        Some(200) => AttemptOutcome::Succeeded,
+        Some(503 | 504) if is_rejected => AttemptOutcome::Rejected,
+        _ => AttemptOutcome::Failed,
+    }
+}
 
-pub fn figures(text: &str) -> Load {
-    let (mut busy, mut queue, mut held) = (None, None, None);
-    for part in text.strip_prefix("TEXT").unwrap_or(text).split(',') {
-        let Some((name, value)) = part.split_once('=') else {
-            continue;
-        };
-        let value = value
-            .trim()
-            .parse()
-            .ok()
-            .filter(|value: &f64| value.is_finite());
-        match name.trim() {
-            "util" | "busy" => busy = value,
-            "queue" | "q" => queue = value,
-            "inflight" | "rif" => held = value,
-            _ => {}
-        }
+/// The response to the client, as slices of the endpoint's response.
+fn forwarded_response(message: &Bytes, fields: &[Header], body: &[Range<usize>]) -> ClientResponse {
+    let is_forwarded = |name: &str| {
+        http_message::is_end_to_end(name) && !name.eq_ignore_ascii_case(LOAD_REPORT_FIELD)
+    };
+    ClientResponse {
+        status: 200,
+        fields: http_message::lines(message, fields, is_forwarded),
+        body: http_message::slices(message, body),
     }
-    (busy, queue, held)
 }
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -9,7 +9,7 @@
 use slog::{info, warn};
 
 use crate::close_reason::CloseReason;
-use crate::connections::http_message::{self, FIELDS_MOST, HEAD_MOST};
+use crate::connections::http_message::{self, MAX_FIELDS, MAX_HEAD_BYTES};
 use crate::discovery::partial::PartialList;
 use crate::discovery::schedule::{
     Action, ConnectionId, Failure, ListSummary, Query, ScheduleSettings,
@@ -526,11 +526,11 @@
 
 /// The body of a whole answer, its end, and whether the connection lasts; nothing while part is missing.
 fn whole_list(kept: &[u8], ended: bool) -> Result<Option<Whole>, Failure> {
-    let mut fields = [httparse::EMPTY_HEADER; FIELDS_MOST];
+    let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut response = Response::new(&mut fields);
     let head = match response.parse(kept) {
         Ok(Status::Complete(head)) => head,
-        Ok(Status::Partial) if kept.len() < HEAD_MOST => return Ok(None),
+        Ok(Status::Partial) if kept.len() < MAX_HEAD_BYTES => return Ok(None),
         _ => return Err(Failure::Malformed),
     };
     if response.code != Some(200) {
@@ -541,7 +541,10 @@
     let framing = http_message::framing(response.headers).map_err(|_| Failure::Malformed)?;
     let lasts = http_message::is_keep_alive(&response, framing);
     match http_message::body(kept, head, framing, ended, LIST_MOST) {
-        http_message::Body::Complete(ranges, end) => Ok(Some((ranges, end, lasts))),
+        http_message::Body::Complete {
+            slices: ranges,
+            end,
+        } => Ok(Some((ranges, end, lasts))),
         http_message::Body::Partial if kept.len() < LIST_MOST => Ok(None),
         _ => Err(Failure::Malformed),
     }
@@ -557,7 +560,7 @@
 
 /// What is here of the body of an answer that tells a list.
 fn body_so_far(kept: &[u8]) -> Option<Vec<u8>> {
-    let mut fields = [httparse::EMPTY_HEADER; FIELDS_MOST];
+    let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut response = Response::new(&mut fields);
     let Ok(Status::Complete(head)) = response.parse(kept) else {
         return None;
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -37,9 +37,11 @@
                 TimerEvent::NextRequest(key) => self.client_ready(key),
                 TimerEvent::EndpointConnection(key) => self.endpoint_connection_timer_expired(key),
                 TimerEvent::EndpointConnectionReady(key) => self.endpoint_connection_ready(key),
-                TimerEvent::AttemptNotSent(request, number, ending) => {
-                    self.attempt_finished(request, number, ending, now)
-                }
+                TimerEvent::AttemptEnded {
+                    request,
+                    number,
+                    outcome,
+                } => self.attempt_finished(request, number, outcome, now),
                 TimerEvent::ProbeNotSent(endpoint) => self.probe_finished(endpoint, false),
                 TimerEvent::Discovery => self.discovery_due(),
                 TimerEvent::ResumeAccepting => self.state.borrow_mut().resume_accepting(),
--- a/crates/proxy/src/state/buffers.rs
+++ b/crates/proxy/src/state/buffers.rs
@@ -1,5 +1,4 @@
-//! What was read and not yet understood, and what is to be written: slices of the buffers they were read
-//! into. Both take partial reads and writes as they come.
+//! Read and write buffers of a stream. Messages are slices of the buffer that they were read into.
 
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind, IoSlice, Read, Write};
@@ -10,42 +9,45 @@
 #[cfg(test)]
 mod tests;
 
-/// Asked of a socket at once: most messages fit, and an idle connection keeps no more.
-const READ_AT_ONCE: usize = 4096;
-/// Slices handed to one write; the system takes no more than 1,024.
-const WRITE_AT_ONCE: usize = 64;
+/// Bytes to ask of a socket in one read: most messages fit, and an idle connection holds no more.
+const READ_CHUNK_BYTES: usize = 4096;
+/// Slices to pass to one write; the system takes no more than 1,024.
+const MAX_SLICES_PER_WRITE: usize = 64;
 
-/// How reading stopped.
+/// Why reading stopped.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// Nothing more for now.
+    /// The socket holds no more bytes for now.
     WouldBlock,
-    /// As much as may be kept; more may be waiting in the socket.
+    /// The limit is reached; the socket may hold more bytes.
     Full,
-    /// The other side ended its sending.
+    /// The peer shut down its side.
     Closed,
+    /// The connection was reset, or reading failed.
     Failed,
 }
 
+/// Bytes received and not taken yet.
 #[derive(Default)]
 pub struct ReadBuffer {
     bytes: BytesMut,
 }
 
 impl ReadBuffer {
-    /// Reads until nothing more is there or `most` is kept.
-    pub fn fill(&mut self, mut stream: &TcpStream, most: usize) -> ReadOutcome {
-        while self.bytes.len() < most {
-            let kept = self.bytes.len();
-            self.bytes.resize(kept + READ_AT_ONCE.min(most - kept), 0);
-            let read = stream.read(&mut self.bytes[kept..]);
-            self.bytes
-                .truncate(kept + read.as_ref().map_or(0, |count| *count));
+    /// Reads until the socket holds no more bytes or the buffer holds `limit` bytes.
+    pub fn fill(&mut self, mut stream: &TcpStream, limit: usize) -> ReadOutcome {
+        while self.bytes.len() < limit {
+            let filled = self.bytes.len();
+            let chunk = READ_CHUNK_BYTES.min(limit - filled);
+            self.bytes.resize(filled + chunk, 0);
+            let read = stream.read(&mut self.bytes[filled..]);
+            let count = read.as_ref().map_or(0, |count| *count);
+            self.bytes.truncate(filled + count);
             match read {
                 Ok(0) => return ReadOutcome::Closed,
                 Ok(_) => {}
-                Err(problem) if problem.kind() == ErrorKind::Interrupted => {}
-                Err(problem) if problem.kind() == ErrorKind::WouldBlock => {
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(error) if error.kind() == ErrorKind::WouldBlock => {
                     return ReadOutcome::WouldBlock;
                 }
                 Err(_) => return ReadOutcome::Failed,
@@ -54,62 +56,78 @@
         ReadOutcome::Full
     }
 
+    /// The bytes in the buffer.
     pub fn bytes(&self) -> &[u8] {
         &self.bytes
     }
 
-    /// Takes a whole message out; its slices share the buffer that it was read into.
+    /// Takes a message of that length from the front; its slices share the buffer that it was read into.
     pub fn take(&mut self, length: usize) -> Bytes {
         self.bytes.split_to(length.min(self.bytes.len())).freeze()
     }
 
-    pub fn forget(&mut self) {
+    /// Discards the bytes and frees the buffer.
+    pub fn clear(&mut self) {
         self.bytes = BytesMut::new();
     }
 }
 
+/// Bytes to be sent.
 #[derive(Default)]
 pub struct WriteBuffer {
     slices: VecDeque<Bytes>,
 }
 
 impl WriteBuffer {
+    /// Appends a slice.
     pub fn push(&mut self, slice: Bytes) {
         if !slice.is_empty() {
             self.slices.push_back(slice);
         }
     }
 
+    /// Appends several slices.
+    pub fn extend(&mut self, slices: impl IntoIterator<Item = Bytes>) {
+        slices.into_iter().for_each(|slice| self.push(slice));
+    }
+
+    /// Whether everything is sent.
     pub fn is_empty(&self) -> bool {
         self.slices.is_empty()
     }
 
+    /// The number of bytes to be sent.
     #[cfg(test)]
     pub fn length(&self) -> usize {
         self.slices.iter().map(Bytes::len).sum()
     }
 
-    /// Writes what the socket takes.
+    /// Writes as many bytes as the socket takes.
+    ///
+    /// # Errors
+    ///
+    /// Fails when the connection is lost.
     pub fn drain(&mut self, mut stream: &TcpStream) -> io::Result<()> {
         while !self.slices.is_empty() {
             let batch: Vec<IoSlice> = self
                 .slices
                 .iter()
-                .take(WRITE_AT_ONCE)
+                .take(MAX_SLICES_PER_WRITE)
                 .map(|slice| IoSlice::new(slice))
                 .collect();
             match stream.write_vectored(&batch) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
-                Ok(written) => self.written(written),
-                Err(problem) if problem.kind() == ErrorKind::Interrupted => {}
-                Err(problem) if problem.kind() == ErrorKind::WouldBlock => return Ok(()),
-                Err(problem) => return Err(problem),
+                Ok(written) => self.advance(written),
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(()),
+                Err(error) => return Err(error),
             }
         }
         Ok(())
     }
 
-    fn written(&mut self, mut count: usize) {
+    /// Removes bytes that were written from the front.
+    fn advance(&mut self, mut count: usize) {
         while let Some(first) = self.slices.front_mut().filter(|_| count > 0) {
             let part = count.min(first.len());
             first.advance(part);
--- a/crates/proxy/src/state/counters.rs
+++ b/crates/proxy/src/state/counters.rs
@@ -1,14 +1,17 @@
-//! Counts of what is taken in, sent and answered, for whoever asks and for the log at exit.
+//! The counters of `/stats`, which are also logged at exit.
 
 use std::fmt;
 
+use pinefront_policy::AttemptOutcome;
+
 macro_rules! counters {
     ($($name:ident),* $(,)?) => {
+        /// The counters since the start of the process. The operators' guide explains each of them.
         #[derive(Default)]
-        pub struct Counters { $(pub $name: u64),* }
+        pub struct Counters { $(#[doc = concat!("The counter `", stringify!($name), "`.")] pub $name: u64),* }
 
         impl fmt::Display for Counters {
-            /// A line for each, as `name value`.
+            /// One line for each counter, as `name value`.
             fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
                 $(writeln!(out, "{} {}", stringify!($name), self.$name)?;)*
                 Ok(())
@@ -61,3 +64,19 @@
     log_lines_dropped,
     longest_loop_iteration_us,
 }
+
+impl Counters {
+    /// Counts an attempt by its outcome.
+    pub fn count_outcome(&mut self, outcome: AttemptOutcome) {
+        *match outcome {
+            AttemptOutcome::Succeeded => &mut self.attempts_succeeded,
+            AttemptOutcome::Failed => &mut self.attempts_failed,
+            AttemptOutcome::TimedOut => &mut self.attempts_timed_out,
+            AttemptOutcome::ConnectionLost => &mut self.attempts_connection_lost,
+            AttemptOutcome::Cancelled => &mut self.attempts_cancelled,
+            AttemptOutcome::Rejected => &mut self.attempts_rejected,
+            AttemptOutcome::Unreachable => &mut self.attempts_unreachable,
+            AttemptOutcome::NotSent => &mut self.attempts_not_sent,
+        } += 1;
+    }
+}
--- a/crates/proxy/src/state/endpoint_connection.rs
+++ b/crates/proxy/src/state/endpoint_connection.rs
@@ -11,6 +11,7 @@
 use crate::state::timers::TimerKey;
 
 /// An attempt or a health check under way on a connection to an endpoint.
+#[derive(Clone, Copy)]
 pub struct Exchange {
     /// The request; null for a health check.
     pub request: RequestKey,
--- a/crates/proxy/src/state/timers.rs
+++ b/crates/proxy/src/state/timers.rs
@@ -22,8 +22,15 @@
     EndpointConnection(EndpointConnectionKey),
     /// A connection to an endpoint may have failed as it was written to.
     EndpointConnectionReady(EndpointConnectionKey),
-    /// A dispatch that never got a connection.
-    AttemptNotSent(RequestKey, usize, AttemptOutcome),
+    /// An attempt has ended within a call of the policy.
+    AttemptEnded {
+        /// The request.
+        request: RequestKey,
+        /// The attempt's index.
+        number: usize,
+        /// How it ended.
+        outcome: AttemptOutcome,
+    },
     /// A probe that never got a connection.
     ProbeNotSent(EndpointKey),
     /// Time to ask discovery, or to stop waiting for it.
