--- /dev/null
+++ b/crates/cluster/src/leases/assignment/tests.rs
@@ -0,0 +1,54 @@
+use super::*;
+
+fn indices(names: impl Iterator<Item = usize>) -> Vec<Candidate> {
+    names
+        .map(|n| Candidate {
+            name: format!("b{n}").into(),
+            zone: ["a", "b"][n % 2].into(),
+        })
+        .collect()
+}
+
+fn leases(count: usize) -> Vec<Lease> {
+    (0..count)
+        .map(|n| Lease::new(&format!("scout/{n}"), None))
+        .collect()
+}
+
+#[test]
+fn duties_are_even_and_few_move_when_one_comes() {
+    let leases = leases(200);
+    let before = assign(&leases, &indices(0..30));
+    let mut loads = vec![0; 30];
+    before.iter().for_each(|order| loads[order[0]] += 1);
+    assert!(
+        loads.iter().all(|&load| load as f64 <= 1.3 * 200.0 / 30.0),
+        "{loads:?}"
+    );
+    let after = assign(&leases, &indices(0..31));
+    let moved = before
+        .iter()
+        .zip(&after)
+        .filter(|(before, after)| before[0] != after[0])
+        .count();
+    assert!(moved < 60, "{moved} of 200 moved");
+}
+
+#[test]
+fn a_zone_has_its_own_first_and_each_order_names_no_member_twice() {
+    let leases = [
+        Lease::new("roster/a", Some("a".into())),
+        Lease::new("roster/b", Some("b".into())),
+    ];
+    let (members, empty) = (indices(0..7), assign(&leases, &[]));
+    for (lease, order) in leases.iter().zip(assign(&leases, &members)) {
+        assert_eq!(Some(&members[order[0]].zone), lease.zone.as_ref());
+        assert!(
+            order.len() == CANDIDATES_PER_LEASE
+                && (order[0] != order[1])
+                && (order[1] != order[2])
+                && order[0] != order[2]
+        );
+    }
+    assert_eq!(empty, [vec![], vec![]]);
+}
--- /dev/null
+++ b/crates/cluster/src/leases/config.rs
@@ -0,0 +1,77 @@
+//! What the members of a fleet configure about leases, and its limits.
+
+use std::rc::Rc;
+
+use super::term::LeaseId;
+use crate::Micros;
+
+/// The largest relative difference between the rates of any two clocks: each may be off by 1 %, plus rounding.
+pub const MAX_CLOCK_RATE_DIFFERENCE: f64 = 0.025;
+/// The longest lease duration a file may name. A voter that starts grants nothing for as long.
+pub const MAX_LEASE_US: Micros = 2_000_000;
+/// The shortest lease duration a file may name.
+pub const MIN_LEASE_US: Micros = 200_000;
+/// The lease duration where a file names none.
+pub const DEFAULT_LEASE_US: Micros = 1_500_000;
+/// The largest number of voters.
+pub const MAX_VOTERS: usize = 7;
+/// The largest number of leases in a fleet.
+pub const MAX_LEASES: usize = 4_096;
+
+/// Returns a span that covers `span` as measured by any other clock within [`MAX_CLOCK_RATE_DIFFERENCE`].
+pub fn with_clock_margin(span: Micros) -> Micros {
+    span + (span as f64 * MAX_CLOCK_RATE_DIFFERENCE).ceil() as Micros
+}
+
+/// A named lease, preferably held by a member of `zone` where one is given.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct Lease {
+    /// The identifier on the wire.
+    pub id: LeaseId,
+    /// The configured name.
+    pub name: Rc<str>,
+    /// The preferred zone of its holder.
+    pub zone: Option<Rc<str>>,
+}
+
+impl Lease {
+    /// Creates the lease of that name.
+    pub fn new(name: &str, zone: Option<Rc<str>>) -> Self {
+        Self {
+            id: LeaseId::of(name),
+            name: name.into(),
+            zone,
+        }
+    }
+}
+
+/// How leases are granted in a fleet. All members must have the same values.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct LeaseConfig {
+    /// The names of the 1, 3, 5 or 7 members that vote.
+    pub voters: Vec<Rc<str>>,
+    /// How long a grant lasts without renewal.
+    pub duration: Micros,
+}
+
+impl LeaseConfig {
+    /// A hash of the voters' names, by which a voter recognizes a requester with the same voters.
+    pub(super) fn fingerprint(&self) -> u32 {
+        let mut names: Vec<_> = self.voters.iter().map(|name| &**name).collect();
+        names.sort_unstable();
+        LeaseId::of(&names.join("\n")).0
+    }
+
+    /// The number of voters that is a majority.
+    pub(super) fn majority(&self) -> u32 {
+        self.voters.len() as u32 / 2 + 1
+    }
+
+    /// The position of a voter in the list, which is its bit in [`Votes`](super::state::Votes).
+    pub(super) fn voter_index(&self, name: &str) -> Option<usize> {
+        self.voters
+            .iter()
+            .position(|voter| **voter == *name)
+            .filter(|index| *index < MAX_VOTERS)
+    }
+}
--- a/crates/cluster/src/leases/fencing.rs
+++ b/crates/cluster/src/leases/fencing.rs
@@ -1,10 +1,12 @@
-//! The greatest term known of each duty: what comes with an older one is not taken.
+//! Fencing: the greatest known term of each lease. Commands of older terms are rejected.
 
 use std::collections::BTreeMap;
 
+use super::config::MAX_LEASES;
+use super::fault_injection::InjectedFault;
 use super::term::{LeaseId, Term};
-use super::{InjectedFault, MAX_LEASES};
 
+/// The greatest known term of each lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct FencingTokens {
     known: BTreeMap<LeaseId, Term>,
@@ -12,6 +14,7 @@
 }
 
 impl FencingTokens {
+    /// Creates an empty table.
     pub fn new(injected_fault: Option<InjectedFault>) -> Self {
         Self {
             known: BTreeMap::new(),
@@ -19,11 +22,12 @@
         }
     }
 
+    /// The greatest known term of a lease.
     pub fn known(&self, lease: LeaseId) -> Option<Term> {
         self.known.get(&lease).copied()
     }
 
-    /// Takes down a term that was heard of. Terms of duties beyond the most are not kept, so their acts are not taken.
+    /// Records a term. Beyond [`MAX_LEASES`] leases nothing is recorded, so that their commands are rejected.
     pub fn learn(&mut self, lease: LeaseId, term: Term) {
         if self.known.len() >= MAX_LEASES && !self.known.contains_key(&lease) {
             return;
@@ -35,8 +39,12 @@
         *known = (*known).max(term);
     }
 
-    /// Whether an act of that term may be taken; the greater one known where not.
-    pub fn take(&mut self, lease: LeaseId, term: Term) -> Result<(), Term> {
+    /// Records the term of a command.
+    ///
+    /// # Errors
+    ///
+    /// Returns the greatest known term if the command's term is older.
+    pub fn accept(&mut self, lease: LeaseId, term: Term) -> Result<(), Term> {
         self.learn(lease, term);
         match self.known(lease) {
             Some(known) if known == term => Ok(()),
--- /dev/null
+++ b/crates/cluster/src/leases/manager/mod.rs
@@ -0,0 +1,343 @@
+//! The lease manager of one member: requests, renews and releases leases, votes where it is a voter, and checks the
+//! terms of commands.
+
+mod receive;
+mod release;
+mod replies;
+mod rounds;
+
+#[cfg(test)]
+pub(super) use release::MAX_PAUSES;
+
+use std::collections::{BTreeMap, VecDeque};
+use std::rc::Rc;
+
+use super::assignment::{Candidate, assign};
+use super::config::{Lease, LeaseConfig, MAX_LEASES};
+use super::events::{LeaseEvent, LossReason};
+use super::fault_injection::InjectedFault;
+use super::fencing::FencingTokens;
+use super::messages::{LeaseMessage, MAX_BODY_BYTES};
+use super::state::LeaseState;
+use super::term::{LeaseId, Term};
+use super::tracked::TrackedLease;
+use super::voter::Voter;
+use crate::Micros;
+
+/// How long a round of voters may take before missing replies count as none.
+const ROUND_TIMEOUT_US: Micros = 250_000;
+/// The shortest time between two assignments of candidates.
+const REASSIGN_INTERVAL_US: Micros = 300_000;
+
+/// A lease that this member holds, as seen from outside.
+#[derive(Clone, Copy, Debug)]
+pub struct HeldLeaseView<'a> {
+    /// The lease.
+    pub lease: &'a Lease,
+    /// The term under which it is held.
+    pub term: Term,
+    /// Since when it is held.
+    pub since: Micros,
+    /// When it expires without renewal.
+    pub until: Micros,
+}
+
+/// A message with the name of the member it is for.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct AddressedMessage {
+    /// The receiver's name.
+    pub to: Rc<str>,
+    /// The message.
+    pub message: LeaseMessage,
+}
+
+/// The leases of one member: those it requests or holds, and its votes.
+///
+/// It does no I/O and reads no clock: it is given times, messages and the members that are alive, and returns messages,
+/// events and the time of its next timer.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct Leases {
+    config: LeaseConfig,
+    /// The fingerprint of the configured voters, sent with each query and bid.
+    voters_fingerprint: u32,
+    own_name: Rc<str>,
+    /// The random identifier of this process, which completes its term numbers.
+    own_id: u64,
+    /// Unix milliseconds at local time 0 by this process's clock.
+    wall_clock_offset_ms: u64,
+    voter: Option<Voter>,
+    tracked: BTreeMap<LeaseId, TrackedLease>,
+    fencing_tokens: FencingTokens,
+    round: u32,
+    /// When each recent round was sent.
+    sent_rounds: BTreeMap<u32, Micros>,
+    renew_at: Micros,
+    assigned_at: Micros,
+    /// The members that the current candidates were drawn from; empty where a new assignment is needed.
+    assigned_members: Vec<Candidate>,
+    next_transfer_at: Micros,
+    recent_pauses: VecDeque<Micros>,
+    rests_until: Micros,
+    is_stopping: bool,
+    /// The greatest term number that this process may have used for a lease no longer tracked.
+    min_number: u64,
+    is_quorum_lost: bool,
+    /// Successive rounds without a majority of replies.
+    unanswered_rounds: u32,
+    /// Members known to have other voters in their files.
+    differing_members: Vec<Rc<str>>,
+    stale_commands: u64,
+    outgoing: Vec<AddressedMessage>,
+    events: Vec<LeaseEvent>,
+    injected_fault: Option<InjectedFault>,
+}
+
+impl Leases {
+    /// Creates the manager of a process. `own_id` is the random identifier of the process; `wall_clock_offset_ms` is
+    /// Unix milliseconds at local time 0, where term numbers start if the whole fleet forgot its terms.
+    pub fn new(
+        now: Micros,
+        config: LeaseConfig,
+        own_name: Rc<str>,
+        own_id: u64,
+        wall_clock_offset_ms: u64,
+    ) -> Self {
+        let is_voter = config.voters.contains(&own_name);
+        Self {
+            voters_fingerprint: config.fingerprint(),
+            config,
+            own_name,
+            own_id,
+            wall_clock_offset_ms,
+            voter: is_voter.then(|| Voter::new(now, None)),
+            tracked: BTreeMap::new(),
+            fencing_tokens: FencingTokens::new(None),
+            round: 0,
+            sent_rounds: BTreeMap::new(),
+            renew_at: 0,
+            assigned_at: 0,
+            assigned_members: Vec::new(),
+            next_transfer_at: 0,
+            recent_pauses: VecDeque::new(),
+            rests_until: 0,
+            is_stopping: false,
+            min_number: 0,
+            is_quorum_lost: false,
+            unanswered_rounds: 0,
+            differing_members: Vec::new(),
+            stale_commands: 0,
+            outgoing: Vec::new(),
+            events: Vec::new(),
+            injected_fault: None,
+        }
+    }
+
+    /// Injects a fault into a manager that has just been created at `now`.
+    #[must_use]
+    pub fn with_fault(mut self, now: Micros, fault: Option<InjectedFault>) -> Self {
+        self.voter = self.voter.map(|_| Voter::new(now, fault));
+        self.fencing_tokens = FencingTokens::new(fault);
+        self.injected_fault = fault;
+        self
+    }
+
+    /// Continues the rounds and term numbers of an earlier manager of this process, so that replies to that one do not
+    /// pass for replies to this one.
+    #[must_use]
+    pub fn continuing(mut self, before: &Self) -> Self {
+        self.round = before.round;
+        self.min_number = before
+            .tracked
+            .values()
+            .map(|tracked| tracked.number)
+            .max()
+            .unwrap_or(0)
+            .max(before.min_number);
+        self
+    }
+
+    /// Whether it was told to stop and requests nothing more.
+    pub fn is_stopping(&self) -> bool {
+        self.is_stopping
+    }
+
+    /// The configuration it was created with.
+    pub fn config(&self) -> &LeaseConfig {
+        &self.config
+    }
+
+    /// Replaces the leases of this fleet. Held leases that are not among them are released.
+    pub fn track(&mut self, now: Micros, leases: Vec<Lease>) {
+        let ids: Vec<LeaseId> = leases.iter().map(|lease| lease.id).collect();
+        let removed: Vec<LeaseId> = self
+            .tracked
+            .keys()
+            .filter(|id| !ids.contains(id))
+            .copied()
+            .collect();
+        self.release(now, &removed, LossReason::Released);
+        for tracked in removed.iter().filter_map(|id| self.tracked.remove(id)) {
+            self.min_number = self.min_number.max(tracked.number);
+        }
+        for lease in leases.into_iter().take(MAX_LEASES) {
+            self.tracked
+                .entry(lease.id)
+                .or_insert_with(|| TrackedLease::new(lease, now, self.min_number));
+        }
+        self.assigned_members.clear();
+    }
+
+    /// The term under which a lease is held now and for at least `required` longer. Call this at the act itself:
+    /// nothing else entitles to act in the name of the lease.
+    pub fn holds(&self, now: Micros, lease: LeaseId, required: Micros) -> Option<Term> {
+        match &self.tracked.get(&lease)?.state {
+            LeaseState::Held(held) if now + required < held.until => Some(held.term),
+            _ => None,
+        }
+    }
+
+    /// The greatest known term of a lease, whoever holds it.
+    pub fn known_term(&self, lease: LeaseId) -> Option<Term> {
+        self.fencing_tokens.known(lease)
+    }
+
+    /// Whether a majority of voters answers.
+    pub fn has_quorum(&self) -> bool {
+        !self.is_quorum_lost
+    }
+
+    /// The leases held at `now`.
+    pub fn held(&self, now: Micros) -> impl Iterator<Item = HeldLeaseView<'_>> {
+        self.unreported().filter(move |held| now < held.until)
+    }
+
+    /// The leases acquired and not yet reported as lost, expired or not.
+    pub fn unreported(&self) -> impl Iterator<Item = HeldLeaseView<'_>> {
+        self.tracked
+            .values()
+            .filter_map(|tracked| match &tracked.state {
+                LeaseState::Held(held) => Some(HeldLeaseView {
+                    lease: &tracked.lease,
+                    term: held.term,
+                    since: held.since,
+                    until: held.until,
+                }),
+                _ => None,
+            })
+    }
+
+    /// All leases of this fleet.
+    pub fn tracked(&self) -> impl Iterator<Item = &Lease> {
+        self.tracked.values().map(|tracked| &tracked.lease)
+    }
+
+    /// Whether this member is a voter that grants nothing yet because it has just started.
+    pub fn is_silent_voter(&self, now: Micros) -> bool {
+        self.voter
+            .as_ref()
+            .is_some_and(|voter| voter.is_silent(now))
+    }
+
+    /// How many commands were rejected because their term was stale.
+    pub fn stale_commands(&self) -> u64 {
+        self.stale_commands
+    }
+
+    /// Takes the messages to send.
+    pub fn take_messages(&mut self) -> Vec<AddressedMessage> {
+        std::mem::take(&mut self.outgoing)
+    }
+
+    /// Takes the events since the last call.
+    pub fn take_events(&mut self) -> Vec<LeaseEvent> {
+        std::mem::take(&mut self.events)
+    }
+
+    /// Sends a command in the name of a lease if it is held now and for as long as sending may take. Returns whether
+    /// it was sent.
+    pub fn send_command(
+        &mut self,
+        now: Micros,
+        lease: LeaseId,
+        to: &Rc<str>,
+        required: Micros,
+        body: Vec<u8>,
+    ) -> bool {
+        if body.len() > MAX_BODY_BYTES {
+            return false;
+        }
+        let Some(term) = self.holds(now, lease, required) else {
+            return false;
+        };
+        self.send(to, LeaseMessage::Command { lease, term, body });
+        true
+    }
+
+    /// Sends a note about a lease, held or not. A note that is too long is discarded.
+    pub fn send_note(&mut self, lease: LeaseId, to: &Rc<str>, body: Vec<u8>) {
+        if body.len() <= MAX_BODY_BYTES {
+            self.send(to, LeaseMessage::Note { lease, body });
+        }
+    }
+
+    fn send(&mut self, to: &Rc<str>, message: LeaseMessage) {
+        let to = Rc::clone(to);
+        self.outgoing.push(AddressedMessage { to, message });
+    }
+
+    /// When [`Leases::run_timers`] has to be called at the latest.
+    pub fn next_timer(&self) -> Micros {
+        let timer_of = |tracked: &TrackedLease| match &tracked.state {
+            LeaseState::Idle { retry_at } if tracked.rank.is_some() => Some(*retry_at),
+            LeaseState::Idle { .. } => None,
+            LeaseState::Querying(query) => Some(query.sent_at + ROUND_TIMEOUT_US),
+            LeaseState::Bidding(bid) => Some(bid.sent_at + ROUND_TIMEOUT_US),
+            LeaseState::Held(held) => Some(held.until.min(self.renew_at)),
+        };
+        let first = self.tracked.values().filter_map(timer_of).min();
+        let reassign_at = if self.tracked.is_empty() {
+            Micros::MAX
+        } else {
+            self.assigned_at + REASSIGN_INTERVAL_US
+        };
+        first.unwrap_or(Micros::MAX).min(reassign_at)
+    }
+
+    /// Runs the timers that have expired. `alive` are all members that nobody suspects, this one included. A member
+    /// that is not `fit`, since nobody has answered it after a pause, requests nothing.
+    pub fn run_timers(&mut self, now: Micros, alive: &[Candidate], fit: bool) {
+        self.expire_held(now);
+        self.reassign(now, alive);
+        self.expire_rounds(now);
+        if fit && !self.is_stopping && now >= self.rests_until {
+            self.query_due(now);
+        }
+        if now >= self.renew_at {
+            self.renew(now);
+        }
+        self.transfer_one(now);
+    }
+
+    /// Assigns candidates anew where the members that are alive have changed.
+    fn reassign(&mut self, now: Micros, alive: &[Candidate]) {
+        let is_recent = now < self.assigned_at + REASSIGN_INTERVAL_US;
+        if is_recent && !self.assigned_members.is_empty() {
+            return;
+        }
+        self.assigned_at = now;
+        let mut members = alive.to_vec();
+        members.sort_by(|a, b| a.name.cmp(&b.name));
+        if members == self.assigned_members {
+            return;
+        }
+        let leases: Vec<Lease> = self.tracked().cloned().collect();
+        for (tracked, order) in self.tracked.values_mut().zip(assign(&leases, &members)) {
+            let names = order
+                .into_iter()
+                .map(|index| Rc::clone(&members[index].name))
+                .collect();
+            tracked.set_candidates(now, names, &self.own_name);
+        }
+        self.assigned_members = members;
+    }
+}
--- /dev/null
+++ b/crates/cluster/src/leases/manager/release.rs
@@ -0,0 +1,144 @@
+//! How leases end: expiry, release, transfer and pauses of this process.
+
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+use super::super::events::{LeaseEvent, LossReason};
+use super::super::messages::{LeaseMessage, MAX_LEASES_PER_MESSAGE, TermNumber};
+use super::super::state::LeaseState;
+use super::super::term::{LeaseId, Term};
+use super::Leases;
+use crate::Micros;
+
+/// The shortest time between two transfers to preferred members.
+const TRANSFER_INTERVAL_US: Micros = 500_000;
+/// After this many pauses of its process within [`PAUSE_WINDOW_US`] a member releases everything, and requests nothing
+/// for as long.
+pub(in super::super) const MAX_PAUSES: usize = 3;
+const PAUSE_WINDOW_US: Micros = 30_000_000;
+
+impl Leases {
+    /// Releases all leases and requests nothing more.
+    pub fn stop(&mut self, now: Micros) {
+        self.is_stopping = true;
+        self.release_all(now, LossReason::Released);
+    }
+
+    /// Records that this process did not run for a while. What has expired meanwhile is lost; a process that is paused
+    /// again and again releases everything.
+    pub fn record_pause(&mut self, now: Micros) {
+        self.expire_held(now);
+        self.recent_pauses.push_back(now);
+        while self
+            .recent_pauses
+            .front()
+            .is_some_and(|at| at + PAUSE_WINDOW_US < now)
+        {
+            self.recent_pauses.pop_front();
+        }
+        if self.recent_pauses.len() >= MAX_PAUSES {
+            self.recent_pauses.clear();
+            self.rests_until = now + PAUSE_WINDOW_US;
+            self.release_all(now, LossReason::ProcessPaused);
+        }
+    }
+
+    /// Reports the held leases that have expired as lost.
+    pub(super) fn expire_held(&mut self, now: Micros) {
+        for tracked in self.tracked.values_mut() {
+            if let LeaseState::Held(held) = &tracked.state
+                && now >= held.until
+            {
+                self.events.push(LeaseEvent::Lost {
+                    lease: Rc::clone(&tracked.lease.name),
+                    term: held.term,
+                    until: held.until,
+                    reason: LossReason::Expired,
+                });
+                tracked.rest(now);
+            }
+        }
+    }
+
+    fn release_all(&mut self, now: Micros, reason: LossReason) {
+        let all: Vec<LeaseId> = self.tracked.keys().copied().collect();
+        self.release(now, &all, reason);
+    }
+
+    /// Gives up what is held or bid for of these leases, and tells the next candidates.
+    pub(super) fn release(&mut self, now: Micros, leases: &[LeaseId], reason: LossReason) {
+        let mut terms = Vec::new();
+        let mut vacated: BTreeMap<Rc<str>, Vec<LeaseId>> = BTreeMap::new();
+        for &lease in leases {
+            let Some(tracked) = self.tracked.get_mut(&lease) else {
+                continue;
+            };
+            let before = tracked.state.clone();
+            tracked.rest(now);
+            match before {
+                LeaseState::Held(held) => {
+                    self.events.push(LeaseEvent::Lost {
+                        lease: Rc::clone(&tracked.lease.name),
+                        term: held.term,
+                        until: held.until.min(now),
+                        reason,
+                    });
+                    let number = held.term.number;
+                    terms.push(TermNumber { lease, number });
+                    let mut candidates = tracked.candidates.iter();
+                    if let Some(next) = candidates.find(|name| **name != self.own_name) {
+                        vacated.entry(Rc::clone(next)).or_default().push(lease);
+                    }
+                }
+                LeaseState::Bidding(bid) => {
+                    let number = bid.term.number;
+                    terms.push(TermNumber { lease, number });
+                }
+                LeaseState::Idle { .. } | LeaseState::Querying(_) => {}
+            }
+        }
+        self.send_release(now, &terms);
+        for (name, leases) in vacated {
+            for leases in leases.chunks(MAX_LEASES_PER_MESSAGE) {
+                let leases = leases.to_vec();
+                self.send(&name, LeaseMessage::Vacated { leases });
+            }
+        }
+    }
+
+    /// Tells the voters which terms are given up.
+    pub(super) fn send_release(&mut self, now: Micros, terms: &[TermNumber]) {
+        for terms in terms.chunks(MAX_LEASES_PER_MESSAGE) {
+            let terms = terms.to_vec();
+            self.send_to_voters(now, &LeaseMessage::Release { terms });
+        }
+    }
+
+    /// Releases one lease for which another candidate has been preferred for long enough.
+    pub(super) fn transfer_one(&mut self, now: Micros) {
+        if now < self.next_transfer_at {
+            return;
+        }
+        let due = self
+            .tracked
+            .values()
+            .find(|tracked| tracked.is_transfer_due(now))
+            .map(|tracked| tracked.lease.id);
+        if let Some(lease) = due {
+            self.next_transfer_at = now + TRANSFER_INTERVAL_US;
+            self.release(now, &[lease], LossReason::Released);
+        }
+    }
+
+    /// Records a term that another member held; a lease held under an earlier term is lost.
+    pub(super) fn learn_term(&mut self, now: Micros, lease: LeaseId, term: Term) {
+        self.fencing_tokens.learn(lease, term);
+        let Some(tracked) = self.tracked.get_mut(&lease) else {
+            return;
+        };
+        tracked.number = tracked.number.max(term.number);
+        if matches!(&tracked.state, LeaseState::Held(held) if held.term < term) {
+            self.release(now, &[lease], LossReason::Superseded);
+        }
+    }
+}
--- a/crates/cluster/src/leases/messages.rs
+++ b/crates/cluster/src/leases/messages.rs
@@ -1,62 +1,105 @@
-//! What members say to one another about duties.
+//! Messages about leases between members. Fields and variants are encoded by their order.
 
 use serde::{Deserialize, Serialize};
 
 use super::term::{LeaseId, Term};
-use super::voter::GrantStatus;
 
-/// Duties named in one frame: what a voter tells of each takes up to 31 bytes; head, own record and that of one who is
-/// doubted take up to 570 of a datagram's 1,200. A longer one is never sent.
+/// The largest number of leases in one message. The status of a lease takes up to 31 bytes; the header, the sender's
+/// record and that of a suspected receiver take up to 570 of a datagram's 1,200 bytes.
 pub const MAX_LEASES_PER_MESSAGE: usize = 20;
-/// Bytes of an act's body at most.
+/// The largest body of a command or note.
 pub const MAX_BODY_BYTES: usize = 600;
 
+/// The state of a lease as a voter reports it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct GrantStatus {
+    /// The lease.
+    pub lease: LeaseId,
+    /// The greatest term this voter has granted since it started.
+    pub term: Option<Term>,
+    /// Microseconds until it would grant another bid; 0 means at once.
+    pub available_in_us: u32,
+}
+
+/// A lease with the number of a term, which is complete with the process identifier of the sender or receiver.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct TermNumber {
+    /// The lease.
+    pub lease: LeaseId,
+    /// The number of the term.
+    pub number: u64,
+}
+
+/// A message about leases.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum LeaseMessage {
-    /// How do these stand? Grants nothing.
+    /// Asks a voter for the state of leases, without a bid.
     Query {
+        /// The sender's round, repeated in the reply.
         round: u32,
+        /// The fingerprint of the sender's voters.
         voters: u32,
+        /// The leases in question.
         leases: Vec<LeaseId>,
     },
+    /// A voter's reply to a query.
     QueryReply {
+        /// The round of the query.
         round: u32,
-        told: Vec<GrantStatus>,
+        /// The state of each lease.
+        statuses: Vec<GrantStatus>,
     },
-    /// Grant me these for so many microseconds; the numbers make terms with the life of the sender.
+    /// Asks a voter to grant or renew leases under the sender's terms.
     Bid {
+        /// The sender's round, repeated in the reply.
         round: u32,
+        /// The fingerprint of the sender's voters.
         voters: u32,
+        /// How long a grant lasts, in microseconds.
         duration_us: u32,
-        bids: Vec<(LeaseId, u64)>,
+        /// The leases and term numbers.
+        bids: Vec<TermNumber>,
     },
+    /// A voter's reply to a bid.
     BidReply {
+        /// The round of the bid.
         round: u32,
-        granted: Vec<(LeaseId, u64)>,
+        /// The bids that are granted.
+        granted: Vec<TermNumber>,
+        /// The state of the leases that are not granted.
         refused: Vec<GrantStatus>,
     },
-    /// I let these turns go.
+    /// Tells voters that the sender gives up these terms.
     Release {
-        terms: Vec<(LeaseId, u64)>,
+        /// The leases and term numbers.
+        terms: Vec<TermNumber>,
     },
-    /// These are free now: you are the next.
+    /// Tells the next candidate that these leases are available.
     Vacated {
+        /// The leases.
         leases: Vec<LeaseId>,
     },
-    /// Something done in a duty's name. Whoever knows a later term does not take it.
+    /// A command in the name of a lease. A receiver that knows a later term rejects it.
     Command {
+        /// The lease.
         lease: LeaseId,
+        /// The sender's term.
         term: Term,
+        /// The command; empty where a new holder announces its term.
         body: Vec<u8>,
     },
-    /// Something about a duty that is no act: said to its holder.
+    /// A note about a lease, to its holder.
     Note {
+        /// The lease.
         lease: LeaseId,
+        /// The note.
         body: Vec<u8>,
     },
-    /// Your act's term is old; this is the one I know.
+    /// Rejects a command whose term is older than the one given.
     StaleTerm {
+        /// The lease.
         lease: LeaseId,
+        /// The greatest term known to the sender.
         term: Term,
     },
 }
--- a/crates/cluster/src/leases/state.rs
+++ b/crates/cluster/src/leases/state.rs
@@ -1,127 +1,173 @@
-//! How one member stands to one duty.
+//! The state of one lease at one member: idle, querying voters, bidding, or held.
 
-use super::MAX_VOTERS;
+use super::config::MAX_VOTERS;
 use super::term::Term;
 use crate::Micros;
 
-/// Voters, a bit each by their place in the file.
+/// A set of voters, one bit each by their index in the configuration.
 pub type Votes = u8;
 
-/// Rounds of renewal whose grants are still counted.
+/// How many renewal rounds may still collect grants.
 const MAX_COUNTED_ROUNDS: usize = 4;
 
+/// The state of a lease at this member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum LeaseState {
-    /// Asks at that moment, if it is among those who may.
+    /// Not held. The voters are queried at `retry_at` if this member is a candidate.
     Idle {
-        next: Micros,
+        /// When to query next.
+        retry_at: Micros,
     },
+    /// Voters are queried.
     Querying(Query),
+    /// Voters are asked to grant a term.
     Bidding(Bid),
-    Held(Held),
+    /// Held by this member.
+    Held(HeldLease),
 }
 
-/// What voters have said so far of a duty that is asked for.
+/// The replies to a query so far.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Query {
+    /// The round of the query.
     pub round: u32,
-    pub since: Micros,
-    pub heard: Votes,
-    /// Those that would grant a claim at once.
+    /// When it was sent.
+    pub sent_at: Micros,
+    /// The voters that replied.
+    pub replied: Votes,
+    /// The voters that would grant a bid at once.
     pub available: Votes,
-    left: [Micros; MAX_VOTERS],
+    /// For each voter that replied, the time until it would grant a bid.
+    available_in: [Micros; MAX_VOTERS],
 }
 
 impl Query {
-    pub fn new(round: u32, since: Micros) -> Self {
+    /// Creates a query without replies.
+    pub fn new(round: u32, sent_at: Micros) -> Self {
         Self {
             round,
-            since,
-            heard: 0,
+            sent_at,
+            replied: 0,
             available: 0,
-            left: [0; MAX_VOTERS],
+            available_in: [0; MAX_VOTERS],
         }
     }
 
-    pub fn told(&mut self, index: usize, left: Micros) {
-        self.heard |= 1 << index;
-        if left == 0 {
-            self.available |= 1 << index;
+    /// Records the reply of a voter that would grant a bid after `available_in`.
+    pub fn record_reply(&mut self, voter: usize, available_in: Micros) {
+        self.replied |= 1 << voter;
+        if available_in == 0 {
+            self.available |= 1 << voter;
         }
-        self.left[index] = left;
+        self.available_in[voter] = available_in;
+    }
+
+    /// Whether so many voters replied.
+    pub fn has_replies(&self, majority: u32) -> bool {
+        self.replied.count_ones() >= majority
+    }
+
+    /// Whether so many voters would grant a bid at once.
+    pub fn has_available(&self, majority: u32) -> bool {
+        self.available.count_ones() >= majority
+    }
+
+    /// Whether too few of all `voters` can still report the lease as available.
+    pub fn is_lost(&self, majority: u32, voters: u32) -> bool {
+        self.available.count_ones() + voters - self.replied.count_ones() < majority
     }
 
-    /// How long until so many of those heard are free.
-    pub fn available_in(&self, majority: u32) -> Micros {
-        let mut left: Vec<Micros> = (0..MAX_VOTERS)
-            .filter(|index| self.heard >> index & 1 == 1)
-            .map(|index| self.left[index])
+    /// The time until a majority of the voters that replied would grant a bid.
+    pub fn majority_available_in(&self, majority: u32) -> Micros {
+        let mut times: Vec<Micros> = (0..MAX_VOTERS)
+            .filter(|voter| self.replied >> voter & 1 == 1)
+            .map(|voter| self.available_in[voter])
             .collect();
-        left.sort_unstable();
-        left.get(majority as usize - 1)
-            .or(left.last())
+        times.sort_unstable();
+        times
+            .get(majority as usize - 1)
+            .or(times.last())
             .copied()
             .unwrap_or(0)
     }
 }
 
-/// A claim under way.
+/// A bid and the votes on it so far.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Bid {
+    /// The term that is bid for.
     pub term: Term,
+    /// The round of the bid.
     pub round: u32,
-    pub since: Micros,
+    /// When it was sent.
+    pub sent_at: Micros,
+    /// The voters that granted it.
     pub granted: Votes,
+    /// The voters that refused it.
     pub refused: Votes,
 }
 
 impl Bid {
-    pub fn new(term: Term, round: u32, since: Micros) -> Self {
+    /// Creates a bid without votes.
+    pub fn new(term: Term, round: u32, sent_at: Micros) -> Self {
         Self {
             term,
             round,
-            since,
+            sent_at,
             granted: 0,
             refused: 0,
         }
     }
 }
 
-/// Held up to `until` by this process's clock.
+/// The grants of one renewal round.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct RenewalRound {
+    round: u32,
+    granted: Votes,
+}
+
+/// A lease held up to `until` by this process's clock.
 ///
-/// Invariant: a majority granted `term` for a whole lease in one round, and `until` is that lease counted from the moment
-/// before that round was sent.
+/// Invariant: a majority granted `term` for a whole lease duration in one round, and `until` is that duration counted
+/// from the moment before that round was sent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Held {
+pub struct HeldLease {
+    /// The term under which it is held.
     pub term: Term,
-    pub from: Micros,
+    /// Since when it is held.
+    pub since: Micros,
+    /// When it expires without renewal.
     pub until: Micros,
-    rounds: Vec<(u32, Votes)>,
+    rounds: Vec<RenewalRound>,
 }
 
-impl Held {
-    pub fn new(term: Term, from: Micros, until: Micros) -> Self {
+impl HeldLease {
+    /// Creates a lease that has just been granted.
+    pub fn new(term: Term, since: Micros, until: Micros) -> Self {
         Self {
             term,
-            from,
+            since,
             until,
             rounds: Vec::new(),
         }
     }
 
+    /// Begins a renewal round, dropping the oldest one if there are too many.
     pub fn begin_round(&mut self, round: u32) {
         if self.rounds.len() >= MAX_COUNTED_ROUNDS {
             self.rounds.remove(0);
         }
-        self.rounds.push((round, 0));
+        self.rounds.push(RenewalRound { round, granted: 0 });
     }
 
-    /// Voters that granted in that round, this one with them. Grants of different rounds are never added up.
-    pub fn grants(&mut self, round: u32, index: usize) -> u32 {
-        let Some(entry) = self.rounds.iter_mut().find(|entry| entry.0 == round) else {
+    /// Records a voter's grant and returns the number of grants in that round. Grants of different rounds are never
+    /// added up.
+    pub fn record_grant(&mut self, round: u32, voter: usize) -> u32 {
+        let Some(entry) = self.rounds.iter_mut().find(|entry| entry.round == round) else {
             return 0;
         };
-        entry.1 |= 1 << index;
-        entry.1.count_ones()
+        entry.granted |= 1 << voter;
+        entry.granted.count_ones()
     }
 }
--- a/crates/cluster/src/leases/term.rs
+++ b/crates/cluster/src/leases/term.rs
@@ -1,12 +1,14 @@
-//! What names a duty and one's turn at it.
+//! Identifiers of leases and of the terms under which they are held.
 
 use serde::{Deserialize, Serialize};
 
-/// A duty's number: the head of its name's hash. Two names with one number share a holder, which does no harm.
+/// The identifier of a lease: the head of the hash of its name. Two names with one identifier share a holder, which is
+/// harmless.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LeaseId(pub u32);
 
 impl LeaseId {
+    /// The identifier of the lease with that name.
     pub fn of(name: &str) -> Self {
         let hash = blake3::hash(name.as_bytes());
         let head = hash
@@ -18,10 +20,12 @@
     }
 }
 
-/// One's turn at a duty. They rise; no two processes ever have the same, and none has one twice.
+/// The term under which one process holds a lease; it is also the fencing token of its commands. Terms of a lease
+/// increase, no two processes have the same one, and no process has one twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Term {
+    /// The number that increases from term to term.
     pub number: u64,
-    /// Chance of the life that claimed it, so that two that chose one number are told apart.
-    pub incarnation: u64,
+    /// The random identifier of the bidding process (incarnation), which tells apart two that chose one number.
+    pub incarnation_id: u64,
 }
--- a/crates/cluster/src/leases/tests.rs
+++ b/crates/cluster/src/leases/tests.rs
@@ -1,6 +1,14 @@
+use std::rc::Rc;
+
 use rstest::rstest;
 
+use super::assignment::Candidate;
+use super::manager::MAX_PAUSES;
+use super::messages::LeaseMessage;
+use super::term::{LeaseId, Term};
+use super::voter::Voter;
 use super::*;
+use crate::Micros;
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
@@ -54,13 +62,13 @@
             };
             let alive: Vec<Candidate> = self.alive.iter().map(index).collect();
             for n in 0..self.all.len() {
-                if self.all[n].next_due() <= self.now && !self.cut.contains(&n) {
-                    self.all[n].due(self.now, &alive, true);
+                if self.all[n].next_timer() <= self.now && !self.cut.contains(&n) {
+                    self.all[n].run_timers(self.now, &alive, true);
                 }
                 let (messages, events) = (self.all[n].take_messages(), self.all[n].take_events());
                 self.events
                     .extend(events.into_iter().map(|event| (n, event)));
-                for (to, message) in messages {
+                for AddressedMessage { to, message } in messages {
                     let to = self.names.iter().position(|name| *name == to).unwrap();
                     if !self.cut.contains(&n) && !self.cut.contains(&to) {
                         let (name, incarnation) = (Rc::clone(&self.names[n]), n as u64 + 1);
@@ -107,7 +115,7 @@
         fleet
             .all
             .iter()
-            .all(|one| one.known(LeaseId::of("a")) == term)
+            .all(|one| one.known_term(LeaseId::of("a")) == term)
     );
 }
 
@@ -159,7 +167,7 @@
             .any(|(_, event)| *event == LeaseEvent::QuorumLost)
     );
     // Both come back with nothing kept: silent at first, then one holds it, by a later term.
-    let before = fleet.all[2].known(LeaseId::of("a")).unwrap();
+    let before = fleet.all[2].known_term(LeaseId::of("a")).unwrap();
     for n in [0, 1] {
         fleet.all[n] = Leases::new(
             fleet.now,
@@ -184,10 +192,10 @@
     let mut fleet = Fleet::new(4, &["a"]);
     fleet.run(5 * SECOND);
     let first = fleet.holders("a")[0];
-    for _ in 0..PAUSES.0 {
+    for _ in 0..MAX_PAUSES {
         fleet.run(400 * MS);
         let now = fleet.now;
-        fleet.all[first].paused(now);
+        fleet.all[first].record_pause(now);
     }
     fleet.run(2 * SECOND);
     assert!(fleet.holders("a").len() == 1 && fleet.holders("a") != [first]);
@@ -244,7 +252,7 @@
         LeaseId(1),
         Term {
             number: 1,
-            incarnation: 1,
+            incarnation_id: 1,
         },
         DEFAULT_LEASE_US + more,
     );
@@ -273,7 +281,7 @@
             LeaseId(1),
             Term {
                 number: 9,
-                incarnation: 7,
+                incarnation_id: 7,
             },
             DEFAULT_LEASE_US,
         )
@@ -283,7 +291,7 @@
         LeaseId(1),
         Term {
             number,
-            incarnation,
+            incarnation_id: incarnation,
         },
         DEFAULT_LEASE_US,
     );
@@ -295,15 +303,15 @@
     let (mut voter, at) = (Voter::new(0, None), 10 * SECOND);
     let term = |number| Term {
         number,
-        incarnation: 7,
+        incarnation_id: 7,
     };
     voter
         .bid(at, LeaseId(1), term(9), DEFAULT_LEASE_US)
         .unwrap();
     voter.release(at, LeaseId(1), term(8));
-    assert!(voter.told(at, LeaseId(1)).left > 0);
+    assert!(voter.status(at, LeaseId(1)).available_in_us > 0);
     voter.release(at, LeaseId(1), term(9));
-    assert_eq!(voter.told(at, LeaseId(1)).left, 0);
+    assert_eq!(voter.status(at, LeaseId(1)).available_in_us, 0);
     // A renewal that was on its way when it was let go.
     assert!(
         voter
@@ -314,7 +322,7 @@
         .bid(at, LeaseId(1), term(10), DEFAULT_LEASE_US)
         .unwrap();
     voter.release(at, LeaseId(1), term(9));
-    assert!(voter.told(at, LeaseId(1)).left > 0);
+    assert!(voter.status(at, LeaseId(1)).available_in_us > 0);
 }
 
 #[test]
@@ -325,7 +333,7 @@
         lease,
         term: Term {
             number,
-            incarnation: 1,
+            incarnation_id: 1,
         },
         body: vec![1],
     };
@@ -338,13 +346,13 @@
         .into_iter()
         .filter(|event| matches!(event, LeaseEvent::CommandReceived { .. }))
         .count();
-    assert_eq!((taken, one.old_commands_refused), (2, 1));
+    assert_eq!((taken, one.stale_commands()), (2, 1));
     let known = Term {
         number: 7,
-        incarnation: 1,
+        incarnation_id: 1,
     };
-    assert!(
-        one.take_messages()
-            .contains(&(sender, LeaseMessage::StaleTerm { lease, term: known }))
-    );
+    assert!(one.take_messages().contains(&AddressedMessage {
+        to: sender,
+        message: LeaseMessage::StaleTerm { lease, term: known }
+    }));
 }
--- a/crates/cluster/src/leases/voter.rs
+++ b/crates/cluster/src/leases/voter.rs
@@ -1,39 +1,36 @@
-//! A voter: grants each duty to one claimant at a time, for a span. It keeps nothing on disk; when it starts it grants
-//! nothing for the longest lease, so that what it may have granted before has ended.
+//! A voter grants each lease to one bidder at a time. It stores nothing on disk: when it starts it grants nothing for
+//! the longest lease duration, so that every grant it may have forgotten has expired.
 
 use std::collections::BTreeMap;
 
-use serde::{Deserialize, Serialize};
-
+use super::config::{MAX_LEASE_US, with_clock_margin};
+use super::fault_injection::InjectedFault;
+use super::messages::GrantStatus;
 use super::term::{LeaseId, Term};
-use super::{InjectedFault, with_clock_margin};
 use crate::Micros;
 
-/// Duties that one voter keeps seats for; a fleet has fewer.
+/// The largest number of leases that a voter keeps grants for.
 const MAX_GRANTS: usize = 8_192;
 
-/// What a voter says of a duty.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct GrantStatus {
-    pub lease: LeaseId,
-    /// The greatest term it granted since it started.
-    pub term: Option<Term>,
-    /// Microseconds until it would grant another claim; 0: at once.
-    pub left: u32,
-}
-
-/// The last grant for one duty.
+/// The last grant of a lease.
 ///
-/// Invariant: `term` never falls while the voter runs, and until `until` nobody but the claimant of `term` is granted the
-/// duty, unless that one let it go.
+/// Invariant: `term` never decreases while the voter runs, and until `until` no other term is granted unless this one
+/// is released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Grant {
     term: Term,
     until: Micros,
-    /// Its claimant let it go: it is free at once, and the term is used up.
-    ended: bool,
+    /// Released by its holder: the lease is available at once, and the term is used up.
+    released: bool,
+}
+
+impl Grant {
+    fn is_open(&self, now: Micros) -> bool {
+        !self.released && self.until > now
+    }
 }
 
+/// A member's part as a voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Voter {
     silent_until: Micros,
@@ -42,12 +39,12 @@
 }
 
 impl Voter {
-    /// Starts with nothing known, and so silent for the longest lease that it may have granted before.
+    /// Starts a voter, silent for the longest lease duration.
     pub fn new(now: Micros, injected_fault: Option<InjectedFault>) -> Self {
         let silence = if injected_fault == Some(InjectedFault::NoStartupSilence) {
             0
         } else {
-            with_clock_margin(super::MAX_LEASE_US)
+            with_clock_margin(MAX_LEASE_US)
         };
         Self {
             silent_until: now + silence,
@@ -56,26 +53,30 @@
         }
     }
 
+    /// Whether it grants nothing yet because it has just started.
     pub fn is_silent(&self, now: Micros) -> bool {
         now < self.silent_until
     }
 
-    /// What is known of a duty, granting nothing.
-    pub fn told(&self, now: Micros, lease: LeaseId) -> GrantStatus {
+    /// The state of a lease.
+    pub fn status(&self, now: Micros, lease: LeaseId) -> GrantStatus {
         let silent = self.silent_until.saturating_sub(now);
         let grant = self.grants.get(&lease);
-        let held = grant
-            .filter(|grant| !grant.ended)
+        let granted = grant
+            .filter(|grant| !grant.released)
             .map_or(0, |grant| grant.until.saturating_sub(now));
-        let left = u32::try_from(silent.max(held)).unwrap_or(u32::MAX);
         GrantStatus {
             lease,
             term: grant.map(|grant| grant.term),
-            left,
+            available_in_us: u32::try_from(silent.max(granted)).unwrap_or(u32::MAX),
         }
     }
 
-    /// Grants a claim, or renews what it granted, for so long by the claimant's clock.
+    /// Grants a bid or renews its grant for `duration` by the bidder's clock.
+    ///
+    /// # Errors
+    ///
+    /// Returns the state of the lease if the bid is refused.
     pub fn bid(
         &mut self,
         now: Micros,
@@ -83,64 +84,63 @@
         term: Term,
         duration: Micros,
     ) -> Result<(), GrantStatus> {
-        let refused = Err(self.told(now, lease));
-        if duration > super::MAX_LEASE_US || self.is_silent(now) {
+        let refused = Err(self.status(now, lease));
+        if duration > MAX_LEASE_US || self.is_silent(now) {
             return refused;
         }
-        let until = now
-            + if self.injected_fault == Some(InjectedFault::NoClockMargin) {
-                duration
-            } else {
-                with_clock_margin(duration)
-            };
-        let Some(grant) = self.grants.get_mut(&lease) else {
+        let granted = Grant {
+            term,
+            until: now + self.counted(duration),
+            released: false,
+        };
+        let Some(grant) = self.grants.get(&lease).copied() else {
             if self.grants.len() >= MAX_GRANTS {
                 return refused;
             }
-            self.grants.insert(
-                lease,
-                Grant {
-                    term,
-                    until,
-                    ended: false,
-                },
-            );
+            self.grants.insert(lease, granted);
             return Ok(());
         };
-        let same = match self.injected_fault == Some(InjectedFault::EqualTermNumbersGranted) {
-            true => grant.term.number == term.number,
-            false => grant.term == term,
-        };
-        if same && !grant.ended {
-            grant.until = grant.until.max(until);
+        if self.is_same_term(grant.term, term) && !grant.released {
+            let until = grant.until.max(granted.until);
+            self.grants.insert(lease, Grant { until, ..grant });
             return Ok(());
         }
-        // Only a later turn follows, and only when the one before has run out here or was let go.
-        if term <= grant.term || (!grant.ended && grant.until > now) {
+        // Only a later term follows, and only after the one before has expired here or was released.
+        if term <= grant.term || grant.is_open(now) {
             return refused;
         }
-        *grant = Grant {
-            term,
-            until,
-            ended: false,
-        };
+        self.grants.insert(lease, granted);
         Ok(())
     }
 
-    /// A claimant lets go of its turn. A release that comes before its own claim uses that claim up; one of any other turn
-    /// than the last says nothing.
+    /// Releases a term. A release that overtakes its own bid uses the term up; one of an earlier term has no effect.
     pub fn release(&mut self, now: Micros, lease: LeaseId, term: Term) {
         let Some(grant) = self.grants.get_mut(&lease) else {
             return;
         };
         if grant.term == term || self.injected_fault == Some(InjectedFault::ReleaseOfAnyTerm) {
-            grant.ended = true;
-        } else if term > grant.term && (grant.ended || grant.until <= now) {
+            grant.released = true;
+        } else if term > grant.term && !grant.is_open(now) {
             *grant = Grant {
                 term,
                 until: now,
-                ended: true,
+                released: true,
             };
         }
     }
+
+    /// How long a grant counts by this voter's clock.
+    fn counted(&self, duration: Micros) -> Micros {
+        match self.injected_fault {
+            Some(InjectedFault::NoClockMargin) => duration,
+            _ => with_clock_margin(duration),
+        }
+    }
+
+    fn is_same_term(&self, granted: Term, bid: Term) -> bool {
+        match self.injected_fault {
+            Some(InjectedFault::EqualTermNumbersGranted) => granted.number == bid.number,
+            _ => granted == bid,
+        }
+    }
 }
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -19,7 +19,7 @@
 use datagram::{Datagram, DropReason, Incarnation, Key, MAX_DATAGRAM_BYTES, ReplayFilter};
 use leases::assignment::Candidate;
 use leases::term::LeaseId;
-use leases::{Lease, LeaseConfig, LeaseEvent, Leases};
+use leases::{AddressedMessage, Lease, LeaseConfig, LeaseEvent, Leases};
 use membership::dissemination::Dissemination;
 use membership::failure_detector::{FailureDetector, Probe};
 use membership::table::{
@@ -232,7 +232,7 @@
                 wall_clock_offset_ms,
             );
             self.leases = Some(match &self.leases {
-                Some(before) => new.following(before),
+                Some(before) => new.continuing(before),
                 None => new,
             });
         }
@@ -285,7 +285,7 @@
     pub fn send_lease_note(&mut self, now: Micros, lease: LeaseId, to: &Rc<str>, body: Vec<u8>) {
         self.now = self.now.max(now);
         if let Some(leases) = &mut self.leases {
-            leases.say(lease, to, body);
+            leases.send_note(lease, to, body);
         }
         self.send_lease_messages();
     }
@@ -304,7 +304,7 @@
             .collect();
         let fit = self.unheard_until.is_none() && self.now >= self.quiet_until;
         if let Some(leases) = &mut self.leases {
-            leases.due(self.now, &alive, fit);
+            leases.run_timers(self.now, &alive, fit);
         }
         self.send_lease_messages();
     }
@@ -314,8 +314,11 @@
         let Some(leases) = &mut self.leases else {
             return;
         };
-        let (messages, next) = (leases.take_messages(), leases.next_due().max(self.now + 1));
-        for (name, message) in messages {
+        let (messages, next) = (
+            leases.take_messages(),
+            leases.next_timer().max(self.now + 1),
+        );
+        for AddressedMessage { to: name, message } in messages {
             if let Some(index) = self.table.index(&name) {
                 self.say(index, Message::Lease(message));
             }
@@ -387,7 +390,7 @@
         self.failure_detector.degrade();
         self.restart_suspicions();
         if let Some(leases) = &mut self.leases {
-            leases.paused(self.now);
+            leases.record_pause(self.now);
         }
         self.send_lease_messages();
     }
--- a/crates/cluster/src/shared_list/tests.rs
+++ b/crates/cluster/src/shared_list/tests.rs
@@ -7,7 +7,7 @@
 
 const FIRST: Term = Term {
     number: 1,
-    incarnation: 1,
+    incarnation_id: 1,
 };
 const MS: Micros = 1_000;
 
@@ -164,7 +164,7 @@
     // A later holder is heard at once.
     let later = Term {
         number: 2,
-        incarnation: 1,
+        incarnation_id: 1,
     };
     let told: Vec<_> = ListPublisher::default().said(9, true, &entries(0..4));
     let pages: Vec<_> = told
--- a/crates/cluster/src/tests.rs
+++ b/crates/cluster/src/tests.rs
@@ -339,17 +339,17 @@
     let mut one = Cluster::new(config, Key::new(b"0123456789abcdef").unwrap(), 1, 0);
     let term = leases::term::Term {
         number: u64::MAX,
-        incarnation: u64::MAX,
+        incarnation_id: u64::MAX,
     };
-    let told = leases::voter::GrantStatus {
+    let status = leases::messages::GrantStatus {
         lease: LeaseId(u32::MAX),
         term: Some(term),
-        left: u32::MAX,
+        available_in_us: u32::MAX,
     };
-    let told = vec![told; leases::messages::MAX_LEASES_PER_MESSAGE];
+    let statuses = vec![status; leases::messages::MAX_LEASES_PER_MESSAGE];
     let message = leases::messages::LeaseMessage::QueryReply {
         round: u32::MAX,
-        told,
+        statuses,
     };
     one.counter = u64::MAX - 1;
     // With the record of whom it is sent to, who is doubted.
--- a/crates/cluster/tests/datagrams.rs
+++ b/crates/cluster/tests/datagrams.rs
@@ -6,9 +6,9 @@
 use std::rc::Rc;
 
 use pinefront_cluster::datagram::{Datagram, Incarnation, Key, open, seal};
-use pinefront_cluster::leases::messages::LeaseMessage;
+
+use pinefront_cluster::leases::messages::{GrantStatus, LeaseMessage, TermNumber};
 use pinefront_cluster::leases::term::{LeaseId, Term};
-use pinefront_cluster::leases::voter::GrantStatus;
 use pinefront_cluster::leases::{Lease, LeaseConfig};
 use pinefront_cluster::messages::{MemberRecord, MemberState, Message};
 use pinefront_cluster::shared_list::{ListMessage, ListRequest};
@@ -21,7 +21,7 @@
 };
 const TERM: Term = Term {
     number: 1_700_000_000_789,
-    incarnation: 0x0123_4567_89ab_cdef,
+    incarnation_id: 0x0123_4567_89ab_cdef,
 };
 
 fn recorded(name: &str) -> PathBuf {
@@ -62,11 +62,11 @@
     }
 }
 
-fn told(left: u32) -> GrantStatus {
+fn status(available_in_us: u32) -> GrantStatus {
     GrantStatus {
         lease: LeaseId::of("roster/a"),
-        term: (left > 0).then_some(TERM),
-        left,
+        term: (available_in_us > 0).then_some(TERM),
+        available_in_us,
     }
 }
 
@@ -112,7 +112,16 @@
 fn lease_messages() -> Vec<(&'static str, LeaseMessage)> {
     let lease = LeaseId::of("roster/a");
     let other = LeaseId::of("scout/3");
-    let terms = vec![(lease, TERM.number), (other, 5)];
+    let terms = vec![
+        TermNumber {
+            lease,
+            number: TERM.number,
+        },
+        TermNumber {
+            lease: other,
+            number: 5,
+        },
+    ];
     vec![
         (
             "duty: ask",
@@ -126,7 +135,7 @@
             "duty: told",
             LeaseMessage::QueryReply {
                 round: 9,
-                told: vec![told(0), told(1_400_000)],
+                statuses: vec![status(0), status(1_400_000)],
             },
         ),
         (
@@ -143,7 +152,7 @@
             LeaseMessage::BidReply {
                 round: 10,
                 granted: terms.clone(),
-                refused: vec![told(3)],
+                refused: vec![status(3)],
             },
         ),
         ("duty: release", LeaseMessage::Release { terms }),
@@ -290,7 +299,7 @@
 #[test]
 fn three_members_send_the_recorded_datagrams() {
     let address = |n: usize| SocketAddr::from(([127, 0, 0, 1], 7400 + n as u16));
-    let terms = LeaseConfig {
+    let lease_config = LeaseConfig {
         voters: vec!["b0".into(), "b1".into(), "b2".into()],
         duration: 1_500_000,
     };
@@ -312,7 +321,7 @@
             confirmed_dead: Default::default(),
         };
         let mut member = Cluster::new(config, Key::new(KEY).unwrap(), 40 + n as u64, now);
-        member.configure_leases(now, terms.clone(), leases.clone());
+        member.configure_leases(now, lease_config.clone(), leases.clone());
         member
     };
     let mut members = vec![start(0, 1_000_000), start(1, 1_000_000)];
--- a/crates/proxy/src/fleet/carrier.rs
+++ b/crates/proxy/src/fleet/carrier.rs
@@ -31,16 +31,27 @@
     now.tv_sec as Micros * 1_000_000 + now.tv_nsec as Micros / 1_000
 }
 
-/// How one duty stands as far as this process knows.
+/// A lease that this process holds.
+pub struct HeldStatus {
+    /// The term under which it is held.
+    pub term: Term,
+    /// How long it has been held.
+    pub held_for: Micros,
+    /// How long it may still be acted on.
+    pub remaining: Micros,
+}
+
+/// The state of a lease as far as this process knows.
 pub struct LeaseStatus {
-    /// Its term here, for how long it has been held and how long it may be acted on, in microseconds.
-    pub held: Option<(Term, Micros, Micros)>,
-    pub known: Option<Term>,
+    /// Where this process holds it.
+    pub held: Option<HeldStatus>,
+    /// The greatest known term.
+    pub known_term: Option<Term>,
 }
 
 /// A term as others may compare it: it rises with each turn, as text too.
 pub fn format_term(term: Term) -> String {
-    format!("{:016x}-{:016x}", term.number, term.incarnation)
+    format!("{:016x}-{:016x}", term.number, term.incarnation_id)
 }
 
 /// This balancer's part in its fleet.
@@ -78,7 +89,7 @@
         if let Some((lease_config, leases)) = &terms.leases {
             cluster.configure_leases(now(), lease_config.clone(), leases.clone());
         }
-        info!(log, "in the fleet"; "fleet" => &terms.part.fleet, "member" => &terms.part.name,
+        info!(log, "joined the fleet"; "fleet" => &terms.part.fleet, "member" => &terms.part.name,
             "address" => %terms.part.address, "seeds" => terms.part.seeds.len());
         let shared_lists = SharedLists::new(terms.shared_lists.clone(), &terms.part.zone);
         let fleet = Rc::new(RefCell::new(Self {
@@ -243,10 +254,14 @@
     pub fn lease(&self, name: &str) -> Option<LeaseStatus> {
         let (leases, at) = (self.cluster.leases()?, now());
         let lease = leases.tracked().find(|lease| *lease.name == *name)?;
-        let held = leases.held(at).find(|held| held.0.id == lease.id);
+        let held = leases.held(at).find(|held| held.lease.id == lease.id);
         Some(LeaseStatus {
-            held: held.map(|(_, term, from, until)| (term, at - from.min(at), until - at)),
-            known: leases.known(lease.id),
+            held: held.map(|held| HeldStatus {
+                term: held.term,
+                held_for: at.saturating_sub(held.since),
+                remaining: held.until - at,
+            }),
+            known_term: leases.known_term(lease.id),
         })
     }
 
@@ -254,7 +269,7 @@
         let log = &self.log;
         match event {
             LeaseEvent::Acquired { lease, term, .. } => {
-                info!(log, "duty taken"; "duty" => &**lease, "term" => format_term(*term), "at_us" => now());
+                info!(log, "lease acquired"; "lease" => &**lease, "term" => format_term(*term), "at_us" => now());
             }
             LeaseEvent::Lost {
                 lease,
@@ -262,13 +277,15 @@
                 until,
                 reason,
             } => {
-                info!(log, "duty lost"; "duty" => &**lease, "term" => format_term(*term),
-                    "until_us" => until, "why" => reason.word());
+                info!(log, "lease lost"; "lease" => &**lease, "term" => format_term(*term),
+                    "until_us" => until, "reason" => reason.code());
+            }
+            LeaseEvent::QuorumLost => {
+                warn!(log, "no majority of voters answers, leases are suspended")
             }
-            LeaseEvent::QuorumLost => warn!(log, "no majority of voters answers, duties rest"),
             LeaseEvent::QuorumRestored => info!(log, "a majority of voters answers"),
             LeaseEvent::VotersDiffer(name) => {
-                warn!(log, "a member has other voters in its file"; "member" => &**name);
+                warn!(log, "member has other voters in its file"; "member" => &**name);
             }
             // Not worth a line: what they bring shows where it is taken.
             LeaseEvent::CommandReceived { .. } | LeaseEvent::NoteReceived { .. } => {}
@@ -282,26 +299,26 @@
             self.cluster.table.count_may_serve() + 1,
         );
         let member = |word: &'static str, name: &Rc<str>| {
-            info!(log, "{}", word; "member" => &**name, "present" => counts.0, "may_serve" => counts.1);
+            info!(log, "{}", word; "member" => &**name, "alive" => counts.0, "may_serve" => counts.1);
         };
         match event {
             MembershipEvent::Joined(name) => member("member joined", name),
-            MembershipEvent::Suspected(name) => member("member doubted", name),
-            MembershipEvent::Recovered(name) => member("member returned", name),
-            MembershipEvent::Dead(name) => member("member gone, may still serve", name),
+            MembershipEvent::Suspected(name) => member("member suspected", name),
+            MembershipEvent::Recovered(name) => member("member recovered", name),
+            MembershipEvent::Dead(name) => member("member dead, may still serve", name),
             MembershipEvent::Left(name) => member("member left", name),
-            MembershipEvent::Refuted => info!(log, "others doubted us, and were told otherwise"),
+            MembershipEvent::Refuted => info!(log, "refuted a suspicion of this member"),
             MembershipEvent::Paused(lasted) => {
-                warn!(log, "was not run, doubts nobody until heard"; "ms" => lasted / 1_000)
+                warn!(log, "process was paused, suspects nobody until reachable"; "paused_ms" => lasted / 1_000)
             }
-            MembershipEvent::Reconnected => info!(log, "heard again"),
+            MembershipEvent::Reconnected => info!(log, "reachable again"),
             MembershipEvent::NameConflict => {
-                warn!(log, "another process bears our name"; "member" => &self.terms.part.name);
+                warn!(log, "another process uses this member's name"; "member" => &self.terms.part.name);
             }
             MembershipEvent::ConfirmedDeadAlive(name) => {
-                warn!(log, "struck and heard all the same, counts again"; "member" => &**name);
+                warn!(log, "member confirmed dead is alive, counted again"; "member" => &**name);
             }
-            MembershipEvent::TableFull => warn!(log, "no room for a further member"),
+            MembershipEvent::TableFull => warn!(log, "member table is full"),
         }
     }
 }
--- a/crates/proxy/src/fleet/page.rs
+++ b/crates/proxy/src/fleet/page.rs
@@ -60,19 +60,23 @@
         };
         let one = |name: &str| {
             let state = self.lease(name)?;
-            let term = state.held.map(|held| held.0).or(state.known);
+            let term = state
+                .held
+                .as_ref()
+                .map(|held| held.term)
+                .or(state.known_term);
             Some(json!({
                 "name": name, "held": state.held.is_some(), "term": term.map(format_term),
-                "held_for_ms": state.held.map(|held| held.1 / 1_000),
-                "left_ms": state.held.map(|held| held.2 / 1_000),
-                "last_holder": term.and_then(|term| holder(term.incarnation)),
+                "held_for_ms": state.held.as_ref().map(|held| held.held_for / 1_000),
+                "left_ms": state.held.as_ref().map(|held| held.remaining / 1_000),
+                "last_holder": term.and_then(|term| holder(term.incarnation_id)),
             }))
         };
         json!({
             "voters": terms.voters.iter().map(|voter| &**voter).collect::<Vec<_>>(),
-            "lease_ms": terms.duration / 1_000, "majority": leases.has_majority(),
+            "lease_ms": terms.duration / 1_000, "majority": leases.has_quorum(),
             "roster": self.shared_list_page(),
-            "silent_voter": leases.is_silent_voter(now()), "old_acts_refused": leases.old_commands_refused,
+            "silent_voter": leases.is_silent_voter(now()), "old_acts_refused": leases.stale_commands(),
             "all": leases.tracked().filter_map(|lease| one(&lease.name)).collect::<Vec<_>>(),
         })
     }
@@ -91,11 +95,11 @@
         let Some(state) = self.lease(name) else {
             return (404, "no such duty\n".into());
         };
-        let page = match state.held {
-            Some((term, _, left)) => {
-                json!({"duty": name, "held": true, "term": format_term(term), "left_ms": left / 1_000})
+        let page = match &state.held {
+            Some(held) => {
+                json!({"duty": name, "held": true, "term": format_term(held.term), "left_ms": held.remaining / 1_000})
             }
-            None => json!({"duty": name, "held": false, "term": state.known.map(format_term)}),
+            None => json!({"duty": name, "held": false, "term": state.known_term.map(format_term)}),
         };
         (
             if state.held.is_some() { 200 } else { 409 },
--- a/crates/testbed/src/cluster/simulation.rs
+++ b/crates/testbed/src/cluster/simulation.rs
@@ -380,8 +380,12 @@
         for event in events {
             match event {
                 LeaseEvent::Acquired { lease, term, .. } => {
-                    self.lease_history
-                        .begins(now, member, &lease, (term.number, term.incarnation));
+                    self.lease_history.begins(
+                        now,
+                        member,
+                        &lease,
+                        (term.number, term.incarnation_id),
+                    );
                 }
                 LeaseEvent::Lost {
                     lease,
@@ -399,7 +403,7 @@
                         until,
                         member,
                         &lease,
-                        (term.number, term.incarnation),
+                        (term.number, term.incarnation_id),
                         how,
                     );
                 }
@@ -407,7 +411,7 @@
                     self.lease_history.acted(
                         id,
                         &format!("{lease:?}"),
-                        (term.number, term.incarnation),
+                        (term.number, term.incarnation_id),
                     );
                 }
                 _ => {}
@@ -419,13 +423,14 @@
     fn end_duties(&mut self) {
         for (member, process) in self.processes.iter().enumerate() {
             let leases = process.cluster.as_ref().and_then(Cluster::leases);
-            for (lease, term, until) in leases.into_iter().flat_map(|leases| leases.open()) {
+            for held in leases.into_iter().flat_map(|leases| leases.unreported()) {
+                let (lease, term, until) = (held.lease, held.term, held.until);
                 let until = process.global(until);
                 self.lease_history.ends(
                     until,
                     member,
                     &lease.name,
-                    (term.number, term.incarnation),
+                    (term.number, term.incarnation_id),
                     "open",
                 );
             }
--- a/crates/testbed/src/explore.rs
+++ b/crates/testbed/src/explore.rs
@@ -12,7 +12,7 @@
 use pinefront_cluster::leases::messages::LeaseMessage;
 use pinefront_cluster::leases::term::Term;
 use pinefront_cluster::leases::{
-    InjectedFault, Lease, LeaseConfig, LeaseEvent, Leases, MAX_LEASE_US,
+    AddressedMessage, InjectedFault, Lease, LeaseConfig, LeaseEvent, Leases, MAX_LEASE_US,
 };
 use pinefront_model::Micros;
 use pinefront_model::chance::Chance;
@@ -114,14 +114,14 @@
     let at = now * rate / 1_000;
     // A time of day that all agree on to the millisecond: terms then never fall, whoever forgets.
     let wall = 1_000_000 + now / 1_000 - at / 1_000;
-    let mut leases = Leases::injected_fault(
+    let mut leases = Leases::new(
         at,
         terms,
         Rc::clone(&name),
         incarnations(number, incarnation),
         wall,
-        wish.injected_fault,
-    );
+    )
+    .with_fault(at, wish.injected_fault);
     if number >= VOTERS {
         leases.track(at, vec![Lease::new(DUTY, None)]);
     }
@@ -177,7 +177,7 @@
     fn moves(&self) -> Vec<Move> {
         let mut moves = Vec::new();
         for (number, node) in self.nodes.iter().enumerate().skip(VOTERS) {
-            if node.leases.next_due() <= local(node, self.now) {
+            if node.leases.next_timer() <= local(node, self.now) {
                 moves.push(Move::Run(number));
             }
         }
@@ -193,8 +193,8 @@
         moves.extend(STEPS.map(Move::Wait));
         for node in &self.nodes[VOTERS..] {
             // To just before a lease runs out by its holder's clock.
-            for (.., until) in node.leases.open() {
-                let at = (until * 1_000 / node.rate).saturating_sub(BEFORE);
+            for held in node.leases.unreported() {
+                let at = (held.until * 1_000 / node.rate).saturating_sub(BEFORE);
                 if at > self.now {
                     moves.push(Move::Wait(at - self.now));
                 }
@@ -221,7 +221,7 @@
             Move::Run(number) => {
                 let node = &mut self.nodes[number];
                 let at = local(node, now);
-                node.leases.due(at, &present, true);
+                node.leases.run_timers(at, &present, true);
                 return self.after(number);
             }
             Move::Deliver(place, stays) => {
@@ -277,7 +277,7 @@
             self.nodes[number].leases.take_messages(),
             self.nodes[number].leases.take_events(),
         );
-        for (to, message) in messages {
+        for AddressedMessage { to, message } in messages {
             if let Some(to) = self.nodes.iter().position(|node| node.name == to) {
                 self.messages
                     .push((number, to, incarnation, false, message));
--- a/crates/testbed/src/fleet/leases.rs
+++ b/crates/testbed/src/fleet/leases.rs
@@ -54,7 +54,7 @@
 impl DutyLines {
     /// Keeps a line of a balancer's log if it is about a duty.
     pub fn take(&self, number: usize, line: &str) {
-        let of_duty = line.contains(" duty taken ") || line.contains(" duty lost ");
+        let of_duty = line.contains(" lease acquired ") || line.contains(" lease lost ");
         let mut lines = locked(&self.0);
         if of_duty && lines.len() < LINES_MOST {
             lines.push((number, line.to_owned()));
@@ -75,16 +75,16 @@
         let mut ended: Vec<(usize, String, LeaseTerm, Micros, &'static str)> = Vec::new();
         let mut deaths = Vec::new();
         for (number, line) in &lines {
-            let (lease, term) = (text(line, "duty"), text(line, "term").and_then(turn));
+            let (lease, term) = (text(line, "lease"), text(line, "term").and_then(turn));
             match (lease, term, field(line, "at_us"), field(line, "until_us")) {
                 (Some(lease), Some(turn), Some(at), None) => {
                     lease_history.begins(at, *number, lease, turn)
                 }
                 (Some(lease), Some(turn), None, Some(until)) => {
-                    let how = match text(line, "why") {
-                        Some("let_go") => "let go",
-                        Some("pauses") => "pauses",
-                        Some("later") => "later term",
+                    let how = match text(line, "reason") {
+                        Some("released") => "let go",
+                        Some("process_paused") => "pauses",
+                        Some("superseded") => "later term",
                         _ => "ran out",
                     };
                     ended.push((*number, lease.to_owned(), turn, until, how));
@@ -146,24 +146,24 @@
         let lines = DutyLines::default();
         lines.take(
             0,
-            "INFO duty taken duty=a term=0000000000000005-00000000000000aa at_us=1000",
+            "INFO lease acquired lease=a term=0000000000000005-00000000000000aa at_us=1000",
         );
         lines.take(
             1,
-            "INFO duty taken duty=a term=0000000000000006-00000000000000bb at_us=9000",
+            "INFO lease acquired lease=a term=0000000000000006-00000000000000bb at_us=9000",
         );
         lines.take(0, "INFO member joined member=b2");
         // Said late by one that was stopped: it lost it long before.
         lines.take(
             0,
-            "INFO duty lost duty=a term=0000000000000005-00000000000000aa until_us=8000 why=ran_out",
+            "INFO lease lost lease=a term=0000000000000005-00000000000000aa until_us=8000 reason=expired",
         );
         let found = lines.found(20_000, 0);
         assert_eq!((found.overlaps, found.changes, found.vacant), (0, 1, 0));
         assert_eq!(found.without_holder_by["ran out"], [1.0]);
         lines.take(
             2,
-            "INFO duty taken duty=a term=0000000000000007-00000000000000cc at_us=9500",
+            "INFO lease acquired lease=a term=0000000000000007-00000000000000cc at_us=9500",
         );
         assert_eq!(lines.found(20_000, 0).overlaps, 1);
     }
