--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -45,7 +45,7 @@
 }
 
 /// Load of an endpoint as it reports it.
-#[derive(Clone, Copy, Debug, Default)]
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Busy fraction of its capacity.
     pub utilisation: Option<f64>,
--- a/crates/proxy/src/connections/endpoint/tests.rs
+++ b/crates/proxy/src/connections/endpoint/tests.rs
@@ -4,8 +4,11 @@
 use pinefront_policy::Host;
 use rstest::rstest;
 
+use std::io::ErrorKind;
+
 use super::*;
-use crate::close_reason;
+use crate::close_reason::CloseReason;
+use crate::connections::endpoint_pool::{REUSE_DELAY_US, is_remote_failure};
 use crate::state::buffers::WriteBuffer;
 use crate::state::proxy::ProxyHost;
 use crate::test_harness::{TestHarness, entry, listener, message, say};
@@ -95,7 +98,12 @@
     assert_eq!(
         (
             state.endpoint_connections.len(),
-            state.endpoints[state.endpoint_by_id["s1"]].idle.len()
+            state
+                .endpoints
+                .get(state.endpoints.key_of("s1").unwrap())
+                .unwrap()
+                .idle
+                .len()
         ),
         (idle, idle)
     );
@@ -125,7 +133,7 @@
     drop(harness.endpoint("s1"));
     let (_client, request) = harness.start_attempt("t1", "s1", LONG);
     assert_eq!(endings(&harness), "");
-    assert!(harness.proxy.state.borrow().requests.contains_key(request));
+    assert!(harness.proxy.state.borrow().requests.get(request).is_some());
     assert_eq!(ended(&mut harness), "unreachable 1");
 }
 
@@ -300,7 +308,12 @@
     }
     let find = |harness: &TestHarness, id: &str| {
         let state = harness.proxy.state.borrow();
-        state.requests[state.request_by_id[id]].attempts[0].unwrap()
+        state
+            .requests
+            .get(state.requests.key_of(id).unwrap())
+            .unwrap()
+            .attempts[0]
+            .unwrap()
     };
     let (idle, key) = (find(&harness, "t1"), find(&harness, "t2"));
     {
@@ -325,7 +338,7 @@
     #[case] kind: ErrorKind,
     #[case] expected: bool,
 ) {
-    assert_eq!(theirs(&kind.into()), expected);
+    assert_eq!(is_remote_failure(&kind.into()), expected);
 }
 
 #[rstest]
@@ -359,8 +372,8 @@
     {
         let mut state = harness.proxy.state.borrow_mut();
         let told = state.now() - 400_000;
-        let key = state.endpoint_by_id["s1"];
-        state.endpoints[key].draining_since = Some(told);
+        let key = state.endpoints.key_of("s1").unwrap();
+        state.endpoints.get_mut(key).unwrap().draining_since = Some(told);
     }
     assert_eq!(ended(&mut harness), "unreachable 1");
     let connection = harness.accepted(&endpoint);
@@ -381,7 +394,7 @@
     assert_eq!(
         (
             state.endpoint_connections.len(),
-            state.requests[request].attempts.len()
+            state.requests.get(request).unwrap().attempts.len()
         ),
         (0, 1)
     );
@@ -428,7 +441,7 @@
 
 #[rstest]
 #[case::at_once(0, 2)]
-#[case::rested(REST, 1)]
+#[case::rested(REUSE_DELAY_US, 1)]
 fn a_connection_rests_after_an_answer(#[case] since: Micros, #[case] endpoint_connections: usize) {
     let mut harness = TestHarness::new();
     let endpoint = harness.endpoint("s1");
@@ -445,11 +458,11 @@
         let key = state.endpoint_connections.keys().next().unwrap();
         // However slow a test is, the answer came just now.
         state.endpoint_connections[key].answered = if since == 0 {
-            Micros::MAX - REST
+            Micros::MAX - REUSE_DELAY_US
         } else {
             state.now() - since
         };
-        let endpoint = state.endpoint_by_id["s1"];
+        let endpoint = state.endpoints.key_of("s1").unwrap();
         state.connection_to(endpoint).unwrap();
     }
     assert_eq!(
@@ -466,13 +479,20 @@
     let _endpoint = harness.endpoint("s1");
     let (_client, request) = harness.start_attempt("t1", "s1", LONG);
     if !waits {
-        harness.proxy.state.borrow_mut().requests[request].client = None;
+        harness
+            .proxy
+            .state
+            .borrow_mut()
+            .requests
+            .get_mut(request)
+            .unwrap()
+            .client = None;
     }
     ProxyHost(harness.proxy.state.clone()).cancel_attempt("t1", 0);
     let hung = harness.proxy.state.borrow().counters.attempts_cancelled == 0;
     assert_eq!((hung, ended(&mut harness).as_str()), (true, heard));
     assert_eq!(
-        harness.proxy.state.borrow().requests.contains_key(request),
+        harness.proxy.state.borrow().requests.get(request).is_some(),
         waits
     );
 }
@@ -563,7 +583,7 @@
 #[rstest]
 #[case::client_disconnected(|harness: &mut TestHarness| {
     let key = harness.proxy.state.borrow().clients.keys().next().unwrap();
-    harness.proxy.client_disconnected(key, close_reason::CLIENT_CLOSED);
+    harness.proxy.client_disconnected(key, CloseReason::ClientClosed);
 })]
 #[case::answered(|harness: &mut TestHarness| ProxyHost(harness.proxy.state.clone()).fail("t1"))]
 #[case::time_over(|harness: &mut TestHarness| {
@@ -714,8 +734,15 @@
     harness.until(|proxy| (proxy.state.borrow().counters.attempts_failed == 2).then_some(()));
     assert!(harness.proxy.state.borrow().endpoint_connections.is_empty());
     // Not for ever.
-    let key = harness.proxy.state.borrow().endpoint_by_id["s1"];
-    harness.proxy.state.borrow_mut().endpoints[key].single_use_until = 0;
+    let key = harness.proxy.state.borrow().endpoints.key_of("s1").unwrap();
+    harness
+        .proxy
+        .state
+        .borrow_mut()
+        .endpoints
+        .get_mut(key)
+        .unwrap()
+        .single_use_until = 0;
     let _client = harness.start_attempt("t2", "s1", LONG);
     let connection = harness.accepted(&endpoint);
     harness.heard(&connection, "body");
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -8,8 +8,8 @@
 use serde_json::Value;
 use slog::{info, warn};
 
-use crate::close_reason;
-use crate::connections::http_message::{self, FIELDS_MOST, HEAD_MOST};
+use crate::close_reason::CloseReason;
+use crate::connections::http_message::{self, MAX_FIELDS, MAX_HEAD_BYTES};
 use crate::discovery::partial::PartialList;
 use crate::discovery::schedule::{
     Action, ConnectionId, Failure, ListSummary, Query, ScheduleSettings,
@@ -196,7 +196,7 @@
     fn closed_between_calls(&mut self, id: ConnectionId) {
         let mut state = self.state.borrow_mut();
         let (now, settings) = (state.now(), state.discovery_settings());
-        state.end_discovery(id, close_reason::DISCOVERY_CLOSED);
+        state.end_discovery(id, CloseReason::DiscoveryClosed);
         state
             .discovery
             .schedule
@@ -216,7 +216,7 @@
         }
         self.state
             .borrow_mut()
-            .end_discovery(id, close_reason::DISCOVERY_REPLACED);
+            .end_discovery(id, CloseReason::DiscoveryReplaced);
     }
 
     fn take_last_list(&mut self, list: &Value) {
@@ -485,11 +485,11 @@
             .discovery
             .connection(id)
             .map_or(0, |connection| connection.read_buffer.bytes().len());
-        info!(self.log, "endpoint list poll failed"; "reason" => reason_of(failure), "call" => id.0,
+        info!(self.log, "endpoint list poll failed"; "reason" => reason_of(failure).code(), "call" => id.0,
             "waited_ms" => waited / 1000, "replaced" => was_replaced, "bytes" => bytes);
     }
 
-    fn end_discovery(&mut self, id: ConnectionId, reason: &'static str) {
+    fn end_discovery(&mut self, id: ConnectionId, reason: CloseReason) {
         let connections = &mut self.discovery.connections;
         let Some(position) = connections
             .iter()
@@ -499,11 +499,11 @@
         };
         let connection = connections.swap_remove(position);
         self.handle.remove(connection.socket.token);
-        info!(self.log, "discovery connection closed"; "reason" => reason, "call" => id.0);
+        info!(self.log, "discovery connection closed"; "reason" => reason.code(), "call" => id.0);
     }
 
     /// All connections to discovery end.
-    pub fn end_all_discovery(&mut self, reason: &'static str) {
+    pub fn end_all_discovery(&mut self, reason: CloseReason) {
         while let Some(id) = self
             .discovery
             .connections
@@ -515,13 +515,13 @@
     }
 }
 
-fn reason_of(failure: Failure) -> &'static str {
+fn reason_of(failure: Failure) -> CloseReason {
     match failure {
-        Failure::Refused { .. } => close_reason::DISCOVERY_ERROR,
-        Failure::Unreached => close_reason::CONNECT_FAILED,
-        Failure::Ended => close_reason::DISCOVERY_CONNECTION_LOST,
-        Failure::Cut => close_reason::DISCOVERY_TRUNCATED,
-        Failure::Malformed => close_reason::MALFORMED_MESSAGE,
+        Failure::Refused { .. } => CloseReason::DiscoveryError,
+        Failure::Unreached => CloseReason::ConnectFailed,
+        Failure::Ended => CloseReason::DiscoveryConnectionLost,
+        Failure::Cut => CloseReason::DiscoveryTruncated,
+        Failure::Malformed => CloseReason::MalformedMessage,
     }
 }
 
@@ -529,11 +529,11 @@
 
 /// The body of a whole answer, its end, and whether the connection lasts; nothing while part is missing.
 fn whole_list(kept: &[u8], ended: bool) -> Result<Option<Whole>, Failure> {
-    let mut fields = [httparse::EMPTY_HEADER; FIELDS_MOST];
+    let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut response = Response::new(&mut fields);
     let head = match response.parse(kept) {
         Ok(Status::Complete(head)) => head,
-        Ok(Status::Partial) if kept.len() < HEAD_MOST => return Ok(None),
+        Ok(Status::Partial) if kept.len() < MAX_HEAD_BYTES => return Ok(None),
         _ => return Err(Failure::Malformed),
     };
     if response.code != Some(200) {
@@ -544,7 +544,10 @@
     let framing = http_message::framing(response.headers).map_err(|_| Failure::Malformed)?;
     let lasts = http_message::is_keep_alive(&response, framing);
     match http_message::body(kept, head, framing, ended, LIST_MOST) {
-        http_message::Body::Complete(ranges, end) => Ok(Some((ranges, end, lasts))),
+        http_message::Body::Complete {
+            slices: ranges,
+            end,
+        } => Ok(Some((ranges, end, lasts))),
         http_message::Body::Partial if kept.len() < LIST_MOST => Ok(None),
         _ => Err(Failure::Malformed),
     }
@@ -560,7 +563,7 @@
 
 /// What is here of the body of an answer that tells a list.
 fn body_so_far(kept: &[u8]) -> Option<Vec<u8>> {
-    let mut fields = [httparse::EMPTY_HEADER; FIELDS_MOST];
+    let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut response = Response::new(&mut fields);
     let Ok(Status::Complete(head)) = response.parse(kept) else {
         return None;
--- a/crates/proxy/src/lifecycle/shutdown.rs
+++ b/crates/proxy/src/lifecycle/shutdown.rs
@@ -4,7 +4,7 @@
 use pinefront_policy::Micros;
 use slog::info;
 
-use crate::close_reason;
+use crate::close_reason::CloseReason;
 use crate::state::client_connection::ClientConnection;
 use crate::state::proxy::{Proxy, ProxyState};
 use crate::state::timers::TimerEvent;
@@ -74,10 +74,7 @@
                 || !client.read_buffer.bytes().is_empty()
         };
         let waiting = state.clients.values().any(waits);
-        let unanswered = state
-            .requests
-            .values()
-            .any(|request| request.client.is_some());
+        let unanswered = state.requests.is_any_awaited();
         let done = since >= SERVE_ON && !waiting && state.listener.is_none();
         if done || (since >= GIVE_UP && !unanswered) {
             info!(state.log, "shutdown complete"; "in_flight" => state.requests.len());
@@ -104,11 +101,11 @@
         let clients: Vec<_> = self.clients.keys().collect();
         clients
             .into_iter()
-            .for_each(|key| self.close_client(key, close_reason::SHUTDOWN));
+            .for_each(|key| self.close_client(key, CloseReason::Shutdown));
         let endpoint_connections: Vec<_> = self.endpoint_connections.keys().collect();
         endpoint_connections
             .into_iter()
-            .for_each(|key| self.close_endpoint_connection(key, close_reason::SHUTDOWN));
-        self.end_all_discovery(close_reason::SHUTDOWN);
+            .for_each(|key| self.close_endpoint_connection(key, CloseReason::Shutdown));
+        self.end_all_discovery(CloseReason::Shutdown);
     }
 }
