--- a/crates/policy/src/attempt_outcome.rs
+++ b/crates/policy/src/attempt_outcome.rs
@@ -23,6 +23,7 @@
 
 impl AttemptOutcome {
     /// Whether the request is known not to have run at the endpoint.
+    #[must_use]
     pub fn proves_not_run(self) -> bool {
         matches!(self, Self::Rejected | Self::Unreachable | Self::NotSent)
     }
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -172,9 +172,10 @@
                 within_quota,
             )
         };
-        match self.admits(now, &request) {
-            true => self.enter_key_queue(now, request),
-            false => self.reject_or_fail(now, request),
+        if self.admits(now, &request) {
+            self.enter_key_queue(now, request);
+        } else {
+            self.reject_or_fail(now, request);
         }
     }
 
--- a/crates/policy/src/decisions/admission.rs
+++ b/crates/policy/src/decisions/admission.rs
@@ -11,9 +11,10 @@
     /// group.
     pub(crate) fn admits(&mut self, now: Micros, request: &Request) -> bool {
         self.admission.update(now, &self.fleet.pressure);
-        let endpoints = match self.settings.polls_loads() {
-            true => usize::MAX,
-            false => self.subset.preference_order.len(),
+        let endpoints = if self.settings.polls_loads() {
+            usize::MAX
+        } else {
+            self.subset.preference_order.len()
         };
         let endpoints_per_balancer = endpoints as f64 / self.settings.balancers as f64;
         let probability = self
--- a/crates/policy/src/decisions/features.rs
+++ b/crates/policy/src/decisions/features.rs
@@ -65,20 +65,18 @@
     fn loads(&self, now: Micros, candidates: &[usize], freshness: &[f64]) -> Vec<f64> {
         let lost_before = self.lost_before(now);
         let sharing_balancers = self.subset_size().sharing_balancers;
+        let polls_loads = self.settings.polls_loads();
         let load = |(i, &index): (usize, &usize)| {
             let endpoint = &self.endpoints[index];
-            match endpoint
-                .reported_in_flight
-                .filter(|_| self.settings.polls_loads())
+            if let Some(in_flight) = endpoint.reported_in_flight
+                && polls_loads
             {
-                Some(in_flight) => Some(IDLE_REPORTED_LOAD + in_flight * freshness[i]),
-                None => {
-                    let queue = endpoint.reported_queue.unwrap_or(0.0);
-                    let others = (1.0 - 1.0 / sharing_balancers) * freshness[i] * queue;
-                    let own = endpoint.in_flight_since(lost_before).work;
-                    Some(IDLE_OWN_LOAD + own + others)
-                }
+                return Some(IDLE_REPORTED_LOAD + in_flight * freshness[i]);
             }
+            let queue = endpoint.reported_queue.unwrap_or(0.0);
+            let others = (1.0 - 1.0 / sharing_balancers) * freshness[i] * queue;
+            let own = endpoint.in_flight_since(lost_before).work;
+            Some(IDLE_OWN_LOAD + own + others)
         };
         let loads: Vec<_> = candidates.iter().enumerate().map(load).collect();
         log_ratios(&loads, MAX_LOG_RATIO)
@@ -87,9 +85,10 @@
     /// The listed weight; without weights the served rate per own request in flight, the inverse of
     /// the latency.
     fn capacity_estimate(&self, endpoint: &Endpoint) -> Option<f64> {
-        match self.settings.weights_listed {
-            true => endpoint.weight.read(),
-            false => endpoint.long_term_latency.read().map(f64::recip),
+        if self.settings.weights_listed {
+            endpoint.weight.read()
+        } else {
+            endpoint.long_term_latency.read().map(f64::recip)
         }
     }
 }
--- a/crates/policy/src/decisions/load_probing.rs
+++ b/crates/policy/src/decisions/load_probing.rs
@@ -52,9 +52,10 @@
     fn loads_fresh_for(&self, now: Micros, wait: Micros) -> Micros {
         let long = WAITS_FRESH_UNDER_LOAD * wait;
         let under_load = now < self.last_unplaced_at + long;
-        match !self.settings.load_from_probes && under_load {
-            true => long,
-            false => wait,
+        if !self.settings.load_from_probes && under_load {
+            long
+        } else {
+            wait
         }
     }
 
@@ -136,9 +137,10 @@
         let priority = weight / self.settings.highest_priority_weight();
         let fraction = MIN_TIME_FRACTION + (1.0 - MIN_TIME_FRACTION) * priority;
         // A request without a work hint may be a long one; once it was sent there is less to lose.
-        let margin = match request.is_unsent() {
-            true => self.class_latency[request.class].spread_margin(),
-            false => 0.0,
+        let margin = if request.is_unsent() {
+            self.class_latency[request.class].spread_margin()
+        } else {
+            0.0
         };
         latency * in_flight * (1.0 + margin)
             <= fraction * (remaining - latency * request.work * (1.0 + margin))
--- a/crates/policy/src/decisions/queueing.rs
+++ b/crates/policy/src/decisions/queueing.rs
@@ -62,9 +62,10 @@
         let rate = self.fleet.succeeded.read(now, RECENT_US) / self.recent_span(now);
         let wait = self.queue.unsent_before(position) as f64 / rate.max(MIN_SERVICE_RATE);
         let spare = self.latest_start(request) as f64 - now as f64;
-        let fraction = match request.within_quota {
-            true => MAX_WAIT_FRACTION,
-            false => MAX_WAIT_FRACTION_BEYOND_QUOTA,
+        let fraction = if request.within_quota {
+            MAX_WAIT_FRACTION
+        } else {
+            MAX_WAIT_FRACTION_BEYOND_QUOTA
         };
         let endpoints = self.subset.preference_order.len();
         let own_capacity = endpoints >= MIN_ENDPOINTS_PER_BALANCER * self.settings.balancers;
--- a/crates/policy/src/decisions/slow_start.rs
+++ b/crates/policy/src/decisions/slow_start.rs
@@ -52,9 +52,10 @@
         let spent = endpoint.slow_start_spent;
         SlowStartBudget {
             interval,
-            spent: match spent.interval == interval {
-                true => spent.work,
-                false => 0.0,
+            spent: if spent.interval == interval {
+                spent.work
+            } else {
+                0.0
             },
             limit: (budget + rounding).floor(),
         }
@@ -80,9 +81,10 @@
     fn subset_fraction(&self, index: usize) -> f64 {
         let (size, order) = (self.subset_size().endpoints, &self.subset.preference_order);
         let in_subset = || order.iter().take(size).any(|&member| member == index);
-        match self.settings.polls_loads() || in_subset() {
-            true => 1.0,
-            false => size as f64 / order.len().max(1) as f64,
+        if self.settings.polls_loads() || in_subset() {
+            1.0
+        } else {
+            size as f64 / order.len().max(1) as f64
         }
     }
 }
--- a/crates/policy/src/scoring/learning.rs
+++ b/crates/policy/src/scoring/learning.rs
@@ -110,9 +110,10 @@
     for (candidate, row) in sample.rows.iter().enumerate() {
         let score = scores[candidate];
         let (priority, derivative) = (softplus(score), 1.0 / (1.0 + (-score).exp()));
-        let share = match unselectable(candidate) {
-            true => 1.0 / selectable as f64,
-            false => 0.0,
+        let share = if unselectable(candidate) {
+            1.0 / selectable as f64
+        } else {
+            0.0
         };
         let own = if candidate == sample.selected {
             1.0
--- a/crates/policy/src/state/admission.rs
+++ b/crates/policy/src/state/admission.rs
@@ -49,9 +49,10 @@
     pub(crate) fn probability(&self, endpoints_per_balancer: f64, within_quota: bool) -> f64 {
         let shed = (1.0 - self.admitted_share) / (1.0 + endpoints_per_balancer.powi(4));
         let admitted = 1.0 - shed;
-        match within_quota {
-            true => admitted,
-            false => 2.0 * admitted - 1.0,
+        if within_quota {
+            admitted
+        } else {
+            2.0 * admitted - 1.0
         }
     }
 
--- a/crates/policy/src/state/class_latency.rs
+++ b/crates/policy/src/state/class_latency.rs
@@ -70,9 +70,10 @@
     /// first response, or a new balancer would never send and never learn.
     pub(crate) fn spread_margin(&self) -> f64 {
         let unhinted = self.work_hint.read().is_none() && self.long_term.read().is_some();
-        match unhinted {
-            true => self.relative_spread().min(MAX_SPREAD_MARGIN),
-            false => 0.0,
+        if unhinted {
+            self.relative_spread().min(MAX_SPREAD_MARGIN)
+        } else {
+            0.0
         }
     }
 }
@@ -80,9 +81,10 @@
 /// Moves the shortest latency towards the present average.
 pub(crate) fn follow_shortest(shortest: &mut Option<f64>, average: f64) {
     let shortest = shortest.get_or_insert(average);
-    let rate = match average < *shortest {
-        true => SHORTEST_FALL_RATE,
-        false => SHORTEST_RISE_RATE,
+    let rate = if average < *shortest {
+        SHORTEST_FALL_RATE
+    } else {
+        SHORTEST_RISE_RATE
     };
     *shortest += rate * (average - *shortest);
 }
--- a/crates/policy/src/state/endpoint.rs
+++ b/crates/policy/src/state/endpoint.rs
@@ -70,9 +70,10 @@
 impl Endpoint {
     /// Records that the list no longer names the endpoint.
     pub(crate) fn unlist(&mut self, now: Micros, stays_usable: bool) {
-        match stays_usable {
-            true => _ = self.unlisted_since.get_or_insert(now),
-            false => self.ready = false,
+        if stays_usable {
+            self.unlisted_since.get_or_insert(now);
+        } else {
+            self.ready = false;
         }
     }
 
--- a/crates/policy/src/state/idle_drops.rs
+++ b/crates/policy/src/state/idle_drops.rs
@@ -39,9 +39,10 @@
 
     /// Assumes for a while that connections idle for that long are dropped.
     pub(crate) fn assume(&mut self, now: Micros, idle_for: Micros) {
-        self.idle_for = match now < self.assumed_until {
-            true => self.idle_for.min(idle_for),
-            false => idle_for,
+        self.idle_for = if now < self.assumed_until {
+            self.idle_for.min(idle_for)
+        } else {
+            idle_for
         };
         self.assumed_until = now + ASSUMED_FOR_US;
     }
--- a/crates/policy/src/state/subset.rs
+++ b/crates/policy/src/state/subset.rs
@@ -43,9 +43,10 @@
 impl Subset {
     /// The order to go by now.
     pub(crate) fn current_order(&self, now: Micros) -> &[usize] {
-        match now < self.zone_crowded_until {
-            true => &self.preference_order,
-            false => &self.zone_first_order,
+        if now < self.zone_crowded_until {
+            &self.preference_order
+        } else {
+            &self.zone_first_order
         }
     }
 
@@ -58,9 +59,10 @@
     /// The size of the subset.
     pub(crate) fn size(&self, settings: &Settings) -> SubsetSize {
         let (ready, balancers) = (self.preference_order.len(), settings.balancers);
-        let least = match settings.polls_loads() {
-            true => MIN_POLLED_SUBSET_SIZE,
-            false => MIN_SUBSET_SIZE,
+        let least = if settings.polls_loads() {
+            MIN_POLLED_SUBSET_SIZE
+        } else {
+            MIN_SUBSET_SIZE
         };
         let shares = MIN_SHARING_BALANCERS * balancers + BALANCERS_PER_EXTRA_SHARE;
         let size = (shares * ready).div_ceil(balancers * balancers);
--- a/crates/policy/src/tests/endpoint_list.rs
+++ b/crates/policy/src/tests/endpoint_list.rs
@@ -8,9 +8,10 @@
 fn nothing_is_sent_to_draining_or_removed_endpoints(#[case] complete: bool) {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 2);
     balancer.endpoint_list_begins(START_AT, complete);
-    match complete {
-        true => balancer.endpoint_listed(listed("u0", 0, 0, 0)),
-        false => balancer.endpoint_draining("u1"),
+    if complete {
+        balancer.endpoint_listed(listed("u0", 0, 0, 0));
+    } else {
+        balancer.endpoint_draining("u1");
     }
     assert!(!balancer.attempt_permitted(START_AT, &request(&[], false), 1));
     assert!(balancer.attempt_permitted(START_AT, &request(&[], false), 0));
--- a/crates/policy/src/tests/load_probing.rs
+++ b/crates/policy/src/tests/load_probing.rs
@@ -23,16 +23,15 @@
         Rc::clone(&balancer.endpoints[index].id),
         balancer.endpoints[index].gossip_id(),
     );
-    match balancer.settings.load_from_probes {
-        true => {
-            balancer.load_reported(now, &id, in_flight_report(in_flight as f64));
-            balancer.probe_completed(now, &id, true);
-        }
-        false => balancer.gossip_received(
+    if balancer.settings.load_from_probes {
+        balancer.load_reported(now, &id, in_flight_report(in_flight as f64));
+        balancer.probe_completed(now, &id, true);
+    } else {
+        balancer.gossip_received(
             now,
             balancer.ledger_owner(index),
             &format!("= {gossip_id:x} {in_flight:x}"),
-        ),
+        );
     }
 }
 
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -36,12 +36,14 @@
 
 impl FieldError {
     /// The error for a field that the object does not have.
+    #[must_use]
     pub fn missing(field: &str) -> Self {
         let field = field.to_owned();
         Self::Missing { field }
     }
 
     /// The error for a text that is none of the known values.
+    #[must_use]
     pub fn unknown(field: &str, value: &str) -> Self {
         Self::Unknown {
             field: field.to_owned(),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -95,9 +95,10 @@
         load_unreported: load_reports == LoadReports::Off,
         gossip_allowed: flag(capabilities, "peers")?,
         max_attempts: count(capabilities, "maxDispatches")?,
-        max_retry_after: match flag(capabilities, "retryAfter")? {
-            true => whole(capabilities, "maxRetryAfterUs")?,
-            false => 0,
+        max_retry_after: if flag(capabilities, "retryAfter")? {
+            whole(capabilities, "maxRetryAfterUs")?
+        } else {
+            0
         },
         key_cooldown: key_cooldown(rules)?,
         unlisted_stay_usable: flag(rules, "droppedStayOpen")?,
@@ -146,9 +147,10 @@
 
 fn key_cooldown(rules: &Value) -> Result<Micros, SettingsError> {
     let cooldown = optional(rules, "turnGapUs", Value::as_u64)?.unwrap_or(0);
-    match cooldown > MAX_KEY_COOLDOWN_US {
-        true => Err(SettingsError::KeyCooldownTooLong { cooldown }),
-        false => Ok(cooldown),
+    if cooldown > MAX_KEY_COOLDOWN_US {
+        Err(SettingsError::KeyCooldownTooLong { cooldown })
+    } else {
+        Ok(cooldown)
     }
 }
 
