--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -44,6 +44,19 @@
     pub key: Option<u64>,
 }
 
+/// The end of an attempt.
+#[derive(Clone, Copy, Debug)]
+pub struct AttemptEnd {
+    /// Position of the attempt among those of its request, counted from 0.
+    pub number: usize,
+    /// Whether the request has its answer.
+    pub is_final: bool,
+    /// How the attempt ended.
+    pub outcome: AttemptOutcome,
+    /// Duration of the attempt in microseconds.
+    pub elapsed: Micros,
+}
+
 /// Load of an endpoint as it reports it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
@@ -214,26 +227,17 @@
         }
     }
 
-    /// Attempt `number` of a request, counted from 0, ended after `elapsed` microseconds. `last`
-    /// says that the request has its answer.
-    pub fn attempt_ended(
-        &mut self,
-        now: Micros,
-        id: &str,
-        number: usize,
-        last: bool,
-        outcome: AttemptOutcome,
-        elapsed: Micros,
-    ) {
+    /// An attempt of a request ended.
+    pub fn attempt_ended(&mut self, now: Micros, id: &str, end: AttemptEnd) {
         let Some(mut request) = self.requests.remove(id) else {
-            return self.trailing_attempt_ended(now, id, outcome);
+            return self.trailing_attempt_ended(now, id, end.outcome);
         };
         request.outcome_pending = false;
         if let Some(key) = request.order_key {
-            self.key_attempt_ended(now, key, outcome);
+            self.key_attempt_ended(now, key, end.outcome);
         }
-        self.record_attempt_end(now, &mut request, number, outcome, elapsed);
-        if last {
+        self.record_attempt_end(now, &mut request, end);
+        if end.is_final {
             self.close(now, request);
         } else if request.attempt_in_flight().is_some() {
             self.requests.insert(Rc::clone(&request.id), request);
--- a/crates/policy/src/decisions/attempt_end.rs
+++ b/crates/policy/src/decisions/attempt_end.rs
@@ -1,7 +1,7 @@
 //! The end of an attempt: what its outcome says of the endpoint, the class, the fleet and the
 //! decision that chose it.
 
-use crate::balancer::Balancer;
+use crate::balancer::{AttemptEnd, Balancer};
 use crate::gossip_message::GossipMessage;
 use crate::scoring::learning::MAX_REWARD;
 use crate::state::admission::{MAX_PRESSURE, REJECTION_PRESSURE};
@@ -24,6 +24,8 @@
 
 /// An attempt that has ended.
 struct EndedAttempt {
+    /// Position among the attempts of its request.
+    number: usize,
     /// Index of the endpoint.
     endpoint: usize,
     outcome: AttemptOutcome,
@@ -57,9 +59,13 @@
             if self.settings.can_cancel {
                 self.host.cancel_attempt(&request.id, number);
             }
-            let elapsed = now.saturating_sub(request.attempts[number].sent_at);
-            let outcome = AttemptOutcome::Cancelled;
-            self.record_attempt_end(now, &mut request, number, outcome, elapsed);
+            let end = AttemptEnd {
+                number,
+                is_final: true,
+                outcome: AttemptOutcome::Cancelled,
+                elapsed: now.saturating_sub(request.attempts[number].sent_at),
+            };
+            self.record_attempt_end(now, &mut request, end);
         }
         self.release_key(now, &request);
     }
@@ -69,15 +75,20 @@
         &mut self,
         now: Micros,
         request: &mut Request,
-        number: usize,
-        outcome: AttemptOutcome,
-        elapsed: Micros,
+        end: AttemptEnd,
     ) {
+        let AttemptEnd {
+            number,
+            outcome,
+            elapsed,
+            ..
+        } = end;
         let attempt = request.attempts.get_mut(number);
         let Some(attempt) = attempt.filter(|attempt| attempt.in_flight) else {
             return;
         };
         let ended = EndedAttempt {
+            number,
             endpoint: attempt.endpoint,
             outcome,
             elapsed,
@@ -103,7 +114,7 @@
             return self.endpoints[ended.endpoint].forget_unanswered_if_idle();
         }
         self.record_pressure(now, request, &ended);
-        let reward = self.record_latency(now, request, number, &ended);
+        let reward = self.record_latency(now, request, &ended);
         let sample = request.attempts[number].sample.take();
         self.learning.record(now, sample, reward);
     }
@@ -159,13 +170,7 @@
     }
 
     /// Records the latency of an attempt for its endpoint, and returns the reward of the decision.
-    fn record_latency(
-        &mut self,
-        now: Micros,
-        request: &Request,
-        number: usize,
-        ended: &EndedAttempt,
-    ) -> f64 {
+    fn record_latency(&mut self, now: Micros, request: &Request, ended: &EndedAttempt) -> f64 {
         let latency = ended.latency;
         let fleet_latency = self.fleet.latency.read().unwrap_or(latency);
         // The classes' usual latencies put all requests on one scale.
@@ -182,7 +187,7 @@
                 normalized,
                 in_slow_start: ended.in_slow_start,
             };
-            self.record_success(now, request, number, &measured);
+            self.record_success(now, request, ended.number, &measured);
             self.record_endpoint_latency(now, request.work, ended, normalized);
             return (fleet_latency / normalized).min(MAX_REWARD);
         }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -18,7 +18,7 @@
 mod time_margin;
 
 pub use attempt_outcome::AttemptOutcome;
-pub use balancer::{Balancer, LoadReport, RequestArrival};
+pub use balancer::{AttemptEnd, Balancer, LoadReport, RequestArrival};
 pub use decisions::endpoint_list::ListedEndpoint;
 pub use host::Host;
 pub use settings::{Idempotency, IdempotencyScope, RequestClass, Settings, SlowStart};
--- a/crates/policy/src/tests.rs
+++ b/crates/policy/src/tests.rs
@@ -13,8 +13,8 @@
 use crate::state::request::{Attempt, Request};
 use crate::state::timers::QUEUE_TIMER;
 use crate::{
-    AttemptOutcome, Host, Idempotency, IdempotencyScope, ListedEndpoint, LoadReport, Micros,
-    RequestArrival, RequestClass, Settings, SlowStart,
+    AttemptEnd, AttemptOutcome, Host, Idempotency, IdempotencyScope, ListedEndpoint, LoadReport,
+    Micros, RequestArrival, RequestClass, Settings, SlowStart,
 };
 
 mod admission;
@@ -188,6 +188,20 @@
     }
 }
 
+fn attempt_end(
+    number: usize,
+    is_final: bool,
+    outcome: AttemptOutcome,
+    elapsed: Micros,
+) -> AttemptEnd {
+    AttemptEnd {
+        number,
+        is_final,
+        outcome,
+        elapsed,
+    }
+}
+
 fn in_flight_report(in_flight: f64) -> LoadReport {
     LoadReport {
         in_flight: Some(in_flight),
--- a/crates/policy/src/tests/attempt_end.rs
+++ b/crates/policy/src/tests/attempt_end.rs
@@ -14,7 +14,7 @@
         .add(START_AT, LONG_TERM_US, 100_000.0, 1.0);
     let mut sent = request(&[0], true);
     sent.attempts[0].in_flight = true;
-    balancer.record_attempt_end(START_AT, &mut sent, 0, outcome, 10);
+    balancer.record_attempt_end(START_AT, &mut sent, attempt_end(0, false, outcome, 10));
     assert!(balancer.endpoints[0].latency(START_AT).unwrap() > 100_000.0);
 }
 
@@ -27,7 +27,11 @@
         .add(START_AT, LONG_TERM_US, 100_000.0, 20.0);
     let mut sent = request(&[0], true);
     sent.attempts[0].in_flight = true;
-    balancer.record_attempt_end(START_AT, &mut sent, 0, AttemptOutcome::Succeeded, 5_000);
+    balancer.record_attempt_end(
+        START_AT,
+        &mut sent,
+        attempt_end(0, false, AttemptOutcome::Succeeded, 5_000),
+    );
     assert!(balancer.endpoints[0].shortest_latency > Some(99_000.0));
 }
 
@@ -44,9 +48,7 @@
     balancer.record_attempt_end(
         START_AT + 600 * MS,
         &mut sent,
-        0,
-        AttemptOutcome::TimedOut,
-        600 * MS,
+        attempt_end(0, false, AttemptOutcome::TimedOut, 600 * MS),
     );
     let latency = balancer.endpoints[0].recent_latency.read().unwrap();
     assert!((latency - 75_000.0).abs() < 1.0, "{latency}");
@@ -64,9 +66,7 @@
     balancer.record_attempt_end(
         START_AT,
         &mut sent,
-        0,
-        AttemptOutcome::ConnectionLost,
-        elapsed,
+        attempt_end(0, false, AttemptOutcome::ConnectionLost, elapsed),
     );
     balancer.endpoints[1].last_used = Some(START_AT);
     balancer.send(START_AT + 3_000 * MS, &mut request(&[], false), 1, None);
@@ -93,6 +93,10 @@
         .add(START_AT, RECENT_US, 25_000.0, 1.0);
     let mut sent = request(&[0], true);
     sent.attempts[0].in_flight = true;
-    balancer.record_attempt_end(START_AT + after * MS, &mut sent, 0, outcome, after * MS);
+    balancer.record_attempt_end(
+        START_AT + after * MS,
+        &mut sent,
+        attempt_end(0, false, outcome, after * MS),
+    );
     assert_eq!(balancer.class_latency[0].overdue.read(), lost);
 }
--- a/crates/policy/src/tests/concurrency.rs
+++ b/crates/policy/src/tests/concurrency.rs
@@ -20,7 +20,11 @@
         .add(START_AT, RECENT_US, 80_000.0, 1.0);
     let mut sent = request(&[0], true);
     sent.attempts[0].in_flight = true;
-    balancer.record_attempt_end(START_AT, &mut sent, 0, AttemptOutcome::Rejected, 10);
+    balancer.record_attempt_end(
+        START_AT,
+        &mut sent,
+        attempt_end(0, false, AttemptOutcome::Rejected, 10),
+    );
     assert!(
         !balancer.has_capacity(START_AT + 20 * MS, 0)
             && balancer.has_capacity(START_AT + 50 * MS, 0)
@@ -64,7 +68,7 @@
         .add(START_AT, RECENT_US, 100_000.0, 1.0);
     let mut sent = request(&[0], true);
     sent.attempts[0].in_flight = true;
-    balancer.record_attempt_end(START_AT, &mut sent, 0, outcome, 10);
+    balancer.record_attempt_end(START_AT, &mut sent, attempt_end(0, false, outcome, 10));
     assert_eq!(balancer.endpoints[0].backoff_until > START_AT, avoided);
     assert_eq!(
         (
--- a/crates/policy/src/tests/gossip.rs
+++ b/crates/policy/src/tests/gossip.rs
@@ -67,9 +67,7 @@
         balancer.record_attempt_end(
             START_AT + n * MS,
             &mut sent,
-            0,
-            AttemptOutcome::ConnectionLost,
-            1,
+            attempt_end(0, false, AttemptOutcome::ConnectionLost, 1),
         );
     }
     assert_eq!(recorder.count("gossip"), 0);
--- a/crates/policy/src/tests/key_order.rs
+++ b/crates/policy/src/tests/key_order.rs
@@ -45,10 +45,7 @@
     balancer.attempt_ended(
         START_AT + 20 * MS,
         "a",
-        0,
-        true,
-        AttemptOutcome::Succeeded,
-        20 * MS,
+        attempt_end(0, true, AttemptOutcome::Succeeded, 20 * MS),
     );
     expire_timers(&mut balancer, START_AT + 22 * MS);
     assert_eq!(
@@ -70,10 +67,7 @@
         balancer.attempt_ended(
             START_AT + n * 20 * MS,
             id,
-            0,
-            true,
-            AttemptOutcome::Succeeded,
-            20 * MS,
+            attempt_end(0, true, AttemptOutcome::Succeeded, 20 * MS),
         );
         expire_timers(&mut balancer, START_AT + n * 20 * MS + MS);
     }
@@ -101,7 +95,11 @@
     arrive(&mut balancer, START_AT, "b", Some(KEY));
     balancer.settings.key_cooldown = 100 * MS;
     balancer.settings.max_attempts = 1;
-    balancer.attempt_ended(START_AT + 20 * MS, "a", 0, false, outcome, 20 * MS);
+    balancer.attempt_ended(
+        START_AT + 20 * MS,
+        "a",
+        attempt_end(0, false, outcome, 20 * MS),
+    );
     expire_timers(&mut balancer, START_AT + 110 * MS);
     assert_eq!(recorder.count("attempt b"), usize::from(!cooldown));
     expire_timers(&mut balancer, START_AT + 121 * MS);
@@ -122,10 +120,7 @@
     balancer.attempt_ended(
         START_AT + 90 * MS,
         "a",
-        0,
-        true,
-        AttemptOutcome::Cancelled,
-        90 * MS,
+        attempt_end(0, true, AttemptOutcome::Cancelled, 90 * MS),
     );
     expire_timers(&mut balancer, START_AT + 141 * MS);
     assert_eq!(
@@ -167,7 +162,7 @@
         let (id, now) = (n.to_string(), START_AT + n * 1_000 * MS);
         arrive(&mut balancer, now, &id, Some(n));
         balancer.client_disconnected(now + MS, &id);
-        balancer.attempt_ended(now + 2 * MS, &id, 0, true, outcome, MS);
+        balancer.attempt_ended(now + 2 * MS, &id, attempt_end(0, true, outcome, MS));
     }
     expire_timers(&mut balancer, START_AT + 10_000 * MS);
     assert!(balancer.key_queues.queues.is_empty() && balancer.key_queues.trailing.is_empty());
@@ -182,10 +177,7 @@
     balancer.attempt_ended(
         START_AT + MS,
         "a",
-        0,
-        false,
-        AttemptOutcome::ConnectionLost,
-        MS,
+        attempt_end(0, false, AttemptOutcome::ConnectionLost, MS),
     );
     arrive(&mut balancer, START_AT + 2 * MS, "b", Some(KEY));
     assert_eq!(
--- a/crates/policy/src/tests/outliers.rs
+++ b/crates/policy/src/tests/outliers.rs
@@ -63,9 +63,7 @@
     balancer.record_attempt_end(
         START_AT + 60 * MS,
         &mut sent,
-        0,
-        AttemptOutcome::TimedOut,
-        900 * MS,
+        attempt_end(0, false, AttemptOutcome::TimedOut, 900 * MS),
     );
     assert_eq!(
         (
--- a/crates/policy/src/tests/retry.rs
+++ b/crates/policy/src/tests/retry.rs
@@ -63,10 +63,7 @@
     balancer.attempt_ended(
         now,
         "t",
-        0,
-        false,
-        AttemptOutcome::ConnectionLost,
-        after * MS,
+        attempt_end(0, false, AttemptOutcome::ConnectionLost, after * MS),
     );
     assert_eq!(recorder.count("fail"), failed);
 }
@@ -88,13 +85,14 @@
         balancer.attempt_ended(
             START_AT + 5 * MS,
             "a",
-            n,
-            false,
-            AttemptOutcome::ConnectionLost,
-            5 * MS,
+            attempt_end(n, false, AttemptOutcome::ConnectionLost, 5 * MS),
         )
     });
-    balancer.attempt_ended(START_AT + 10 * MS, "a", before, false, outcome, 5 * MS);
+    balancer.attempt_ended(
+        START_AT + 10 * MS,
+        "a",
+        attempt_end(before, false, outcome, 5 * MS),
+    );
     assert_eq!(
         (recorder.count("attempt"), recorder.count("reject")),
         (attempts, usize::from(attempts == 2 && before == 1))
@@ -109,18 +107,12 @@
     balancer.attempt_ended(
         START_AT + MS,
         "a",
-        0,
-        false,
-        AttemptOutcome::ConnectionLost,
-        MS,
+        attempt_end(0, false, AttemptOutcome::ConnectionLost, MS),
     );
     balancer.attempt_ended(
         START_AT + 2 * MS,
         "a",
-        1,
-        false,
-        AttemptOutcome::ConnectionLost,
-        MS,
+        attempt_end(1, false, AttemptOutcome::ConnectionLost, MS),
     );
     assert_eq!(
         (recorder.count("attempt"), balancer.queue.requests.len()),
@@ -208,9 +200,7 @@
     balancer.record_attempt_end(
         START_AT + 200 * MS,
         &mut sent,
-        0,
-        AttemptOutcome::TimedOut,
-        200 * MS,
+        attempt_end(0, false, AttemptOutcome::TimedOut, 200 * MS),
     );
     assert!(balancer.attempt_permitted(START_AT + 200 * MS, &sent, 2));
     assert!(balancer.class_latency[0].overdue.weight.sum > lost + slow - 1.0);
--- a/crates/policy/src/tests/slow_start_fleet.rs
+++ b/crates/policy/src/tests/slow_start_fleet.rs
@@ -158,10 +158,7 @@
             balancer.attempt_ended(
                 now,
                 &sent.request,
-                sent.number,
-                !rejected,
-                outcome,
-                now - sent.sent_at,
+                attempt_end(sent.number, !rejected, outcome, now - sent.sent_at),
             );
             self.collect_attempts(now, sent.balancer);
         }
--- a/crates/proxy/src/connections/attempt.rs
+++ b/crates/proxy/src/connections/attempt.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use pinefront_policy::{AttemptOutcome, Micros};
+use pinefront_policy::{AttemptEnd, AttemptOutcome, Micros};
 use slog::info;
 
 use crate::close_reason::CloseReason;
@@ -49,8 +49,13 @@
             info!(self.state.borrow().log, "attempt ended"; "request" => request, "attempt" => number,
                 "outcome" => ?outcome);
         }
-        self.balancer
-            .attempt_ended(now, request, number, is_final, outcome, elapsed);
+        let end = AttemptEnd {
+            number,
+            is_final,
+            outcome,
+            elapsed,
+        };
+        self.balancer.attempt_ended(now, request, end);
     }
 
     /// Reports to the policy whether an endpoint answered a health check.
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -3,7 +3,9 @@
 
 use std::borrow::Cow;
 
-use pinefront_policy::{AttemptOutcome, ListedEndpoint, LoadReport, Micros, RequestArrival};
+use pinefront_policy::{
+    AttemptEnd, AttemptOutcome, ListedEndpoint, LoadReport, Micros, RequestArrival,
+};
 use pinefront_settings::fields::FieldError;
 use serde::Deserialize;
 use serde_json::Value;
@@ -162,14 +164,13 @@
         })
     }
 
-    /// The position of the attempt that ended, counted from 0.
-    pub fn attempt(&self) -> Result<usize, FieldError> {
-        required(self.attempt, "trial")
-    }
-
-    /// Whether the request has its answer.
-    pub fn is_answered(&self) -> bool {
-        self.answered.unwrap_or(false)
+    pub fn attempt_end(&self) -> Result<AttemptEnd, FieldError> {
+        Ok(AttemptEnd {
+            number: required(self.attempt, "trial")?,
+            is_final: self.answered.unwrap_or(false),
+            outcome: self.outcome()?,
+            elapsed: required(self.elapsed, "delaySeenUs")?,
+        })
     }
 
     pub fn outcome(&self) -> Result<AttemptOutcome, FieldError> {
@@ -186,11 +187,6 @@
         }
     }
 
-    /// Duration of the attempt in microseconds.
-    pub fn elapsed(&self) -> Result<Micros, FieldError> {
-        required(self.elapsed, "delaySeenUs")
-    }
-
     pub fn endpoint(&self) -> Result<&'a str, FieldError> {
         required(self.endpoint, "upstream")
     }
--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -59,10 +59,7 @@
         "Call" => balancer.request_arrived(now, event.arrival()?),
         "Ended" => {
             pass_load(balancer, now, event)?;
-            let (request, attempt) = (event.request()?, event.attempt()?);
-            let (outcome, elapsed) = (event.outcome()?, event.elapsed()?);
-            let answered = event.is_answered();
-            balancer.attempt_ended(now, request, attempt, answered, outcome, elapsed);
+            balancer.attempt_ended(now, event.request()?, event.attempt_end()?);
         }
         "FirstByte" => balancer.response_started(event.request()?),
         "Gone" => balancer.client_disconnected(now, event.request()?),
