--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -58,6 +58,9 @@
     }
 }
 
+/// The names that the proxy still uses.
+pub use {object as part, unsigned as whole};
+
 /// Result of decoding a document in the proxy, whose errors are texts.
 pub type Decoded<T> = Result<T, String>;
 
@@ -98,7 +101,7 @@
 /// # Errors
 ///
 /// The field is missing or no unsigned integer.
-pub fn whole(object: &Value, name: &str) -> Result<u64, FieldError> {
+pub fn unsigned(object: &Value, name: &str) -> Result<u64, FieldError> {
     field(object, name, Value::as_u64)
 }
 
@@ -143,8 +146,8 @@
 /// # Errors
 ///
 /// The field is missing or no object.
-pub fn part<'a>(object: &'a Value, name: &str) -> Result<&'a Value, FieldError> {
-    field(object, name, |value| value.is_object().then_some(value))
+pub fn object<'a>(parent: &'a Value, name: &str) -> Result<&'a Value, FieldError> {
+    field(parent, name, |value| value.is_object().then_some(value))
 }
 
 /// Reads a required count.
@@ -153,7 +156,7 @@
 ///
 /// The field is missing, no unsigned integer, or too large.
 pub fn count(object: &Value, name: &str) -> Result<usize, FieldError> {
-    usize::try_from(whole(object, name)?).map_err(|_| FieldError::TooLarge {
+    usize::try_from(unsigned(object, name)?).map_err(|_| FieldError::TooLarge {
         field: name.to_owned(),
     })
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -7,7 +7,7 @@
 
 pub mod fields;
 
-use fields::{FieldError, count, flag, list, number, optional, part, text, whole};
+use fields::{FieldError, count, flag, list, number, object, optional, text, unsigned};
 use pinefront_policy::{Idempotency, IdempotencyScope, Micros, RequestClass, Settings, SlowStart};
 use serde_json::Value;
 use thiserror::Error;
@@ -76,17 +76,17 @@
 /// A key is missing, has the wrong type, or holds a value that no balancer can run with. The error
 /// names the key.
 pub fn decode_settings(document: &Value) -> Result<Settings, SettingsError> {
-    let capabilities = part(document, "caps")?;
-    let rules = part(document, "rules")?;
+    let capabilities = object(document, "caps")?;
+    let rules = object(document, "rules")?;
     let tenants = optional(document, "accounts", Value::as_array)?;
     let fleet = fleet_position(document)?;
     let load_reports = load_reports(document)?;
     Ok(Settings {
         balancers: fleet.balancers,
         own_index: fleet.own_index,
-        zone: whole(document, "zone")?,
+        zone: unsigned(document, "zone")?,
         max_poll_interval: match text(document, "registryMode")? {
-            "ask" => Some(whole(rules, "askWithinUs")?),
+            "ask" => Some(unsigned(rules, "askWithinUs")?),
             _ => None,
         },
         weights_listed: text(document, "weightKind")? != "off",
@@ -96,7 +96,7 @@
         gossip_allowed: flag(capabilities, "peers")?,
         max_attempts: count(capabilities, "maxDispatches")?,
         max_retry_after: if flag(capabilities, "retryAfter")? {
-            whole(capabilities, "maxRetryAfterUs")?
+            unsigned(capabilities, "maxRetryAfterUs")?
         } else {
             0
         },
@@ -157,9 +157,9 @@
 fn slow_start(rules: &Value) -> Result<SlowStart, FieldError> {
     Ok(SlowStart {
         initial_capacity: number(rules, "coldFrom")?,
-        duration: whole(rules, "warmUpUs")?,
+        duration: unsigned(rules, "warmUpUs")?,
         overload_multiple: number(rules, "tipMultiple")?,
-        overload_window: whole(rules, "fallUs")?,
+        overload_window: unsigned(rules, "fallUs")?,
     })
 }
 
@@ -174,7 +174,7 @@
     }
     let ordered_by_key = flag(class, "inOrder")?;
     Ok(RequestClass {
-        latency_objective: whole(class, "promisedTimeUs")?,
+        latency_objective: unsigned(class, "promisedTimeUs")?,
         idempotency,
         priority_weight,
         ordered_by_key,
@@ -187,7 +187,7 @@
         "unsafe" => Ok(Idempotency::NonIdempotent),
         "keyed" => Ok(Idempotency::IdempotencyKey {
             scope: idempotency_scope(class)?,
-            window: whole(class, "dedupWindowUs")?,
+            window: unsigned(class, "dedupWindowUs")?,
         }),
         other => Err(FieldError::unknown("effect", other)),
     }
