--- /dev/null
+++ b/crates/cluster/tests/datagrams.rs
@@ -0,0 +1,352 @@
+//! What members send one another, byte for byte as recorded: a sealed datagram of each kind of message, and all that
+//! three members send in their first seconds. The files under `recorded/` are the wire; they do not change.
+
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::rc::Rc;
+
+use pinefront_cluster::datagram::{Datagram, Incarnation, Key, open, seal};
+use pinefront_cluster::leases::messages::LeaseMessage;
+use pinefront_cluster::leases::term::{LeaseId, Term};
+use pinefront_cluster::leases::voter::GrantStatus;
+use pinefront_cluster::leases::{Lease, LeaseConfig};
+use pinefront_cluster::messages::{MemberRecord, MemberState, Message};
+use pinefront_cluster::shared_list::{ListMessage, ListRequest};
+use pinefront_cluster::{Cluster, MemberConfig};
+
+const KEY: &[u8] = b"recorded key of the datagram test\n";
+const LIFE: Incarnation = Incarnation {
+    started_at_us: 1_700_000_000_123_456,
+    random_id: 0x00c0_ffee_00c0_ffee,
+};
+const TERM: Term = Term {
+    number: 1_700_000_000_789,
+    incarnation: 0x0123_4567_89ab_cdef,
+};
+
+fn recorded(name: &str) -> PathBuf {
+    PathBuf::from(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/recorded")
+        .join(name)
+}
+
+/// Compares a text with the recorded file of that name.
+fn compare(name: &str, text: &str) {
+    let before = std::fs::read_to_string(recorded(name)).unwrap();
+    for (line, (is, was)) in text.lines().zip(before.lines()).enumerate() {
+        assert_eq!(is, was, "{name}, line {}", line + 1);
+    }
+    assert_eq!(text, before, "{name}");
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn from_hex(text: &str) -> Vec<u8> {
+    (0..text.len() / 2)
+        .map(|at| u8::from_str_radix(&text[2 * at..2 * at + 2], 16).unwrap())
+        .collect()
+}
+
+fn record(name: &str, state: MemberState, by: u64) -> MemberRecord {
+    MemberRecord {
+        name: name.into(),
+        address: "10.1.2.3:7400".parse().unwrap(),
+        zone: "zone-a".into(),
+        incarnation: LIFE,
+        refutation_counter: 77,
+        state,
+        by,
+        version: 1,
+    }
+}
+
+fn told(left: u32) -> GrantStatus {
+    GrantStatus {
+        lease: LeaseId::of("roster/a"),
+        term: (left > 0).then_some(TERM),
+        left,
+    }
+}
+
+fn membership_messages() -> Vec<(&'static str, Message)> {
+    let target: Rc<str> = "b2".into();
+    let address: SocketAddr = "10.9.8.7:7401".parse().unwrap();
+    vec![
+        ("news", Message::Gossip),
+        (
+            "probe",
+            Message::Probe {
+                number: 300,
+                target: Some(Rc::clone(&target)),
+            },
+        ),
+        (
+            "probe of whoever is there",
+            Message::Probe {
+                number: 301,
+                target: None,
+            },
+        ),
+        ("answer", Message::Ack { number: 302 }),
+        (
+            "indirect probe",
+            Message::ProbeRequest {
+                number: 303,
+                target,
+                address,
+            },
+        ),
+        (
+            "indirect answer",
+            Message::ProbeReport {
+                number: 304,
+                answered: true,
+            },
+        ),
+        ("swap", Message::TableSync { reply_wanted: true }),
+    ]
+}
+
+fn lease_messages() -> Vec<(&'static str, LeaseMessage)> {
+    let lease = LeaseId::of("roster/a");
+    let other = LeaseId::of("scout/3");
+    let terms = vec![(lease, TERM.number), (other, 5)];
+    vec![
+        (
+            "duty: ask",
+            LeaseMessage::Query {
+                round: 9,
+                voters: 0xdead_beef,
+                leases: vec![lease, other],
+            },
+        ),
+        (
+            "duty: told",
+            LeaseMessage::QueryReply {
+                round: 9,
+                told: vec![told(0), told(1_400_000)],
+            },
+        ),
+        (
+            "duty: claim",
+            LeaseMessage::Bid {
+                round: 10,
+                voters: 0xdead_beef,
+                duration_us: 1_500_000,
+                bids: terms.clone(),
+            },
+        ),
+        (
+            "duty: granted",
+            LeaseMessage::BidReply {
+                round: 10,
+                granted: terms.clone(),
+                refused: vec![told(3)],
+            },
+        ),
+        ("duty: release", LeaseMessage::Release { terms }),
+        (
+            "duty: free",
+            LeaseMessage::Vacated {
+                leases: vec![other],
+            },
+        ),
+        (
+            "duty: act",
+            LeaseMessage::Command {
+                lease,
+                term: TERM,
+                body: vec![1, 2, 250],
+            },
+        ),
+        (
+            "duty: say",
+            LeaseMessage::Note {
+                lease,
+                body: b"text".to_vec(),
+            },
+        ),
+        ("duty: old", LeaseMessage::StaleTerm { lease, term: TERM }),
+    ]
+}
+
+fn list_messages() -> Vec<(&'static str, LeaseMessage)> {
+    let lease = LeaseId::of("roster/a");
+    let send_command = |body: ListMessage| LeaseMessage::Command {
+        lease,
+        term: TERM,
+        body: body.bytes().unwrap(),
+    };
+    let say = |body: ListRequest| LeaseMessage::Note {
+        lease,
+        body: body.bytes().unwrap(),
+    };
+    vec![
+        (
+            "roster: part",
+            send_command(ListMessage::Chunk {
+                page: 400,
+                whole: true,
+                version: 70_000,
+                part: 2,
+                of: 3,
+                bytes: b"{\"rev\":70000}".to_vec(),
+            }),
+        ),
+        (
+            "roster: beat",
+            send_command(ListMessage::Heartbeat {
+                page: 401,
+                follows: true,
+            }),
+        ),
+        (
+            "roster: parts wanted",
+            say(ListRequest::Chunks {
+                page: 400,
+                whole: false,
+                parts: vec![0, 2, 300],
+            }),
+        ),
+        ("roster: whole list wanted", say(ListRequest::FullList)),
+    ]
+}
+
+fn datagram(counter: u64, message: Message) -> Datagram {
+    Datagram {
+        fleet: "shop".into(),
+        sender: "b1".into(),
+        incarnation: LIFE,
+        refutation_counter: 77,
+        counter,
+        message,
+        records: vec![
+            record("b1", MemberState::Alive, 0),
+            record("b2", MemberState::Suspected, 0xffff_ffff_ffff),
+            record("b3", MemberState::Dead, 0),
+            record("b4", MemberState::Left, 0),
+        ],
+    }
+}
+
+#[test]
+fn each_kind_of_message_is_sealed_to_the_recorded_bytes_and_read_back() {
+    let key = Key::new(KEY).unwrap();
+    let leases = lease_messages().into_iter().chain(list_messages());
+    let all = membership_messages()
+        .into_iter()
+        .chain(leases.map(|(name, message)| (name, Message::Lease(message))));
+    let datagrams: Vec<_> = (0u64..)
+        .zip(all)
+        .map(|(number, (name, message))| (name, datagram(1_000 + number, message)))
+        .collect();
+    let text: String = datagrams
+        .iter()
+        .map(|(name, datagram)| format!("{name} = {}\n", hex(&seal(&key, datagram).unwrap())))
+        .collect();
+    compare("sealed-datagrams.txt", &text);
+    let before = std::fs::read_to_string(recorded("sealed-datagrams.txt")).unwrap();
+    assert_eq!(before.lines().count(), 20);
+    for ((name, datagram), line) in datagrams.iter().zip(before.lines()) {
+        let bytes = from_hex(line.split_once(" = ").unwrap().1);
+        assert_eq!(open(&key, "shop", &bytes).as_ref(), Ok(datagram), "{name}");
+    }
+}
+
+#[test]
+fn bodies_of_the_roster_are_read_back() {
+    for (name, message) in list_messages() {
+        match message {
+            LeaseMessage::Command { body, .. } => {
+                assert_eq!(
+                    ListMessage::read(&body).unwrap().bytes().unwrap(),
+                    body,
+                    "{name}"
+                );
+            }
+            LeaseMessage::Note { body, .. } => {
+                assert_eq!(
+                    ListRequest::read(&body).unwrap().bytes().unwrap(),
+                    body,
+                    "{name}"
+                );
+            }
+            other => panic!("{name}: {other:?}"),
+        }
+    }
+}
+
+#[test]
+fn texts_of_lives_and_names_of_duties_stay() {
+    assert_eq!(LIFE.to_string(), "60a2418202240-00c0ffee00c0ffee");
+    assert_eq!("60a2418202240-00c0ffee00c0ffee".parse(), Ok(LIFE));
+    assert_eq!(LeaseId::of("roster/a").0, 2_156_073_173);
+}
+
+/// Three members on a virtual network that delivers all within 3 ms, one of which starts late and leaves early. The
+/// same seeds and times give the same datagrams.
+#[test]
+fn three_members_send_the_recorded_datagrams() {
+    let address = |n: usize| SocketAddr::from(([127, 0, 0, 1], 7400 + n as u16));
+    let terms = LeaseConfig {
+        voters: vec!["b0".into(), "b1".into(), "b2".into()],
+        duration: 1_500_000,
+    };
+    let leases = vec![
+        Lease::new("roster/a", Some("a".into())),
+        Lease::new("nightly", None),
+    ];
+    let start = |n: usize, now: u64| {
+        let config = MemberConfig {
+            fleet: "shop".into(),
+            name: format!("b{n}"),
+            zone: ["a", "b"][n % 2].into(),
+            address: address(n),
+            seeds: vec![address(0)],
+            started_at_us: LIFE.started_at_us + now,
+            probe_interval: MemberConfig::DEFAULT_PROBE_INTERVAL,
+            probe_timeout: MemberConfig::DEFAULT_PROBE_TIMEOUT,
+            min_suspicion: MemberConfig::DEFAULT_MIN_SUSPICION,
+            confirmed_dead: Default::default(),
+        };
+        let mut member = Cluster::new(config, Key::new(KEY).unwrap(), 40 + n as u64, now);
+        member.configure_leases(now, terms.clone(), leases.clone());
+        member
+    };
+    let mut members = vec![start(0, 1_000_000), start(1, 1_000_000)];
+    let mut network: Vec<(u64, SocketAddr, Vec<u8>)> = Vec::new();
+    let (mut lines, mut all, mut sent) = (Vec::new(), blake3::Hasher::new(), 0);
+    for now in (1_000_000..9_000_000).step_by(1_000) {
+        if now == 2_000_000 {
+            members.push(start(2, now));
+        }
+        let (arrived, rest): (Vec<_>, Vec<_>) =
+            network.into_iter().partition(|datagram| datagram.0 <= now);
+        network = rest;
+        for (_, to, bytes) in arrived {
+            if let Some(n) = (0..members.len()).find(|&n| address(n) == to) {
+                members[n].receive(now, &bytes);
+            }
+        }
+        for (n, member) in members.iter_mut().enumerate() {
+            if member.next_due() <= now {
+                member.due(now);
+            }
+            if n == 1 && now == 7_000_000 {
+                member.leave(now);
+            }
+            for (to, bytes) in member.take_datagrams() {
+                sent += 1;
+                all.update(&bytes);
+                if sent % 16 == 1 {
+                    lines.push(format!("{sent} {now} b{n} {to} {}\n", hex(&bytes)));
+                }
+                network.push((now + 1_000 + 1_000 * (sent % 3), to, bytes));
+            }
+        }
+    }
+    lines.push(format!("{sent} datagrams {}\n", all.finalize().to_hex()));
+    compare("three-members.txt", &lines.concat());
+}
--- /dev/null
+++ b/crates/policy/src/tests/key_order.rs
@@ -0,0 +1,193 @@
+//! Order by key: each test builds a balancer whose only class is ordered by key.
+
+use super::*;
+use crate::state::timers::TimerPurpose;
+
+const KEY: u64 = 7;
+
+fn ordered_by_key(idempotency: Idempotency) -> (Balancer<RecordingHost>, RecordingHost) {
+    let (mut balancer, recorder) = balancer(idempotency, 4);
+    balancer.settings.classes[0].ordered_by_key = true;
+    (balancer, recorder)
+}
+
+fn arrive(balancer: &mut Balancer<RecordingHost>, now: Micros, id: &str, key: Option<u64>) {
+    let arrival = RequestArrival {
+        key,
+        ..arrival(id, now + 1_000 * MS)
+    };
+    balancer.request_arrived(now, arrival);
+}
+
+/// Expires all timers of key queues, also those that are not due: that must change nothing.
+fn expire_timers(balancer: &mut Balancer<RecordingHost>, now: Micros) {
+    for timer in 0..=balancer.timers.last_id {
+        if let Some(TimerPurpose::KeyQueue(_)) = balancer.timers.pending.get(&timer) {
+            balancer.timer_expired(now, timer);
+        }
+    }
+}
+
+#[rstest]
+#[case::same_key(Some(KEY), Some(KEY), 1)]
+#[case::other_key(Some(KEY), Some(8), 2)]
+#[case::no_key(None, None, 2)]
+fn requests_of_one_key_run_one_at_a_time(
+    #[case] first: Option<u64>,
+    #[case] second: Option<u64>,
+    #[case] sent: usize,
+) {
+    let (mut balancer, recorder) = ordered_by_key(Idempotency::Idempotent);
+    arrive(&mut balancer, START_AT, "a", first);
+    arrive(&mut balancer, START_AT, "b", second);
+    expire_timers(&mut balancer, START_AT + MS);
+    assert_eq!(recorder.count("attempt"), sent);
+    balancer.attempt_ended(
+        START_AT + 20 * MS,
+        "a",
+        0,
+        true,
+        AttemptOutcome::Succeeded,
+        20 * MS,
+    );
+    expire_timers(&mut balancer, START_AT + 22 * MS);
+    assert_eq!(
+        (recorder.count("attempt b"), recorder.count("attempt")),
+        (1, 2)
+    );
+}
+
+#[rstest]
+fn requests_of_one_key_run_by_arrival() {
+    let (mut balancer, recorder) = ordered_by_key(Idempotency::Idempotent);
+    balancer.class_latency[0]
+        .recent
+        .add(START_AT, RECENT_US, 20.0 * MS as f64, 1.0);
+    for id in ["a", "b", "c"] {
+        arrive(&mut balancer, START_AT, id, Some(KEY));
+    }
+    for (n, id) in (1..).zip(["a", "b"]) {
+        balancer.attempt_ended(
+            START_AT + n * 20 * MS,
+            id,
+            0,
+            true,
+            AttemptOutcome::Succeeded,
+            20 * MS,
+        );
+        expire_timers(&mut balancer, START_AT + n * 20 * MS + MS);
+    }
+    let calls = recorder.calls.borrow();
+    let sent: Vec<_> = calls
+        .iter()
+        .filter_map(|call| call.strip_prefix("attempt ")?.get(..1))
+        .collect();
+    assert_eq!(sent, ["a", "b", "c"]);
+}
+
+/// An attempt that timed out or lost its connection may still run, also after its request was answered.
+#[rstest]
+#[case::reset(AttemptOutcome::ConnectionLost, true)]
+#[case::timed_out(AttemptOutcome::TimedOut, true)]
+#[case::failed(AttemptOutcome::Failed, false)]
+#[case::rejected(AttemptOutcome::Rejected, false)]
+fn key_has_a_cooldown_after_an_attempt_that_may_still_run(
+    #[case] outcome: AttemptOutcome,
+    #[case] cooldown: bool,
+) {
+    let (mut balancer, recorder) = ordered_by_key(Idempotency::NonIdempotent);
+    arrive(&mut balancer, START_AT, "a", Some(KEY));
+    arrive(&mut balancer, START_AT, "b", Some(KEY));
+    balancer.settings.key_cooldown = 100 * MS;
+    balancer.settings.max_attempts = 1;
+    balancer.attempt_ended(START_AT + 20 * MS, "a", 0, false, outcome, 20 * MS);
+    expire_timers(&mut balancer, START_AT + 110 * MS);
+    assert_eq!(recorder.count("attempt b"), usize::from(!cooldown));
+    expire_timers(&mut balancer, START_AT + 121 * MS);
+    assert_eq!(recorder.count("attempt b"), 1);
+}
+
+/// The client of the first one disconnected: its attempt is cancelled, but its end was not reported.
+#[rstest]
+fn attempt_in_flight_of_a_closed_request_blocks_its_key() {
+    let (mut balancer, recorder) = ordered_by_key(Idempotency::NonIdempotent);
+    arrive(&mut balancer, START_AT, "a", Some(KEY));
+    arrive(&mut balancer, START_AT, "b", Some(KEY));
+    balancer.settings.key_cooldown = 50 * MS;
+    balancer.client_disconnected(START_AT + 10 * MS, "a");
+    expire_timers(&mut balancer, START_AT + 80 * MS);
+    assert_eq!(recorder.count("attempt b"), 0);
+    balancer.attempt_ended(
+        START_AT + 90 * MS,
+        "a",
+        0,
+        true,
+        AttemptOutcome::Cancelled,
+        90 * MS,
+    );
+    expire_timers(&mut balancer, START_AT + 141 * MS);
+    assert_eq!(
+        (
+            recorder.count("attempt b"),
+            balancer.key_queues.trailing.len()
+        ),
+        (1, 0)
+    );
+}
+
+/// On arrival by the expected wait, later by the time left.
+#[rstest]
+fn request_that_cannot_be_in_time_is_rejected() {
+    let (mut balancer, recorder) = ordered_by_key(Idempotency::Idempotent);
+    (0..9).for_each(|n| arrive(&mut balancer, START_AT, &n.to_string(), Some(KEY)));
+    let waiting = balancer.key_queues.queues[&KEY].waiting.len();
+    assert!(waiting > 0 && recorder.count("reject") == 8 - waiting);
+    expire_timers(&mut balancer, START_AT + 390 * MS);
+    assert_eq!(
+        (
+            balancer.key_queues.queues[&KEY].waiting.len(),
+            recorder.count("reject")
+        ),
+        (0, 8)
+    );
+}
+
+/// Clients may name any number of keys.
+#[rstest]
+fn key_without_open_requests_takes_no_memory() {
+    let (mut balancer, _) = ordered_by_key(Idempotency::NonIdempotent);
+    for (n, outcome) in (0..).zip([
+        AttemptOutcome::Succeeded,
+        AttemptOutcome::ConnectionLost,
+        AttemptOutcome::Cancelled,
+        AttemptOutcome::Rejected,
+    ]) {
+        let (id, now) = (n.to_string(), START_AT + n * 1_000 * MS);
+        arrive(&mut balancer, now, &id, Some(n));
+        balancer.client_disconnected(now + MS, &id);
+        balancer.attempt_ended(now + 2 * MS, &id, 0, true, outcome, MS);
+    }
+    expire_timers(&mut balancer, START_AT + 10_000 * MS);
+    assert!(balancer.key_queues.queues.is_empty() && balancer.key_queues.trailing.is_empty());
+}
+
+/// A cooldown that outlasts its time rejects it at once; it must not be sent during the cooldown.
+#[rstest]
+fn request_of_a_key_in_cooldown_waits_or_is_rejected() {
+    let (mut balancer, recorder) = ordered_by_key(Idempotency::NonIdempotent);
+    arrive(&mut balancer, START_AT, "a", Some(KEY));
+    balancer.settings.max_attempts = 1;
+    balancer.attempt_ended(
+        START_AT + MS,
+        "a",
+        0,
+        false,
+        AttemptOutcome::ConnectionLost,
+        MS,
+    );
+    arrive(&mut balancer, START_AT + 2 * MS, "b", Some(KEY));
+    assert_eq!(
+        (recorder.count("attempt b"), recorder.count("reject b")),
+        (0, 1)
+    );
+}
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -23,7 +23,7 @@
 /// Zones and machine types told apart: names beyond them, which only a broken list has, count as one.
 const NAMES_MOST: usize = 64;
 /// Part of all descriptors from which connections that bring requests are a crowd. Clients hold a third at most:
-/// at half of that, those that only harness begin to keep others out.
+/// at half of that, those that are only idle begin to keep others out.
 const CROWD_PART: u64 = 6;
 /// Fewest descriptors that serve anybody.
 const FEWEST: u64 = 64;
--- a/crates/proxy/src/connections/accept/tests.rs
+++ b/crates/proxy/src/connections/accept/tests.rs
@@ -83,7 +83,7 @@
     let waiting = TcpStream::connect(harness.address).unwrap();
     harness.until(|proxy| {
         let next = proxy.state.borrow().timers.next();
-        let soon = proxy.state.borrow().now() + 2 * ACCEPT_REST;
+        let soon = proxy.state.borrow().now() + 2 * ACCEPT_PAUSE_US;
         next.filter(|at| *at < soon).map(|_| ())
     });
     assert_eq!(harness.proxy.state.borrow().clients.len(), 0);
@@ -173,15 +173,15 @@
 }
 
 #[rstest]
-#[case::nobody(Errno::AGAIN, AcceptFailure::Nobody)]
-#[case::left_the_queue(Errno::CONNABORTED, AcceptFailure::Passing)]
-#[case::network_down(Errno::NETDOWN, AcceptFailure::Passing)]
-#[case::protocol(Errno::PROTO, AcceptFailure::Passing)]
-#[case::signal(Errno::INTR, AcceptFailure::Passing)]
-#[case::own_limit(Errno::MFILE, AcceptFailure::OwnLimit)]
-#[case::files_of_all(Errno::NFILE, AcceptFailure::System)]
-#[case::buffers(Errno::NOBUFS, AcceptFailure::System)]
-#[case::memory(Errno::NOMEM, AcceptFailure::System)]
+#[case::nobody(Errno::AGAIN, AcceptFailure::WouldBlock)]
+#[case::left_the_queue(Errno::CONNABORTED, AcceptFailure::Transient)]
+#[case::network_down(Errno::NETDOWN, AcceptFailure::Transient)]
+#[case::protocol(Errno::PROTO, AcceptFailure::Transient)]
+#[case::signal(Errno::INTR, AcceptFailure::Transient)]
+#[case::own_limit(Errno::MFILE, AcceptFailure::ProcessLimit)]
+#[case::files_of_all(Errno::NFILE, AcceptFailure::SystemLimit)]
+#[case::buffers(Errno::NOBUFS, AcceptFailure::SystemLimit)]
+#[case::memory(Errno::NOMEM, AcceptFailure::SystemLimit)]
 fn only_the_limit_of_our_own_ends_connections_of_ours(
     #[case] code: Errno,
     #[case] wanted: AcceptFailure,
--- a/crates/proxy/src/connections/client/tests.rs
+++ b/crates/proxy/src/connections/client/tests.rs
@@ -228,7 +228,7 @@
     harness.until(|proxy| seen(&proxy.state.borrow().clients[key]).then_some(()));
     let state = harness.proxy.state.borrow();
     let (due, opened) = (
-        state.clients[key].timer.unwrap().0,
+        state.clients[key].timer.unwrap().at,
         state.clients[key].opened,
     );
     assert!(
@@ -571,7 +571,7 @@
         };
         harness.until(|proxy| seen(&proxy.state.borrow().clients[key]).then_some(()));
         let state = harness.proxy.state.borrow();
-        let at = state.clients[key].timer.unwrap().0;
+        let at = state.clients[key].timer.unwrap().at;
         assert!(
             at > due && at <= state.now() + STALL_TIMEOUT_US,
             "{at} after {due}, at {}",
--- a/crates/proxy/src/connections/endpoint/tests.rs
+++ b/crates/proxy/src/connections/endpoint/tests.rs
@@ -267,7 +267,7 @@
     let (key, due, now) = {
         let state = harness.proxy.state.borrow();
         let (key, kept) = state.endpoint_connections.iter().next().unwrap();
-        (key, kept.timer.unwrap().0, state.now())
+        (key, kept.timer.unwrap().at, state.now())
     };
     assert!(
         (now + 10_000_000..now + 14_000_000).contains(&due),
--- a/crates/proxy/src/connections/http_message.rs
+++ b/crates/proxy/src/connections/http_message.rs
@@ -69,7 +69,7 @@
     std::str::from_utf8(named.value).ok().map(str::trim)
 }
 
-/// A field that may harness only once: of two, nobody can tell which is meant.
+/// A field that may stand only once: of two, nobody can tell which is meant.
 pub fn only_field<'a>(fields: &[Header<'a>], name: &str) -> Option<&'a str> {
     let count = fields
         .iter()
@@ -231,7 +231,7 @@
     !STAY.iter().any(|stays| name.eq_ignore_ascii_case(stays))
 }
 
-/// Where a part of a message lies in it: a slice of the buffer in config of a copy.
+/// Where a part of a message lies in it: a slice of the buffer instead of a copy.
 pub fn byte_range(message: &[u8], part: &[u8]) -> Range<usize> {
     let from = (part.as_ptr() as usize).saturating_sub(message.as_ptr() as usize);
     from.min(message.len())..(from + part.len()).min(message.len())
--- a/crates/proxy/src/connections/load_report.rs
+++ b/crates/proxy/src/connections/load_report.rs
@@ -1,6 +1,7 @@
 //! Load reports in the header fields of endpoints' responses.
 
 use httparse::Header;
+use pinefront_policy::LoadReport;
 
 use crate::connections::http_message;
 
@@ -10,17 +11,6 @@
 /// The field that holds a load report.
 pub const LOAD_REPORT_FIELD: &str = "x-pressure";
 
-/// An endpoint's load, as far as it reports it.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct LoadReport {
-    /// The utilisation; 1 is full.
-    pub utilisation: Option<f64>,
-    /// Requests in its queue.
-    pub queue: Option<f64>,
-    /// Requests in flight at it, running or queued.
-    pub in_flight: Option<f64>,
-}
-
 /// The first load report among the fields that holds a value. A malformed report is none, not one of no load.
 pub fn load_report(fields: &[Header]) -> Option<LoadReport> {
     http_message::texts(fields, LOAD_REPORT_FIELD)
--- a/crates/proxy/src/connections/own_pages.rs
+++ b/crates/proxy/src/connections/own_pages.rs
@@ -6,8 +6,8 @@
 use crate::state::keys::ClientKey;
 use crate::state::proxy::ProxyState;
 
-/// The path under which the leases of named duties are shown.
-const DUTY_PREFIX: &str = "/duty/";
+/// The path under which leases are shown.
+const LEASE_PREFIX: &str = "/duty/";
 
 impl ProxyState {
     /// Answers a request for one of the balancer's own pages. Returns whether there is such a page.
@@ -34,8 +34,8 @@
             "/stats" => Some((200, self.counters.to_string())),
             "/fleet" => Some((200, self.fleet.as_ref()?.borrow().page())),
             _ => {
-                let name = path.strip_prefix(DUTY_PREFIX)?;
-                Some(self.fleet.as_ref()?.borrow().duty_page(name))
+                let name = path.strip_prefix(LEASE_PREFIX)?;
+                Some(self.fleet.as_ref()?.borrow().lease_page(name))
             }
         }
     }
--- a/crates/proxy/src/connections/request.rs
+++ b/crates/proxy/src/connections/request.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use httparse::Request as RequestHead;
-use pinefront_policy::{Idempotency, Micros};
+use pinefront_policy::{Idempotency, Micros, RequestArrival};
 
 use crate::close_reason::CloseReason;
 use crate::connections::http_message::{self, MAX_FIELDS};
@@ -61,15 +61,15 @@
         let idempotency = state.config.idempotencies[parameters.class];
         let id = state.add_request(key, parameters.id, idempotency, &message, &head);
         drop(borrowed);
-        self.balancer.request_arrived(
-            now,
-            &id,
-            parameters.class,
-            parameters.tenant,
+        let arrival = RequestArrival {
+            id: &id,
+            class: parameters.class,
+            tenant: parameters.tenant,
             deadline,
-            parameters.estimate,
-            parameters.ordering_key,
-        );
+            work_hint: parameters.work_hint,
+            key: parameters.ordering_key,
+        };
+        self.balancer.request_arrived(now, arrival);
     }
 }
 
--- a/crates/proxy/src/connections/request_parser.rs
+++ b/crates/proxy/src/connections/request_parser.rs
@@ -71,8 +71,8 @@
     pub tenant: usize,
     /// How long the client waits, in microseconds.
     pub remaining: Micros,
-    /// The client's estimate of the work; only its relation to other estimates counts.
-    pub estimate: Option<u64>,
+    /// The client's estimate of the time to serve it, in microseconds.
+    pub work_hint: Option<Micros>,
     /// The hash of the key by which requests are ordered.
     pub ordering_key: Option<u64>,
 }
@@ -164,7 +164,7 @@
         class,
         tenant,
         remaining,
-        estimate: http_message::field(fields, "x-estimate").and_then(|text| text.parse().ok()),
+        work_hint: http_message::field(fields, "x-estimate").and_then(|text| text.parse().ok()),
         ordering_key: http_message::field(fields, "x-entity").map(ordering_key_hash),
     })
 }
--- a/crates/proxy/src/connections/response.rs
+++ b/crates/proxy/src/connections/response.rs
@@ -56,9 +56,8 @@
         }
         drop(borrowed);
         if let Some(load) = load {
-            let id = &received.endpoint_id;
             self.balancer
-                .load_reported(now, id, load.utilisation, load.queue, load.in_flight);
+                .load_reported(now, &received.endpoint_id, load);
         }
         if exchange.is_probe() {
             return self.probe_finished(received.endpoint, outcome == AttemptOutcome::Succeeded);
--- a/crates/proxy/src/discovery/tests.rs
+++ b/crates/proxy/src/discovery/tests.rs
@@ -156,7 +156,7 @@
         .take_list(&json!({"rev": 2, "all": true, "targets": entries}))
         .unwrap();
     let state = harness.proxy.state.borrow();
-    let drains = |id: &str| !state.endpoints.key_of(id).is_some();
+    let drains = |id: &str| state.endpoints.key_of(id).is_none();
     assert_eq!((drains("s1"), drains("s2")), (true, false));
 }
 
@@ -172,7 +172,7 @@
     bad[field] = value;
     harness.list(&[bad, entry("s2", address, "active")]);
     let state = harness.proxy.state.borrow();
-    let drains = |id: &str| !state.endpoints.key_of(id).is_some();
+    let drains = |id: &str| state.endpoints.key_of(id).is_none();
     assert_eq!((drains("s1"), drains("s2")), (true, false));
 }
 
@@ -257,7 +257,15 @@
         &first,
         &answer(&json!({"rev": 42, "all": false, "targets": [entry("s1", gone, "leaving")]})),
     );
-    harness.until(|proxy| (!proxy.state.borrow().endpoints.key_of("s1").is_some()).then_some(()));
+    harness.until(|proxy| {
+        proxy
+            .state
+            .borrow()
+            .endpoints
+            .key_of("s1")
+            .is_none()
+            .then_some(())
+    });
     // The watch goes on where it was, and no other call was made.
     assert!(harness.heard(&first, "\r\n\r\n").contains("since=42&"));
     assert_eq!(harness.proxy.state.borrow().counters.list_polls, asked + 1);
@@ -344,7 +352,15 @@
     let second = whole.find("s2").unwrap();
     say(&watch, &whole[..second - 10]);
     drop(watch);
-    harness.until(|proxy| (!proxy.state.borrow().endpoints.key_of("s1").is_some()).then_some(()));
+    harness.until(|proxy| {
+        proxy
+            .state
+            .borrow()
+            .endpoints
+            .key_of("s1")
+            .is_none()
+            .then_some(())
+    });
 }
 
 /// The same incident: an answer that lies in the socket when its call is replaced was written, and counts as told.
@@ -366,7 +382,15 @@
         .made_before(60_000_000);
     harness.proxy.discovery_due();
     let _silent = harness.accepted_discovery();
-    harness.until(|proxy| (!proxy.state.borrow().endpoints.key_of("s1").is_some()).then_some(()));
+    harness.until(|proxy| {
+        proxy
+            .state
+            .borrow()
+            .endpoints
+            .key_of("s1")
+            .is_none()
+            .then_some(())
+    });
 }
 
 /// A watch of discovery on servers that it named.
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -21,12 +21,12 @@
 impl Proxy {
     /// What fell due. What these bring about at once waits for the next turn.
     pub fn timers(&mut self) {
-        let (now, mark) = {
+        let (now, last_serial) = {
             let state = self.state.borrow();
-            (state.now(), state.timers.mark())
+            (state.now(), state.timers.last_serial())
         };
         loop {
-            let due = self.state.borrow_mut().timers.due(now, mark);
+            let due = self.state.borrow_mut().timers.expired(now, last_serial);
             let Some(due) = due else { return };
             match due {
                 TimerEvent::PolicyTimer(timer_id) => {
--- a/crates/proxy/src/fleet/operator/tests.rs
+++ b/crates/proxy/src/fleet/operator/tests.rs
@@ -44,7 +44,10 @@
         (part.name.as_str(), part.zone.as_str(), part.address),
         ("b1", "a", terms.listen)
     );
-    assert_eq!((part.probe_every, part.seeds.len()), (Part::PROBE_EVERY, 1));
+    assert_eq!(
+        (part.probe_interval, part.seeds.len()),
+        (MemberConfig::DEFAULT_PROBE_INTERVAL, 1)
+    );
 }
 
 #[rstest]
@@ -113,3 +116,84 @@
             .starts_with("o.toml:3: fleet.key_file: /nowhere/key: ")
     );
 }
+
+/// The file as it is delivered, its key file replaced by the test's own; with `uncommented`, commented settings too.
+fn delivered(key: &KeyFile, uncommented: bool) -> String {
+    let text = include_str!("../../../../../deploy/operator.toml");
+    let line = |line: &str| match line.strip_prefix("# ") {
+        Some(rest) if uncommented && (rest.contains(" = ") || rest.starts_with('[')) => {
+            rest.to_owned()
+        }
+        _ => line.to_owned(),
+    };
+    let text: String = text.lines().map(|text| line(text) + "\n").collect();
+    text.replace("/etc/pinefront/fleet.key", &key.0.display().to_string())
+}
+
+#[test]
+fn delivered_operator_file_is_read_as_it_stands() {
+    let key = KeyFile::new("delivered");
+    let terms = terms(&delivered(&key, false)).unwrap();
+    let part = &terms.part;
+    assert_eq!(part.fleet, "shop");
+    assert_eq!(terms.listen, "0.0.0.0:7400".parse().unwrap());
+    assert_eq!(part.address, "10.0.0.1:7400".parse().unwrap());
+    let seeds = ["10.0.0.1:7400", "10.0.0.2:7400", "10.0.0.3:7400"];
+    assert_eq!(part.seeds, seeds.map(|seed| seed.parse().unwrap()));
+    assert_eq!((part.name.as_str(), part.zone.as_str()), ("b1", "a"));
+    assert!(
+        part.confirmed_dead.is_empty() && terms.via.is_empty() && terms.shared_lists.is_empty()
+    );
+    assert!(terms.leases.is_none());
+}
+
+#[test]
+fn each_commented_setting_of_the_operator_file_is_read() {
+    let key = KeyFile::new("uncommented");
+    let text = delivered(&key, true)
+        .replace("\"400ms\"", "\"500ms\"")
+        .replace("\"100ms\"", "\"120ms\"")
+        .replace("\"800ms\"", "\"900ms\"")
+        .replace("\"1500ms\"", "\"1200ms\"")
+        .replace("member = \"b1\"", "member = \"b9\"")
+        .replace("zone = \"a\"", "zone = \"c\"");
+    let terms = terms(&text).unwrap();
+    let part = &terms.part;
+    assert_eq!((part.name.as_str(), part.zone.as_str()), ("b9", "c"));
+    assert_eq!(part.probe_interval, 500_000);
+    assert_eq!(part.probe_timeout, 120_000);
+    assert_eq!(part.min_suspicion, 900_000);
+    let incarnation: Incarnation = "1878a0c41c8c0-00c0ffee00c0ffee".parse().unwrap();
+    assert_eq!(
+        part.confirmed_dead,
+        [(Rc::from("b7"), incarnation)].into_iter().collect()
+    );
+    let told: SocketAddr = "10.0.0.2:7400".parse().unwrap();
+    let used: SocketAddr = "192.0.2.7:7400".parse().unwrap();
+    assert_eq!(terms.via, [(told, used)].into_iter().collect());
+    let (lease_config, leases) = terms.leases.unwrap();
+    assert_eq!(lease_config.voters, ["b1", "b2", "b3"].map(Rc::from));
+    assert_eq!(lease_config.duration, 1_200_000);
+    let names: Vec<&str> = leases.iter().map(|lease| &*lease.name).collect();
+    assert_eq!(names, ["nightly-report", "roster/a"]);
+    let shared_list = (LeaseId::of("roster/a"), Rc::from("a"));
+    assert_eq!(terms.shared_lists, [shared_list].into_iter().collect());
+}
+
+#[rstest]
+#[case::top("speed = 3\n", "", "speed")]
+#[case::table("", "[other]\nx = 1\n", "[other]")]
+#[case::leases("", "[duties]\nvoters = ['b1']\nspeed = 3\n", "speed")]
+fn unknown_keys_outside_of_fleet_are_refused(
+    #[case] above: &str,
+    #[case] below: &str,
+    #[case] field: &str,
+) {
+    let key = KeyFile::new(&format!("unknown-{}", above.len() + below.len()));
+    let text = format!("{above}{}\n{below}", key.text("listen = '127.0.0.1:1'"));
+    let problem = terms(&text).err().unwrap();
+    assert!(
+        problem.contains(&format!(": {field}: unknown field")),
+        "{problem}"
+    );
+}
--- a/crates/proxy/src/state/client_connection.rs
+++ b/crates/proxy/src/state/client_connection.rs
@@ -63,6 +63,29 @@
 }
 
 impl ClientConnection {
+    /// A connection accepted at `opened` after it may have waited for `waited`, both in microseconds.
+    pub fn new(socket: RegisteredSocket, peer: SocketAddr, opened: Micros, waited: Micros) -> Self {
+        Self {
+            socket,
+            peer,
+            read_buffer: ReadBuffer::default(),
+            write_buffer: WriteBuffer::default(),
+            request: None,
+            no_keep_alive: false,
+            answered: 0,
+            opened,
+            waited,
+            requests_received: 0,
+            partial_request: None,
+            discarded_bytes: 0,
+            close_reason: None,
+            is_lingering: false,
+            since: 0,
+            sent_continue: false,
+            timer: None,
+        }
+    }
+
     /// Whether the client waits for a response or for the rest of one.
     pub fn awaits_response(&self) -> bool {
         self.request.is_some() || !self.write_buffer.is_empty()
