--- a/crates/proxy/src/connections/request_parser.rs
+++ b/crates/proxy/src/connections/request_parser.rs
@@ -12,6 +12,7 @@
 use crate::connections::http_message::{
     self, Body, Conflicting, Framing, MAX_BODY_BYTES, MAX_FIELDS, MAX_HEAD_BYTES, MAX_MESSAGE_BYTES,
 };
+use crate::state::clock::US_PER_MS;
 
 #[cfg(test)]
 mod tests;
@@ -20,8 +21,6 @@
 const MAX_ID_BYTES: usize = 128;
 /// The longest remaining time believed of a client, in milliseconds; it guards against overflow.
 const MAX_REMAINING_MS: u64 = 3_600_000;
-/// Microseconds in a millisecond.
-const US_PER_MS: Micros = 1_000;
 
 /// The extent of a complete request message in a buffer.
 pub struct RequestFrame {
--- a/crates/proxy/src/connections/send_guard.rs
+++ b/crates/proxy/src/connections/send_guard.rs
@@ -1,13 +1,14 @@
-//! The one guard that every attempt passes in the moment in which its bytes go out, and the bytes themselves.
+//! The guard that every attempt passes when its bytes are written, and the bytes themselves.
 //!
-//! The module decides on an attempt; a connection may come up much later, or the process be held up meanwhile. What the
-//! rules ask of a send is therefore asked again here, and what is refused was proven never sent.
+//! The policy decides on an attempt; its connection may be established much later, or the process be held up meanwhile.
+//! The conditions of a send are therefore checked again here, and what is refused is proven not sent.
 
 use bytes::Bytes;
 use pinefront_policy::{Idempotency, Micros, begin_before};
 use slog::{info, warn};
 
-use crate::state::endpoint_connection::Exchange;
+use crate::state::clock::US_PER_MS;
+use crate::state::endpoint_connection::{EndpointConnection, Exchange};
 use crate::state::keys::EndpointConnectionKey;
 use crate::state::proxy::ProxyState;
 use crate::state::request::Request;
@@ -17,40 +18,36 @@
 #[cfg(test)]
 mod tests;
 
-/// How long a request may have been under way to us, unseen, and the part of a short time left that this takes at most.
-const WAY_HERE: Micros = 10_000;
-const WAY_HERE_PART: Micros = 10;
+/// How long a request may have been on its way to us, unnoticed.
+const MAX_TRANSIT_US: Micros = 10_000;
+/// The divisor of short remaining times that bounds this.
+const TRANSIT_DIVISOR: Micros = 10;
 
 impl ProxyState {
-    /// Puts the bytes of the attempt that a connection carries into its write buffer, unless it must not be sent any more.
-    /// They are worded now: what the endpoint is told is the time that is left when they go.
+    /// Writes the request of the attempt on a connection to its write buffer. The remaining time that the endpoint
+    /// receives is that of this moment.
+    ///
+    /// # Errors
+    ///
+    /// Fails when the attempt must not be sent any more.
     pub fn write_attempt(
         &mut self,
         key: EndpointConnectionKey,
         now: Micros,
     ) -> Result<(), SendRefusal> {
-        match self.may_send(key, now) {
-            Ok(()) => {
-                self.push_attempt(key, now);
-                Ok(())
-            }
-            Err(refusal) => {
-                self.log_refusal(key, refusal);
-                Err(refusal)
-            }
+        let checked = self.check_send(key, now);
+        match checked {
+            Ok(()) => self.push_attempt(key, now),
+            Err(refusal) => self.log_refusal(key, refusal),
         }
+        checked
     }
 
-    /// Every question that the rules ask of a send.
-    fn may_send(&self, key: EndpointConnectionKey, now: Micros) -> Result<(), SendRefusal> {
-        let connection = self
-            .endpoint_connections
-            .get(key)
-            .ok_or(SendRefusal::DeadlinePassed)?;
-        let exchange = connection
-            .exchange
-            .as_ref()
-            .ok_or(SendRefusal::DeadlinePassed)?;
+    /// Checks all conditions of a send.
+    fn check_send(&self, key: EndpointConnectionKey, now: Micros) -> Result<(), SendRefusal> {
+        let connection = self.endpoint_connections.get(key);
+        let connection = connection.ok_or(SendRefusal::DeadlinePassed)?;
+        let exchange = connection.exchange.ok_or(SendRefusal::DeadlinePassed)?;
         if now >= exchange.expire_at {
             return Err(SendRefusal::DeadlinePassed);
         }
@@ -58,34 +55,19 @@
             .requests
             .get(exchange.request)
             .ok_or(SendRefusal::ClientDisconnected)?;
-        self.client_still_waits(request, exchange, now)?;
-        let endpoint = self
-            .endpoints
-            .get(connection.endpoint)
-            .ok_or(SendRefusal::Draining)?;
-        // The grace is left to what holds the process up, before it read the notice and before it writes.
-        if endpoint.draining_since.is_some() {
-            return Err(SendRefusal::Draining);
-        }
-        if endpoint.address != Some(connection.address) {
-            return Err(SendRefusal::AddressChanged);
-        }
-        may_repeat(request, now)?;
-        let others_out = request
-            .attempts
-            .iter()
-            .enumerate()
-            .any(|(number, out)| number != exchange.number && out.is_some());
-        if others_out {
-            Err(SendRefusal::AttemptInFlight)
-        } else {
-            Ok(())
+        self.check_client(request, &exchange, now)?;
+        self.check_endpoint(connection)?;
+        check_repeat(request, now)?;
+        let mut others = request.attempts.iter().enumerate();
+        if others.any(|(number, attempt)| number != exchange.number && attempt.is_some()) {
+            return Err(SendRefusal::AttemptInFlight);
         }
+        Ok(())
     }
 
-    /// A client may have left without our having read it: where the decision is not of this very moment, its
-    /// connection is asked.
-    fn client_still_waits(
+    /// Checks that the client still waits. Where the decision is not of this very moment, it may have disconnected
+    /// without our having read that.
+    fn check_client(
         &self,
         request: &Request,
         exchange: &Exchange,
@@ -95,52 +77,57 @@
             .client
             .and_then(|key| self.clients.get(key))
             .ok_or(SendRefusal::ClientDisconnected)?;
-        let old = exchange.number > 0 || exchange.sent < now || now > self.loop_iteration.until;
-        if old && is_hung_up(&client.socket.stream) {
-            Err(SendRefusal::ClientDisconnected)
-        } else {
-            Ok(())
+        let is_stale =
+            exchange.number > 0 || exchange.sent < now || now > self.loop_iteration.until;
+        if is_stale && is_hung_up(&client.socket.stream) {
+            return Err(SendRefusal::ClientDisconnected);
+        }
+        Ok(())
+    }
+
+    /// Checks that the endpoint takes requests at the connection's address. The grace of a drain is left to delays of
+    /// the process before it reads the notice and before it writes.
+    fn check_endpoint(&self, connection: &EndpointConnection) -> Result<(), SendRefusal> {
+        let endpoint = self.endpoints.get(connection.endpoint);
+        let endpoint = endpoint.ok_or(SendRefusal::Draining)?;
+        if endpoint.draining_since.is_some() {
+            return Err(SendRefusal::Draining);
         }
+        if endpoint.address != Some(connection.address) {
+            return Err(SendRefusal::AddressChanged);
+        }
+        Ok(())
     }
 
     fn push_attempt(&mut self, key: EndpointConnectionKey, now: Micros) {
         let Some(connection) = self.endpoint_connections.get_mut(key) else {
             return;
         };
-        let Some(exchange) = connection.exchange.as_ref() else {
+        let Some(exchange) = connection.exchange else {
             return;
         };
         let Some(request) = self.requests.get(exchange.request) else {
             return;
         };
-        request
-            .head
-            .iter()
-            .for_each(|slice| connection.write_buffer.push(slice.clone()));
-        let length: usize = request.body.iter().map(Bytes::len).sum();
-        let mut added = format!(
-            "X-Remaining-Ms: {}\r\n",
-            remaining_ms(exchange.expire_at - now)
-        );
+        let remaining_ms = remaining_ms(exchange.expire_at - now);
+        let mut added = format!("X-Remaining-Ms: {remaining_ms}\r\n");
         if !request.has_host {
             added += &format!("Host: {}\r\n", connection.address);
         }
+        let length: usize = request.body.iter().map(Bytes::len).sum();
         if length > 0 || request.has_body {
             added += &format!("Content-Length: {length}\r\n");
         }
-        connection.write_buffer.push(Bytes::from(added + "\r\n"));
-        request
-            .body
-            .iter()
-            .for_each(|slice| connection.write_buffer.push(slice.clone()));
+        let buffer = &mut connection.write_buffer;
+        buffer.extend(request.head.iter().cloned());
+        buffer.push(Bytes::from(added + "\r\n"));
+        buffer.extend(request.body.iter().cloned());
     }
 
     fn log_refusal(&mut self, key: EndpointConnectionKey, refusal: SendRefusal) {
         self.counters.attempts_blocked += 1;
-        let exchange = self
-            .endpoint_connections
-            .get(key)
-            .and_then(|connection| connection.exchange.as_ref());
+        let connection = self.endpoint_connections.get(key);
+        let exchange = connection.and_then(|connection| connection.exchange);
         let number = exchange.map_or(0, |exchange| exchange.number);
         let request = exchange.and_then(|exchange| self.requests.get(exchange.request));
         let id = request.map_or("", |request| &request.id);
@@ -154,13 +141,15 @@
     }
 }
 
-/// What an endpoint is told of the time that is left: a little less, for what the request was under way to us.
-fn remaining_ms(left: Micros) -> Micros {
-    (left - WAY_HERE.min(left / WAY_HERE_PART)).div_ceil(1000)
+/// The remaining time that an endpoint receives, in milliseconds: a little less than ours, for the time that the request
+/// was on its way to us.
+fn remaining_ms(remaining: Micros) -> Micros {
+    let transit = MAX_TRANSIT_US.min(remaining / TRANSIT_DIVISOR);
+    (remaining - transit).div_ceil(US_PER_MS)
 }
 
-/// Whether a request may be sent once more, as far as earlier attempts go.
-fn may_repeat(request: &Request, now: Micros) -> Result<(), SendRefusal> {
+/// Checks that a request may be sent once more, as far as earlier attempts go.
+fn check_repeat(request: &Request, now: Micros) -> Result<(), SendRefusal> {
     let Some(first) = request.may_have_run_since else {
         return Ok(());
     };
--- a/crates/proxy/src/state/clock.rs
+++ b/crates/proxy/src/state/clock.rs
@@ -7,6 +7,8 @@
 #[cfg(test)]
 mod tests;
 
+/// Microseconds in a millisecond.
+pub const US_PER_MS: Micros = 1_000;
 /// Delays up to this length are ordinary and not counted as time that a sender lost.
 const ORDINARY_DELAY_US: Micros = 5_000;
 
