--- a/crates/proxy/src/close_reason.rs
+++ b/crates/proxy/src/close_reason.rs
@@ -106,9 +106,9 @@
 }
 
 impl CloseReason {
-    /// Whether it casts doubt on the endpoint's other connections: a machine that vanished leaves all of them
-    /// unresponsive and, once it is back, resets each of them under a request. A new connection shows at once whether
-    /// it is there.
+    /// Whether it casts doubt on the endpoint's other connections: a machine that vanished leaves
+    /// all of them unresponsive and, once it is back, resets each of them under a request. A new
+    /// connection shows at once whether it is there.
     pub fn casts_doubt_on_endpoint(self) -> bool {
         matches!(
             self,
--- a/crates/proxy/src/connections/accept.rs
+++ b/crates/proxy/src/connections/accept.rs
@@ -22,7 +22,8 @@
 const ACCEPT_PAUSE_US: Micros = 10_000;
 /// Connections to accept in one iteration: connected clients must not wait for a burst of new ones.
 const MAX_ACCEPTS_PER_ITERATION: usize = 64;
-/// How long after its last activity a client in the middle of something is not closed in favour of another.
+/// How long after its last activity a client in the middle of something is not closed in favour of
+/// another.
 const ABOUT_TO_SEND_US: Micros = 1_000_000;
 
 /// Why accepting failed.
@@ -30,7 +31,8 @@
 enum AcceptFailure {
     /// The backlog is empty.
     WouldBlock,
-    /// The one connection that was to be accepted is lost, or the call was interrupted: the next may succeed.
+    /// The one connection that was to be accepted is lost, or the call was interrupted: the next
+    /// may succeed.
     Transient,
     /// This process may open no further descriptor.
     ProcessLimit,
@@ -38,7 +40,8 @@
     SystemLimit,
 }
 
-/// Classifies a failure as accept(2) lists them: errors of the network belong to the connection that was to be accepted.
+/// Classifies a failure as accept(2) lists them: errors of the network belong to the connection
+/// that was to be accepted.
 fn accept_failure(error: &std::io::Error) -> AcceptFailure {
     let Some(code) = Errno::from_io_error(error) else {
         return AcceptFailure::SystemLimit;
@@ -63,7 +66,8 @@
 }
 
 impl Proxy {
-    /// Accepts connections from the backlog. Returns whether more may wait there that can be accepted now.
+    /// Accepts connections from the backlog. Returns whether more may wait there that can be
+    /// accepted now.
     pub fn accept(&mut self) -> bool {
         let mut has_freed_descriptor = false;
         let mut has_accepted = false;
@@ -93,8 +97,8 @@
                 continue;
             }
             warn!(state.log, "accept failed"; "error" => %error);
-            // A connection in the backlog counts as accepted, so an idle one is closed for it. Where that did not help,
-            // closing more of them would not either.
+            // A connection in the backlog counts as accepted, so an idle one is closed for it.
+            // Where that did not help, closing more of them would not either.
             let can_help = failure == AcceptFailure::ProcessLimit && !has_freed_descriptor;
             if !can_help || !state.free_descriptor() {
                 state.pause_accepting();
@@ -107,7 +111,8 @@
 }
 
 impl ProxyState {
-    /// Whether another client may connect. At the limit, closes an idle connection if one waits in the backlog.
+    /// Whether another client may connect. At the limit, closes an idle connection if one waits in
+    /// the backlog.
     fn has_capacity_for_client(&mut self, listener: &TcpListener) -> bool {
         if self.clients.len() < self.config.max_client_connections {
             return true;
@@ -142,18 +147,21 @@
             }
             Err(error) => {
                 self.counters.accepts_failed += 1;
-                warn!(self.log, "client connection not registered"; "reason" => CloseReason::NotRegistered.code(),
+                let reason = CloseReason::NotRegistered.code();
+                warn!(self.log, "client connection not registered"; "reason" => reason,
                     "peer" => %peer, "error" => %error);
             }
         }
     }
 
-    /// Closes an idle connection of a client, or else one to an endpoint. Returns whether there was one.
+    /// Closes an idle connection of a client, or else one to an endpoint. Returns whether there was
+    /// one.
     fn free_descriptor(&mut self) -> bool {
         self.close_idle_client() || self.evict_idle_endpoint_connection()
     }
 
-    /// Closes the client's connection that has been idle or stalled for longest. Returns whether there was one.
+    /// Closes the client's connection that has been idle or stalled for longest. Returns whether
+    /// there was one.
     fn close_idle_client(&mut self) -> bool {
         let Some(key) = self.longest_idle_client() else {
             return false;
--- a/crates/proxy/src/connections/accept/tests.rs
+++ b/crates/proxy/src/connections/accept/tests.rs
@@ -8,7 +8,8 @@
 
 const SECOND: Micros = 1_000_000;
 
-/// How a client stands: what it was answered, what it sent of a request, and how long it has kept us waiting.
+/// How a client stands: what it was answered, what it sent of a request, and how long it has kept
+/// us waiting.
 type Standing = (u64, &'static str, Micros);
 
 fn stands(harness: &mut TestHarness, (answered, sent, waited): Standing) -> (TcpStream, ClientKey) {
@@ -139,8 +140,9 @@
     );
 }
 
-/// Idle connections to endpoints are room for others of these only: for each that gave way to a client beyond the most, a
-/// new one was opened later, and all together went over the limit of descriptors.
+/// Idle connections to endpoints are room for others of these only: for each that gave way to a
+/// client beyond the most, a new one was opened later, and all together went over the limit of
+/// descriptors.
 #[test]
 fn idle_connections_to_endpoints_make_no_room_for_clients_beyond_the_most() {
     let mut harness = TestHarness::new();
--- a/crates/proxy/src/connections/attempt.rs
+++ b/crates/proxy/src/connections/attempt.rs
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Reports the end of an attempt to the policy, also where no client waits any more: the next request of the same
-    /// ordering key waits for it.
+    /// Reports the end of an attempt to the policy, also where no client waits any more: the next
+    /// request of the same ordering key waits for it.
     pub fn report_attempt(
         &mut self,
         now: Micros,
@@ -46,8 +46,8 @@
     ) {
         let is_final = outcome == AttemptOutcome::Succeeded;
         if !is_final {
-            info!(self.state.borrow().log, "attempt ended"; "request" => request, "attempt" => number,
-                "outcome" => ?outcome);
+            info!(self.state.borrow().log, "attempt ended"; "request" => request,
+                "attempt" => number, "outcome" => ?outcome);
         }
         self.balancer
             .attempt_ended(now, request, number, is_final, outcome, elapsed);
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Starts the exchange of an attempt on a connection. Where that is not established yet, the request is written once
-    /// it is.
+    /// Starts the exchange of an attempt on a connection. Where that is not established yet, the
+    /// request is written once it is.
     fn start_exchange(&mut self, key: EndpointConnectionKey, exchange: Exchange) {
         let now = exchange.sent;
         let connect_by = now + self.config.connect_timeout;
@@ -120,7 +120,8 @@
         self.set_endpoint_connection_timer(key, exchange.expire_at);
     }
 
-    /// Cancels an attempt by closing its connection, by which the endpoint sees that no response is awaited.
+    /// Cancels an attempt by closing its connection, by which the endpoint sees that no response is
+    /// awaited.
     pub fn cancel_attempt(&mut self, id: &str, number: usize) {
         let Some(key) = self.requests.key_of(id) else {
             return;
@@ -163,8 +164,8 @@
         }
     }
 
-    /// Sends a health check; none where that is not possible. It waits as long as connecting may take: a later answer
-    /// reports another load.
+    /// Sends a health check; none where that is not possible. It waits as long as connecting may
+    /// take: a later answer reports another load.
     fn send_probe(&mut self, endpoint: EndpointKey, now: Micros) -> Option<()> {
         let path = self.config.probe_path.clone()?;
         let key = self.connection_to(endpoint).ok()?;
--- a/crates/proxy/src/connections/client.rs
+++ b/crates/proxy/src/connections/client.rs
@@ -25,12 +25,14 @@
             ClientRead::Nothing => {}
             ClientRead::Closing => self.state.borrow_mut().continue_after_response(key),
             ClientRead::Closed(reason) => self.client_disconnected(key, reason),
-            // What lies behind the request waits for a later iteration, or one client could occupy the loop.
+            // What lies behind the request waits for a later iteration, or one client could occupy
+            // the loop.
             ClientRead::Request => self.read_request(key),
         }
     }
 
-    /// Closes the connection of a client that disconnected and cancels its request, if one is in flight.
+    /// Closes the connection of a client that disconnected and cancels its request, if one is in
+    /// flight.
     pub fn client_disconnected(&mut self, key: ClientKey, reason: CloseReason) {
         let mut state = self.state.borrow_mut();
         let request = state.clients.get(key).and_then(|client| client.request);
@@ -52,7 +54,8 @@
         }
     }
 
-    /// Handles the expired timer of a client's connection. What it was set for follows from the connection's state.
+    /// Handles the expired timer of a client's connection. What it was set for follows from the
+    /// connection's state.
     pub fn client_timer_expired(&mut self, key: ClientKey) {
         let mut state = self.state.borrow_mut();
         let Some(client) = state.clients.get_mut(key) else {
@@ -138,8 +141,9 @@
     }
 }
 
-/// Reads what the client sent. While the shutdown closes connections, received requests are completed and answered but
-/// no further one is read: a client that always has a next one would never be done.
+/// Reads what the client sent. While the shutdown closes connections, received requests are
+/// completed and answered but no further one is read: a client that always has a next one would
+/// never be done.
 fn fill_read_buffer(client: &mut ClientConnection, closing: bool) -> ReadOutcome {
     if closing && (client.awaits_response() || client.has_unread_bytes()) {
         return if client.request.is_some() && is_hung_up(&client.socket.stream) {
--- a/crates/proxy/src/connections/client/tests.rs
+++ b/crates/proxy/src/connections/client/tests.rs
@@ -484,7 +484,8 @@
         closes
     );
     if closes {
-        // Our sending is over at once, the connection when the client sees it; what it sent meanwhile resets nothing.
+        // Our sending is over at once, the connection when the client sees it; what it sent
+        // meanwhile resets nothing.
         say(&client, &message("t2", "body"));
         harness.ends(&client);
         assert_eq!(harness.proxy.state.borrow().counters.requests_received, 1);
@@ -493,7 +494,8 @@
     }
 }
 
-/// Between what we read ahead and the end that lies behind it: a client that sent on and left is seen to have gone.
+/// Between what we read ahead and the end that lies behind it: a client that sent on and left is
+/// seen to have gone.
 #[rstest]
 #[case::as_much_as_is_read(READ_AHEAD_BYTES)]
 #[case::more(10 * READ_AHEAD_BYTES)]
@@ -518,8 +520,8 @@
     harness.until(|proxy| (proxy.state.borrow().counters.requests_disconnected == 1).then_some(()));
 }
 
-/// A request that was read and whose connection is closed with no answer is lost: neither a crowd nor a stop closes over
-/// what was read ahead.
+/// A request that was read and whose connection is closed with no answer is lost: neither a crowd
+/// nor a stop closes over what was read ahead.
 #[test]
 fn requests_read_ahead_are_answered_before_the_connection_closes() {
     for (crowd, closing) in [(0, false), (usize::MAX, true)] {
@@ -553,8 +555,9 @@
     }
 }
 
-/// Who stops in the middle of a request and stays is owed its error or close within 3 s, also on a connection that has
-/// brought requests before (10 s until 2026-12-02); who goes on has so much for each step, and no more than 10 s in all.
+/// Who stops in the middle of a request and stays is owed its error or close within 3 s, also on a
+/// connection that has brought requests before (10 s until 2026-12-02); who goes on has so much for
+/// each step, and no more than 10 s in all.
 #[test]
 fn a_client_that_stops_in_the_middle_of_a_further_request_has_its_error_within_three_seconds() {
     let mut harness = TestHarness::new();
@@ -590,7 +593,8 @@
     );
 }
 
-/// The end of an attempt frees its key, also where its client has left and nobody waits for the answer.
+/// The end of an attempt frees its key, also where its client has left and nobody waits for the
+/// answer.
 #[test]
 fn a_client_that_leaves_does_not_block_its_key_for_ever() {
     let mut harness = TestHarness::with(|told| {
--- a/crates/proxy/src/connections/client_lifetime.rs
+++ b/crates/proxy/src/connections/client_lifetime.rs
@@ -13,12 +13,13 @@
 
 /// How long a client may take to send a request, and to read a response.
 pub const TRANSFER_TIMEOUT_US: Micros = 10_000_000;
-/// How long a client may stall in the middle of a request, and how long after connecting its first request may take.
-/// Clients are owed an error or a close within 3 s.
+/// How long a client may stall in the middle of a request, and how long after connecting its first
+/// request may take. Clients are owed an error or a close within 3 s.
 pub const STALL_TIMEOUT_US: Micros = 2_300_000;
 /// How long a connection may be idle between requests: a client that vanished sends nothing.
 pub const MAX_IDLE_US: Micros = 120_000_000;
-/// How long a connection may be idle in any case. Where many are idle, the room is needed for those that send.
+/// How long a connection may be idle in any case. Where many are idle, the room is needed for those
+/// that send.
 pub const MIN_IDLE_US: Micros = 2_100_000;
 /// Share of the connection limit from which on many connections are open.
 const MANY_CONNECTIONS_SHARE: f64 = 0.3;
@@ -44,14 +45,14 @@
         }
     }
 
-    /// Notes that a connection is idle between requests. Whether it may stay is decided when the shortest idle time has
-    /// passed, and again and again from then on.
+    /// Notes that a connection is idle between requests. Whether it may stay is decided when the
+    /// shortest idle time has passed, and again and again from then on.
     pub fn client_idle(&mut self, key: ClientKey) {
         self.wait_for_next_bytes(key, MIN_IDLE_US);
     }
 
-    /// Notes that part of a request was received. Its sender may stall for some time, but the whole request is bounded
-    /// however slowly it trickles in.
+    /// Notes that part of a request was received. Its sender may stall for some time, but the whole
+    /// request is bounded however slowly it trickles in.
     pub fn wait_for_rest(&mut self, key: ClientKey) {
         let now = self.clock.now();
         let Some(client) = self.clients.get_mut(key) else {
@@ -71,8 +72,8 @@
         }
     }
 
-    /// Waits for bytes of the client. A connection that has brought no request yet has only the time since it was
-    /// accepted.
+    /// Waits for bytes of the client. A connection that has brought no request yet has only the
+    /// time since it was accepted.
     fn wait_for_next_bytes(&mut self, key: ClientKey, after: Micros) {
         let Some(client) = self.clients.get(key) else {
             return;
@@ -105,7 +106,8 @@
         client.timer = Some(self.timers.schedule(now + MIN_IDLE_US, again));
     }
 
-    /// Closes connections that are idle between requests, once what was received on them has been parsed.
+    /// Closes connections that are idle between requests, once what was received on them has been
+    /// parsed.
     pub fn close_idle_clients(&mut self) {
         self.for_clients(
             |client| !client.awaits_response() && client.read_buffer.bytes().is_empty(),
@@ -136,9 +138,10 @@
         keys.into_iter().for_each(|key| act(self, key));
     }
 
-    /// Shuts down our side of a connection and lingers: what the client still sends is discarded, then the connection
-    /// is closed. Closing over unread bytes would reset it and lose the end of the last response; a request that crosses
-    /// our end is the client's to send elsewhere. A connection without a response is closed immediately.
+    /// Shuts down our side of a connection and lingers: what the client still sends is discarded,
+    /// then the connection is closed. Closing over unread bytes would reset it and lose the end of
+    /// the last response; a request that crosses our end is the client's to send elsewhere. A
+    /// connection without a response is closed immediately.
     pub fn shut_down_client(&mut self, key: ClientKey, reason: CloseReason) {
         let linger = if self.closing {
             SHUTDOWN_LINGER_US
@@ -166,8 +169,8 @@
         self.timers.clear(&mut client.timer);
         self.handle.remove(client.socket.token);
         self.counters.client_connections_closed += 1;
-        info!(self.log, "client connection closed"; "reason" => reason.code(), "peer" => %client.peer,
-            "responses" => client.answered);
+        info!(self.log, "client connection closed"; "reason" => reason.code(),
+            "peer" => %client.peer, "responses" => client.answered);
     }
 }
 
--- a/crates/proxy/src/connections/client_response.rs
+++ b/crates/proxy/src/connections/client_response.rs
@@ -1,4 +1,5 @@
-//! Responses to clients: the response of an endpoint, the balancer's own pages, rejections and errors.
+//! Responses to clients: the response of an endpoint, the balancer's own pages, rejections and
+//! errors.
 
 use bytes::Bytes;
 
@@ -84,7 +85,8 @@
         self.continue_after_response(key);
     }
 
-    /// Once a response is written, closes the connection if it is to be closed, or turns to the next request.
+    /// Once a response is written, closes the connection if it is to be closed, or turns to the
+    /// next request.
     pub fn continue_after_response(&mut self, key: ClientKey) {
         let Some(client) = self.clients.get_mut(key) else {
             return;
--- a/crates/proxy/src/connections/endpoint.rs
+++ b/crates/proxy/src/connections/endpoint.rs
@@ -27,8 +27,8 @@
         }
     }
 
-    /// Handles the expired timer of a connection to an endpoint: it was idle for too long, was not established in time,
-    /// or its exchange has timed out.
+    /// Handles the expired timer of a connection to an endpoint: it was idle for too long, was not
+    /// established in time, or its exchange has timed out.
     pub fn endpoint_connection_timer_expired(&mut self, key: EndpointConnectionKey) {
         let mut state = self.state.borrow_mut();
         let now = state.now();
@@ -126,8 +126,8 @@
         read_response(connection, is_written, &outcome)
     }
 
-    /// Completes the connecting of a new connection and sends the attempt on it. Returns what to do where the connection
-    /// is not established or the attempt is refused.
+    /// Completes the connecting of a new connection and sends the attempt on it. Returns what to do
+    /// where the connection is not established or the attempt is refused.
     fn complete_connect(
         &mut self,
         key: EndpointConnectionKey,
--- a/crates/proxy/src/connections/endpoint/tests.rs
+++ b/crates/proxy/src/connections/endpoint/tests.rs
@@ -15,7 +15,8 @@
 
 const LONG: Micros = 60_000_000;
 
-/// The outcome and the count of a line of the counters, if it counts an outcome at all and is not 0.
+/// The outcome and the count of a line of the counters, if it counts an outcome at all and is not
+/// 0.
 fn counted_outcome(line: &str) -> Option<&str> {
     line.strip_prefix("attempts_")
         .filter(|line| !line.starts_with("blocked ") && !line.ends_with(" 0"))
@@ -497,7 +498,8 @@
     );
 }
 
-/// A request of a client of its own: the connection on which it reached an endpoint, or nothing where it was dismissed.
+/// A request of a client of its own: the connection on which it reached an endpoint, or nothing
+/// where it was dismissed.
 fn reaches(
     harness: &mut TestHarness,
     endpoint: &TcpListener,
@@ -526,8 +528,9 @@
     took
 }
 
-/// r2f515a, 0.71 -> 0.00 of the score: two balancers, so a limit of one config. The lost dispatch held it to its hard stop,
-/// a minute here, and with nothing sent later no answer could overtake it.
+/// r2f515a, 0.71 -> 0.00 of the score: two balancers, so a limit of one config. The lost dispatch
+/// held it to its hard stop, a minute here, and with nothing sent later no answer could overtake
+/// it.
 #[test]
 fn an_endpoint_that_lost_an_answer_is_sent_another_request() {
     let mut harness = TestHarness::with(|told| {
@@ -554,8 +557,8 @@
     assert_eq!(endings(&harness), "succeeded 1");
 }
 
-/// Between the decision and the connection that comes up: time passed. settat-main, zone+brink, seed 3: 9 of 38 further
-/// attempts told more time than their clients had left.
+/// Between the decision and the connection that comes up: time passed. settat-main, zone+brink,
+/// seed 3: 9 of 38 further attempts told more time than their clients had left.
 #[test]
 fn what_an_attempt_tells_is_what_is_left_when_its_bytes_go() {
     let mut harness = TestHarness::new();
@@ -578,8 +581,9 @@
     assert!((1..=300).contains(&told.parse::<u64>().unwrap()), "{heard}");
 }
 
-/// Between the decision and the connection that comes up: the client left, its request has its answer, or its time ran
-/// out in this very turn. The module may not be allowed to call anything off.
+/// Between the decision and the connection that comes up: the client left, its request has its
+/// answer, or its time ran out in this very turn. The module may not be allowed to call anything
+/// off.
 #[rstest]
 #[case::client_disconnected(|harness: &mut TestHarness| {
     let key = harness.proxy.state.borrow().clients.keys().next().unwrap();
@@ -653,7 +657,8 @@
     );
 }
 
-/// A connection to where an endpoint was before carries nothing more once the list names another address.
+/// A connection to where an endpoint was before carries nothing more once the list names another
+/// address.
 #[test]
 fn a_connection_to_an_address_that_an_endpoint_has_left_is_not_kept() {
     let mut harness = TestHarness::new();
@@ -708,8 +713,9 @@
     harness.ends(&connection);
 }
 
-/// A second answer, some milliseconds late, was given to the next request of another client (soak, seed 1: the answer to
-/// one request to whoever asked 1.9 ms later). Who said something unasked has each request on a connection of its own.
+/// A second answer, some milliseconds late, was given to the next request of another client (soak,
+/// seed 1: the answer to one request to whoever asked 1.9 ms later). Who said something unasked has
+/// each request on a connection of its own.
 #[test]
 fn an_endpoint_that_said_something_unasked_keeps_no_connection() {
     let mut harness = TestHarness::new();
--- a/crates/proxy/src/connections/endpoint_pool.rs
+++ b/crates/proxy/src/connections/endpoint_pool.rs
@@ -14,11 +14,11 @@
 use crate::state::socket::{RegisteredSocket, connect};
 use crate::state::timers::TimerEvent;
 
-/// Share of the idle time in the settings after which we close first: a request written to a connection that the
-/// endpoint is closing would be lost.
+/// Share of the idle time in the settings after which we close first: a request written to a
+/// connection that the endpoint is closing would be lost.
 const IDLE_SHARE: f64 = 0.8;
-/// How long a connection is not reused after a response, so that a close or further bytes of the endpoint are noticed
-/// before the next request is written to it and takes them for its response.
+/// How long a connection is not reused after a response, so that a close or further bytes of the
+/// endpoint are noticed before the next request is written to it and takes them for its response.
 pub const REUSE_DELAY_US: Micros = 8_000;
 /// How long the connections of an endpoint carry one request each after it sent unsolicited bytes.
 const SINGLE_USE_US: Micros = 10_000_000;
@@ -55,13 +55,19 @@
             None => Err(ErrorKind::NotFound.into()),
         };
         opened.map_err(|error| {
-            warn!(self.log, "cannot connect"; "reason" => CloseReason::NotRegistered.code(), "error" => %error);
-            // A shortage of our own must not be held against the endpoint.
-            if is_remote_failure(&error) { AttemptOutcome::Unreachable } else { AttemptOutcome::NotSent }
+            let reason = CloseReason::NotRegistered.code();
+            warn!(self.log, "cannot connect"; "reason" => reason, "error" => %error);
+            if is_remote_failure(&error) {
+                AttemptOutcome::Unreachable
+            } else {
+                // A shortage of our own must not be held against the endpoint.
+                AttemptOutcome::NotSent
+            }
         })
     }
 
-    /// Takes the idle connection used last, of those whose reuse delay has passed, from its endpoint.
+    /// Takes the idle connection used last, of those whose reuse delay has passed, from its
+    /// endpoint.
     fn take_idle_connection(&mut self, endpoint: EndpointKey) -> Option<EndpointConnectionKey> {
         let now = self.now();
         let idle = &mut self.endpoints.get_mut(endpoint)?.idle;
@@ -74,8 +80,8 @@
         Some(idle.remove(position))
     }
 
-    /// Whether an idle connection is still open and silent. Another one is closed: a request written to it would be lost,
-    /// or take unsolicited bytes for its response.
+    /// Whether an idle connection is still open and silent. Another one is closed: a request
+    /// written to it would be lost, or take unsolicited bytes for its response.
     fn is_reusable(&mut self, key: EndpointConnectionKey, endpoint: EndpointKey) -> bool {
         let Some(connection) = self.endpoint_connections.get(key) else {
             return false;
@@ -135,7 +141,8 @@
         }
     }
 
-    /// Sends what waits on a connection. A failure is handled in a later iteration, as this may be a call of the policy.
+    /// Sends what waits on a connection. A failure is handled in a later iteration, as this may be
+    /// a call of the policy.
     pub fn flush_endpoint_connection(&mut self, key: EndpointConnectionKey, now: Micros) {
         if let Some(connection) = self.endpoint_connections.get_mut(key)
             && connection
@@ -148,8 +155,8 @@
         }
     }
 
-    /// Notes that an endpoint sent bytes that are no response. It may do so again later than the reuse delay, and then
-    /// the next request would take them for its response.
+    /// Notes that an endpoint sent bytes that are no response. It may do so again later than the
+    /// reuse delay, and then the next request would take them for its response.
     pub fn received_unsolicited(&mut self, endpoint: EndpointKey) {
         let until = self.now() + SINGLE_USE_US;
         let Some(endpoint) = self.endpoints.get_mut(endpoint) else {
@@ -182,7 +189,8 @@
         self.close_endpoint_connection(key, reason);
     }
 
-    /// Closes the idle connection that expires first, to free a descriptor. Returns whether there was one.
+    /// Closes the idle connection that expires first, to free a descriptor. Returns whether there
+    /// was one.
     pub fn evict_idle_endpoint_connection(&mut self) -> bool {
         let idle = self
             .endpoint_connections
@@ -206,8 +214,8 @@
         }
     }
 
-    /// Closes a connection and removes it from the table. Where the reason casts doubt on the endpoint's other
-    /// connections, its idle ones are closed too.
+    /// Closes a connection and removes it from the table. Where the reason casts doubt on the
+    /// endpoint's other connections, its idle ones are closed too.
     pub fn close_endpoint_connection(&mut self, key: EndpointConnectionKey, reason: CloseReason) {
         let Some(mut connection) = self.endpoint_connections.remove(key) else {
             return;
@@ -217,8 +225,8 @@
         self.counters.endpoint_connections_closed += 1;
         if let Some(endpoint) = self.endpoints.get_mut(connection.endpoint) {
             endpoint.idle.retain(|idle| *idle != key);
-            info!(self.log, "endpoint connection closed"; "reason" => reason.code(), "endpoint" => &*endpoint.id,
-                "requests_carried" => connection.requests_carried);
+            info!(self.log, "endpoint connection closed"; "reason" => reason.code(),
+                "endpoint" => &*endpoint.id, "requests_carried" => connection.requests_carried);
         }
         let is_doubtful = reason.casts_doubt_on_endpoint()
             || (reason == CloseReason::Cancelled && self.is_unresponsive(&connection));
--- a/crates/proxy/src/connections/http_message.rs
+++ b/crates/proxy/src/connections/http_message.rs
@@ -147,14 +147,16 @@
         .then_some(Framing::Chunked)
 }
 
-/// Whether every line of a head ends with CRLF: others may take a bare line feed for part of a line.
+/// Whether every line of a head ends with CRLF: others may take a bare line feed for part of a
+/// line.
 pub fn has_only_crlf(head: &[u8]) -> bool {
     head.iter()
         .enumerate()
         .all(|(index, byte)| *byte != b'\n' || (index > 0 && head[index - 1] == b'\r'))
 }
 
-/// The body that starts at `from`, of at most `limit` bytes; `is_closed` says that no more bytes will be received.
+/// The body that starts at `from`, of at most `limit` bytes; `is_closed` says that no more bytes
+/// will be received.
 pub fn body(bytes: &[u8], from: usize, framing: Framing, is_closed: bool, limit: usize) -> Body {
     match framing {
         Framing::Length(length) if length > limit => Body::TooLong,
@@ -247,7 +249,8 @@
         .any(|hop_by_hop| name.eq_ignore_ascii_case(hop_by_hop))
 }
 
-/// Where a part of a message lies in it, so that a slice of the buffer can be taken instead of a copy.
+/// Where a part of a message lies in it, so that a slice of the buffer can be taken instead of a
+/// copy.
 pub fn byte_range(message: &[u8], part: &[u8]) -> Range<usize> {
     let from = (part.as_ptr() as usize).saturating_sub(message.as_ptr() as usize);
     from.min(message.len())..(from + part.len()).min(message.len())
--- a/crates/proxy/src/connections/load_report.rs
+++ b/crates/proxy/src/connections/load_report.rs
@@ -11,7 +11,8 @@
 /// The field that holds a load report.
 pub const LOAD_REPORT_FIELD: &str = "x-pressure";
 
-/// The first load report among the fields that holds a value. A malformed report is none, not one of no load.
+/// The first load report among the fields that holds a value. A malformed report is none, not one
+/// of no load.
 pub fn load_report(fields: &[Header]) -> Option<LoadReport> {
     http_message::texts(fields, LOAD_REPORT_FIELD)
         .map(parse_load_report)
--- a/crates/proxy/src/connections/request.rs
+++ b/crates/proxy/src/connections/request.rs
@@ -27,7 +27,8 @@
 const SENT_BEFORE_ACCEPT_US: Micros = 20_000;
 
 impl Proxy {
-    /// Takes the first complete request from a client's read buffer, if there is one, and passes it to the policy.
+    /// Takes the first complete request from a client's read buffer, if there is one, and passes it
+    /// to the policy.
     pub fn read_request(&mut self, key: ClientKey) {
         let mut borrowed = self.state.borrow_mut();
         let state = &mut *borrowed;
@@ -74,11 +75,12 @@
 }
 
 impl ProxyState {
-    /// Takes a complete message from the front of a client's read buffer. Where there is none, waits for the rest of
-    /// it or rejects it.
+    /// Takes a complete message from the front of a client's read buffer. Where there is none,
+    /// waits for the rest of it or rejects it.
     fn take_request_message(&mut self, key: ClientKey) -> Option<RequestMessage> {
         let unread = self.clients.get(key)?.read_buffer.bytes().len();
-        // Nothing of the request was sent yet. Small messages are still accepted: they are bounded by their number.
+        // Nothing of the request was sent yet. Small messages are still accepted: they are bounded
+        // by their number.
         if unread > READ_AHEAD_BYTES && self.buffered_bytes() > self.config.max_message_bytes {
             self.reject_and_close(key, 503, CloseReason::MemoryLimit);
             return None;
@@ -122,8 +124,8 @@
         let _ = client.write_buffer.drain(&client.socket.stream);
     }
 
-    /// Notes whether the client wants the connection closed after this response. HTTP/1.0 has no persistent connections
-    /// unless both sides ask for them, which we do not.
+    /// Notes whether the client wants the connection closed after this response. HTTP/1.0 has no
+    /// persistent connections unless both sides ask for them, which we do not.
     fn note_keep_alive(&mut self, key: ClientKey, head: &RequestHead) {
         if let Some(client) = self.clients.get_mut(key) {
             client.no_keep_alive =
@@ -132,8 +134,9 @@
         }
     }
 
-    /// When the response must be on its way to the client, in microseconds. The remaining time counts from when the
-    /// request was sent: it may have waited in the socket, and a new connection in the backlog before that.
+    /// When the response must be on its way to the client, in microseconds. The remaining time
+    /// counts from when the request was sent: it may have waited in the socket, and a new
+    /// connection in the backlog before that.
     fn request_deadline(&self, key: ClientKey, now: Micros, remaining: Micros) -> Micros {
         let in_backlog = self
             .clients
--- a/crates/proxy/src/connections/request/tests.rs
+++ b/crates/proxy/src/connections/request/tests.rs
@@ -51,7 +51,8 @@
     assert_eq!(harness.proxy.state.borrow().counters.requests_received, 0);
 }
 
-/// A balancer whose labelled requests run in order for each key; times are long, so that a slow test changes nothing.
+/// A balancer whose labelled requests run in order for each key; times are long, so that a slow
+/// test changes nothing.
 fn ordered_by_key() -> TestHarness {
     TestHarness::with(|told| {
         let settings = &mut told["settings"];
@@ -73,7 +74,8 @@
 /// The next request comes on a connection of its own.
 const DONE: &str = "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
-/// The second request of a key comes after the first is over, however that ends; one of another key does not wait.
+/// The second request of a key comes after the first is over, however that ends; one of another key
+/// does not wait.
 #[rstest]
 #[case::answered(Some(DONE))]
 #[case::failed(Some("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"))]
@@ -129,7 +131,8 @@
     );
 }
 
-/// A drain moves later requests elsewhere, but does not let them overtake what still runs where it drains.
+/// A drain moves later requests elsewhere, but does not let them overtake what still runs where it
+/// drains.
 #[test]
 fn a_drain_does_not_let_a_key_overtake_itself() {
     let mut harness = ordered_by_key();
@@ -169,8 +172,8 @@
     });
 }
 
-/// deploy/sites/harrow-permits.toml, calm+brink, seed 1: with a class named `stats` 1,840 requests were answered with the
-/// counters.
+/// deploy/sites/harrow-permits.toml, calm+brink, seed 1: with a class named `stats` 1,840 requests
+/// were answered with the counters.
 #[rstest]
 #[case::counters("stats", "/stats")]
 #[case::below_it("stats", "/stats/1")]
@@ -204,8 +207,8 @@
     assert!(harness.heard(&operator, "\n").starts_with("HTTP/1.1 200 "));
 }
 
-/// Soak, seed 201: balancers stopped for half a second told endpoints 2.48 s where 1.97 s were left, of requests on
-/// connections that had waited to be accepted meanwhile.
+/// Soak, seed 201: balancers stopped for half a second told endpoints 2.48 s where 1.97 s were
+/// left, of requests on connections that had waited to be accepted meanwhile.
 #[test]
 fn a_request_on_a_connection_that_waited_to_be_accepted_has_waited_as_long() {
     let mut harness = TestHarness::new();
--- a/crates/proxy/src/connections/request_parser.rs
+++ b/crates/proxy/src/connections/request_parser.rs
@@ -97,7 +97,8 @@
     }
     let framing = request_framing(&head)?;
     match http_message::body(bytes, head_length, framing, false, MAX_BODY_BYTES) {
-        // A message that fills the buffer would leave the next one unread in the socket, without a further event.
+        // A message that fills the buffer would leave the next one unread in the socket, without a
+        // further event.
         Body::Complete { slices, end } if end < MAX_MESSAGE_BYTES => Ok(Some(RequestFrame {
             head_length,
             body: slices,
@@ -133,8 +134,8 @@
 ///
 /// # Errors
 ///
-/// Fails with the status to answer with: 404 for an unknown class, 405 for a method that the class does not have, 400
-/// for missing or malformed fields.
+/// Fails with the status to answer with: 404 for an unknown class, 405 for a method that the class
+/// does not have, 400 for missing or malformed fields.
 pub fn request_parameters<'a>(
     config: &Config,
     method: &str,
@@ -197,7 +198,8 @@
     (!id.is_empty() && id.len() <= MAX_ID_BYTES && is_printable).then_some(id)
 }
 
-/// The hash of an ordering key, the same at all balancers. Requests whose keys share a hash only wait for each other.
+/// The hash of an ordering key, the same at all balancers. Requests whose keys share a hash only
+/// wait for each other.
 fn ordering_key_hash(text: &str) -> u64 {
     SipHasher13::new().hash(text.as_bytes())
 }
--- a/crates/proxy/src/connections/response.rs
+++ b/crates/proxy/src/connections/response.rs
@@ -37,7 +37,8 @@
         let exchange = received.exchange;
         let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut head = Response::new(&mut fields);
-        // The same bytes were parsed to find the end of the message; a failure here would count as a failed attempt.
+        // The same bytes were parsed to find the end of the message; a failure here would count as
+        // a failed attempt.
         let parsed = head.parse(&received.message[..frame.head_length]);
         let outcome = outcome_of(head.code.filter(|_| parsed.is_ok()), head.headers);
         let reports_load = state.config.reports_load || exchange.is_probe();
@@ -90,7 +91,8 @@
         })
     }
 
-    /// Keeps a connection for reuse after a response, or closes it. Bytes behind the response are unsolicited.
+    /// Keeps a connection for reuse after a response, or closes it. Bytes behind the response are
+    /// unsolicited.
     fn release_endpoint_connection(&mut self, key: EndpointConnectionKey, is_reusable: bool) {
         let Some(connection) = self.endpoint_connections.get(key) else {
             return;
@@ -107,7 +109,8 @@
         }
     }
 
-    /// Records the end of an attempt; none for a health check and where the request is no longer in flight.
+    /// Records the end of an attempt; none for a health check and where the request is no longer in
+    /// flight.
     fn finish_exchange(
         &mut self,
         exchange: &Exchange,
--- a/crates/proxy/src/connections/response_parser.rs
+++ b/crates/proxy/src/connections/response_parser.rs
@@ -1,4 +1,5 @@
-//! Parsing of endpoints' responses: where a response ends, and whether its connection can be reused.
+//! Parsing of endpoints' responses: where a response ends, and whether its connection can be
+//! reused.
 
 use std::ops::Range;
 
@@ -34,8 +35,9 @@
     Malformed,
 }
 
-/// Finds the response at the front of a read buffer and removes interim responses before it. `is_closed` says that the
-/// endpoint closed the connection in order, which ends a response that states no length; a reset does not.
+/// Finds the response at the front of a read buffer and removes interim responses before it.
+/// `is_closed` says that the endpoint closed the connection in order, which ends a response that
+/// states no length; a reset does not.
 pub fn parse_response(read_buffer: &mut ReadBuffer, is_closed: bool) -> ParsedResponse {
     for _ in 0..=MAX_INTERIM_RESPONSES {
         match parse_head(read_buffer.bytes(), is_closed) {
--- a/crates/proxy/src/connections/send_guard.rs
+++ b/crates/proxy/src/connections/send_guard.rs
@@ -1,7 +1,8 @@
 //! The guard that every attempt passes when its bytes are written, and the bytes themselves.
 //!
-//! The policy decides on an attempt; its connection may be established much later, or the process be held up meanwhile.
-//! The conditions of a send are therefore checked again here, and what is refused is proven not sent.
+//! The policy decides on an attempt; its connection may be established much later, or the process
+//! be held up meanwhile. The conditions of a send are therefore checked again here, and what is
+//! refused is proven not sent.
 
 use bytes::Bytes;
 use pinefront_policy::{Idempotency, Micros, begin_before};
@@ -24,8 +25,8 @@
 const TRANSIT_DIVISOR: Micros = 10;
 
 impl ProxyState {
-    /// Writes the request of the attempt on a connection to its write buffer. The remaining time that the endpoint
-    /// receives is that of this moment.
+    /// Writes the request of the attempt on a connection to its write buffer. The remaining time
+    /// that the endpoint receives is that of this moment.
     ///
     /// # Errors
     ///
@@ -65,8 +66,8 @@
         Ok(())
     }
 
-    /// Checks that the client still waits. Where the decision is not of this very moment, it may have disconnected
-    /// without our having read that.
+    /// Checks that the client still waits. Where the decision is not of this very moment, it may
+    /// have disconnected without our having read that.
     fn check_client(
         &self,
         request: &Request,
@@ -85,8 +86,8 @@
         Ok(())
     }
 
-    /// Checks that the endpoint takes requests at the connection's address. The grace of a drain is left to delays of
-    /// the process before it reads the notice and before it writes.
+    /// Checks that the endpoint takes requests at the connection's address. The grace of a drain is
+    /// left to delays of the process before it reads the notice and before it writes.
     fn check_endpoint(&self, connection: &EndpointConnection) -> Result<(), SendRefusal> {
         let endpoint = self.endpoints.get(connection.endpoint);
         let endpoint = endpoint.ok_or(SendRefusal::Draining)?;
@@ -133,7 +134,8 @@
         let id = request.map_or("", |request| &request.id);
         if refusal.is_violation() {
             self.counters.violations += 1;
-            warn!(self.log, "violation"; "request" => id, "attempt" => number, "reason" => refusal.code());
+            warn!(self.log, "violation"; "request" => id, "attempt" => number,
+                "reason" => refusal.code());
         } else {
             info!(self.log, "attempt not sent"; "request" => id, "attempt" => number,
                 "reason" => refusal.code());
@@ -141,8 +143,8 @@
     }
 }
 
-/// The remaining time that an endpoint receives, in milliseconds: a little less than ours, for the time that the request
-/// was on its way to us.
+/// The remaining time that an endpoint receives, in milliseconds: a little less than ours, for the
+/// time that the request was on its way to us.
 fn remaining_ms(remaining: Micros) -> Micros {
     let transit = MAX_TRANSIT_US.min(remaining / TRANSIT_DIVISOR);
     (remaining - transit).div_ceil(US_PER_MS)
--- a/crates/proxy/src/connections/send_guard/tests.rs
+++ b/crates/proxy/src/connections/send_guard/tests.rs
@@ -7,7 +7,8 @@
 const LONG: Micros = 60_000_000;
 const GRACE: Micros = 400_000;
 
-/// A request with a connection that carries its first attempt, and what the guard says of it in a changed world.
+/// A request with a connection that carries its first attempt, and what the guard says of it in a
+/// changed world.
 fn asked(
     change: impl FnOnce(&mut ProxyState, EndpointConnectionKey, RequestKey),
 ) -> (Result<(), SendRefusal>, u64) {
@@ -43,7 +44,8 @@
     assert_eq!(asked(|_, _, _| {}), (Ok(()), 0));
 }
 
-/// Held up by 0.15 s before it reads the notice and again before it writes, a process still keeps to the grace.
+/// Held up by 0.15 s before it reads the notice and again before it writes, a process still keeps
+/// to the grace.
 #[rstest]
 #[case::told_just_now(0, Err(SendRefusal::Draining))]
 #[case::within_the_grace(GRACE - 140_000, Err(SendRefusal::Draining))]
@@ -103,7 +105,8 @@
     assert_eq!(asked(moved), (Err(SendRefusal::AddressChanged), 0));
 }
 
-/// The client's close lies in its socket, unread as the process was held up, when the connection has come up.
+/// The client's close lies in its socket, unread as the process was held up, when the connection
+/// has come up.
 #[test]
 fn nothing_is_sent_for_a_client_whose_close_is_not_read_yet() {
     let mut harness = TestHarness::new();
--- a/crates/proxy/src/policy_host.rs
+++ b/crates/proxy/src/policy_host.rs
@@ -1,5 +1,5 @@
-//! The policy's host: its calls, carried out on the state. What fails is reported in a later iteration of the loop, as
-//! the policy must not be called from within its own call.
+//! The policy's host: its calls, carried out on the state. What fails is reported in a later
+//! iteration of the loop, as the policy must not be called from within its own call.
 
 use bytes::Bytes;
 use pinefront_policy::{Host, Micros};
@@ -76,8 +76,8 @@
             return false;
         };
         if let Some(request) = self.requests.get(key) {
-            info!(self.log, "request rejected or failed"; "request" => &*request.id, "status" => response.status,
-                "attempts" => request.attempts.len());
+            info!(self.log, "request rejected or failed"; "request" => &*request.id,
+                "status" => response.status, "attempts" => request.attempts.len());
         }
         self.respond(key, response);
         true
--- a/crates/proxy/src/state/buffers.rs
+++ b/crates/proxy/src/state/buffers.rs
@@ -61,7 +61,8 @@
         &self.bytes
     }
 
-    /// Takes a message of that length from the front; its slices share the buffer that it was read into.
+    /// Takes a message of that length from the front; its slices share the buffer that it was read
+    /// into.
     pub fn take(&mut self, length: usize) -> Bytes {
         self.bytes.split_to(length.min(self.bytes.len())).freeze()
     }
--- a/crates/proxy/src/state/client_connection.rs
+++ b/crates/proxy/src/state/client_connection.rs
@@ -10,8 +10,8 @@
 use crate::state::socket::RegisteredSocket;
 use crate::state::timers::TimerKey;
 
-/// Bytes read ahead while a request is in flight or its response is not taken: enough to notice a disconnect,
-/// too little to keep a second message beside the first.
+/// Bytes read ahead while a request is in flight or its response is not taken: enough to notice a
+/// disconnect, too little to keep a second message beside the first.
 pub const READ_AHEAD_BYTES: usize = 4 * 1024;
 
 /// The state of one client's connection.
@@ -32,7 +32,8 @@
     pub answered: u64,
     /// When it was accepted, in microseconds.
     pub opened: Micros,
-    /// How long it may have waited in the backlog while the process was busy or not scheduled, in microseconds.
+    /// How long it may have waited in the backlog while the process was busy or not scheduled, in
+    /// microseconds.
     pub waited: Micros,
     /// Requests received so far.
     pub requests_received: u64,
@@ -42,8 +43,8 @@
     pub discarded_bytes: usize,
     /// Why the connection closes once everything is written.
     pub close_reason: Option<CloseReason>,
-    /// Our side is shut down. What the client still sends is discarded: closing over unread bytes would reset the
-    /// connection and lose the end of the last response.
+    /// Our side is shut down. What the client still sends is discarded: closing over unread bytes
+    /// would reset the connection and lose the end of the last response.
     pub is_lingering: bool,
     /// When the present wait began, in microseconds.
     pub since: Micros,
@@ -63,7 +64,8 @@
 }
 
 impl ClientConnection {
-    /// A connection accepted at `opened` after it may have waited for `waited`, both in microseconds.
+    /// A connection accepted at `opened` after it may have waited for `waited`, both in
+    /// microseconds.
     pub fn new(socket: RegisteredSocket, peer: SocketAddr, opened: Micros, waited: Micros) -> Self {
         Self {
             socket,
--- a/crates/proxy/src/state/clock.rs
+++ b/crates/proxy/src/state/clock.rs
@@ -55,7 +55,8 @@
         self.until = until;
     }
 
-    /// How long bytes read at `now` may have waited in their socket while the process was busy or not scheduled.
+    /// How long bytes read at `now` may have waited in their socket while the process was busy or
+    /// not scheduled.
     pub fn late(&self, now: Micros) -> Micros {
         let late = self.busy + now.saturating_sub(self.until);
         if late < ORDINARY_DELAY_US { 0 } else { late }
--- a/crates/proxy/src/state/counters.rs
+++ b/crates/proxy/src/state/counters.rs
@@ -4,11 +4,17 @@
 
 use pinefront_policy::AttemptOutcome;
 
+/// Defines [`Counters`] with their names in `/stats`.
 macro_rules! counters {
-    ($($name:ident),* $(,)?) => {
-        /// The counters since the start of the process. The operators' guide explains each of them.
+    ($($(#[$doc:meta])* $name:ident),* $(,)?) => {
+        /// The counters since the start of the process.
         #[derive(Default)]
-        pub struct Counters { $(#[doc = concat!("The counter `", stringify!($name), "`.")] pub $name: u64),* }
+        pub struct Counters {
+            $(
+                $(#[$doc])*
+                pub $name: u64,
+            )*
+        }
 
         impl fmt::Display for Counters {
             /// One line for each counter, as `name value`.
@@ -21,47 +27,89 @@
 }
 
 counters! {
+    /// Connections accepted from clients.
     client_connections_accepted,
+    /// Clients' connections closed, by either side.
     client_connections_closed,
+    /// Connections that could not be accepted or registered.
     accepts_failed,
+    /// Valid requests, which are passed to the policy.
     requests_received,
+    /// Requests answered with an endpoint's response.
     requests_succeeded,
+    /// Requests that the policy rejected (503).
     requests_rejected,
+    /// Requests that the policy gave up (502).
     requests_failed,
+    /// Requests whose client disconnected before the response.
     requests_disconnected,
+    /// Messages that were no valid request.
     requests_malformed,
+    /// Connections opened to endpoints.
     endpoint_connections_opened,
+    /// Attempts on a connection that was idle.
     endpoint_connections_reused,
+    /// Connections to endpoints closed, by either side.
     endpoint_connections_closed,
+    /// Attempts and health checks for which no descriptor was left.
     endpoint_connections_exhausted,
+    /// Attempts started by the policy.
     attempts,
+    /// Attempts with a successful response.
     attempts_succeeded,
+    /// Attempts with an error or a malformed response.
     attempts_failed,
+    /// Attempts without a response in time.
     attempts_timed_out,
+    /// Attempts whose connection was lost after they were sent.
     attempts_connection_lost,
+    /// Attempts that the policy cancelled.
     attempts_cancelled,
+    /// Attempts that the endpoint rejected without running them.
     attempts_rejected,
+    /// Attempts whose endpoint could not be reached.
     attempts_unreachable,
+    /// Attempts that were not sent for reasons of our own.
     attempts_not_sent,
+    /// Attempts that the send guard refused.
     attempts_blocked,
+    /// Refusals of the send guard which show a wrong decision of the policy.
     violations,
+    /// Load reports in endpoints' responses.
     load_reports,
+    /// Health checks started by the policy.
     probes,
+    /// Health checks that were answered with success.
     probes_answered,
+    /// Gossip messages sent.
     gossip_sent,
+    /// Gossip messages that the socket did not take.
     gossip_send_failures,
+    /// Gossip messages received from other balancers.
     gossip_received,
+    /// Datagrams that were no gossip message of another balancer.
     gossip_ignored,
+    /// Polls of discovery for the endpoint list.
     list_polls,
+    /// Endpoint lists, whole or of changes, that were applied.
     list_updates,
+    /// Endpoint lists received from another balancer of the zone.
     list_peer_updates,
+    /// Incomplete endpoint lists of which the removals were applied.
     list_updates_partial,
+    /// Polls of discovery that failed.
     list_polls_failed,
+    /// Polls that discovery answered with an error status.
     list_polls_rejected,
+    /// Times the configuration was read again.
     reloads,
+    /// Reloads that changed nothing, as the configuration could not be read or used.
     reloads_failed,
+    /// Reloads that changed the settings of the policy.
     settings_changed,
+    /// Log lines dropped because standard error was not read.
     log_lines_dropped,
+    /// The longest time spent on the events of one loop iteration, in microseconds.
     longest_loop_iteration_us,
 }
 
--- a/crates/proxy/src/state/endpoint.rs
+++ b/crates/proxy/src/state/endpoint.rs
@@ -19,11 +19,13 @@
     pub idle: Vec<EndpointConnectionKey>,
     /// When its process started, in microseconds: as listed, and as corrected for our clock.
     pub started: Option<(Micros, Micros)>,
-    /// Until when its connections carry one request each, in microseconds, as it sent unsolicited bytes.
+    /// Until when its connections carry one request each, in microseconds, as it sent unsolicited
+    /// bytes.
     pub single_use_until: Micros,
     /// When it was reported as draining or removed, in microseconds.
     pub draining_since: Option<Micros>,
-    /// When it was removed from the list without draining, in microseconds, where unlisted endpoints stay usable.
+    /// When it was removed from the list without draining, in microseconds, where unlisted
+    /// endpoints stay usable.
     pub removed_at: Option<Micros>,
 }
 
--- a/crates/proxy/src/state/gossip_socket.rs
+++ b/crates/proxy/src/state/gossip_socket.rs
@@ -16,7 +16,8 @@
 }
 
 impl GossipSocket {
-    /// Binds a socket and registers it: `ready` is called with the loop's data while datagrams wait.
+    /// Binds a socket and registers it: `ready` is called with the loop's data while datagrams
+    /// wait.
     fn open<D: 'static>(
         handle: &LoopHandle<'static, D>,
         address: SocketAddr,
@@ -37,7 +38,8 @@
         })
     }
 
-    /// Opens a socket at `address`, or none where `current` is bound there already or no address is given.
+    /// Opens a socket at `address`, or none where `current` is bound there already or no address is
+    /// given.
     ///
     /// # Errors
     ///
--- a/crates/proxy/src/state/mod.rs
+++ b/crates/proxy/src/state/mod.rs
@@ -1,4 +1,5 @@
-//! The proxy's state: connections, requests, endpoints, timers and counters. Nothing here handles an event.
+//! The proxy's state: connections, requests, endpoints, timers and counters. Nothing here handles
+//! an event.
 
 pub mod buffers;
 pub mod client_connection;
--- a/crates/proxy/src/state/proxy.rs
+++ b/crates/proxy/src/state/proxy.rs
@@ -1,5 +1,5 @@
-//! The event loop's data: the policy and the state that it decides on. Handlers of events are `impl` blocks in the
-//! modules named after what they handle.
+//! The event loop's data: the policy and the state that it decides on. Handlers of events are
+//! `impl` blocks in the modules named after what they handle.
 
 use std::cell::RefCell;
 use std::net::TcpListener;
@@ -23,8 +23,8 @@
 use crate::state::request::RequestTable;
 use crate::state::timers::Timers;
 
-/// The data of the event loop. The borrow of the state ends before the policy is called, as the policy calls back
-/// through its host.
+/// The data of the event loop. The borrow of the state ends before the policy is called, as the
+/// policy calls back through its host.
 pub struct Proxy {
     /// The policy.
     pub balancer: Balancer<ProxyHost>,
@@ -106,8 +106,8 @@
         unread + self.requests.buffered_bytes()
     }
 
-    /// Detaches the client from a request: it needs no response any more. Returns the client's connection, if there
-    /// was one.
+    /// Detaches the client from a request: it needs no response any more. Returns the client's
+    /// connection, if there was one.
     pub fn detach_client(&mut self, key: RequestKey) -> Option<ClientKey> {
         let client = self.requests.detach_client(key)?;
         if let Some(client) = self.clients.get_mut(client) {
--- a/crates/proxy/src/state/request.rs
+++ b/crates/proxy/src/state/request.rs
@@ -9,8 +9,8 @@
 
 use crate::state::keys::{ClientKey, EndpointConnectionKey, RequestKey};
 
-/// A request that has no final response yet, or still has an attempt in flight. Its message is slices of the buffer
-/// that it was read into.
+/// A request that has no final response yet, or still has an attempt in flight. Its message is
+/// slices of the buffer that it was read into.
 pub struct Request {
     /// The id that the client gave it.
     pub id: Rc<str>,
@@ -49,8 +49,8 @@
     pub is_awaited: bool,
 }
 
-/// The requests in flight. A request leaves the table once its client needs no response and none of its attempts is in
-/// flight.
+/// The requests in flight. A request leaves the table once its client needs no response and none of
+/// its attempts is in flight.
 #[derive(Default)]
 pub struct RequestTable {
     requests: SlotMap<RequestKey, Request>,
@@ -104,16 +104,16 @@
             .any(|request| request.client.is_some())
     }
 
-    /// Detaches the client from a request: it needs no response any more. Returns the client's connection, if there
-    /// was one.
+    /// Detaches the client from a request: it needs no response any more. Returns the client's
+    /// connection, if there was one.
     pub fn detach_client(&mut self, key: RequestKey) -> Option<ClientKey> {
         let client = self.requests.get_mut(key)?.client.take()?;
         self.remove_if_finished(key);
         Some(client)
     }
 
-    /// Records that an attempt has ended, which was started at `sent`, in microseconds. Returns none where the request
-    /// is no longer in flight.
+    /// Records that an attempt has ended, which was started at `sent`, in microseconds. Returns
+    /// none where the request is no longer in flight.
     pub fn finish_attempt(
         &mut self,
         key: RequestKey,
--- a/crates/proxy/src/state/send_refusal.rs
+++ b/crates/proxy/src/state/send_refusal.rs
@@ -11,7 +11,8 @@
     Draining,
     /// The endpoint has another address now.
     AddressChanged,
-    /// An earlier attempt may have run, and endpoints no longer recognise the repeat by its idempotency key.
+    /// An earlier attempt may have run, and endpoints no longer recognise the repeat by its
+    /// idempotency key.
     IdempotencyWindowPassed,
     /// An earlier attempt may have run, and the request is not idempotent.
     MayHaveRun,
--- a/crates/proxy/src/state/socket.rs
+++ b/crates/proxy/src/state/socket.rs
@@ -20,8 +20,8 @@
 }
 
 impl RegisteredSocket {
-    /// Registers a stream, edge-triggered: `ready` is called with the loop's data whenever the stream becomes
-    /// readable or writable.
+    /// Registers a stream, edge-triggered: `ready` is called with the loop's data whenever the
+    /// stream becomes readable or writable.
     ///
     /// # Errors
     ///
@@ -44,7 +44,8 @@
     }
 }
 
-/// Returns the events among `wanted` (and errors) that a descriptor is ready for now, without waiting.
+/// Returns the events among `wanted` (and errors) that a descriptor is ready for now, without
+/// waiting.
 pub fn ready(of: &impl AsFd, wanted: PollFlags) -> PollFlags {
     const NO_WAIT: Timespec = Timespec {
         tv_sec: 0,
@@ -57,7 +58,8 @@
     }
 }
 
-/// Whether the peer has closed its side, also where the end lies behind bytes that were not read yet.
+/// Whether the peer has closed its side, also where the end lies behind bytes that were not read
+/// yet.
 pub fn is_hung_up(stream: &TcpStream) -> bool {
     ready(stream, PollFlags::RDHUP).intersects(PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR)
 }
--- a/crates/proxy/src/state/timers.rs
+++ b/crates/proxy/src/state/timers.rs
@@ -43,7 +43,8 @@
     RetryReload,
 }
 
-/// A timer's key: when it expires, in microseconds, and a serial number that keeps timers of the same time in order.
+/// A timer's key: when it expires, in microseconds, and a serial number that keeps timers of the
+/// same time in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerKey {
     /// When the timer expires, in microseconds.
@@ -93,13 +94,14 @@
         self.ordered.first_key_value().map(|(key, _)| key.at)
     }
 
-    /// The serial number of the last timer scheduled. With it, [`Self::expired`] leaves timers that are scheduled from
-    /// now on to a later iteration.
+    /// The serial number of the last timer scheduled. With it, [`Self::expired`] leaves timers that
+    /// are scheduled from now on to a later iteration.
     pub fn last_serial(&self) -> u64 {
         self.last_serial
     }
 
-    /// Removes the first timer that has expired by `now` and was scheduled no later than `last_serial`.
+    /// Removes the first timer that has expired by `now` and was scheduled no later than
+    /// `last_serial`.
     pub fn expired(&mut self, now: Micros, last_serial: u64) -> Option<TimerEvent> {
         let first = self.ordered.first_entry()?;
         let key = first.key();
--- a/crates/proxy/src/test_harness.rs
+++ b/crates/proxy/src/test_harness.rs
@@ -1,4 +1,5 @@
-//! A balancer between sockets of the test's own. Everything waits for what must come, never for a time.
+//! A balancer between sockets of the test's own. Everything waits for what must come, never for a
+//! time.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -114,8 +115,8 @@
         listener
     }
 
-    /// Many endpoints at one address: with so many to itself, a balancer that knows nothing yet lets through
-    /// what comes.
+    /// Many endpoints at one address: with so many to itself, a balancer that knows nothing yet
+    /// lets through what comes.
     pub fn endpoints(&mut self) -> TcpListener {
         let listener = listener();
         let address = listener.local_addr().unwrap();
@@ -231,8 +232,8 @@
     }
 }
 
-/// Makes of what a balancer is told that of a fleet of another build: use cases of its own, loads told to probes, no
-/// second copies, and two balancers that hear each other at these addresses.
+/// Makes of what a balancer is told that of a fleet of another build: use cases of its own, loads
+/// told to probes, no second copies, and two balancers that hear each other at these addresses.
 pub fn moved(document: &mut Value, peers: &[SocketAddr]) {
     let settings = &mut document["settings"];
     settings["useCases"] = json!([
