--- a/crates/proxy/src/connections/client.rs
+++ b/crates/proxy/src/connections/client.rs
@@ -7,6 +7,7 @@
 use crate::close_reason::CloseReason;
 use crate::connections::client_lifetime::{MAX_LINGER_BYTES, lingering_close_reason};
 use crate::connections::http_message::MAX_MESSAGE_BYTES;
+use crate::connections::request_error::RequestError;
 use crate::state::buffers::ReadOutcome;
 use crate::state::client_connection::{ClientConnection, READ_AHEAD_BYTES};
 use crate::state::keys::ClientKey;
@@ -73,7 +74,7 @@
             return state.close_client(key, CloseReason::SlowReader);
         }
         if !client.read_buffer.bytes().is_empty() {
-            return state.reject_and_close(key, 408, CloseReason::SlowSender);
+            return state.reject(key, RequestError::TimedOut);
         }
         state.close_or_keep_idle_client(key);
     }
--- a/crates/proxy/src/connections/client/tests.rs
+++ b/crates/proxy/src/connections/client/tests.rs
@@ -10,6 +10,7 @@
     MAX_IDLE_US, MIN_IDLE_US, STALL_TIMEOUT_US, TRANSFER_TIMEOUT_US,
 };
 use crate::connections::client_response::ClientResponse;
+use crate::connections::status_code::StatusCode;
 use crate::test_harness::{TestHarness, message, say};
 
 #[test]
@@ -148,7 +149,7 @@
         key,
         ClientResponse {
             body,
-            ..ClientResponse::empty(200)
+            ..ClientResponse::empty(StatusCode::OK)
         },
     );
     client.shutdown(Shutdown::Write).unwrap();
--- a/crates/proxy/src/connections/client_lifetime.rs
+++ b/crates/proxy/src/connections/client_lifetime.rs
@@ -6,6 +6,7 @@
 use slog::info;
 
 use crate::close_reason::CloseReason;
+use crate::connections::request_error::RequestError;
 use crate::state::client_connection::{ClientConnection, PartialRequest};
 use crate::state::keys::ClientKey;
 use crate::state::proxy::ProxyState;
@@ -119,7 +120,7 @@
     pub fn reject_partial_requests(&mut self) {
         self.for_clients(
             |client| !client.awaits_response() && client.partial_request.is_some(),
-            |state, key| state.reject_and_close(key, 503, CloseReason::Shutdown),
+            |state, key| state.reject(key, RequestError::ShuttingDown),
         );
     }
 
--- a/crates/proxy/src/connections/client_response.rs
+++ b/crates/proxy/src/connections/client_response.rs
@@ -5,6 +5,8 @@
 
 use crate::close_reason::CloseReason;
 use crate::connections::client_lifetime::TRANSFER_TIMEOUT_US;
+use crate::connections::request_error::RequestError;
+use crate::connections::status_code::StatusCode;
 use crate::state::keys::{ClientKey, RequestKey};
 use crate::state::proxy::ProxyState;
 use crate::state::timers::TimerEvent;
@@ -12,7 +14,7 @@
 /// A response to a client. Its `Content-Length` follows from the body.
 pub struct ClientResponse {
     /// The status code.
-    pub status: u16,
+    pub status: StatusCode,
     /// Slices of the other header fields, each line with its line end.
     pub fields: Vec<Bytes>,
     /// Slices of the body.
@@ -21,7 +23,7 @@
 
 impl ClientResponse {
     /// A response without fields and body.
-    pub fn empty(status: u16) -> Self {
+    pub fn empty(status: StatusCode) -> Self {
         Self {
             status,
             fields: Vec::new(),
@@ -103,25 +105,22 @@
         }
     }
 
-    /// Answers a message that is not a valid request.
-    pub fn reject(&mut self, key: ClientKey, status: u16) {
+    /// Answers a message that is not accepted as a request. Where nothing more can be read from the
+    /// connection after it, closes the connection.
+    pub fn reject(&mut self, key: ClientKey, error: RequestError) {
+        if let Some(reason) = error.close_reason()
+            && let Some(client) = self.clients.get_mut(key)
+        {
+            client.close_reason = Some(reason);
+        }
         self.counters.requests_malformed += 1;
-        let mut response = ClientResponse::empty(status);
-        if status == 405 {
-            response
-                .fields
-                .push(Bytes::from_static(b"Allow: GET, POST\r\n"));
+        let mut response = ClientResponse::empty(error.status());
+        if error == RequestError::MethodNotAllowed {
+            let allowed = Bytes::from_static(b"Allow: GET, POST\r\n");
+            response.fields.push(allowed);
         }
         self.write_response(key, response);
     }
-
-    /// Answers a message after which nothing more can be read from the connection, and closes it.
-    pub fn reject_and_close(&mut self, key: ClientKey, status: u16, reason: CloseReason) {
-        if let Some(client) = self.clients.get_mut(key) {
-            client.close_reason = Some(reason);
-        }
-        self.reject(key, status);
-    }
 }
 
 fn response_head(response: &ClientResponse, closes: bool) -> String {
@@ -130,22 +129,6 @@
     let connection = if closes { "Connection: close\r\n" } else { "" };
     format!(
         "HTTP/1.1 {status} {}\r\nContent-Length: {length}\r\n{connection}",
-        reason_phrase(status)
+        status.reason_phrase()
     )
 }
-
-fn reason_phrase(status: u16) -> &'static str {
-    match status {
-        200 => "OK",
-        400 => "Bad Request",
-        404 => "Not Found",
-        405 => "Method Not Allowed",
-        408 => "Request Timeout",
-        409 => "Conflict",
-        413 => "Content Too Large",
-        431 => "Request Header Fields Too Large",
-        502 => "Bad Gateway",
-        503 => "Service Unavailable",
-        _ => "Answer",
-    }
-}
--- a/crates/proxy/src/connections/own_pages.rs
+++ b/crates/proxy/src/connections/own_pages.rs
@@ -3,6 +3,8 @@
 use bytes::Bytes;
 
 use crate::connections::client_response::ClientResponse;
+use crate::connections::request_error::RequestError;
+use crate::connections::status_code::StatusCode;
 use crate::state::keys::ClientKey;
 use crate::state::proxy::ProxyState;
 
@@ -20,22 +22,23 @@
             response.body.push(Bytes::from(text));
             self.write_response(key, response);
         } else {
-            self.reject(key, 405);
+            self.reject(key, RequestError::MethodNotAllowed);
         }
         true
     }
 
     /// The status and text of a page.
-    fn own_page(&self, path: &str) -> Option<(u16, String)> {
+    fn own_page(&self, path: &str) -> Option<(StatusCode, String)> {
         match path {
-            "/health/ready" if self.is_ready() => Some((200, "ready\n".into())),
-            "/health/ready" => Some((503, "not ready\n".into())),
-            "/health/live" => Some((200, "live\n".into())),
-            "/stats" => Some((200, self.counters.to_string())),
-            "/fleet" => Some((200, self.fleet.as_ref()?.borrow().page())),
+            "/health/ready" if self.is_ready() => Some((StatusCode::OK, "ready\n".into())),
+            "/health/ready" => Some((StatusCode::SERVICE_UNAVAILABLE, "not ready\n".into())),
+            "/health/live" => Some((StatusCode::OK, "live\n".into())),
+            "/stats" => Some((StatusCode::OK, self.counters.to_string())),
+            "/fleet" => Some((StatusCode::OK, self.fleet.as_ref()?.borrow().page())),
             _ => {
                 let name = path.strip_prefix(LEASE_PREFIX)?;
-                Some(self.fleet.as_ref()?.borrow().lease_page(name))
+                let (status, text) = self.fleet.as_ref()?.borrow().lease_page(name);
+                Some((StatusCode::new(status), text))
             }
         }
     }
--- a/crates/proxy/src/connections/request.rs
+++ b/crates/proxy/src/connections/request.rs
@@ -6,10 +6,11 @@
 use httparse::Request as RequestHead;
 use pinefront_policy::{Idempotency, Micros, RequestArrival};
 
-use crate::close_reason::CloseReason;
 use crate::connections::http_message::{self, MAX_FIELDS};
+use crate::connections::request_error::RequestError;
 use crate::connections::request_parser::{
-    InvalidMessage, RequestMessage, expects_continue, parse_request, path_of, request_parameters,
+    ID_FIELD, REMAINING_FIELD, RequestMessage, expects_continue, parse_request, path_of,
+    request_parameters,
 };
 use crate::state::client_connection::READ_AHEAD_BYTES;
 use crate::state::keys::ClientKey;
@@ -40,22 +41,22 @@
         let parsed = head.parse(&message.bytes[..message.head_length]);
         let (Ok(_), Some(method), Some(target)) = (parsed, head.method, head.path) else {
             // Does not happen: the same bytes were parsed to find the end of the message.
-            return state.reject_and_close(key, 400, CloseReason::Malformed);
+            return state.reject(key, RequestError::MalformedMessage);
         };
         state.note_keep_alive(key, &head);
         let path = path_of(target);
         // A class may be named like a page: a request with an id belongs to a class.
-        if http_message::field(head.headers, "x-txn").is_none()
+        if http_message::field(head.headers, ID_FIELD).is_none()
             && state.serve_own_page(key, method, path)
         {
             return;
         }
         let parameters = match request_parameters(&state.config, method, path, head.headers) {
             Ok(parameters) => parameters,
-            Err(status) => return state.reject(key, status),
+            Err(error) => return state.reject(key, error),
         };
         if state.requests.key_of(parameters.id).is_some() {
-            return state.reject(key, 409);
+            return state.reject(key, RequestError::DuplicateId);
         }
         let now = state.now();
         let deadline = state.request_deadline(key, now, parameters.remaining);
@@ -82,7 +83,7 @@
         // Nothing of the request was sent yet. Small messages are still accepted: they are bounded
         // by their number.
         if unread > READ_AHEAD_BYTES && self.buffered_bytes() > self.config.max_message_bytes {
-            self.reject_and_close(key, 503, CloseReason::MemoryLimit);
+            self.reject(key, RequestError::MemoryLimit);
             return None;
         }
         let client = self.clients.get_mut(key)?;
@@ -101,8 +102,8 @@
                 self.wait_for_rest(key);
                 None
             }
-            Err(InvalidMessage { status, reason }) => {
-                self.reject_and_close(key, status, reason);
+            Err(error) => {
+                self.reject(key, error);
                 None
             }
         }
@@ -195,7 +196,7 @@
         Bytes::from_static(b" HTTP/1.1\r\n"),
     ];
     slices.extend(http_message::lines(message, head.headers, |name| {
-        http_message::is_end_to_end(name) && !name.eq_ignore_ascii_case("x-remaining-ms")
+        http_message::is_end_to_end(name) && !name.eq_ignore_ascii_case(REMAINING_FIELD)
     }));
     slices
 }
--- a/crates/proxy/src/connections/request_parser.rs
+++ b/crates/proxy/src/connections/request_parser.rs
@@ -7,16 +7,30 @@
 use pinefront_policy::{Idempotency, Micros};
 use siphasher::sip::SipHasher13;
 
-use crate::close_reason::CloseReason;
 use crate::config::Config;
 use crate::connections::http_message::{
     self, Body, Conflicting, Framing, MAX_BODY_BYTES, MAX_FIELDS, MAX_HEAD_BYTES, MAX_MESSAGE_BYTES,
 };
+use crate::connections::request_error::RequestError;
 use crate::state::clock::US_PER_MS;
 
 #[cfg(test)]
 mod tests;
 
+/// The field with the id of a request.
+pub const ID_FIELD: &str = "x-txn";
+/// The field with the time for which the client still waits, in milliseconds.
+pub const REMAINING_FIELD: &str = "x-remaining-ms";
+/// The field by which endpoints recognise a repeated request.
+const IDEMPOTENCY_KEY_FIELD: &str = "idempotency-key";
+/// The field that names the tenant.
+const TENANT_FIELD: &str = "x-org";
+/// The field that names the class, as the path does.
+const CLASS_FIELD: &str = "x-lane";
+/// The field with the client's estimate of the time to serve the request, in microseconds.
+const WORK_HINT_FIELD: &str = "x-estimate";
+/// The field with the key by which requests are ordered.
+const ORDERING_KEY_FIELD: &str = "x-entity";
 /// Longest request id.
 const MAX_ID_BYTES: usize = 128;
 /// The longest remaining time believed of a client, in milliseconds; it guards against overflow.
@@ -32,24 +46,6 @@
     pub end: usize,
 }
 
-/// A message that cannot be read any further.
-pub struct InvalidMessage {
-    /// The status to answer with.
-    pub status: u16,
-    /// Why the connection closes.
-    pub reason: CloseReason,
-}
-
-impl InvalidMessage {
-    fn new(status: u16, reason: CloseReason) -> Self {
-        Self { status, reason }
-    }
-
-    fn malformed() -> Self {
-        Self::new(400, CloseReason::Malformed)
-    }
-}
-
 /// A complete request message.
 pub struct RequestMessage {
     /// The message's bytes.
@@ -81,19 +77,19 @@
 /// # Errors
 ///
 /// Fails when the message is malformed or too large.
-pub fn parse_request(bytes: &[u8]) -> Result<Option<RequestFrame>, InvalidMessage> {
+pub fn parse_request(bytes: &[u8]) -> Result<Option<RequestFrame>, RequestError> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut head = Request::new(&mut fields);
     let head_length = match head.parse(bytes) {
         Ok(Status::Complete(length)) if length <= MAX_HEAD_BYTES => length,
         Ok(Status::Partial) if bytes.len() < MAX_HEAD_BYTES => return Ok(None),
         Ok(_) | Err(httparse::Error::TooManyHeaders) => {
-            return Err(InvalidMessage::new(431, CloseReason::HeadTooLarge));
+            return Err(RequestError::HeadTooLarge);
         }
-        Err(_) => return Err(InvalidMessage::malformed()),
+        Err(_) => return Err(RequestError::MalformedMessage),
     };
     if !http_message::has_only_crlf(&bytes[..head_length]) {
-        return Err(InvalidMessage::malformed());
+        return Err(RequestError::MalformedMessage);
     }
     let framing = request_framing(&head)?;
     match http_message::body(bytes, head_length, framing, false, MAX_BODY_BYTES) {
@@ -105,20 +101,18 @@
             end,
         })),
         Body::Partial if bytes.len() < MAX_MESSAGE_BYTES => Ok(None),
-        Body::Complete { .. } | Body::Partial | Body::TooLong => {
-            Err(InvalidMessage::new(413, CloseReason::BodyTooLarge))
-        }
-        Body::Malformed => Err(InvalidMessage::malformed()),
+        Body::Complete { .. } | Body::Partial | Body::TooLong => Err(RequestError::BodyTooLarge),
+        Body::Malformed => Err(RequestError::MalformedMessage),
     }
 }
 
-fn request_framing(head: &Request) -> Result<Framing, InvalidMessage> {
+fn request_framing(head: &Request) -> Result<Framing, RequestError> {
     match http_message::framing(head.headers) {
         Ok(Framing::UntilClose) => Ok(Framing::Length(0)),
         // HTTP/1.0 knows no chunks: others would read this body differently.
-        Ok(Framing::Chunked) if head.version == Some(0) => Err(InvalidMessage::malformed()),
+        Ok(Framing::Chunked) if head.version == Some(0) => Err(RequestError::MalformedMessage),
         Ok(framing) => Ok(framing),
-        Err(Conflicting) => Err(InvalidMessage::malformed()),
+        Err(Conflicting) => Err(RequestError::MalformedMessage),
     }
 }
 
@@ -134,38 +128,40 @@
 ///
 /// # Errors
 ///
-/// Fails with the status to answer with: 404 for an unknown class, 405 for a method that the class
-/// does not have, 400 for missing or malformed fields.
+/// Fails for an unknown class, a method that the class does not have, and missing or malformed
+/// fields.
 pub fn request_parameters<'a>(
     config: &Config,
     method: &str,
     path: &str,
     fields: &[Header<'a>],
-) -> Result<RequestParameters<'a>, u16> {
-    let class = class_index(config, fields, path).ok_or(404_u16)?;
+) -> Result<RequestParameters<'a>, RequestError> {
+    let class = class_index(config, fields, path).ok_or(RequestError::UnknownClass)?;
     let idempotency = config.idempotencies[class];
     let expected_method = match idempotency {
         Idempotency::Idempotent => "GET",
         _ => "POST",
     };
     if method != expected_method {
-        return Err(405);
+        return Err(RequestError::MethodNotAllowed);
     }
-    let id = request_id(fields).ok_or(400_u16)?;
-    let remaining = remaining_time(fields).ok_or(400_u16)?;
+    let id = request_id(fields).ok_or(RequestError::InvalidField(ID_FIELD))?;
+    let remaining = remaining_time(fields).ok_or(RequestError::InvalidField(REMAINING_FIELD))?;
     let needs_key = matches!(idempotency, Idempotency::IdempotencyKey { .. });
-    if needs_key && http_message::only_field(fields, "idempotency-key").is_none_or(str::is_empty) {
-        return Err(400);
+    if needs_key
+        && http_message::only_field(fields, IDEMPOTENCY_KEY_FIELD).is_none_or(str::is_empty)
+    {
+        return Err(RequestError::InvalidField(IDEMPOTENCY_KEY_FIELD));
     }
-    let tenant = http_message::field(fields, "x-org")
+    let tenant = http_message::field(fields, TENANT_FIELD)
         .map_or(config.tenants.len(), |name| config.tenant_index(name));
     Ok(RequestParameters {
         id,
         class,
         tenant,
         remaining,
-        work_hint: http_message::field(fields, "x-estimate").and_then(|text| text.parse().ok()),
-        ordering_key: http_message::field(fields, "x-entity").map(ordering_key_hash),
+        work_hint: http_message::field(fields, WORK_HINT_FIELD).and_then(|text| text.parse().ok()),
+        ordering_key: http_message::field(fields, ORDERING_KEY_FIELD).map(ordering_key_hash),
     })
 }
 
@@ -183,7 +179,7 @@
 /// The class named by the first part of the path and, where it is given, by the class field.
 fn class_index(config: &Config, fields: &[Header], path: &str) -> Option<usize> {
     let named = path.strip_prefix('/')?.split('/').next()?;
-    match http_message::field(fields, "x-lane") {
+    match http_message::field(fields, CLASS_FIELD) {
         Some(lane) if lane != named => None,
         _ => config
             .classes
@@ -193,7 +189,7 @@
 }
 
 fn request_id<'a>(fields: &[Header<'a>]) -> Option<&'a str> {
-    let id = http_message::only_field(fields, "x-txn")?;
+    let id = http_message::only_field(fields, ID_FIELD)?;
     let is_printable = id.bytes().all(|byte| byte.is_ascii_graphic());
     (!id.is_empty() && id.len() <= MAX_ID_BYTES && is_printable).then_some(id)
 }
@@ -206,7 +202,7 @@
 
 /// How long the client waits, in microseconds.
 fn remaining_time(fields: &[Header]) -> Option<Micros> {
-    let text = http_message::only_field(fields, "x-remaining-ms")?;
+    let text = http_message::only_field(fields, REMAINING_FIELD)?;
     let is_number = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
     is_number.then(|| {
         let remaining_ms = text.parse().unwrap_or(MAX_REMAINING_MS);
--- a/crates/proxy/src/connections/response.rs
+++ b/crates/proxy/src/connections/response.rs
@@ -12,6 +12,7 @@
 use crate::connections::http_message::{self, MAX_FIELDS};
 use crate::connections::load_report::{LOAD_REPORT_FIELD, load_report};
 use crate::connections::response_parser::ResponseFrame;
+use crate::connections::status_code::StatusCode;
 use crate::state::endpoint_connection::Exchange;
 use crate::state::keys::{EndpointConnectionKey, EndpointKey};
 use crate::state::proxy::{Proxy, ProxyState};
@@ -141,7 +142,7 @@
         http_message::is_end_to_end(name) && !name.eq_ignore_ascii_case(LOAD_REPORT_FIELD)
     };
     ClientResponse {
-        status: 200,
+        status: StatusCode::OK,
         fields: http_message::lines(message, fields, is_forwarded),
         body: http_message::slices(message, body),
     }
--- a/crates/proxy/src/policy_host.rs
+++ b/crates/proxy/src/policy_host.rs
@@ -7,6 +7,7 @@
 
 use crate::close_reason::CloseReason;
 use crate::connections::client_response::ClientResponse;
+use crate::connections::status_code::StatusCode;
 use crate::state::proxy::{ProxyHost, ProxyState};
 use crate::state::timers::TimerEvent;
 
@@ -24,7 +25,7 @@
     }
 
     fn reject(&mut self, request: &str, retry_after: Micros) {
-        let mut response = ClientResponse::empty(503);
+        let mut response = ClientResponse::empty(StatusCode::SERVICE_UNAVAILABLE);
         if retry_after > 0 {
             let seconds = retry_after as f64 / US_PER_SECOND;
             let field = format!("Retry-After: {seconds:.3}\r\n");
@@ -38,7 +39,7 @@
 
     fn fail(&mut self, request: &str) {
         let mut state = self.0.borrow_mut();
-        if state.respond_without_endpoint(request, ClientResponse::empty(502)) {
+        if state.respond_without_endpoint(request, ClientResponse::empty(StatusCode::BAD_GATEWAY)) {
             state.counters.requests_failed += 1;
         }
     }
@@ -77,7 +78,7 @@
         };
         if let Some(request) = self.requests.get(key) {
             info!(self.log, "request rejected or failed"; "request" => &*request.id,
-                "status" => response.status, "attempts" => request.attempts.len());
+                "status" => response.status.number(), "attempts" => request.attempts.len());
         }
         self.respond(key, response);
         true
