--- a/crates/proxy/src/connections/accept/tests.rs
+++ b/crates/proxy/src/connections/accept/tests.rs
@@ -8,7 +8,8 @@
 
 const SECOND: Micros = 1_000_000;
 
-/// How a client stands: what it was answered, what it sent of a request, and how long it has kept us waiting.
+/// How a client stands: what it was answered, what it sent of a request, and how long it has kept
+/// us waiting.
 type Standing = (u64, &'static str, Micros);
 
 fn stands(harness: &mut TestHarness, (answered, sent, waited): Standing) -> (TcpStream, ClientKey) {
@@ -83,7 +84,7 @@
     let waiting = TcpStream::connect(harness.address).unwrap();
     harness.until(|proxy| {
         let next = proxy.state.borrow().timers.next();
-        let soon = proxy.state.borrow().now() + 2 * ACCEPT_REST;
+        let soon = proxy.state.borrow().now() + 2 * ACCEPT_PAUSE_US;
         next.filter(|at| *at < soon).map(|_| ())
     });
     assert_eq!(harness.proxy.state.borrow().clients.len(), 0);
@@ -139,8 +140,9 @@
     );
 }
 
-/// Idle connections to endpoints are room for others of these only: for each that gave way to a client beyond the most, a
-/// new one was opened later, and all together went over the limit of descriptors.
+/// Idle connections to endpoints are room for others of these only: for each that gave way to a
+/// client beyond the most, a new one was opened later, and all together went over the limit of
+/// descriptors.
 #[test]
 fn idle_connections_to_endpoints_make_no_room_for_clients_beyond_the_most() {
     let mut harness = TestHarness::new();
@@ -173,15 +175,15 @@
 }
 
 #[rstest]
-#[case::nobody(Errno::AGAIN, AcceptFailure::Nobody)]
-#[case::left_the_queue(Errno::CONNABORTED, AcceptFailure::Passing)]
-#[case::network_down(Errno::NETDOWN, AcceptFailure::Passing)]
-#[case::protocol(Errno::PROTO, AcceptFailure::Passing)]
-#[case::signal(Errno::INTR, AcceptFailure::Passing)]
-#[case::own_limit(Errno::MFILE, AcceptFailure::OwnLimit)]
-#[case::files_of_all(Errno::NFILE, AcceptFailure::System)]
-#[case::buffers(Errno::NOBUFS, AcceptFailure::System)]
-#[case::memory(Errno::NOMEM, AcceptFailure::System)]
+#[case::nobody(Errno::AGAIN, AcceptFailure::WouldBlock)]
+#[case::left_the_queue(Errno::CONNABORTED, AcceptFailure::Transient)]
+#[case::network_down(Errno::NETDOWN, AcceptFailure::Transient)]
+#[case::protocol(Errno::PROTO, AcceptFailure::Transient)]
+#[case::signal(Errno::INTR, AcceptFailure::Transient)]
+#[case::own_limit(Errno::MFILE, AcceptFailure::ProcessLimit)]
+#[case::files_of_all(Errno::NFILE, AcceptFailure::SystemLimit)]
+#[case::buffers(Errno::NOBUFS, AcceptFailure::SystemLimit)]
+#[case::memory(Errno::NOMEM, AcceptFailure::SystemLimit)]
 fn only_the_limit_of_our_own_ends_connections_of_ours(
     #[case] code: Errno,
     #[case] wanted: AcceptFailure,
--- a/crates/proxy/src/connections/client.rs
+++ b/crates/proxy/src/connections/client.rs
@@ -7,6 +7,7 @@
 use crate::close_reason::CloseReason;
 use crate::connections::client_lifetime::{MAX_LINGER_BYTES, lingering_close_reason};
 use crate::connections::http_message::MAX_MESSAGE_BYTES;
+use crate::connections::request_error::RequestError;
 use crate::state::buffers::ReadOutcome;
 use crate::state::client_connection::{ClientConnection, READ_AHEAD_BYTES};
 use crate::state::keys::ClientKey;
@@ -25,12 +26,14 @@
             ClientRead::Nothing => {}
             ClientRead::Closing => self.state.borrow_mut().continue_after_response(key),
             ClientRead::Closed(reason) => self.client_disconnected(key, reason),
-            // What lies behind the request waits for a later iteration, or one client could occupy the loop.
+            // What lies behind the request waits for a later iteration, or one client could occupy
+            // the loop.
             ClientRead::Request => self.read_request(key),
         }
     }
 
-    /// Closes the connection of a client that disconnected and cancels its request, if one is in flight.
+    /// Closes the connection of a client that disconnected and cancels its request, if one is in
+    /// flight.
     pub fn client_disconnected(&mut self, key: ClientKey, reason: CloseReason) {
         let mut state = self.state.borrow_mut();
         let request = state.clients.get(key).and_then(|client| client.request);
@@ -52,7 +55,8 @@
         }
     }
 
-    /// Handles the expired timer of a client's connection. What it was set for follows from the connection's state.
+    /// Handles the expired timer of a client's connection. What it was set for follows from the
+    /// connection's state.
     pub fn client_timer_expired(&mut self, key: ClientKey) {
         let mut state = self.state.borrow_mut();
         let Some(client) = state.clients.get_mut(key) else {
@@ -70,7 +74,7 @@
             return state.close_client(key, CloseReason::SlowReader);
         }
         if !client.read_buffer.bytes().is_empty() {
-            return state.reject_and_close(key, 408, CloseReason::SlowSender);
+            return state.reject(key, RequestError::TimedOut);
         }
         state.close_or_keep_idle_client(key);
     }
@@ -138,8 +142,9 @@
     }
 }
 
-/// Reads what the client sent. While the shutdown closes connections, received requests are completed and answered but
-/// no further one is read: a client that always has a next one would never be done.
+/// Reads what the client sent. While the shutdown closes connections, received requests are
+/// completed and answered but no further one is read: a client that always has a next one would
+/// never be done.
 fn fill_read_buffer(client: &mut ClientConnection, closing: bool) -> ReadOutcome {
     if closing && (client.awaits_response() || client.has_unread_bytes()) {
         return if client.request.is_some() && is_hung_up(&client.socket.stream) {
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -315,7 +315,7 @@
     fn schedule_discovery_timer(&mut self) {
         let discovery = &mut self.discovery;
         match discovery.deadline() {
-            Some(at) if discovery.timer.is_some_and(|due| due.0 == at) => {}
+            Some(at) if discovery.timer.is_some_and(|due| due.at == at) => {}
             Some(at) => self
                 .timers
                 .move_to(&mut discovery.timer, at, TimerEvent::Discovery),
--- a/crates/proxy/src/state/clock.rs
+++ b/crates/proxy/src/state/clock.rs
@@ -1,4 +1,4 @@
-//! The module's time, and how far a turn lags behind it.
+//! The policy's time, and how far the event loop lags behind it.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
@@ -7,55 +7,58 @@
 #[cfg(test)]
 mod tests;
 
-/// Waits may end so much late at any time.
-const USUALLY_LATE: Micros = 5_000;
+/// Microseconds in a millisecond.
+pub const US_PER_MS: Micros = 1_000;
+/// Delays up to this length are ordinary and not counted as time that a sender lost.
+const ORDINARY_DELAY_US: Micros = 5_000;
 
-/// The module's time: Unix time as it stood at the start, carried on by a clock that never steps.
+/// The policy's time: Unix time as it was at the start, continued by a monotonic clock.
 pub struct Clock {
     started: Instant,
-    paired: Micros,
+    unix_at_start: Micros,
 }
 
 impl Clock {
+    /// Starts the clock at the present Unix time.
     pub fn start() -> Self {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         Self {
             started: Instant::now(),
-            paired: unix.as_micros() as Micros,
+            unix_at_start: unix.as_micros() as Micros,
         }
     }
 
+    /// The present time, in microseconds.
     pub fn now(&self) -> Micros {
-        self.paired + self.started.elapsed().as_micros() as Micros
+        self.unix_at_start + self.started.elapsed().as_micros() as Micros
     }
 }
 
-/// What is known of the present turn's beginning.
+/// Timing of the present iteration of the event loop, in microseconds.
 #[derive(Default)]
 pub struct LoopIteration {
-    /// How long the turn before went on after its wait should have ended.
+    /// How long the previous iteration went on after its wait should have ended.
     pub busy: Micros,
-    /// When this turn's wait should have ended.
+    /// When the wait of this iteration should end.
     pub until: Micros,
 }
 
 impl LoopIteration {
-    /// The next turn waits from `now` to `until`.
+    /// Starts an iteration that waits from `now` to `until`.
     pub fn begin(&mut self, now: Micros, until: Micros) {
-        self.busy = if self.until == 0 {
-            0
-        } else {
-            now.saturating_sub(self.until)
+        self.busy = match self.until {
+            0 => 0,
+            expected => now.saturating_sub(expected),
         };
         self.until = until;
     }
 
-    /// How long what is read now may have lain in its socket, as we were busy or not let run: its sender's
-    /// time went on.
+    /// How long bytes read at `now` may have waited in their socket while the process was busy or
+    /// not scheduled.
     pub fn late(&self, now: Micros) -> Micros {
         let late = self.busy + now.saturating_sub(self.until);
-        if late < USUALLY_LATE { 0 } else { late }
+        if late < ORDINARY_DELAY_US { 0 } else { late }
     }
 }
