--- a/crates/proxy/src/connections/request.rs
+++ b/crates/proxy/src/connections/request.rs
@@ -198,7 +198,7 @@
     /// Pages about the balancer itself.
     fn serve_own_page(&mut self, key: ClientKey, method: &str, path: &str) -> bool {
         let (status, text) = match path {
-            "/health/ready" if self.stopping.is_some() || !self.discovery.stands() => {
+            "/health/ready" if self.stopping.is_some() || !self.discovery.has_usable_list() => {
                 (503, "not ready\n".into())
             }
             "/health/ready" => (200, "ready\n".into()),
--- a/crates/proxy/src/discovery/partial.rs
+++ b/crates/proxy/src/discovery/partial_list.rs
@@ -1,4 +1,4 @@
-//! What can be read of a list that is not whole yet, or never will be.
+//! Reads what has come of an endpoint list that is incomplete, or stays so.
 
 use std::fmt;
 
@@ -8,25 +8,28 @@
 #[cfg(test)]
 mod tests;
 
-/// An entry as far as it came.
+/// An entry as far as it was received.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PartialEntry {
+    /// The id of the endpoint.
     pub id: String,
-    /// Missing where the text ends before it.
+    /// Its state; none where the text ends before it.
     pub state: Option<String>,
 }
 
-/// A list as far as it came.
+/// A list as far as it was received.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PartialList {
+    /// Its version, once that is known.
     pub version: Option<u64>,
-    /// Whether it is the whole list and not only what changed, once that is known.
-    pub is_whole: Option<bool>,
+    /// Whether it is the complete list and not only what changed, once that is known.
+    pub is_complete: Option<bool>,
+    /// Entries of which at least the id was received.
     pub entries: Vec<PartialEntry>,
 }
 
 impl PartialList {
-    /// Reads a list from its beginning up to where the text ends or is no list any more.
+    /// Reads a list from its beginning up to where the text ends or is malformed.
     pub fn read(text: &[u8]) -> Self {
         let mut list = Self::default();
         let mut open = Open::default();
@@ -51,7 +54,7 @@
 }
 
 impl Open {
-    /// What is known of it, if anything tells whose it is.
+    /// Takes what was read of it, if that includes its id.
     fn take(&mut self) -> Option<PartialEntry> {
         let state = self.state.take();
         self.id.take().map(|id| PartialEntry { id, state })
@@ -82,7 +85,7 @@
         while let Some(key) = map.next_key::<String>()? {
             match key.as_str() {
                 "rev" => self.list.version = map.next_value::<Value>()?.as_u64(),
-                "all" => self.list.is_whole = map.next_value::<Value>()?.as_bool(),
+                "all" => self.list.is_complete = map.next_value::<Value>()?.as_bool(),
                 "targets" => {
                     let (entries, open) = (&mut self.list.entries, &mut *self.open);
                     map.next_value_seed(EntriesSeed { entries, open })?;
--- a/crates/proxy/src/discovery/partial/tests.rs
+++ b/crates/proxy/src/discovery/partial_list/tests.rs
@@ -17,7 +17,7 @@
 #[test]
 fn a_whole_list_is_read_whole() {
     let list = PartialList::read(LIST.as_bytes());
-    assert_eq!((list.version, list.is_whole), (Some(43), Some(false)));
+    assert_eq!((list.version, list.is_complete), (Some(43), Some(false)));
     assert_eq!(
         list.entries,
         [entry("s-1", Some("leaving")), entry("s-2", Some("left"))]
--- /dev/null
+++ b/crates/proxy/src/discovery/response.rs
@@ -0,0 +1,81 @@
+//! Discovery's HTTP responses: complete ones, and what can be read of incomplete ones.
+
+use std::ops::Range;
+
+use httparse::{Response, Status};
+use pinefront_policy::Micros;
+
+use crate::connections::http_message::{self, Body, FIELDS_MOST, HEAD_MOST};
+use crate::discovery::polling_schedule::PollFailure;
+
+/// The longest response that is read: some thousand endpoints.
+pub const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
+
+/// A complete response with a list.
+pub struct ListResponse {
+    /// The text of the list.
+    pub body: Vec<u8>,
+    /// Bytes of the whole message.
+    pub length: usize,
+    /// Whether the connection can carry another poll.
+    pub keep_alive: bool,
+}
+
+/// Reads the response at the front of `bytes`, or none while part of it is missing. `is_closed`
+/// says that no more will come, which ends a body of unknown length.
+///
+/// # Errors
+///
+/// Fails when discovery rejected the poll or what came is no response.
+pub fn read_response(bytes: &[u8], is_closed: bool) -> Result<Option<ListResponse>, PollFailure> {
+    let mut fields = [httparse::EMPTY_HEADER; FIELDS_MOST];
+    let mut response = Response::new(&mut fields);
+    let head_length = match response.parse(bytes) {
+        Ok(Status::Complete(length)) => length,
+        Ok(Status::Partial) if bytes.len() < HEAD_MOST => return Ok(None),
+        _ => return Err(PollFailure::Malformed),
+    };
+    if response.code != Some(200) {
+        return Err(PollFailure::Rejected {
+            retry_after: retry_after(&response),
+        });
+    }
+    let framing = http_message::framing(response.headers).map_err(|_| PollFailure::Malformed)?;
+    let keep_alive = http_message::is_keep_alive(&response, framing);
+    match http_message::body(bytes, head_length, framing, is_closed, MAX_RESPONSE_BYTES) {
+        Body::Complete(ranges, length) => Ok(Some(ListResponse {
+            body: joined(bytes, &ranges),
+            length,
+            keep_alive,
+        })),
+        Body::Partial if bytes.len() < MAX_RESPONSE_BYTES => Ok(None),
+        _ => Err(PollFailure::Malformed),
+    }
+}
+
+/// Returns what has come of the body of a response with a list.
+pub fn partial_body(bytes: &[u8]) -> Option<Vec<u8>> {
+    let mut fields = [httparse::EMPTY_HEADER; FIELDS_MOST];
+    let mut response = Response::new(&mut fields);
+    let Ok(Status::Complete(head_length)) = response.parse(bytes) else {
+        return None;
+    };
+    if response.code != Some(200) {
+        return None;
+    }
+    let framing = http_message::framing(response.headers).ok()?;
+    let ranges = http_message::body_so_far(bytes, head_length, framing);
+    Some(joined(bytes, &ranges))
+}
+
+fn joined(bytes: &[u8], ranges: &[Range<usize>]) -> Vec<u8> {
+    let parts = ranges.iter().flat_map(|range| &bytes[range.clone()]);
+    parts.copied().collect()
+}
+
+/// The response's `Retry-After`, in microseconds.
+fn retry_after(response: &Response) -> Option<Micros> {
+    let field = http_message::field(response.headers, "retry-after")?;
+    let seconds: f64 = field.parse().ok()?;
+    (seconds >= 0.0 && seconds.is_finite()).then_some((seconds * 1e6) as Micros)
+}
--- a/crates/proxy/src/discovery/state.rs
+++ b/crates/proxy/src/discovery/state.rs
@@ -1,82 +1,81 @@
-//! The state of the connections to discovery and of the endpoint list.
+//! What this balancer knows of discovery: its connections, the polling schedule, and where the
+//! endpoint list stands.
 
 use pinefront_policy::Micros;
-use pinefront_settings::fields::{Decoded, whole};
+use pinefront_settings::fields::whole;
 use serde_json::Value;
 
-use crate::discovery::schedule::{ConnectionId, Schedule};
-use crate::state::buffers::{ReadBuffer, WriteBuffer};
-use crate::state::socket::RegisteredSocket;
+use crate::discovery::connection::DiscoveryConnection;
+use crate::discovery::list_error::ListError;
+use crate::discovery::polling_schedule::{ConnectionId, PollingSchedule};
 use crate::state::timers::TimerKey;
 
-/// A connection to discovery, and what came on it of an answer.
-pub struct Connection {
-    pub id: ConnectionId,
-    pub socket: RegisteredSocket,
-    pub read_buffer: ReadBuffer,
-    pub write_buffer: WriteBuffer,
-    pub is_connected: bool,
-    /// When the part of an answer that is here is to be looked at.
-    pub look_at: Option<Micros>,
-}
-
-/// What is kept of discovery.
+/// Connections to discovery, the polling schedule, and where the endpoint list stands.
 pub struct Discovery {
-    pub connections: Vec<Connection>,
-    pub schedule: Schedule,
+    /// Open connections.
+    pub connections: Vec<DiscoveryConnection>,
+    /// When to poll.
+    pub schedule: PollingSchedule,
+    /// The timer for the next event of the schedule or of a connection.
     pub timer: Option<TimerKey>,
-    /// The list that we were started with, until it is taken.
-    pub held: Option<Value>,
-    /// Whether that list was taken, and one of discovery's own.
-    pub known: bool,
-    pub taken: bool,
-    /// When discovery last told a list, or that there is nothing new.
-    pub listed_at: Micros,
-    /// How far our wall clock is known to have been behind when the process began.
+    /// The list of the configuration file, until it is applied.
+    pub cached_list: Option<Value>,
+    /// The list of the configuration file was applied.
+    pub is_cached_list_applied: bool,
+    /// A list was received from discovery or from another balancer.
+    pub has_received_list: bool,
+    /// When a list was last received, in microseconds.
+    pub last_list_at: Micros,
+    /// How far our wall clock was behind when the process started, at the least, in microseconds.
     pub clock_behind: Micros,
 }
 
 impl Discovery {
+    /// No connections and no list. `seed` scatters the polls.
     pub fn new(seed: u64) -> Self {
         Self {
             connections: Vec::new(),
-            schedule: Schedule::new(seed),
+            schedule: PollingSchedule::new(seed),
             timer: None,
-            held: None,
-            known: false,
-            taken: false,
-            listed_at: 0,
+            cached_list: None,
+            is_cached_list_applied: false,
+            has_received_list: false,
+            last_list_at: 0,
             clock_behind: 0,
         }
     }
 
-    /// The list that we were started with. It may be old, so nothing is sent by it until discovery has told what changed
-    /// since, or could not be asked.
-    pub fn hold_known(&mut self, list: &Value) -> Decoded<()> {
-        self.schedule.knows(whole(list, "rev")?);
-        self.held = Some(list.clone());
+    /// Keeps the list of the configuration file. It may be old, so nothing is sent by it until
+    /// discovery has reported what changed since, or could not be reached.
+    ///
+    /// # Errors
+    ///
+    /// Fails when the list has no version.
+    pub fn set_cached_list(&mut self, list: &Value) -> Result<(), ListError> {
+        self.schedule.set_cached_version(whole(list, "rev")?);
+        self.cached_list = Some(list.clone());
         Ok(())
     }
 
-    /// Whether there is a list to serve by: discovery's own, or the one we were started with where discovery
-    /// could not be asked. That one may be old: what changed since may count as told already.
-    pub fn stands(&self) -> bool {
-        self.taken || (self.known && self.schedule.is_unheard())
+    /// Whether there is a list to serve by: one that was received, or the cached one where
+    /// discovery cannot be reached.
+    pub fn has_usable_list(&self) -> bool {
+        self.has_received_list || (self.is_cached_list_applied && self.schedule.is_unreachable())
     }
 
-    /// The connection of that id.
-    pub fn connection(&mut self, id: ConnectionId) -> Option<&mut Connection> {
+    /// Returns an open connection.
+    pub fn connection(&mut self, id: ConnectionId) -> Option<&mut DiscoveryConnection> {
         self.connections
             .iter_mut()
             .find(|connection| connection.id == id)
     }
 
-    /// When something is to be done next.
-    pub fn deadline(&self) -> Option<Micros> {
-        let looks = self
+    /// When the timer is to expire, in microseconds.
+    pub fn next_event_at(&self) -> Option<Micros> {
+        let partial_reads = self
             .connections
             .iter()
-            .filter_map(|connection| connection.look_at);
-        looks.chain(self.schedule.deadline()).min()
+            .filter_map(|connection| connection.partial_read_at);
+        partial_reads.chain(self.schedule.next_action_at()).min()
     }
 }
--- a/crates/proxy/src/discovery/tests.rs
+++ b/crates/proxy/src/discovery/tests.rs
@@ -1,8 +1,7 @@
 use rstest::rstest;
-use serde_json::json;
+use serde_json::{Value, json};
 
-use super::*;
-use crate::discovery::schedule::ScheduleSettings;
+use crate::discovery::polling_schedule::{PollAction, PollFailure, PollingSettings};
 use crate::discovery::state::Discovery;
 use crate::test_harness::{TestHarness, answer, entry, listener, message, say};
 
@@ -39,7 +38,7 @@
             .address,
         Some(address)
     );
-    assert!(state.discovery.stands());
+    assert!(state.discovery.has_usable_list());
 }
 
 #[rstest]
@@ -79,7 +78,14 @@
         &answer(&json!({"rev": 41, "all": true, "targets": []})),
     );
     // The next call is not made at once: the close comes before it.
-    harness.until(|proxy| proxy.state.borrow().discovery.taken.then_some(()));
+    harness.until(|proxy| {
+        proxy
+            .state
+            .borrow()
+            .discovery
+            .has_received_list
+            .then_some(())
+    });
     drop(first);
     harness.until(|proxy| {
         proxy
@@ -106,13 +112,14 @@
         .borrow_mut()
         .discovery
         .schedule
-        .made_before(60_000_000);
-    harness.proxy.discovery_due();
+        .backdate_current_poll(60_000_000);
+    harness.proxy.discovery_timer_expired();
     harness.ends(&silent);
     call(&mut harness);
 }
 
-/// Whole fleet, join: 36 of 273 watches fell silent, and the next call came 5 to 7 s after they were given up.
+/// Whole fleet, join: 36 of 273 watches fell silent, and the next call came 5 to 7 s after they
+/// were given up.
 #[test]
 fn a_watch_that_fell_silent_is_opened_anew_at_once() {
     let mut harness = TestHarness::new();
@@ -129,18 +136,19 @@
         .borrow_mut()
         .discovery
         .schedule
-        .made_before(60_000_000);
-    harness.proxy.discovery_due();
+        .backdate_current_poll(60_000_000);
+    harness.proxy.discovery_timer_expired();
     harness.ends(&first);
     let discovery = harness.discovery.try_clone().unwrap();
     let next = harness.accepted(&discovery);
     assert!(harness.heard(&next, "\r\n\r\n").contains("since=41&"));
     let state = harness.proxy.state.borrow();
-    // Far less than the module waits after a failed call (a quarter of the span at least, where ten ask).
+    // Far less than the module waits after a failed call (a quarter of the span at least, where ten
+    // ask).
     assert_eq!(
         (
             state.counters.list_polls_failed,
-            state.discovery.schedule.asked() - began < 200_000
+            state.discovery.schedule.current_poll_sent_at() - began < 200_000
         ),
         (0, true)
     );
@@ -153,10 +161,10 @@
     let entries = [entry("s2", second.local_addr().unwrap(), "active")];
     harness
         .proxy
-        .take_list(&json!({"rev": 2, "all": true, "targets": entries}))
+        .apply_list(&json!({"rev": 2, "all": true, "targets": entries}))
         .unwrap();
     let state = harness.proxy.state.borrow();
-    let drains = |id: &str| !state.endpoints.key_of(id).is_some();
+    let drains = |id: &str| state.endpoints.key_of(id).is_none();
     assert_eq!((drains("s1"), drains("s2")), (true, false));
 }
 
@@ -172,30 +180,31 @@
     bad[field] = value;
     harness.list(&[bad, entry("s2", address, "active")]);
     let state = harness.proxy.state.borrow();
-    let drains = |id: &str| !state.endpoints.key_of(id).is_some();
+    let drains = |id: &str| state.endpoints.key_of(id).is_none();
     assert_eq!((drains("s1"), drains("s2")), (true, false));
 }
 
-/// What changed since may count as told already (zone+mass of lakeshore-skips, seed 70941): while discovery can be asked,
-/// the list that a process is started with is none to serve by, however long the answer takes.
+/// What changed since may count as told already (zone+mass of lakeshore-skips, seed 70941): while
+/// discovery can be asked, the list that a process is started with is none to serve by, however
+/// long the answer takes.
 #[test]
 fn the_known_list_serves_only_where_discovery_could_not_be_asked() {
     let mut discovery = Discovery::new(1);
-    assert!(!discovery.stands(), "without any list");
-    discovery.known = true;
-    let settings = ScheduleSettings {
+    assert!(!discovery.has_usable_list(), "without any list");
+    discovery.is_cached_list_applied = true;
+    let settings = PollingSettings {
         max_poll_interval: None,
         balancers: 1,
     };
-    discovery.schedule.follow(0);
-    let Some(Action::Open(call, _)) = discovery.schedule.poll(0, settings) else {
+    discovery.schedule.resume(0);
+    let Some(PollAction::Open(call, _)) = discovery.schedule.next_action(0, settings) else {
         panic!("no call")
     };
-    assert!(!discovery.stands(), "while discovery is asked");
+    assert!(!discovery.has_usable_list(), "while discovery is asked");
     discovery
         .schedule
-        .failed(call, 1_000, Failure::Unreached, settings);
-    assert!(discovery.stands(), "discovery could not be asked");
+        .poll_failed(call, 1_000, PollFailure::Unreachable, settings);
+    assert!(discovery.has_usable_list(), "discovery could not be asked");
 }
 
 #[test]
@@ -230,9 +239,9 @@
     assert_eq!(state.endpoints.counts(), (0, 0));
 }
 
-/// Endpoints that went refuse connections of all balancers before discovery says so. A watch that was ended for that was
-/// mostly sound: what was told on it in that moment was lost (throng+brink, settat-main, seed 6: a request 1.01 s after
-/// the drain was told), and all asked anew at once.
+/// Endpoints that went refuse connections of all balancers before discovery says so. A watch that
+/// was ended for that was mostly sound: what was told on it in that moment was lost (throng+brink,
+/// settat-main, seed 6: a request 1.01 s after the drain was told), and all asked anew at once.
 #[test]
 fn a_refused_connection_leaves_a_sound_watch_alone() {
     let mut harness = TestHarness::new();
@@ -249,7 +258,7 @@
         .borrow_mut()
         .discovery
         .schedule
-        .made_before(3_000_000);
+        .backdate_current_poll(3_000_000);
     let _client = harness.start_attempt("t1", "s1", 60_000_000);
     harness.until(|proxy| (proxy.state.borrow().counters.attempts_unreachable > 0).then_some(()));
     let asked = harness.proxy.state.borrow().counters.list_polls;
@@ -257,14 +266,23 @@
         &first,
         &answer(&json!({"rev": 42, "all": false, "targets": [entry("s1", gone, "leaving")]})),
     );
-    harness.until(|proxy| (!proxy.state.borrow().endpoints.key_of("s1").is_some()).then_some(()));
+    harness.until(|proxy| {
+        proxy
+            .state
+            .borrow()
+            .endpoints
+            .key_of("s1")
+            .is_none()
+            .then_some(())
+    });
     // The watch goes on where it was, and no other call was made.
     assert!(harness.heard(&first, "\r\n\r\n").contains("since=42&"));
     assert_eq!(harness.proxy.state.borrow().counters.list_polls, asked + 1);
 }
 
-/// Zone+mass of lakeshore-skips, seed 70941: balancers that came back at 11.9 s served by the list that they were started
-/// with and asked for another up to 5.4 s later; what had changed at 8.75 s counted as told at 14.75 s.
+/// Zone+mass of lakeshore-skips, seed 70941: balancers that came back at 11.9 s served by the list
+/// that they were started with and asked for another up to 5.4 s later; what had changed at 8.75 s
+/// counted as told at 14.75 s.
 #[test]
 fn a_process_with_an_old_list_asks_before_it_serves() {
     let mut harness = TestHarness::with(|told| {
@@ -291,12 +309,19 @@
         &call,
         &answer(&json!({"rev": 2, "all": false, "targets": []})),
     );
-    harness.until(|proxy| proxy.state.borrow().discovery.taken.then_some(()));
+    harness.until(|proxy| {
+        proxy
+            .state
+            .borrow()
+            .discovery
+            .has_received_list
+            .then_some(())
+    });
     assert_eq!(status(&mut harness), "HTTP/1.1 200");
 }
 
-/// Whoever asks before discovery has told what changed is not served by the old list; where discovery can't be asked, it
-/// is all there is.
+/// Whoever asks before discovery has told what changed is not served by the old list; where
+/// discovery can't be asked, it is all there is.
 #[rstest]
 #[case::told(true)]
 #[case::not_to_be_asked(false)]
@@ -326,14 +351,22 @@
         );
     }
     drop(call);
-    harness.until(|proxy| proxy.state.borrow().discovery.stands().then_some(()));
+    harness.until(|proxy| {
+        proxy
+            .state
+            .borrow()
+            .discovery
+            .has_usable_list()
+            .then_some(())
+    });
     let _served = ask(&mut harness, "t2");
     let connection = harness.accepted(&endpoint);
     harness.heard(&connection, "body");
 }
 
-/// Incident "lost list changes": discovery wrote that a server drains, and the connection ended before the answer was
-/// whole. What was written counts as told, so the entries that came whole hold.
+/// Incident "lost list changes": discovery wrote that a server drains, and the connection ended
+/// before the answer was whole. What was written counts as told, so the entries that came whole
+/// hold.
 #[test]
 fn a_drain_in_an_answer_that_is_cut_short_holds() {
     let mut harness = TestHarness::new();
@@ -344,10 +377,19 @@
     let second = whole.find("s2").unwrap();
     say(&watch, &whole[..second - 10]);
     drop(watch);
-    harness.until(|proxy| (!proxy.state.borrow().endpoints.key_of("s1").is_some()).then_some(()));
+    harness.until(|proxy| {
+        proxy
+            .state
+            .borrow()
+            .endpoints
+            .key_of("s1")
+            .is_none()
+            .then_some(())
+    });
 }
 
-/// The same incident: an answer that lies in the socket when its call is replaced was written, and counts as told.
+/// The same incident: an answer that lies in the socket when its call is replaced was written, and
+/// counts as told.
 #[test]
 fn an_answer_that_is_here_when_its_call_is_replaced_is_taken() {
     let mut harness = TestHarness::new();
@@ -363,10 +405,18 @@
         .borrow_mut()
         .discovery
         .schedule
-        .made_before(60_000_000);
-    harness.proxy.discovery_due();
+        .backdate_current_poll(60_000_000);
+    harness.proxy.discovery_timer_expired();
     let _silent = harness.accepted_discovery();
-    harness.until(|proxy| (!proxy.state.borrow().endpoints.key_of("s1").is_some()).then_some(()));
+    harness.until(|proxy| {
+        proxy
+            .state
+            .borrow()
+            .endpoints
+            .key_of("s1")
+            .is_none()
+            .then_some(())
+    });
 }
 
 /// A watch of discovery on servers that it named.
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -41,7 +41,7 @@
                     self.attempt_finished(request, number, ending, now)
                 }
                 TimerEvent::ProbeNotSent(endpoint) => self.probe_finished(endpoint, false),
-                TimerEvent::Discovery => self.discovery_due(),
+                TimerEvent::Discovery => self.discovery_timer_expired(),
                 TimerEvent::ResumeAccepting => self.state.borrow_mut().resume_accepting(),
                 TimerEvent::Shutdown => self.continue_shutdown(),
                 TimerEvent::RetryReload => self.retry_reload(),
@@ -89,7 +89,7 @@
             .fleet
             .iter()
             .for_each(|fleet| fleet.borrow_mut().turn());
-        proxy.take_roster();
+        proxy.receive_shared_list();
         let mut state = proxy.state.borrow_mut();
         let took = state.now().saturating_sub(began);
         state.counters.longest_loop_iteration_us =
--- a/crates/proxy/src/lifecycle/shutdown.rs
+++ b/crates/proxy/src/lifecycle/shutdown.rs
@@ -106,6 +106,6 @@
         endpoint_connections
             .into_iter()
             .for_each(|key| self.close_endpoint_connection(key, CloseReason::Shutdown));
-        self.end_all_discovery(CloseReason::Shutdown);
+        self.close_all_discovery(CloseReason::Shutdown);
     }
 }
--- a/crates/proxy/src/lifecycle/startup.rs
+++ b/crates/proxy/src/lifecycle/startup.rs
@@ -101,8 +101,8 @@
     if let Some(known) = optional(document, "known", Some)? {
         let mut state = proxy.state.borrow_mut();
         // An old list that cannot be read is no reason not to serve: discovery has a new one.
-        if let Err(problem) = state.discovery.hold_known(known) {
-            warn!(state.log, "cached endpoint list malformed"; "error" => problem);
+        if let Err(error) = state.discovery.set_cached_list(known) {
+            warn!(state.log, "cached endpoint list malformed"; "error" => %error);
         }
     }
     proxy.state.borrow_mut().start_polling();
--- a/crates/proxy/src/test_harness.rs
+++ b/crates/proxy/src/test_harness.rs
@@ -124,7 +124,7 @@
 
     pub fn list(&mut self, entries: &[Value]) {
         self.proxy
-            .take_list(&json!({"rev": 1, "all": false, "targets": entries}))
+            .apply_list(&json!({"rev": 1, "all": false, "targets": entries}))
             .unwrap();
     }
 
