--- a/crates/testbed/src/cluster/simulation.rs
+++ b/crates/testbed/src/cluster/simulation.rs
@@ -8,8 +8,8 @@
 use pinefront_cluster::leases::{DEFAULT_LEASE_US, Lease, LeaseConfig, LeaseEvent, LossReason};
 use pinefront_cluster::membership::table::MembershipEvent;
 use pinefront_cluster::{Cluster, InjectedFault, MemberConfig};
-use pinefront_model::chance::Chance;
 use pinefront_model::lease_history::{Held, LeaseHistory};
+use pinefront_model::random::RandomSource;
 use pinefront_model::{Micros, SECOND};
 
 use super::Wish;
@@ -102,7 +102,7 @@
     processes: Vec<Process>,
     at_address: BTreeMap<SocketAddr, usize>,
     scenario: Scenario,
-    chance: Chance,
+    chance: RandomSource,
     key: Key,
     seed: u64,
     injected_fault: Option<InjectedFault>,
@@ -117,7 +117,7 @@
 pub fn play(seed: u64, wish: &Wish) -> Played {
     let (members, injected_fault) = (wish.members, wish.injected_fault);
     let scenario = Scenario::draw(seed, members, wish.kind, wish.loss);
-    let mut chance = Chance::split(seed, "clockwork", 0);
+    let mut chance = RandomSource::split(seed, "clockwork", 0);
     let processes: Vec<Process> = (0..members)
         .map(|member| Process {
             cluster: None,
@@ -311,7 +311,7 @@
         process.stopped = false;
         process.waiting.clear();
         let mut chance =
-            Chance::split(self.seed, "process", member as u64 * 1_000 + process.starts);
+            RandomSource::split(self.seed, "process", member as u64 * 1_000 + process.starts);
         // Clocks of machines differ by seconds, and one may have been set back before a restart.
         let started_at_us = 1_000 * SECOND + now + chance.span(4 * SECOND);
         #[cfg_attr(not(any(test, feature = "planted")), allow(unused_mut))]
@@ -329,7 +329,7 @@
                 confirmed_dead: Default::default(),
             },
             self.key.clone(),
-            chance.whole(),
+            chance.next_u64(),
             process.local(now),
         );
         if let Some(_fault) = self.injected_fault {
@@ -461,7 +461,7 @@
             let carried = self
                 .scenario
                 .ways
-                .carry(member, other, self.now, &mut self.chance);
+                .transmit(member, other, self.now, &mut self.chance);
             let stolen = self.chance.happens(self.scenario.replayed);
             if stolen {
                 self.listened.push_back((to, bytes.clone()));
@@ -473,7 +473,7 @@
                 let at = self.now + self.chance.span(3 * SECOND);
                 self.hang(at, What::Comes { to, bytes });
             }
-            carried.spoil(&mut bytes);
+            carried.corrupt(&mut bytes);
             for delay in carried.copies {
                 self.hang(
                     self.now + delay,
