--- /dev/null
+++ b/crates/proxy/src/config/decode.rs
@@ -0,0 +1,232 @@
+//! Decodes a configuration, one group of keys after another.
+
+use std::net::SocketAddr;
+
+use pinefront_policy::{Idempotency, Settings};
+use pinefront_settings::decode_settings;
+use pinefront_settings::fields::{list, optional, part, text, whole};
+use serde_json::Value;
+
+use super::{Config, ConfigError, KnownClass, Variables};
+
+/// Descriptors kept for standard streams, the listener, discovery, the event loop and a spare few.
+pub(super) const RESERVED_SOCKETS: u64 = 24;
+/// The fewest descriptors to serve with.
+const MIN_SOCKETS: u64 = 64;
+/// Fraction of the other descriptors for clients: several may wait for each request at an endpoint.
+const CLIENT_FRACTION: f64 = 0.6;
+/// Clients that send requests are crowded from one descriptor in so many on. They hold a third at
+/// most: at half of that, idle connections begin to keep others out.
+const CROWDED_PER_SOCKETS: u64 = 6;
+/// Clients' messages may fill one byte of memory in so many: buffers may take twice what they hold,
+/// and responses the same.
+const MEMORY_PER_MESSAGES: u64 = 4;
+const MEBIBYTE: u64 = 1024 * 1024;
+
+/// What the proxy may use of the system.
+struct Limits {
+    max_client_connections: usize,
+    max_endpoint_connections: usize,
+    crowd_threshold: usize,
+    max_message_bytes: usize,
+}
+
+impl Limits {
+    fn decode(document: &Value, open_file_limit: u64) -> Result<Self, ConfigError> {
+        let limits = optional(document, "limits", Some)?.unwrap_or(&Value::Null);
+        let memory_mb = optional(limits, "memory_mb", Value::as_u64)?;
+        let sockets = optional(limits, "sockets", Value::as_u64)?
+            .unwrap_or(open_file_limit)
+            .min(open_file_limit);
+        if sockets < MIN_SOCKETS {
+            return Err(ConfigError::TooFewSockets {
+                sockets,
+                least: MIN_SOCKETS,
+            });
+        }
+        let connections = (sockets - RESERVED_SOCKETS) as usize;
+        let max_client_connections = (connections as f64 * CLIENT_FRACTION) as usize;
+        let message_bytes = |mb: u64| (mb.saturating_mul(MEBIBYTE) / MEMORY_PER_MESSAGES) as usize;
+        Ok(Self {
+            max_client_connections,
+            max_endpoint_connections: connections - max_client_connections,
+            crowd_threshold: (sockets / CROWDED_PER_SOCKETS) as usize,
+            max_message_bytes: memory_mb.map_or(usize::MAX, message_bytes),
+        })
+    }
+}
+
+impl Config {
+    /// Decodes a configuration and the settings of the policy in it. Variables take precedence over
+    /// its fields; `open_file_limit` is the system's limit on descriptors.
+    ///
+    /// # Errors
+    ///
+    /// Fails at the first field that is missing, mistyped or contradicts another.
+    pub fn decode(
+        document: &Value,
+        variables: &Variables,
+        open_file_limit: u64,
+    ) -> Result<(Self, Settings), ConfigError> {
+        let settings_json = part(document, "settings")?;
+        let settings = decode_settings(settings_json)?;
+        let caps = part(settings_json, "caps")?;
+        let limits = Limits::decode(document, open_file_limit)?;
+        let seed = text(document, "seed")?;
+        let reports_load = decode_reports_load(settings_json, &settings)?;
+        let zones = decode_zones(settings_json, &settings)?;
+        // The whole drain grace period is left to delays of the process, so its value is not used.
+        whole(part(settings_json, "rules")?, "drainGraceUs")?;
+        let name = variable_or_field(document, variables, "name")?;
+        let listen = address(document, variables, "listen")?;
+        let discovery = address(document, variables, "discovery")?;
+        let config = Self {
+            name,
+            listen,
+            discovery,
+            seed: u64::from_str_radix(seed, 16).map_err(|_| ConfigError::Seed)?,
+            max_client_connections: limits.max_client_connections,
+            max_endpoint_connections: limits.max_endpoint_connections,
+            crowd_threshold: limits.crowd_threshold,
+            max_message_bytes: limits.max_message_bytes,
+            classes: names(settings_json, "useCases")?,
+            known_classes: known_classes(settings_json, &settings)?,
+            idempotencies: idempotencies(&settings),
+            tenants: tenants(settings_json)?,
+            zones,
+            machine_types: texts(settings_json, "kinds")?,
+            idle: whole(caps, "connIdleUs")?,
+            connect_timeout: whole(caps, "connectTimeoutUs")?,
+            max_poll_interval: settings.max_poll_interval,
+            reports_load,
+            probe_path: probe_path(document, &settings)?,
+            peers: peers(document, &settings)?,
+            own_index: settings.own_index,
+            balancers: settings.balancers,
+        };
+        Ok((config, settings))
+    }
+}
+
+/// Whether responses carry load reports.
+fn decode_reports_load(settings_json: &Value, settings: &Settings) -> Result<bool, ConfigError> {
+    let source = text(part(settings_json, "report")?, "source")?;
+    if source == "on_probe" && !settings.load_from_probes {
+        return Err(ConfigError::ProbesNotAllowed);
+    }
+    Ok(source == "inline")
+}
+
+fn decode_zones(settings_json: &Value, settings: &Settings) -> Result<Vec<String>, ConfigError> {
+    let zones = texts(settings_json, "dcs")?;
+    if settings.zone as usize >= zones.len() {
+        return Err(ConfigError::UnknownZone {
+            zone: settings.zone,
+            zones: zones.len(),
+        });
+    }
+    Ok(zones)
+}
+
+fn idempotencies(settings: &Settings) -> Vec<Idempotency> {
+    let classes = settings.classes.iter();
+    classes.map(|class| class.idempotency).collect()
+}
+
+fn known_classes(
+    settings_json: &Value,
+    settings: &Settings,
+) -> Result<Vec<KnownClass>, ConfigError> {
+    let known = |(name, idempotency)| KnownClass { name, idempotency };
+    let names = names(settings_json, "useCases")?.into_iter();
+    Ok(names.zip(idempotencies(settings)).map(known).collect())
+}
+
+fn tenants(settings_json: &Value) -> Result<Vec<String>, ConfigError> {
+    match optional(settings_json, "accounts", Value::as_array)? {
+        Some(_) => names(settings_json, "accounts"),
+        None => Ok(Vec::new()),
+    }
+}
+
+/// The `name` fields of a list of objects.
+fn names(object: &Value, field: &str) -> Result<Vec<String>, ConfigError> {
+    let mut names = Vec::new();
+    for entry in list(object, field)? {
+        names.push(text(entry, "name")?.to_owned());
+    }
+    Ok(names)
+}
+
+/// A list of texts.
+fn texts(object: &Value, field: &'static str) -> Result<Vec<String>, ConfigError> {
+    let text = |entry: &Value| entry.as_str().map(str::to_owned);
+    list(object, field)?
+        .iter()
+        .map(|entry| text(entry).ok_or(ConfigError::NotText(field)))
+        .collect()
+}
+
+/// The path of probes, required where endpoints report their load to probes only.
+fn probe_path(document: &Value, settings: &Settings) -> Result<Option<String>, ConfigError> {
+    let Some(path) = optional(document, "probe_path", Value::as_str)? else {
+        return match settings.load_from_probes {
+            true => Err(ConfigError::NoProbePath),
+            false => Ok(None),
+        };
+    };
+    let is_graphic = path.bytes().all(|byte| byte.is_ascii_graphic());
+    if !path.starts_with('/') || !is_graphic {
+        return Err(ConfigError::ProbePath(path.to_owned()));
+    }
+    Ok(Some(path.to_owned()))
+}
+
+/// The gossip addresses of all balancers, this one included, required where the settings allow
+/// gossip.
+fn peers(document: &Value, settings: &Settings) -> Result<Vec<SocketAddr>, ConfigError> {
+    let named = optional(document, "peers", Value::as_array)?;
+    if !settings.gossip_allowed {
+        return Ok(Vec::new());
+    }
+    let named = named.ok_or(ConfigError::NoPeers)?;
+    if (1..named.len()).any(|index| named[..index].contains(&named[index])) {
+        return Err(ConfigError::DuplicatePeer);
+    }
+    if named.len() != settings.balancers {
+        return Err(ConfigError::PeerCount {
+            named: named.len(),
+            balancers: settings.balancers,
+        });
+    }
+    named.iter().map(peer_address).collect()
+}
+
+fn peer_address(value: &Value) -> Result<SocketAddr, ConfigError> {
+    let address = value.as_str().and_then(|address| address.parse().ok());
+    address.ok_or_else(|| ConfigError::PeerAddress(value.clone()))
+}
+
+/// The value of a variable, or else of the field.
+fn variable_or_field(
+    document: &Value,
+    variables: &Variables,
+    field: &str,
+) -> Result<String, ConfigError> {
+    match variables.get(&field.to_uppercase()) {
+        Some(value) => Ok(value.clone()),
+        None => Ok(text(document, field)?.to_owned()),
+    }
+}
+
+fn address(
+    document: &Value,
+    variables: &Variables,
+    field: &'static str,
+) -> Result<SocketAddr, ConfigError> {
+    let value = variable_or_field(document, variables, field)?;
+    match value.parse() {
+        Ok(address) => Ok(address),
+        Err(_) => Err(ConfigError::Address { field, value }),
+    }
+}
--- a/crates/proxy/src/config/tests.rs
+++ b/crates/proxy/src/config/tests.rs
@@ -1,6 +1,9 @@
+use pinefront_policy::IdempotencyScope;
 use rstest::rstest;
-use serde_json::json;
+use serde_json::{Value, json};
 
+use super::classes::stricter;
+use super::decode::RESERVED_SOCKETS;
 use super::*;
 use crate::test_harness::{document, moved};
 
@@ -9,7 +12,10 @@
     variables: &Variables,
     open_file_limit: u64,
 ) -> Result<Config, String> {
-    Config::decode(document, variables, open_file_limit).map(|(config, _)| config)
+    match Config::decode(document, variables, open_file_limit) {
+        Ok((config, _)) => Ok(config),
+        Err(error) => Err(error.to_string()),
+    }
 }
 
 #[rstest]
@@ -109,7 +115,7 @@
     )
     .unwrap();
     assert!(
-        config.max_client_connections + config.max_endpoint_connections + KEPT_BACK as usize
+        config.max_client_connections + config.max_endpoint_connections + RESERVED_SOCKETS as usize
             <= least
     );
     assert!(config.max_endpoint_connections > least / 4);
@@ -176,7 +182,7 @@
     let mut changed = document.clone();
     changed["settings"]["useCases"][1]["effect"] = json!("unsafe");
     let (new, new_terms) = decode(&changed);
-    let after = config.renew(new, new_terms, &settings).unwrap();
+    let after = config.replace(new, new_terms, &settings).unwrap();
     let idempotencies: Vec<_> = after
         .classes
         .iter()
@@ -191,7 +197,7 @@
     );
     assert_eq!(config.classes, ["pay", "", "look"]);
     let (old, old_terms) = decode(&document);
-    let back = config.renew(old, old_terms, &after).unwrap();
+    let back = config.replace(old, old_terms, &after).unwrap();
     assert_eq!(
         (back.classes[1].idempotency, back.classes.len()),
         (Idempotency::Idempotent, 3)
--- a/crates/proxy/src/connections/client/tests.rs
+++ b/crates/proxy/src/connections/client/tests.rs
@@ -114,7 +114,7 @@
                 .event_loop
                 .dispatch(Some(std::time::Duration::ZERO), &mut harness.proxy)
                 .unwrap();
-            harness.proxy.timers();
+            harness.proxy.run_timers();
         }
     }
     let state = harness.proxy.state.borrow();
--- a/crates/proxy/src/discovery/list_error.rs
+++ b/crates/proxy/src/discovery/list_error.rs
@@ -1,5 +1,6 @@
 //! Why an endpoint list, or an entry of it, cannot be taken.
 
+use pinefront_settings::fields::FieldError;
 use thiserror::Error;
 
 /// Why an endpoint list, or an entry of it, cannot be taken.
@@ -9,8 +10,8 @@
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// A field is missing or has the wrong type.
-    #[error("{0}")]
-    Field(String),
+    #[error(transparent)]
+    Field(#[from] FieldError),
     /// The entry's address cannot be read.
     #[error("field 'endpoint' is no address and port")]
     Address,
@@ -18,9 +19,3 @@
     #[error("field 'state' holds unknown '{0}'")]
     UnknownState(String),
 }
-
-impl From<String> for ListError {
-    fn from(problem: String) -> Self {
-        Self::Field(problem)
-    }
-}
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -1,5 +1,4 @@
-//! The turns of the loop: what sockets and timers bring goes to the module, and its calls come back
-//! through [`ProxyHost`].
+//! The event loop: sockets first, then timers, then the log.
 
 use std::time::Duration;
 
@@ -7,100 +6,126 @@
 use pinefront_policy::Micros;
 use slog::warn;
 
+use crate::lifecycle::error::StartupError;
 use crate::logging::LogBuffer;
-use crate::state::proxy::Proxy;
+use crate::state::proxy::{Proxy, ProxyState};
 use crate::state::timers::TimerEvent;
 
-/// The longest wait in a turn: one that lasts longer than asked for tells that we were not let run.
-const TURN_MOST: Micros = 50_000;
-
-/// Turns that may fail one after another: one socket's trouble must not end the others' requests, and a loop
-/// that is broken for good must not spin.
-const FAILURES_MOST: u32 = 100;
+/// The longest wait of an iteration: one that lasts longer than requested shows that the process
+/// was delayed.
+const MAX_WAIT_US: Micros = 50_000;
+/// Iterations that may fail one after another: a failure of one socket must not end the requests of
+/// others, and a loop that is broken for good must not spin.
+const MAX_FAILURES: u32 = 100;
 
 impl Proxy {
-    /// What fell due. What these bring about at once waits for the next turn.
-    pub fn timers(&mut self) {
+    /// Handles the timers that have expired. What these schedule for the same moment waits for the
+    /// next iteration.
+    pub fn run_timers(&mut self) {
         let (now, mark) = {
             let state = self.state.borrow();
             (state.now(), state.timers.mark())
         };
         loop {
-            let due = self.state.borrow_mut().timers.due(now, mark);
-            let Some(due) = due else { return };
-            match due {
-                TimerEvent::PolicyTimer(timer_id) => {
-                    let now = self.state.borrow().now();
-                    self.balancer.timer_expired(now, timer_id);
-                }
-                TimerEvent::ClientConnection(key) => self.client_timer_expired(key),
-                TimerEvent::NextRequest(key) => self.client_ready(key),
-                TimerEvent::EndpointConnection(key) => self.endpoint_connection_timer_expired(key),
-                TimerEvent::EndpointConnectionReady(key) => self.endpoint_connection_ready(key),
-                TimerEvent::AttemptNotSent(request, number, ending) => {
-                    self.attempt_finished(request, number, ending, now)
-                }
-                TimerEvent::ProbeNotSent(endpoint) => self.probe_finished(endpoint, false),
-                TimerEvent::Discovery => self.discovery_timer_expired(),
-                TimerEvent::ResumeAccepting => self.state.borrow_mut().resume_accepting(),
-                TimerEvent::Shutdown => self.continue_shutdown(),
-                TimerEvent::RetryReload => self.retry_reload(),
+            let expired = self.state.borrow_mut().timers.due(now, mark);
+            match expired {
+                Some(event) => self.timer_expired(event, now),
+                None => return,
+            }
+        }
+    }
+
+    fn timer_expired(&mut self, event: TimerEvent, now: Micros) {
+        match event {
+            TimerEvent::PolicyTimer(timer_id) => {
+                let now = self.state.borrow().now();
+                self.balancer.timer_expired(now, timer_id);
             }
+            TimerEvent::ClientConnection(key) => self.client_timer_expired(key),
+            TimerEvent::NextRequest(key) => self.client_ready(key),
+            TimerEvent::EndpointConnection(key) => self.endpoint_connection_timer_expired(key),
+            TimerEvent::EndpointConnectionReady(key) => self.endpoint_connection_ready(key),
+            TimerEvent::AttemptNotSent(request, number, outcome) => {
+                self.attempt_finished(request, number, outcome, now);
+            }
+            TimerEvent::ProbeNotSent(endpoint) => self.probe_finished(endpoint, false),
+            TimerEvent::Discovery => self.discovery_timer_expired(),
+            TimerEvent::ResumeAccepting => self.state.borrow_mut().resume_accepting(),
+            TimerEvent::Shutdown => self.continue_shutdown(),
+            TimerEvent::RetryReload => self.retry_reload(),
+        }
+    }
+
+    /// Handles the timers of the cluster, and endpoint lists that other balancers passed on.
+    fn run_cluster(&mut self) {
+        if let Some(fleet) = &self.state.borrow().fleet {
+            fleet.borrow_mut().turn();
+        }
+        self.receive_shared_list();
+    }
+}
+
+impl ProxyState {
+    /// Begins an iteration. Returns how long it may wait for events, in microseconds.
+    fn begin_iteration(&mut self) -> Micros {
+        let now = self.now();
+        let next_timer = self.timers.next();
+        let mut wait = next_timer.map_or(MAX_WAIT_US, |at| at.saturating_sub(now));
+        if let Some(fleet) = &self.fleet {
+            wait = wait.min(fleet.borrow().wait());
+        }
+        let wait = wait.min(MAX_WAIT_US);
+        self.loop_iteration.begin(now, now + wait);
+        wait
+    }
+
+    fn count_iteration(&mut self, started_at: Micros) {
+        let took = self.now().saturating_sub(started_at);
+        let longest = &mut self.counters.longest_loop_iteration_us;
+        *longest = took.max(*longest);
+    }
+
+    /// Writes the log as far as the pipe takes it. `unreported` counts lines that were dropped and
+    /// not reported yet.
+    fn flush_log(&mut self, log_buffer: &LogBuffer, unreported: &mut u64) {
+        let flushed = log_buffer.flush();
+        self.counters.log_lines_dropped += flushed.dropped;
+        *unreported += flushed.dropped;
+        if flushed.is_empty && *unreported > 0 {
+            warn!(self.log, "log lines dropped"; "count" => *unreported);
+            *unreported = 0;
         }
     }
 }
 
-/// Serves until told to stop and done.
+/// Runs the event loop until the shutdown is complete.
+///
+/// # Errors
+///
+/// Fails when many iterations in a row failed.
 pub fn serve(
     event_loop: &mut EventLoop<'static, Proxy>,
     proxy: &mut Proxy,
     log_buffer: &LogBuffer,
-) -> Result<(), String> {
-    let (mut untold, mut failures) = (0, 0);
+) -> Result<(), StartupError> {
+    let mut failures = 0;
+    let mut unreported_drops = 0;
     while !proxy.is_finished {
-        let wait = {
-            let mut state = proxy.state.borrow_mut();
-            let now = state.now();
-            let wait = state
-                .timers
-                .next()
-                .map_or(TURN_MOST, |at| at.saturating_sub(now))
-                .min(TURN_MOST);
-            let wait = state
-                .fleet
-                .as_ref()
-                .map_or(wait, |fleet| fleet.borrow().wait().min(wait));
-            state.loop_iteration.begin(now, now + wait);
-            wait
-        };
+        let wait = proxy.state.borrow_mut().begin_iteration();
         match event_loop.dispatch(Some(Duration::from_micros(wait)), proxy) {
             Ok(()) => failures = 0,
-            Err(problem) if failures < FAILURES_MOST => {
+            Err(error) if failures < MAX_FAILURES => {
                 failures += 1;
-                warn!(proxy.state.borrow().log, "event loop iteration failed"; "error" => %problem);
+                warn!(proxy.state.borrow().log, "event loop iteration failed"; "error" => %error);
             }
-            Err(problem) => return Err(format!("the event loop failed: {problem}")),
+            Err(error) => return Err(StartupError::Loop(error)),
         }
-        let began = proxy.state.borrow().now();
-        proxy.timers();
-        proxy
-            .state
-            .borrow()
-            .fleet
-            .iter()
-            .for_each(|fleet| fleet.borrow_mut().turn());
-        proxy.receive_shared_list();
+        let started_at = proxy.state.borrow().now();
+        proxy.run_timers();
+        proxy.run_cluster();
         let mut state = proxy.state.borrow_mut();
-        let took = state.now().saturating_sub(began);
-        state.counters.longest_loop_iteration_us =
-            state.counters.longest_loop_iteration_us.max(took);
-        let (dropped, room) = log_buffer.flush();
-        state.counters.log_lines_dropped += dropped;
-        untold += dropped;
-        if room && untold > 0 {
-            warn!(state.log, "log lines dropped"; "count" => untold);
-            untold = 0;
-        }
+        state.count_iteration(started_at);
+        state.flush_log(log_buffer, &mut unreported_drops);
     }
     Ok(())
 }
--- a/crates/proxy/src/gossip.rs
+++ b/crates/proxy/src/gossip.rs
@@ -1,5 +1,8 @@
-//! What balancers tell one another: a datagram for each word, by UDP between the addresses in the configuration. The
-//! sender is known by its address; what comes from elsewhere, or is longer than the settings allow, is passed over.
+//! Gossip between balancers: one message a datagram, by UDP between the addresses in the
+//! configuration. The sender is identified by its address; datagrams from elsewhere, or longer than
+//! the settings allow, are ignored.
+
+use std::net::SocketAddr;
 
 use crate::state::gossip_socket::GossipSocket;
 use crate::state::proxy::{Proxy, ProxyState};
@@ -7,66 +10,74 @@
 #[cfg(test)]
 mod tests;
 
-/// Bytes of a word at most, as on the simulator's wire.
-const WORD_MOST: usize = 256;
-/// Words taken in one turn: others wait in the socket, or the turn would be long.
-const WORDS_A_TURN: usize = 64;
+/// Longest message, as on the simulator's wire.
+const MAX_MESSAGE_BYTES: usize = 256;
+/// Datagrams received in one iteration of the loop; others wait in the socket, so that the
+/// iteration stays short.
+const MAX_DATAGRAMS_PER_ITERATION: usize = 64;
 
 impl Proxy {
     /// Receives the datagrams that wait on the gossip socket.
     pub fn gossip_ready(&mut self) {
-        for _ in 0..WORDS_A_TURN {
-            let mut word = [0; WORD_MOST + 1];
-            let mut state = self.state.borrow_mut();
-            let now = state.now();
-            // A report of an earlier send that nobody took comes as an error here; the next turn goes on.
-            let Some(Ok((length, from))) = state
-                .gossip_socket
-                .as_ref()
-                .map(|gossip_socket| gossip_socket.socket.recv_from(&mut word))
-            else {
+        // One byte more, so that a message that is too long shows.
+        let mut datagram = [0; MAX_MESSAGE_BYTES + 1];
+        for _ in 0..MAX_DATAGRAMS_PER_ITERATION {
+            let received = {
+                let state = self.state.borrow();
+                let socket = state.gossip_socket.as_ref();
+                socket.map(|socket| socket.socket.recv_from(&mut datagram))
+            };
+            // An error may be the report of an earlier send that nobody received; the next
+            // iteration goes on.
+            let Some(Ok((length, from))) = received else {
                 return;
             };
-            let author = state.config.peers.iter().position(|peer| *peer == from);
-            let told = author.zip(
-                word.get(..length.min(WORD_MOST))
-                    .and_then(|word| str::from_utf8(word).ok()),
-            );
-            match told.filter(|_| length <= WORD_MOST) {
-                Some((author, text)) => {
-                    state.counters.gossip_received += 1;
-                    drop(state);
-                    self.balancer.gossip_received(now, author, text);
-                }
-                None => state.counters.gossip_ignored += 1,
-            }
+            self.receive_gossip(from, &datagram[..length]);
         }
     }
+
+    fn receive_gossip(&mut self, from: SocketAddr, datagram: &[u8]) {
+        let mut state = self.state.borrow_mut();
+        let now = state.now();
+        let sender = state.config.peers.iter().position(|peer| *peer == from);
+        let message = std::str::from_utf8(datagram).ok();
+        let message = message.filter(|message| message.len() <= MAX_MESSAGE_BYTES);
+        let Some((sender, message)) = sender.zip(message) else {
+            state.counters.gossip_ignored += 1;
+            return;
+        };
+        state.counters.gossip_received += 1;
+        drop(state);
+        self.balancer.gossip_received(now, sender, message);
+    }
 }
 
 impl ProxyState {
-    /// Words may be lost, and a full socket loses one as well as the network does.
-    pub fn send_gossip(&mut self, balancer: Option<usize>, word: &str) {
+    /// Sends a message to one balancer, or to all others. It may be lost on its way, or where the
+    /// socket's buffer is full.
+    pub fn send_gossip(&mut self, balancer: Option<usize>, message: &str) {
         let Some(gossip_socket) = &self.gossip_socket else {
             return;
         };
-        let own = self.config.own_index;
-        let all = self.config.peers.iter().enumerate();
-        for (_, peer) in
-            all.filter(|(n, _)| *n != own && balancer.is_none_or(|balancer| balancer == *n))
-        {
-            match gossip_socket.socket.send_to(word.as_bytes(), peer) {
+        for (index, peer) in self.config.peers.iter().enumerate() {
+            let is_addressee = balancer.is_none_or(|balancer| balancer == index);
+            if index == self.config.own_index || !is_addressee {
+                continue;
+            }
+            match gossip_socket.socket.send_to(message.as_bytes(), peer) {
                 Ok(_) => self.counters.gossip_sent += 1,
                 Err(_) => self.counters.gossip_send_failures += 1,
             }
         }
     }
 
-    /// Takes the new gossip socket instead of the old, or none where there are no others to hear.
+    /// Replaces the gossip socket by a new one, or closes it where there are no other balancers.
     pub fn replace_gossip_socket(&mut self, gossip_socket: Option<GossipSocket>) {
         if gossip_socket.is_some() || self.config.peers.is_empty() {
-            let old = std::mem::replace(&mut self.gossip_socket, gossip_socket);
-            old.into_iter().for_each(|old| old.close(&self.handle));
+            let former = std::mem::replace(&mut self.gossip_socket, gossip_socket);
+            if let Some(former) = former {
+                former.close(&self.handle);
+            }
         }
     }
 }
--- a/crates/proxy/src/lifecycle/mod.rs
+++ b/crates/proxy/src/lifecycle/mod.rs
@@ -1,5 +1,6 @@
 //! Startup, reload and shutdown of the process.
 
+pub mod error;
 pub mod reload;
 pub mod retry;
 pub mod shutdown;
--- a/crates/proxy/src/lifecycle/reload.rs
+++ b/crates/proxy/src/lifecycle/reload.rs
@@ -1,12 +1,13 @@
-//! A new configuration while serving: SIGHUP has the file read anew, and all of it holds from then on but for the
-//! name, the address that clients connect to and the seed. Requests that are open go on under the use case that they
-//! came with; nothing is sent because of it.
+//! Reload: SIGHUP has both files read anew while serving. All of the configuration takes effect but
+//! for the name, the address for clients and the seed. Requests in flight keep their class; nothing
+//! is sent because of a reload.
 
-use pinefront_policy::Micros;
+use pinefront_policy::{Micros, Settings};
 use slog::{info, warn};
 
-use crate::config::{Variables, read, variables};
-use crate::lifecycle::startup::fleet_terms;
+use crate::config::{Config, Variables, load, variables};
+use crate::lifecycle::error::ReloadError;
+use crate::lifecycle::startup::read_operator_file;
 use crate::state::gossip_socket::GossipSocket;
 use crate::state::proxy::{PendingReload, Proxy, ProxyState};
 use crate::state::timers::TimerEvent;
@@ -14,112 +15,130 @@
 #[cfg(test)]
 mod tests;
 
-/// Further tries to read a file where the system failed for the moment, and the time between them. What a new
-/// configuration moves counts four seconds after the signal.
-const TRIES: u32 = 40;
-const TRIES_APART: Micros = 50_000;
+/// Further attempts to read a file that cannot be read for the moment. Together they take 2 s: what
+/// a reload moves counts from 4 s after the signal on.
+const MAX_RETRIES: u32 = 40;
+/// The time between them.
+const RETRY_INTERVAL_US: Micros = 50_000;
 
 impl Proxy {
-    /// Reads the operator file anew, where there is one. What can't be read changes nothing.
+    /// Reloads the operator file, where there is one. A file that cannot be used changes nothing.
     pub fn reload_operator_file(&mut self, path: Option<&str>) {
         let state = self.state.borrow();
         let Some((path, fleet)) = path.zip(state.fleet.as_ref()) else {
             return;
         };
-        match fleet_terms(path, &state.config, self.balancer.settings()) {
-            Ok(settings) => {
-                let kept = fleet.borrow_mut().renew(settings);
+        match read_operator_file(path, &state.config, self.balancer.settings()) {
+            Ok(terms) => {
+                let unchangeable = fleet.borrow_mut().renew(terms);
                 info!(state.log, "operator file reloaded"; "file" => path);
-                if !kept.is_empty() {
-                    warn!(state.log, "change needs a restart"; "fields" => kept.join(","));
-                }
+                state.log_unchangeable(&unchangeable);
+            }
+            Err(error) => {
+                warn!(state.log, "operator file reload failed"; "error" => %error);
             }
-            Err(problem) => warn!(state.log, "operator file reload failed"; "error" => problem),
         }
     }
 
-    /// The file could not be read a moment ago.
+    /// Repeats a reload whose file could not be read a moment ago.
     pub fn retry_reload(&mut self) {
-        let again = self.state.borrow().pending_reload.clone();
-        if let Some(again) = again {
-            self.reload(again.path.as_deref(), &variables());
+        let pending = self.state.borrow().pending_reload.clone();
+        if let Some(pending) = pending {
+            self.reload(pending.path.as_deref(), &variables());
         }
     }
 
-    /// Reads the file anew. What can't be read changes nothing.
+    /// Reloads the configuration. A file that cannot be used changes nothing.
     pub fn reload(&mut self, path: Option<&str>, variables: &Variables) {
         let mut variables = variables.clone();
-        // It was set once for the whole life of the process; the file was replaced since.
+        // The variable was set when the process started; the file was replaced since.
         variables.remove("DISCOVERY");
-        let mut borrowed = self.state.borrow_mut();
-        let state = &mut *borrowed;
+        let mut state = self.state.borrow_mut();
         state.counters.reloads += 1;
-        let discovery_before = state.config.discovery;
-        let taken = read(path, &variables).and_then(|(_, config, settings)| {
-            let own = config.peers.get(config.own_index).copied();
-            let gossip_socket = GossipSocket::open_if_changed(
-                state.gossip_socket.as_ref(),
-                &state.handle,
-                own,
-                Proxy::gossip_ready,
-            )
-            .map_err(|problem| format!("cannot hear other balancers at {own:?}: {problem}"))?;
-            let kept = state.config.unchangeable_fields(&config);
-            let renewed = state
-                .config
-                .renew(config, settings, self.balancer.settings());
-            match renewed {
-                Ok(_) => {
-                    state.replace_gossip_socket(gossip_socket);
-                    if !kept.is_empty() {
-                        warn!(state.log, "change needs a restart"; "fields" => kept.join(","));
-                    }
-                }
-                Err(_) => gossip_socket
-                    .into_iter()
-                    .for_each(|gossip_socket| gossip_socket.close(&state.handle)),
-            }
-            Ok(renewed?)
-        });
-        match taken {
+        let former_discovery = state.config.discovery;
+        match state.load_and_replace(path, &variables, self.balancer.settings()) {
             Ok(settings) => {
                 state.pending_reload = None;
-                let config = &state.config;
-                let changed = settings != *self.balancer.settings();
-                info!(state.log, "configuration reloaded"; "discovery" => %config.discovery,
-                    "max_client_connections" => config.max_client_connections, "max_endpoint_connections" => config.max_endpoint_connections,
-                    "settings_changed" => changed, "classes" => config.classes.join(","));
-                state.counters.settings_changed += u64::from(changed);
-                if config.discovery != discovery_before {
+                let is_changed = settings != *self.balancer.settings();
+                state.log_reload(is_changed);
+                state.counters.settings_changed += u64::from(is_changed);
+                if state.config.discovery != former_discovery {
                     state.restart_polling();
                 }
-                if changed {
+                drop(state);
+                if is_changed {
                     self.balancer.settings_changed(settings);
                 }
             }
-            Err(unread) => {
+            Err(error) => {
                 state.counters.reloads_failed += 1;
-                warn!(state.log, "configuration reload failed"; "error" => &unread.problem);
-                state.schedule_reload(path, unread.is_transient);
+                warn!(state.log, "configuration reload failed"; "error" => %error);
+                state.schedule_retry(path, error.is_transient());
             }
         }
     }
 }
 
 impl ProxyState {
-    fn schedule_reload(&mut self, path: Option<&str>, is_transient: bool) {
-        let tries = self
-            .pending_reload
-            .as_ref()
-            .map_or(0, |again| again.failed_reads + 1);
-        let again = PendingReload {
-            path: path.map(str::to_owned),
-            failed_reads: tries,
-        };
-        self.pending_reload = Some(again).filter(|_| is_transient && tries < TRIES);
-        if self.pending_reload.is_some() {
-            self.timers
-                .schedule(self.clock.now() + TRIES_APART, TimerEvent::RetryReload);
+    /// Loads the configuration and replaces the present one. Returns the new settings of the
+    /// policy.
+    fn load_and_replace(
+        &mut self,
+        path: Option<&str>,
+        variables: &Variables,
+        old: &Settings,
+    ) -> Result<Settings, ReloadError> {
+        let loaded = load(path, variables)?;
+        let gossip_socket = self.open_gossip_socket(&loaded.config)?;
+        let unchangeable = self.config.unchangeable_fields(&loaded.config);
+        match self.config.replace(loaded.config, loaded.settings, old) {
+            Ok(settings) => {
+                self.replace_gossip_socket(gossip_socket);
+                self.log_unchangeable(&unchangeable);
+                Ok(settings)
+            }
+            Err(error) => {
+                if let Some(gossip_socket) = gossip_socket {
+                    gossip_socket.close(&self.handle);
+                }
+                Err(error.into())
+            }
         }
     }
+
+    /// Opens the gossip socket of a new configuration, if its address differs.
+    fn open_gossip_socket(&self, config: &Config) -> Result<Option<GossipSocket>, ReloadError> {
+        let address = config.peers.get(config.own_index).copied();
+        let current = self.gossip_socket.as_ref();
+        GossipSocket::open_if_changed(current, &self.handle, address, Proxy::gossip_ready)
+            .map_err(|source| ReloadError::Gossip { address, source })
+    }
+
+    fn log_unchangeable(&self, fields: &[&str]) {
+        if !fields.is_empty() {
+            warn!(self.log, "change needs a restart"; "fields" => fields.join(","));
+        }
+    }
+
+    fn log_reload(&self, is_changed: bool) {
+        let config = &self.config;
+        info!(self.log, "configuration reloaded"; "discovery" => %config.discovery,
+            "max_client_connections" => config.max_client_connections,
+            "max_endpoint_connections" => config.max_endpoint_connections,
+            "settings_changed" => is_changed, "classes" => config.classes.join(","));
+    }
+
+    fn schedule_retry(&mut self, path: Option<&str>, is_transient: bool) {
+        let pending = self.pending_reload.take();
+        let failed_reads = pending.map_or(0, |pending| pending.failed_reads + 1);
+        if !is_transient || failed_reads >= MAX_RETRIES {
+            return;
+        }
+        self.pending_reload = Some(PendingReload {
+            path: path.map(str::to_owned),
+            failed_reads,
+        });
+        let retry_at = self.clock.now() + RETRY_INTERVAL_US;
+        self.timers.schedule(retry_at, TimerEvent::RetryReload);
+    }
 }
--- a/crates/proxy/src/lifecycle/reload/tests.rs
+++ b/crates/proxy/src/lifecycle/reload/tests.rs
@@ -109,8 +109,8 @@
     head.split(' ').nth(1).unwrap().to_owned()
 }
 
-/// The move and the way back are one step: requests under way are answered once and sent once, what clients can ask
-/// for changes with the file, and going back and forth leaves nothing behind.
+/// The move and the way back are one step: requests under way are answered once and sent once, what
+/// clients can ask for changes with the file, and going back and forth leaves nothing behind.
 #[test]
 fn settings_change_while_a_request_is_under_way_and_back_again() {
     let mut harness = TestHarness::new();
@@ -155,7 +155,7 @@
         .config
         .known_classes
         .iter()
-        .map(|known| known.0.as_str())
+        .map(|known| known.name.as_str())
         .collect();
     assert_eq!(known, ["pay", "look", "swap", "status"]);
     assert!(
@@ -228,7 +228,8 @@
     Some((head, String::from_utf8(body).unwrap()))
 }
 
-/// Endpoints on threads of their own: they tell their load to probes, and each fifth request takes a while.
+/// Endpoints on threads of their own: they tell their load to probes, and each fifth request takes
+/// a while.
 fn endpoints(runs: &Runs) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (address, runs) = (listener.local_addr().unwrap(), Arc::clone(runs));
@@ -298,8 +299,8 @@
 const CLIENTS: usize = 6;
 const REQUESTS: usize = 60;
 
-/// Settings change under load, again and again: every request is answered exactly once, no irreversible one runs
-/// twice, and what was dismissed with a promise never ran.
+/// Settings change under load, again and again: every request is answered exactly once, no
+/// irreversible one runs twice, and what was dismissed with a promise never ran.
 #[rstest]
 #[case::there_and_back(|_: &mut TestHarness, _: SocketAddr| {})]
 #[case::during_a_drain(|harness: &mut TestHarness, at: SocketAddr| harness.list(&[entry("s1", at, "leaving")]))]
@@ -391,7 +392,8 @@
     harness.until(|proxy| proxy.is_finished.then_some(()));
 }
 
-/// The operator file too is read anew: what can be taken holds at once, what can't be changes nothing.
+/// The operator file too is read anew: what can be taken holds at once, what can't be changes
+/// nothing.
 #[test]
 fn an_operator_file_that_cannot_be_taken_changes_nothing() {
     let mut harness = TestHarness::new();
@@ -403,7 +405,7 @@
     let opened = {
         let state = harness.proxy.state.borrow();
         let settings =
-            fleet_terms(&path, &state.config, harness.proxy.balancer.settings()).unwrap();
+            read_operator_file(&path, &state.config, harness.proxy.balancer.settings()).unwrap();
         Fleet::open(&state.handle, settings, 1, &state.log).unwrap()
     };
     harness.proxy.state.borrow_mut().fleet = Some(opened);
@@ -439,8 +441,8 @@
         .for_each(|path| std::fs::remove_file(path).unwrap());
 }
 
-/// The system may be out of files for the moment in which the signal comes (ENFILE): what the file moves counts all the
-/// same.
+/// The system may be out of files for the moment in which the signal comes (ENFILE): what the file
+/// moves counts all the same.
 #[test]
 fn a_file_that_could_not_be_read_for_a_moment_is_read_again() {
     let mut harness = TestHarness::new();
@@ -451,7 +453,7 @@
         .proxy
         .state
         .borrow_mut()
-        .schedule_reload(Some(&path), true);
+        .schedule_retry(Some(&path), true);
     let call = harness.accepted(&elsewhere);
     harness.heard(&call, "\r\n\r\n");
     std::fs::remove_file(&path).unwrap();
@@ -461,14 +463,14 @@
         .proxy
         .state
         .borrow_mut()
-        .schedule_reload(Some(&path), false);
+        .schedule_retry(Some(&path), false);
     assert!(harness.proxy.state.borrow().pending_reload.is_none());
-    for _ in 0..=TRIES {
+    for _ in 0..=MAX_RETRIES {
         harness
             .proxy
             .state
             .borrow_mut()
-            .schedule_reload(Some(&path), true);
+            .schedule_retry(Some(&path), true);
     }
     assert!(harness.proxy.state.borrow().pending_reload.is_none());
 }
--- a/crates/proxy/src/lifecycle/retry.rs
+++ b/crates/proxy/src/lifecycle/retry.rs
@@ -7,14 +7,16 @@
 #[cfg(test)]
 mod tests;
 
-/// Tries of what the start needs of the system, and the time between them: together longer than an orderly stop takes.
-const TRIES: u32 = 100;
-const TRIES_APART: Duration = Duration::from_millis(50);
+/// Further attempts at what the start needs of the system: together they take longer than the
+/// shutdown of the process before.
+const MAX_RETRIES: u32 = 100;
+/// The time between them.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Whether another try may do: the process before us has not let go of the address yet, or the system is short of
-/// something for the moment.
-pub fn is_transient(problem: &std::io::Error) -> bool {
-    let Some(code) = Errno::from_io_error(problem) else {
+/// Whether another attempt may succeed: the former process still holds the address, or the system
+/// is short of a resource for the moment.
+pub fn is_transient(error: &std::io::Error) -> bool {
+    let Some(code) = Errno::from_io_error(error) else {
         return false;
     };
     matches!(
@@ -33,17 +35,22 @@
     )
 }
 
-/// Tries again what fails for a moment only: a start that gives up at once is a crash to whoever started it.
+/// Repeats an attempt that fails for the moment only: a start that fails at once is a crash to
+/// whoever started it.
+///
+/// # Errors
+///
+/// Returns the error of the last attempt.
 pub fn retry_transient<T, E>(
     is_transient: impl Fn(&E) -> bool,
     mut attempt: impl FnMut() -> Result<T, E>,
 ) -> Result<T, E> {
-    let mut tries = TRIES;
+    let mut retries = 0;
     loop {
         match attempt() {
-            Err(problem) if is_transient(&problem) && tries > 0 => {
-                tries -= 1;
-                std::thread::sleep(TRIES_APART);
+            Err(error) if is_transient(&error) && retries < MAX_RETRIES => {
+                retries += 1;
+                std::thread::sleep(RETRY_INTERVAL);
             }
             done => return done,
         }
--- a/crates/proxy/src/lifecycle/shutdown.rs
+++ b/crates/proxy/src/lifecycle/shutdown.rs
@@ -1,4 +1,4 @@
-//! An orderly stop: not ready at once, accepting a little longer, every request answered.
+//! Graceful shutdown: not ready at once, accepting a little longer, every request answered.
 
 use calloop::signals::Signal;
 use pinefront_policy::Micros;
@@ -12,20 +12,24 @@
 #[cfg(test)]
 mod tests;
 
-/// How long new connections are taken after the signal: they go on coming until the front has noticed.
-const ACCEPT_ON: Micros = 500_000;
-/// How long connections are then still served: clients go on sending on those that stay open, and for the only balancer
-/// of a zone there is no other to go to. What is taken by then has its answer within its own time, and whoever ends
-/// us allows 0.7 s more than the longest of those. Who opens a connection last has this much to send its request.
-const SERVE_ON: Micros = 600_000;
-/// How long requests of which part is here are then read on.
-const REST_WITHIN: Micros = 500_000;
-/// How often we look whether all is answered.
-const LOOK_EVERY: Micros = 20_000;
-/// When we end whatever is left but requests: those have deadlines of their own, which other customers set longer.
-const GIVE_UP: Micros = 10_000_000;
+/// How long new connections are accepted after the signal: they keep coming until clients have
+/// noticed.
+const ACCEPT_PERIOD_US: Micros = 500_000;
+/// How long connections are served: clients keep sending on open ones, and those of the only
+/// balancer of a zone have no other. What is received by then is answered within its own deadline,
+/// and whoever stops us waits for 0.7 s more than the longest of those. A connection that is opened
+/// last has this long to send its request.
+const SERVE_PERIOD_US: Micros = 600_000;
+/// How long requests that are incomplete then are read on.
+const PARTIAL_REQUEST_PERIOD_US: Micros = 500_000;
+/// How often the shutdown checks whether all is answered.
+const CHECK_INTERVAL_US: Micros = 20_000;
+/// When all connections without a request in flight are closed. Requests have deadlines of their
+/// own, which some installations set longer.
+const MAX_SHUTDOWN_US: Micros = 10_000_000;
 
 impl Proxy {
+    /// Handles SIGUSR1 by logging the counters, and starts the shutdown at other signals.
     pub fn signalled(&mut self, signal: Signal) {
         let mut state = self.state.borrow_mut();
         if signal == Signal::SIGUSR1 {
@@ -34,78 +38,102 @@
         if state.stopping.is_some() {
             return;
         }
-        info!(state.log, "shutdown started"; "requests" => state.requests.len(), "clients" => state.clients.len());
+        info!(state.log, "shutdown started"; "requests" => state.requests.len(),
+            "clients" => state.clients.len());
         state.stopping = Some(state.now());
         drop(state);
         self.continue_shutdown();
     }
 
-    /// Looks how far the stop has come.
+    /// Takes the next steps of the shutdown, and schedules another check unless it is complete.
     pub fn continue_shutdown(&mut self) {
         let (now, stopping) = {
             let state = self.state.borrow();
             (state.now(), state.stopping)
         };
-        let Some(began) = stopping else { return };
-        let since = now.saturating_sub(began);
-        if since >= ACCEPT_ON {
-            // What lies in the backlog counts as taken: where there is no room now, it waits for some.
-            while self.accept() {}
-            let mut state = self.state.borrow_mut();
-            if !state.backlog_has_connections() {
-                state.close_listener();
-            }
+        let Some(started_at) = stopping else { return };
+        let elapsed = now.saturating_sub(started_at);
+        if elapsed >= ACCEPT_PERIOD_US {
+            self.accept_backlog();
         }
-        // What came in meanwhile is served, not closed.
-        let keys: Vec<_> = self.state.borrow().clients.keys().collect();
-        keys.into_iter().for_each(|key| self.client_ready(key));
+        self.serve_clients();
         let mut state = self.state.borrow_mut();
-        if since >= SERVE_ON {
+        if elapsed >= SERVE_PERIOD_US {
             state.closing = true;
             state.close_idle_clients();
         }
-        if since >= SERVE_ON + REST_WITHIN {
+        if elapsed >= SERVE_PERIOD_US + PARTIAL_REQUEST_PERIOD_US {
             state.reject_partial_requests();
         }
-        // Those whose end is under way have little time left, and close by themselves.
-        let waits = |client: &ClientConnection| {
-            client.awaits_response()
-                || client.is_lingering
-                || !client.read_buffer.bytes().is_empty()
-        };
-        let waiting = state.clients.values().any(waits);
-        let unanswered = state.requests.is_any_awaited();
-        let done = since >= SERVE_ON && !waiting && state.listener.is_none();
-        if done || (since >= GIVE_UP && !unanswered) {
+        if state.is_shutdown_complete(elapsed) {
             info!(state.log, "shutdown complete"; "in_flight" => state.requests.len());
             self.is_finished = true;
             return;
         }
-        state
-            .timers
-            .schedule(now + LOOK_EVERY, TimerEvent::Shutdown);
+        let check_at = now + CHECK_INTERVAL_US;
+        state.timers.schedule(check_at, TimerEvent::Shutdown);
+    }
+
+    /// Accepts the connections in the backlog and closes the listener once it has no more. Those
+    /// that find no descriptor now wait for one.
+    fn accept_backlog(&mut self) {
+        while self.accept() {}
+        let mut state = self.state.borrow_mut();
+        if !state.backlog_has_connections() {
+            state.close_listener();
+        }
+    }
+
+    /// Reads all clients' connections, so that requests that have arrived meanwhile are served.
+    fn serve_clients(&mut self) {
+        let keys: Vec<_> = self.state.borrow().clients.keys().collect();
+        for key in keys {
+            self.client_ready(key);
+        }
+    }
+
+    /// Closes all connections, leaves the cluster and logs the counters, as the process ends.
+    pub fn close_all(&mut self) {
+        let mut state = self.state.borrow_mut();
+        state.close_all_connections();
+        // Nothing is sent to endpoints from here on, so other balancers may stop counting this one.
+        if let Some(fleet) = &state.fleet {
+            fleet.borrow_mut().leave();
+        }
+        state.log_counters();
     }
 }
 
 impl ProxyState {
-    /// The counters, a line each.
+    fn is_shutdown_complete(&self, elapsed: Micros) -> bool {
+        // Connections that linger have little time left, and close by themselves.
+        let is_busy = |client: &ClientConnection| {
+            client.awaits_response()
+                || client.is_lingering
+                || !client.read_buffer.bytes().is_empty()
+        };
+        let is_any_busy = self.clients.values().any(is_busy);
+        let is_served = elapsed >= SERVE_PERIOD_US && !is_any_busy && self.listener.is_none();
+        is_served || (elapsed >= MAX_SHUTDOWN_US && !self.requests.is_any_awaited())
+    }
+
+    /// Logs the counters, a line each.
     pub fn log_counters(&self) {
         for line in self.counters.to_string().lines() {
-            info!(self.log, "counter"; "name" => line.split(' ').next().unwrap_or(""),
-                "value" => line.split(' ').next_back().unwrap_or(""));
+            let (name, value) = line.split_once(' ').unwrap_or((line, line));
+            info!(self.log, "counter"; "name" => name, "value" => value);
         }
     }
 
-    /// Ends what is still open when the program ends.
-    pub fn end_all(&mut self) {
+    fn close_all_connections(&mut self) {
         let clients: Vec<_> = self.clients.keys().collect();
-        clients
-            .into_iter()
-            .for_each(|key| self.close_client(key, CloseReason::Shutdown));
+        for key in clients {
+            self.close_client(key, CloseReason::Shutdown);
+        }
         let endpoint_connections: Vec<_> = self.endpoint_connections.keys().collect();
-        endpoint_connections
-            .into_iter()
-            .for_each(|key| self.close_endpoint_connection(key, CloseReason::Shutdown));
+        for key in endpoint_connections {
+            self.close_endpoint_connection(key, CloseReason::Shutdown);
+        }
         self.close_all_discovery(CloseReason::Shutdown);
     }
 }
--- a/crates/proxy/src/lifecycle/shutdown/tests.rs
+++ b/crates/proxy/src/lifecycle/shutdown/tests.rs
@@ -21,7 +21,7 @@
     assert!(told.starts_with("HTTP/1.1 503 ") && !told.contains("Connection: close"));
     say(&idle, "GET /health/live HTTP/1.1\r\n\r\n");
     assert!(!harness.heard(&idle, "live\n").contains("Connection: close"));
-    let began = harness.proxy.state.borrow().now() - SERVE_ON;
+    let began = harness.proxy.state.borrow().now() - SERVE_PERIOD_US;
     harness.proxy.state.borrow_mut().stopping = Some(began);
     harness.ends(&idle);
     assert!(!harness.proxy.is_finished);
@@ -37,8 +37,8 @@
 
 #[rstest]
 #[case::accepting(0, true, false)]
-#[case::no_longer(ACCEPT_ON, false, false)]
-#[case::done(SERVE_ON, false, true)]
+#[case::no_longer(ACCEPT_PERIOD_US, false, false)]
+#[case::done(SERVE_PERIOD_US, false, true)]
 fn a_stop_goes_on_accepting_for_a_while(
     #[case] since: Micros,
     #[case] listens: bool,
@@ -67,7 +67,7 @@
         .config
         .max_client_connections = 0;
     let waiting = std::net::TcpStream::connect(harness.address).unwrap();
-    let began = harness.proxy.state.borrow().now() - SERVE_ON;
+    let began = harness.proxy.state.borrow().now() - SERVE_PERIOD_US;
     harness.proxy.state.borrow_mut().stopping = Some(began);
     harness.proxy.continue_shutdown();
     assert!(harness.proxy.state.borrow().listener.is_some() && !harness.proxy.is_finished);
@@ -82,8 +82,8 @@
     drop(waiting);
 }
 
-/// Between the last look at a resting connection and its close comes a request: it is not acted on, and the answer
-/// before it is not lost to a reset.
+/// Between the last look at a resting connection and its close comes a request: it is not acted on,
+/// and the answer before it is not lost to a reset.
 #[test]
 fn a_request_that_crosses_the_close_is_read_away_and_resets_nothing() {
     let mut harness = TestHarness::new();
@@ -92,7 +92,7 @@
     harness.until(|proxy| (proxy.state.borrow().clients[key].answered == 1).then_some(()));
     {
         let mut state = harness.proxy.state.borrow_mut();
-        (state.stopping, state.closing) = (Some(state.now() - SERVE_ON), true);
+        (state.stopping, state.closing) = (Some(state.now() - SERVE_PERIOD_US), true);
         state.close_idle_clients();
     }
     say(&client, &message("t1", "body"));
@@ -105,7 +105,8 @@
     assert_eq!(harness.proxy.state.borrow().counters.requests_received, 0);
 }
 
-/// Half a request when the connections close is read on; what never comes whole is answered, and nothing is left open.
+/// Half a request when the connections close is read on; what never comes whole is answered, and
+/// nothing is left open.
 #[rstest]
 #[case::goes_on(true)]
 #[case::stops_there(false)]
@@ -121,7 +122,7 @@
             .map(|_| ())
     });
     harness.proxy.signalled(Signal::SIGTERM);
-    let began = harness.proxy.state.borrow().now() - SERVE_ON;
+    let began = harness.proxy.state.borrow().now() - SERVE_PERIOD_US;
     harness.proxy.state.borrow_mut().stopping = Some(began);
     harness.until(|proxy| proxy.state.borrow().closing.then_some(()));
     assert!(!harness.proxy.is_finished);
@@ -135,7 +136,7 @@
         );
         assert!(harness.heard(&client, "ok").contains("Connection: close"));
     } else {
-        harness.proxy.state.borrow_mut().stopping = Some(began - REST_WITHIN);
+        harness.proxy.state.borrow_mut().stopping = Some(began - PARTIAL_REQUEST_PERIOD_US);
         let heard = harness.heard(&client, "\r\n\r\n");
         assert!(
             heard.starts_with("HTTP/1.1 503 ") && heard.contains("Connection: close"),
@@ -156,7 +157,7 @@
     let connection = harness.accepted(&endpoint);
     harness.heard(&connection, "body");
     harness.proxy.signalled(Signal::SIGTERM);
-    let began = harness.proxy.state.borrow().now() - GIVE_UP;
+    let began = harness.proxy.state.borrow().now() - MAX_SHUTDOWN_US;
     harness.proxy.state.borrow_mut().stopping = Some(began);
     harness.proxy.continue_shutdown();
     assert!(!harness.proxy.is_finished);
--- a/crates/proxy/src/lifecycle/startup.rs
+++ b/crates/proxy/src/lifecycle/startup.rs
@@ -1,24 +1,25 @@
-//! The start: the listener, the module, the loop.
+//! Startup: the listener, the policy and the event loop.
 
 use std::cell::RefCell;
+use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
 
 use calloop::generic::Generic;
 use calloop::signals::{Signal, Signals};
-use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction};
+use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction, RegistrationToken};
 use pinefront_policy::{Balancer, Settings};
-use pinefront_settings::fields::{Decoded, optional};
 use serde_json::Value;
-use slog::{info, warn};
+use slog::{Logger, info, warn};
 use slotmap::SlotMap;
 use socket2::{Domain, Protocol, Socket, Type};
 
-use crate::config::{Config, LoadError, read, variables};
+use crate::config::{Config, LoadError, load, variables};
 use crate::discovery::state::Discovery;
 use crate::event_loop::serve;
 use crate::fleet::carrier::Fleet;
 use crate::fleet::operator::{self, FleetTerms};
+use crate::lifecycle::error::StartupError;
 use crate::lifecycle::retry::{is_transient, retry_transient};
 use crate::logging::LogBuffer;
 use crate::state::clock::{Clock, LoopIteration};
@@ -29,58 +30,150 @@
 use crate::state::request::RequestTable;
 use crate::state::timers::Timers;
 
-/// Connections that may wait for us while a turn lasts.
-const BACKLOG: i32 = 1024;
-fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
-    let socket = Socket::new(
-        Domain::for_address(address),
-        Type::STREAM.nonblocking(),
-        Some(Protocol::TCP),
+/// Connections that the system may keep until the event loop accepts them.
+const LISTEN_BACKLOG: i32 = 1024;
+
+/// A listener in the event loop.
+type Listener = (Rc<TcpListener>, RegistrationToken);
+
+/// Runs the balancer until it is told to stop.
+///
+/// # Errors
+///
+/// Fails when a file, an address or a resource of the system that it needs cannot be used.
+pub fn run(config_file: Option<&str>, operator_file: Option<&str>) -> Result<(), StartupError> {
+    let make_loop = || EventLoop::try_new().map_err(io::Error::from);
+    let mut event_loop: EventLoop<Proxy> =
+        retry_transient(is_transient, make_loop).map_err(StartupError::EventLoop)?;
+    // First of all: a signal that comes during the start waits, and does not end the process.
+    let signals = open_signals()?;
+    let load_config = || load(config_file, &variables());
+    let loaded = retry_transient(LoadError::is_transient, load_config)?;
+    let fleet_terms = operator_file
+        .map(|file| read_operator_file(file, &loaded.config, &loaded.settings))
+        .transpose()?;
+    let handle = event_loop.handle();
+    watch_signals(&handle, signals, config_file, operator_file)?;
+    let log_buffer = LogBuffer::default();
+    let mut proxy = open(
+        handle.clone(),
+        &log_buffer,
+        &loaded.document,
+        loaded.config,
+        loaded.settings,
     )?;
-    // A restarted balancer takes its address back while old connections fade.
-    socket.set_reuse_address(true)?;
-    socket.bind(&address.into())?;
-    socket.listen(BACKLOG)?;
-    Ok(socket.into())
+    if let Some(terms) = fleet_terms {
+        join_cluster(&proxy, &handle, terms)?;
+    }
+    let served = serve(&mut event_loop, &mut proxy, &log_buffer);
+    proxy.close_all();
+    log_buffer.flush();
+    served
+}
+
+fn open_signals() -> Result<Signals, StartupError> {
+    let watched = [
+        Signal::SIGTERM,
+        Signal::SIGINT,
+        Signal::SIGUSR1,
+        Signal::SIGHUP,
+    ];
+    let open = || Signals::new(&watched).map_err(io::Error::from);
+    retry_transient(is_transient, open).map_err(StartupError::Signals)
 }
 
-/// Opens the listener and makes the proxy. The module's first calls come only after all stands.
+/// Reloads both files at SIGHUP, and leaves the other signals to the shutdown.
+fn watch_signals(
+    handle: &LoopHandle<'static, Proxy>,
+    signals: Signals,
+    config_file: Option<&str>,
+    operator_file: Option<&str>,
+) -> Result<(), StartupError> {
+    let config_file = config_file.map(str::to_owned);
+    let operator_file = operator_file.map(str::to_owned);
+    let inserted =
+        handle.insert_source(
+            signals,
+            move |event, &mut (), proxy: &mut Proxy| match event.signal() {
+                Signal::SIGHUP => {
+                    proxy.reload(config_file.as_deref(), &variables());
+                    proxy.reload_operator_file(operator_file.as_deref());
+                }
+                signal => proxy.signalled(signal),
+            },
+        );
+    match inserted {
+        Ok(_) => Ok(()),
+        Err(failed) => Err(StartupError::Watch {
+            what: "signals",
+            source: failed.error,
+        }),
+    }
+}
+
+/// Opens the listener and makes the proxy. The policy is called only once all its state exists.
+///
+/// # Errors
+///
+/// Fails when an address cannot be bound or the loop cannot watch its socket.
 pub fn open(
     handle: LoopHandle<'static, Proxy>,
     log_buffer: &LogBuffer,
     document: &Value,
     config: Config,
     settings: Settings,
-) -> Decoded<Proxy> {
+) -> Result<Proxy, StartupError> {
     let log = log_buffer.logger(slog::Level::Info);
-    let listener = retry_transient(is_transient, || listen(config.listen))
-        .map_err(|problem| format!("cannot listen on {}: {problem}", config.listen))?;
-    let listener = Rc::new(listener);
-    let source = Generic::new(Rc::clone(&listener), Interest::READ, Mode::Level);
-    let accepting = handle.insert_source(source, |_, _, proxy: &mut Proxy| {
-        proxy.accept();
-        Ok(PostAction::Continue)
-    });
-    let accepting = accepting.map_err(|problem| format!("cannot watch the listener: {problem}"))?;
-    info!(log, "serving"; "name" => &config.name, "listen" => %config.listen, "discovery" => %config.discovery,
-        "version" => env!("CARGO_PKG_VERSION"), "max_client_connections" => config.max_client_connections,
+    let listener = open_listener(&handle, config.listen)?;
+    info!(log, "serving"; "name" => &config.name, "listen" => %config.listen,
+        "discovery" => %config.discovery, "version" => env!("CARGO_PKG_VERSION"),
+        "max_client_connections" => config.max_client_connections,
         "max_endpoint_connections" => config.max_endpoint_connections);
-    let (clock, seed) = (Clock::start(), config.seed);
-    let own = config.peers.get(config.own_index).copied();
-    let gossip_socket = GossipSocket::open_if_changed(None, &handle, own, Proxy::gossip_ready)
-        .map_err(|problem| format!("cannot hear at {own:?}: {problem}"))?;
+    let clock = Clock::start();
+    let seed = config.seed;
+    let address = config.peers.get(config.own_index).copied();
+    let gossip_socket = GossipSocket::open_if_changed(None, &handle, address, Proxy::gossip_ready)
+        .map_err(|source| StartupError::Gossip { address, source })?;
     let now = clock.now();
-    let state = Rc::new(RefCell::new(ProxyState {
+    let state = new_state(clock, config, log, handle, listener, gossip_socket);
+    let state = Rc::new(RefCell::new(state));
+    let proxy = Proxy {
+        balancer: Balancer::start(ProxyHost(Rc::clone(&state)), seed, settings, now),
+        state,
+        is_finished: false,
+    };
+    let mut state = proxy.state.borrow_mut();
+    if let Some(list) = document.get("known").filter(|list| !list.is_null())
+        && let Err(error) = state.discovery.set_cached_list(list)
+    {
+        // The balancer serves without it: discovery has a new one.
+        warn!(state.log, "cached endpoint list malformed"; "error" => %error);
+    }
+    state.start_polling();
+    drop(state);
+    Ok(proxy)
+}
+
+fn new_state(
+    clock: Clock,
+    config: Config,
+    log: Logger,
+    handle: LoopHandle<'static, Proxy>,
+    listener: Listener,
+    gossip_socket: Option<GossipSocket>,
+) -> ProxyState {
+    let discovery = Discovery::new(config.seed);
+    ProxyState {
         clock,
         config,
         log,
         handle,
-        listener: Some((listener, accepting)),
+        listener: Some(listener),
         clients: SlotMap::with_key(),
         endpoint_connections: SlotMap::with_key(),
         requests: RequestTable::default(),
         endpoints: EndpointTable::default(),
-        discovery: Discovery::new(seed),
+        discovery,
         gossip_socket,
         fleet: None,
         timers: Timers::default(),
@@ -91,85 +184,62 @@
         pending_reload: None,
         shortage_logged_at: 0,
         loop_iteration: LoopIteration::default(),
-    }));
-    let balancer = Balancer::start(ProxyHost(Rc::clone(&state)), seed, settings, now);
-    let proxy = Proxy {
-        balancer,
-        state,
-        is_finished: false,
-    };
-    if let Some(known) = optional(document, "known", Some)? {
-        let mut state = proxy.state.borrow_mut();
-        // An old list that cannot be read is no reason not to serve: discovery has a new one.
-        if let Err(error) = state.discovery.set_cached_list(known) {
-            warn!(state.log, "cached endpoint list malformed"; "error" => %error);
-        }
     }
-    proxy.state.borrow_mut().start_polling();
-    Ok(proxy)
 }
 
-/// What the operator file says of the fleet. Where it names no member or zone, they are those of the configuration.
-pub fn fleet_terms(file: &str, config: &Config, settings: &Settings) -> Decoded<FleetTerms> {
-    let zone = config
-        .zones
-        .get(settings.zone as usize)
-        .map_or("", String::as_str);
-    operator::read(file, &config.name, zone)
+fn open_listener(
+    handle: &LoopHandle<'static, Proxy>,
+    address: SocketAddr,
+) -> Result<Listener, StartupError> {
+    let listener = retry_transient(is_transient, || listen(address))
+        .map_err(|source| StartupError::Listen { address, source })?;
+    let listener = Rc::new(listener);
+    let source = Generic::new(Rc::clone(&listener), Interest::READ, Mode::Level);
+    let inserted = handle.insert_source(source, |_, _, proxy: &mut Proxy| {
+        proxy.accept();
+        Ok(PostAction::Continue)
+    });
+    match inserted {
+        Ok(token) => Ok((listener, token)),
+        Err(failed) => Err(StartupError::Watch {
+            what: "the listener",
+            source: failed.error,
+        }),
+    }
 }
 
-/// Runs the balancer until it is told to stop.
-pub fn run(path: Option<&str>, operator: Option<&str>) -> Decoded<()> {
-    let mut event_loop: EventLoop<Proxy> =
-        retry_transient(is_transient, || EventLoop::try_new().map_err(Into::into))
-            .map_err(|problem| format!("cannot make the event loop: {problem}"))?;
-    // First of all: a signal that comes during the start waits, and does not end the process.
-    let watched = [
-        Signal::SIGTERM,
-        Signal::SIGINT,
-        Signal::SIGUSR1,
-        Signal::SIGHUP,
-    ];
-    let signals = retry_transient(is_transient, || Signals::new(&watched).map_err(Into::into))
-        .map_err(|problem| format!("cannot watch signals: {problem}"))?;
-    let (document, config, settings) = retry_transient(
-        |unread: &LoadError| unread.is_transient,
-        || read(path, &variables()),
-    )?;
-    let fleet_terms = operator
-        .map(|file| fleet_terms(file, &config, &settings))
-        .transpose()?;
-    let handle = event_loop.handle();
-    let (file, operator) = (path.map(str::to_owned), operator.map(str::to_owned));
-    handle
-        .insert_source(
-            signals,
-            move |event, &mut (), proxy: &mut Proxy| match event.signal() {
-                Signal::SIGHUP => {
-                    proxy.reload(file.as_deref(), &variables());
-                    proxy.reload_operator_file(operator.as_deref());
-                }
-                signal => proxy.signalled(signal),
-            },
-        )
-        .map_err(|problem| format!("cannot watch signals: {problem}"))?;
-    let log_buffer = LogBuffer::default();
-    let mut proxy = open(handle.clone(), &log_buffer, &document, config, settings)?;
-    if let Some(settings) = fleet_terms {
-        let log = proxy.state.borrow().log.clone();
-        let seed = proxy.state.borrow().config.seed;
-        proxy.state.borrow_mut().fleet = Some(Fleet::open(&handle, settings, seed, &log)?);
-    }
-    let served = serve(&mut event_loop, &mut proxy, &log_buffer);
-    proxy.state.borrow_mut().end_all();
-    // Nothing is sent to endpoints from here on: only now may others count us out.
-    proxy
-        .state
-        .borrow()
-        .fleet
-        .iter()
-        .for_each(|fleet| fleet.borrow_mut().leave());
-    proxy.state.borrow().log_counters();
-    log_buffer.flush();
-    served
+fn listen(address: SocketAddr) -> io::Result<TcpListener> {
+    let domain = Domain::for_address(address);
+    let socket = Socket::new(domain, Type::STREAM.nonblocking(), Some(Protocol::TCP))?;
+    // A restarted balancer takes its address back while old connections time out.
+    socket.set_reuse_address(true)?;
+    socket.bind(&address.into())?;
+    socket.listen(LISTEN_BACKLOG)?;
+    Ok(socket.into())
+}
+
+/// Reads the operator file. Where it names no member or zone, these are those of the configuration.
+///
+/// # Errors
+///
+/// Fails when the file cannot be read or used.
+pub fn read_operator_file(
+    file: &str,
+    config: &Config,
+    settings: &Settings,
+) -> Result<FleetTerms, StartupError> {
+    let zone = config.zones.get(settings.zone as usize);
+    let zone = zone.map_or("", String::as_str);
+    operator::read(file, &config.name, zone).map_err(StartupError::OperatorFile)
+}
+
+fn join_cluster(
+    proxy: &Proxy,
+    handle: &LoopHandle<'static, Proxy>,
+    terms: FleetTerms,
+) -> Result<(), StartupError> {
+    let mut state = proxy.state.borrow_mut();
+    let fleet = Fleet::open(handle, terms, state.config.seed, &state.log);
+    state.fleet = Some(fleet.map_err(StartupError::Cluster)?);
+    Ok(())
 }
--- a/crates/proxy/src/logging.rs
+++ b/crates/proxy/src/logging.rs
@@ -1,4 +1,5 @@
-//! The log: slog's lines on standard error, never waited for. A full pipe drops lines and counts them.
+//! The log: lines on standard error, written without waiting. While the pipe is full, lines are
+//! dropped and counted.
 
 use std::fmt::{self, Write as _};
 use std::io::Write as _;
@@ -12,65 +13,86 @@
 #[cfg(test)]
 mod tests;
 
-/// Kept while the pipe is full: some hundred lines.
-const KEPT_MOST: usize = 64 * 1024;
-/// A pipe that is ready takes so much without waiting.
-const WRITE_AT_ONCE: usize = 4096;
+/// Bytes that are buffered while the pipe is full: some hundred lines.
+const MAX_BUFFERED_BYTES: usize = 64 * 1024;
+/// Bytes that a pipe that is ready takes without waiting.
+const MAX_WRITE_BYTES: usize = 4096;
 
+/// Lines that are not written yet.
 #[derive(Default)]
-struct Kept {
-    lines: Vec<u8>,
+struct Pending {
+    bytes: Vec<u8>,
+    /// Lines dropped since the last flush.
     dropped: u64,
 }
 
-/// Lines not yet written.
+/// What a flush has found.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Flushed {
+    /// Lines dropped since the last flush.
+    pub dropped: u64,
+    /// Whether all lines were written.
+    pub is_empty: bool,
+}
+
+/// Buffers log lines until standard error takes them.
 #[derive(Clone, Default)]
-pub struct LogBuffer(Arc<Mutex<Kept>>);
+pub struct LogBuffer(Arc<Mutex<Pending>>);
 
 impl LogBuffer {
+    /// Makes a logger that writes to this buffer.
     pub fn logger(&self, level: slog::Level) -> Logger {
         Logger::root(self.clone().filter_level(level).fuse(), o!())
     }
 
-    fn keep(&self, line: &str) {
-        let Ok(mut kept) = self.0.lock() else { return };
-        if kept.lines.len() + line.len() > KEPT_MOST {
-            kept.dropped += 1;
+    fn push(&self, line: &str) {
+        let Ok(mut pending) = self.0.lock() else {
+            return;
+        };
+        if pending.bytes.len() + line.len() > MAX_BUFFERED_BYTES {
+            pending.dropped += 1;
             return;
         }
-        kept.lines.extend_from_slice(line.as_bytes());
+        pending.bytes.extend_from_slice(line.as_bytes());
     }
 
-    /// Writes what the pipe takes. Tells how many lines were dropped since it was last asked, and whether there
-    /// is room again.
-    pub fn flush(&self) -> (u64, bool) {
-        let Ok(mut kept) = self.0.lock() else {
-            return (0, false);
+    /// Writes as many lines as the pipe takes without waiting.
+    pub fn flush(&self) -> Flushed {
+        let Ok(mut pending) = self.0.lock() else {
+            return Flushed {
+                dropped: 0,
+                is_empty: false,
+            };
         };
         let mut out = std::io::stderr();
-        while !kept.lines.is_empty() && takes_more() {
-            let part = kept.lines.len().min(WRITE_AT_ONCE);
-            match out.write(&kept.lines[..part]) {
-                Ok(written) => drop(kept.lines.drain(..written)),
-                Err(problem) if problem.kind() == std::io::ErrorKind::Interrupted => {}
+        while !pending.bytes.is_empty() && is_writable() {
+            let part = pending.bytes.len().min(MAX_WRITE_BYTES);
+            match out.write(&pending.bytes[..part]) {
+                Ok(written) => drop(pending.bytes.drain(..written)),
+                Err(error) if error.kind() == std::io::ErrorKind::Interrupted => {}
                 Err(_) => break,
             }
         }
-        (std::mem::take(&mut kept.dropped), kept.lines.is_empty())
+        Flushed {
+            dropped: std::mem::take(&mut pending.dropped),
+            is_empty: pending.bytes.is_empty(),
+        }
     }
 }
 
-/// Whether standard error takes some bytes without waiting. Others may share it: its flags stay as they are.
-fn takes_more() -> bool {
+/// Whether standard error takes some bytes without waiting. Other processes may share it, so it is
+/// not set to non-blocking.
+fn is_writable() -> bool {
     ready(&std::io::stderr(), PollFlags::OUT) == PollFlags::OUT
 }
 
+/// A line as it is being written: ` key=value` for each field.
 struct Line(String);
 
 impl Serializer for Line {
     fn emit_arguments(&mut self, key: slog::Key, value: &fmt::Arguments) -> slog::Result {
         let text = value.to_string();
-        // Line ends and blanks from outside must not pass for lines or fields of ours.
+        // Line ends and blanks from outside must not look like lines or fields of ours.
         let plain = |byte: u8| byte.is_ascii_graphic() && byte != b'"' && byte != b'=';
         match !text.is_empty() && text.bytes().all(plain) {
             true => write!(self.0, " {key}={text}")?,
@@ -90,13 +112,13 @@
             record.level().as_short_str(),
             record.msg()
         ));
-        // A line that cannot be worded whole is kept as far as it goes.
+        // A line whose fields cannot all be written is logged up to there.
         let _ = record
             .kv()
             .serialize(record, &mut line)
             .and_then(|()| fields.serialize(record, &mut line));
         line.0.push('\n');
-        self.keep(&line.0);
+        self.push(&line.0);
         Ok(())
     }
 }
--- a/crates/proxy/src/logging/tests.rs
+++ b/crates/proxy/src/logging/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 fn lines(log_buffer: &LogBuffer) -> String {
-    String::from_utf8(log_buffer.0.lock().unwrap().lines.clone()).unwrap()
+    String::from_utf8(log_buffer.0.lock().unwrap().bytes.clone()).unwrap()
 }
 
 #[test]
@@ -21,8 +21,8 @@
     let log_buffer = LogBuffer::default();
     let line = "x".repeat(1000);
     for _ in 0..100 {
-        log_buffer.keep(&line);
+        log_buffer.push(&line);
     }
-    let kept = log_buffer.0.lock().unwrap();
-    assert_eq!((kept.lines.len() / 1000, kept.dropped), (65, 35));
+    let pending = log_buffer.0.lock().unwrap();
+    assert_eq!((pending.bytes.len() / 1000, pending.dropped), (65, 35));
 }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -17,6 +17,11 @@
 use std::process::ExitCode;
 
 use lexopt::{Arg, Parser};
+use thiserror::Error;
+
+use crate::config::LoadError;
+use crate::lifecycle::error::StartupError;
+use crate::lifecycle::startup;
 
 const HELP: &str = "\
 pinefront: a load-balancing proxy for fleets of HTTP servers
@@ -33,62 +38,109 @@
 deploy/operator.toml.
 ";
 
-fn text(parser: &mut Parser) -> Result<String, String> {
-    let value = parser.value().map_err(|problem| problem.to_string())?;
-    value.into_string().map_err(|_| "a value is no text".into())
+/// Why a command fails.
+#[derive(Debug, Error)]
+enum CommandError {
+    #[error("{0}")]
+    Arguments(lexopt::Error),
+    #[error("{0}; see 'pinefront help'")]
+    UnexpectedArgument(lexopt::Error),
+    #[error("a value is no text")]
+    ValueNotText,
+    #[error("the command is no text")]
+    CommandNotText,
+    #[error("no command given\n\n{HELP}")]
+    NoCommand,
+    #[error("no command '{0}'; see 'pinefront help'")]
+    UnknownCommand(String),
+    #[error("no balancer named: give --at ADDRESS, where clients reach it")]
+    NoBalancer,
+    #[error(transparent)]
+    Load(#[from] LoadError),
+    #[error(transparent)]
+    Startup(#[from] StartupError),
+    #[error("{0}")]
+    Fleet(String),
+}
+
+/// The arguments of the command line.
+#[derive(Default)]
+struct Arguments {
+    command: Option<String>,
+    config_file: Option<String>,
+    operator_file: Option<String>,
+    /// The address of a balancer.
+    at: Option<String>,
+    watch: bool,
+    json: bool,
 }
 
-fn command() -> Result<(), String> {
-    let mut parser = Parser::from_env();
-    let (mut command, mut file, mut operator, mut at) = (None, None, None, None);
-    let (mut watch, mut json) = (false, false);
-    while let Some(arg) = parser.next().map_err(|problem| problem.to_string())? {
-        match arg {
-            Arg::Long("config") => file = Some(text(&mut parser)?),
-            Arg::Long("operator") => operator = Some(text(&mut parser)?),
-            Arg::Long("at") => at = Some(text(&mut parser)?),
-            Arg::Long("watch") => watch = true,
-            Arg::Long("json") => json = true,
-            Arg::Long("version") | Arg::Short('V') => command = Some("version".into()),
-            Arg::Long("help") | Arg::Short('h') => command = Some("help".into()),
-            Arg::Value(value) if command.is_none() => {
-                command = Some(value.into_string().map_err(|_| "the command is no text")?);
+impl Arguments {
+    fn parse(mut parser: Parser) -> Result<Self, CommandError> {
+        let mut arguments = Self::default();
+        while let Some(argument) = parser.next().map_err(CommandError::Arguments)? {
+            match argument {
+                Arg::Long("config") => arguments.config_file = Some(text(&mut parser)?),
+                Arg::Long("operator") => arguments.operator_file = Some(text(&mut parser)?),
+                Arg::Long("at") => arguments.at = Some(text(&mut parser)?),
+                Arg::Long("watch") => arguments.watch = true,
+                Arg::Long("json") => arguments.json = true,
+                Arg::Long("version") | Arg::Short('V') => {
+                    arguments.command = Some("version".into());
+                }
+                Arg::Long("help") | Arg::Short('h') => arguments.command = Some("help".into()),
+                Arg::Value(value) if arguments.command.is_none() => {
+                    let command = value.into_string();
+                    let command = command.map_err(|_| CommandError::CommandNotText)?;
+                    arguments.command = Some(command);
+                }
+                other => return Err(CommandError::UnexpectedArgument(other.unexpected())),
             }
-            other => return Err(format!("{}; see 'pinefront help'", other.unexpected())),
         }
+        Ok(arguments)
     }
-    match command.as_deref() {
-        Some("serve") => lifecycle::startup::run(file.as_deref(), operator.as_deref()),
-        Some("fleet") => {
-            let at = at.ok_or("no balancer named: give --at ADDRESS, where clients reach it")?;
-            fleet::show::show(&at, watch, json)
-        }
-        Some("check") => {
-            let (_, config, settings) = config::read(file.as_deref(), &config::variables())?;
-            if let Some(operator) = &operator {
-                lifecycle::startup::fleet_terms(operator, &config, &settings)?;
+
+    fn run(&self) -> Result<(), CommandError> {
+        match self.command.as_deref() {
+            Some("serve") => {
+                let operator_file = self.operator_file.as_deref();
+                startup::run(self.config_file.as_deref(), operator_file)?;
             }
-            println!("well-formed");
-            Ok(())
-        }
-        Some("version") => {
-            println!("pinefront {}", env!("CARGO_PKG_VERSION"));
-            Ok(())
+            Some("fleet") => {
+                let at = self.at.as_deref().ok_or(CommandError::NoBalancer)?;
+                fleet::show::show(at, self.watch, self.json).map_err(CommandError::Fleet)?;
+            }
+            Some("check") => self.check()?,
+            Some("version") => println!("pinefront {}", env!("CARGO_PKG_VERSION")),
+            Some("help") => print!("{HELP}"),
+            Some(other) => return Err(CommandError::UnknownCommand(other.to_owned())),
+            None => return Err(CommandError::NoCommand),
         }
-        Some("help") => {
-            print!("{HELP}");
-            Ok(())
+        Ok(())
+    }
+
+    /// Reads the files as a start would.
+    fn check(&self) -> Result<(), CommandError> {
+        let loaded = config::load(self.config_file.as_deref(), &config::variables())?;
+        if let Some(operator_file) = &self.operator_file {
+            startup::read_operator_file(operator_file, &loaded.config, &loaded.settings)?;
         }
-        Some(other) => Err(format!("no command '{other}'; see 'pinefront help'")),
-        None => Err(format!("no command given\n\n{HELP}")),
+        println!("well-formed");
+        Ok(())
     }
 }
 
+fn text(parser: &mut Parser) -> Result<String, CommandError> {
+    let value = parser.value().map_err(CommandError::Arguments)?;
+    value.into_string().map_err(|_| CommandError::ValueNotText)
+}
+
 fn main() -> ExitCode {
-    match command() {
+    let done = Arguments::parse(Parser::from_env()).and_then(|arguments| arguments.run());
+    match done {
         Ok(()) => ExitCode::SUCCESS,
-        Err(problem) => {
-            eprintln!("pinefront: {problem}");
+        Err(error) => {
+            eprintln!("pinefront: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/proxy/src/test_harness.rs
+++ b/crates/proxy/src/test_harness.rs
@@ -143,7 +143,7 @@
             self.event_loop
                 .dispatch(Some(Duration::from_millis(1)), &mut self.proxy)
                 .unwrap();
-            self.proxy.timers();
+            self.proxy.run_timers();
         }
     }
 
