--- a/crates/proxy/src/discovery/response.rs
+++ b/crates/proxy/src/discovery/response.rs
@@ -5,7 +5,7 @@
 use httparse::{Response, Status};
 use pinefront_policy::Micros;
 
-use crate::connections::http_message::{self, Body, FIELDS_MOST, HEAD_MOST};
+use crate::connections::http_message::{self, Body, MAX_FIELDS, MAX_HEAD_BYTES};
 use crate::discovery::polling_schedule::PollFailure;
 
 /// The longest response that is read: some thousand endpoints.
@@ -28,11 +28,11 @@
 ///
 /// Fails when discovery rejected the poll or what came is no response.
 pub fn read_response(bytes: &[u8], is_closed: bool) -> Result<Option<ListResponse>, PollFailure> {
-    let mut fields = [httparse::EMPTY_HEADER; FIELDS_MOST];
+    let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut response = Response::new(&mut fields);
     let head_length = match response.parse(bytes) {
         Ok(Status::Complete(length)) => length,
-        Ok(Status::Partial) if bytes.len() < HEAD_MOST => return Ok(None),
+        Ok(Status::Partial) if bytes.len() < MAX_HEAD_BYTES => return Ok(None),
         _ => return Err(PollFailure::Malformed),
     };
     if response.code != Some(200) {
@@ -43,9 +43,9 @@
     let framing = http_message::framing(response.headers).map_err(|_| PollFailure::Malformed)?;
     let keep_alive = http_message::is_keep_alive(&response, framing);
     match http_message::body(bytes, head_length, framing, is_closed, MAX_RESPONSE_BYTES) {
-        Body::Complete(ranges, length) => Ok(Some(ListResponse {
-            body: joined(bytes, &ranges),
-            length,
+        Body::Complete { slices, end } => Ok(Some(ListResponse {
+            body: joined(bytes, &slices),
+            length: end,
             keep_alive,
         })),
         Body::Partial if bytes.len() < MAX_RESPONSE_BYTES => Ok(None),
@@ -55,7 +55,7 @@
 
 /// Returns what has come of the body of a response with a list.
 pub fn partial_body(bytes: &[u8]) -> Option<Vec<u8>> {
-    let mut fields = [httparse::EMPTY_HEADER; FIELDS_MOST];
+    let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut response = Response::new(&mut fields);
     let Ok(Status::Complete(head_length)) = response.parse(bytes) else {
         return None;
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -45,9 +45,11 @@
             TimerEvent::NextRequest(key) => self.client_ready(key),
             TimerEvent::EndpointConnection(key) => self.endpoint_connection_timer_expired(key),
             TimerEvent::EndpointConnectionReady(key) => self.endpoint_connection_ready(key),
-            TimerEvent::AttemptNotSent(request, number, outcome) => {
-                self.attempt_finished(request, number, outcome, now);
-            }
+            TimerEvent::AttemptEnded {
+                request,
+                number,
+                outcome,
+            } => self.attempt_finished(request, number, outcome, now),
             TimerEvent::ProbeNotSent(endpoint) => self.probe_finished(endpoint, false),
             TimerEvent::Discovery => self.discovery_timer_expired(),
             TimerEvent::ResumeAccepting => self.state.borrow_mut().resume_accepting(),
