--- a/crates/proxy/src/connections/own_pages.rs
+++ b/crates/proxy/src/connections/own_pages.rs
@@ -44,6 +44,6 @@
     }
 
     fn is_ready(&self) -> bool {
-        self.stopping.is_none() && self.discovery.stands()
+        self.stopping.is_none() && self.discovery.has_usable_list()
     }
 }
--- a/crates/proxy/src/test_harness.rs
+++ b/crates/proxy/src/test_harness.rs
@@ -126,7 +126,7 @@
 
     pub fn list(&mut self, entries: &[Value]) {
         self.proxy
-            .take_list(&json!({"rev": 1, "all": false, "targets": entries}))
+            .apply_list(&json!({"rev": 1, "all": false, "targets": entries}))
             .unwrap();
     }
 
@@ -145,7 +145,7 @@
             self.event_loop
                 .dispatch(Some(Duration::from_millis(1)), &mut self.proxy)
                 .unwrap();
-            self.proxy.timers();
+            self.proxy.run_timers();
         }
     }
 
