--- /dev/null
+++ b/crates/cluster/src/cluster/gossip.rs
@@ -0,0 +1,101 @@
+//! Periodic messages: gossip, anti-entropy of the member table, probes of dead members, and seeds.
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+use nanorand::Rng;
+
+use super::Cluster;
+use crate::Micros;
+use crate::messages::{MemberState, Message};
+use crate::timers::Timer;
+
+/// How often changed records are sent.
+pub(super) const GOSSIP_INTERVAL_US: Micros = 100_000;
+/// How many members they are sent to.
+const GOSSIP_FANOUT: usize = 3;
+/// How often a part of the table is sent to a member, so that records lost everywhere arrive eventually.
+pub(super) const SYNC_INTERVAL_US: Micros = 1_000_000;
+/// How often a dead member is probed, by which the halves of a partition find each other.
+pub(super) const DEAD_PROBE_INTERVAL_US: Micros = 500_000;
+/// How often a seed is contacted while no member is known.
+const SEED_INTERVAL_ALONE_US: Micros = 300_000;
+/// How often a seed is contacted while one is not among the members.
+const SEED_INTERVAL_US: Micros = 2_000_000;
+
+impl Cluster {
+    /// Sends changed records to some members.
+    pub(super) fn gossip(&mut self) {
+        self.timers
+            .schedule(self.now + GOSSIP_INTERVAL_US, Timer::Gossip);
+        if self.dissemination.is_empty() {
+            return;
+        }
+        let receivers = self.random_members(GOSSIP_FANOUT, |member| {
+            member.record.state < MemberState::Dead
+        });
+        for index in receivers {
+            self.send_to_member(index, Message::Gossip);
+        }
+    }
+
+    /// Exchanges a part of the table with a member.
+    pub(super) fn sync_table(&mut self) {
+        self.timers
+            .schedule(self.now + SYNC_INTERVAL_US, Timer::TableSync);
+        let receivers = self.random_members(1, |member| member.record.state == MemberState::Alive);
+        for index in receivers {
+            self.send_table_part(index, true);
+        }
+    }
+
+    /// Probes a dead member.
+    pub(super) fn probe_dead_member(&mut self) {
+        self.timers
+            .schedule(self.now + DEAD_PROBE_INTERVAL_US, Timer::DeadProbe);
+        let receivers = self.random_members(1, |member| member.record.state == MemberState::Dead);
+        for index in receivers {
+            let record = self.table.members[index].record.clone();
+            let number = self.failure_detector.next_number();
+            let target = Some(Rc::clone(&record.name));
+            let probe = Message::Probe { number, target };
+            self.send(record.address, probe, vec![record]);
+        }
+    }
+
+    /// Contacts a seed that is not among the members: at the start, and after a partition was forgotten.
+    pub(super) fn contact_seed(&mut self) {
+        let is_alone = self.table.alive().next().is_none();
+        let interval = if is_alone {
+            SEED_INTERVAL_ALONE_US
+        } else {
+            SEED_INTERVAL_US
+        };
+        let delay = interval + self.rng.generate_range(0..=interval / 2);
+        self.timers.schedule(self.now + delay, Timer::Seeds);
+        let seeds: Vec<SocketAddr> = self
+            .config
+            .seeds
+            .iter()
+            .filter(|seed| !self.is_known_seed(seed))
+            .copied()
+            .collect();
+        if seeds.is_empty() {
+            return;
+        }
+        let seed = seeds[self.rng.generate_range(0..seeds.len())];
+        let probe = Message::Probe {
+            number: self.failure_detector.next_number(),
+            target: None,
+        };
+        self.send(seed, probe, Vec::new());
+    }
+
+    fn is_known_seed(&self, seed: &SocketAddr) -> bool {
+        *seed == self.config.address
+            || self
+                .table
+                .alive()
+                .any(|member| member.record.address == *seed)
+    }
+}
--- /dev/null
+++ b/crates/cluster/src/cluster/lease_control.rs
@@ -0,0 +1,131 @@
+//! The connection between membership and the lease manager.
+
+use std::rc::Rc;
+
+use super::Cluster;
+use crate::Micros;
+use crate::leases::assignment::Candidate;
+use crate::leases::term::LeaseId;
+use crate::leases::{AddressedMessage, Lease, LeaseConfig, LeaseEvent, Leases};
+use crate::messages::{MemberRecord, Message};
+use crate::timers::Timer;
+
+impl Cluster {
+    /// Takes part in these leases from now on. A changed configuration makes this process a new voter, which grants
+    /// nothing at first.
+    pub fn configure_leases(&mut self, now: Micros, config: LeaseConfig, leases: Vec<Lease>) {
+        self.now = self.now.max(now);
+        let is_current = self
+            .leases
+            .as_ref()
+            .is_some_and(|current| *current.config() == config && !current.is_stopping());
+        if !is_current {
+            self.disable_leases(now);
+            self.replace_leases(config);
+        }
+        if let Some(current) = &mut self.leases {
+            current.track(self.now, leases);
+        }
+        self.send_lease_messages();
+    }
+
+    fn replace_leases(&mut self, config: LeaseConfig) {
+        let wall_clock_offset_ms =
+            (self.config.started_at_us / 1_000).saturating_sub(self.started_at / 1_000);
+        let own_name = Rc::clone(&self.table.own.name);
+        let own_id = self.incarnation.random_id;
+        let new = Leases::new(self.now, config, own_name, own_id, wall_clock_offset_ms);
+        self.leases = Some(match &self.leases {
+            Some(before) => new.continuing(before),
+            None => new,
+        });
+    }
+
+    /// Releases all leases and takes part in none from now on.
+    pub fn disable_leases(&mut self, now: Micros) {
+        self.now = self.now.max(now);
+        if let Some(leases) = &mut self.leases {
+            leases.stop(self.now);
+            leases.track(self.now, Vec::new());
+        }
+        self.send_lease_messages();
+    }
+
+    /// The lease manager, where leases were configured.
+    pub fn leases(&self) -> Option<&Leases> {
+        self.leases.as_ref()
+    }
+
+    /// Takes the lease events since the last call.
+    pub fn take_lease_events(&mut self) -> Vec<LeaseEvent> {
+        self.leases
+            .as_mut()
+            .map(Leases::take_events)
+            .unwrap_or_default()
+    }
+
+    /// Sends a command in the name of a lease if this member holds it for `required` longer. Returns whether it was
+    /// sent.
+    pub fn send_command(
+        &mut self,
+        now: Micros,
+        lease: LeaseId,
+        to: &Rc<str>,
+        required: Micros,
+        body: Vec<u8>,
+    ) -> bool {
+        self.now = self.now.max(now);
+        let is_sent = self
+            .leases
+            .as_mut()
+            .is_some_and(|leases| leases.send_command(now, lease, to, required, body));
+        self.send_lease_messages();
+        is_sent
+    }
+
+    /// Sends a note about a lease to a member.
+    pub fn send_lease_note(&mut self, now: Micros, lease: LeaseId, to: &Rc<str>, body: Vec<u8>) {
+        self.now = self.now.max(now);
+        if let Some(leases) = &mut self.leases {
+            leases.send_note(lease, to, body);
+        }
+        self.send_lease_messages();
+    }
+
+    /// Runs the lease manager's timers with the members that are alive.
+    pub(super) fn run_lease_timers(&mut self) {
+        let candidate = |record: &MemberRecord| Candidate {
+            name: Rc::clone(&record.name),
+            zone: Rc::clone(&record.zone),
+        };
+        let others = self.table.alive().map(|member| &member.record);
+        let alive: Vec<Candidate> = [&self.table.own]
+            .into_iter()
+            .chain(others)
+            .map(candidate)
+            .collect();
+        let is_fit = self.is_reachable() && self.now >= self.silent_until;
+        if let Some(leases) = &mut self.leases {
+            leases.run_timers(self.now, &alive, is_fit);
+        }
+        self.send_lease_messages();
+    }
+
+    /// Sends the lease manager's messages and schedules its next timer.
+    pub(super) fn send_lease_messages(&mut self) {
+        let Some(leases) = &mut self.leases else {
+            return;
+        };
+        let messages = leases.take_messages();
+        let next_timer = leases.next_timer().max(self.now + 1);
+        for AddressedMessage { to, message } in messages {
+            if let Some(index) = self.table.index(&to) {
+                self.send_to_member(index, Message::Lease(message));
+            }
+        }
+        if next_timer < self.leases_timer_at || self.leases_timer_at <= self.now {
+            self.leases_timer_at = next_timer;
+            self.timers.schedule(next_timer, Timer::Leases);
+        }
+    }
+}
--- /dev/null
+++ b/crates/cluster/src/cluster/receive.rs
@@ -0,0 +1,178 @@
+//! Received datagrams: checks, records, and the message.
+
+use std::rc::Rc;
+
+use super::Cluster;
+use crate::Micros;
+use crate::datagram::{self, Datagram, DropReason};
+use crate::membership::events::{MembershipEvent, MergeOutcome};
+use crate::membership::table::MAX_MEMBERS;
+use crate::messages::{MAX_NAME_BYTES, MemberRecord, MemberState, Message};
+use crate::timers::Timer;
+
+/// A sender with a superseded incarnation is replied to at most this often; a member that was dead and sends again is
+/// sent the table at most this often.
+const OLD_REPLY_INTERVAL_US: Micros = 500_000;
+/// How long this process sends nothing after another process proved to have its name.
+const NAME_CONFLICT_SILENCE_US: Micros = 30_000_000;
+
+impl Cluster {
+    pub(super) fn receive_datagram(&mut self, bytes: &[u8]) -> Result<(), DropReason> {
+        let datagram = datagram::open(&self.key, &self.config.fleet, bytes)?;
+        let has_own_name = datagram.sender == self.config.name;
+        if has_own_name && datagram.incarnation == self.incarnation {
+            return Err(DropReason::OwnDatagram);
+        }
+        if datagram.sender.len() > MAX_NAME_BYTES || datagram.sender.is_empty() {
+            return Err(DropReason::Malformed);
+        }
+        if self.is_superseded(&datagram) {
+            self.reply_to_old_incarnation(&datagram);
+            return Err(DropReason::OldIncarnation);
+        }
+        self.replay_filter.accept(&datagram)?;
+        self.traffic.accepted += 1;
+        let was_known = self.table.index(&datagram.sender).is_some();
+        for record in &datagram.records {
+            self.learn(record);
+        }
+        let Some(index) = self.table.index(&datagram.sender) else {
+            return if has_own_name {
+                Ok(())
+            } else {
+                Err(DropReason::TableFull)
+            };
+        };
+        self.record_sender(index, &datagram, was_known);
+        self.receive_message(index, &datagram);
+        Ok(())
+    }
+
+    /// Whether a later process of the sender's name is known.
+    fn is_superseded(&self, datagram: &Datagram) -> bool {
+        self.table.named(&datagram.sender).is_some_and(|member| {
+            member.record.incarnation != datagram.incarnation
+                && datagram.refutation_counter <= member.record.refutation_counter
+        })
+    }
+
+    /// Sends a process that lost its memory the record of the process before it, so that it takes a greater refutation
+    /// counter.
+    fn reply_to_old_incarnation(&mut self, datagram: &Datagram) {
+        let last_reply = self.old_incarnation_replies.get(&datagram.sender);
+        if last_reply.is_some_and(|at| self.now < at + OLD_REPLY_INTERVAL_US) {
+            return;
+        }
+        if self.old_incarnation_replies.len() >= MAX_MEMBERS {
+            self.old_incarnation_replies.clear();
+        }
+        self.old_incarnation_replies
+            .insert(datagram.sender.clone(), self.now);
+        let theirs = datagram
+            .records
+            .iter()
+            .find(|record| *record.name == *datagram.sender);
+        let known = self
+            .table
+            .named(&datagram.sender)
+            .map(|member| member.record.clone());
+        if let Some((theirs, known)) = theirs.zip(known) {
+            self.send(theirs.address, Message::Gossip, vec![known]);
+        }
+    }
+
+    /// Merges a record and disseminates it if it is news.
+    pub(super) fn learn(&mut self, record: &MemberRecord) {
+        match self.table.merge(self.now, record) {
+            MergeOutcome::Unchanged => {}
+            MergeOutcome::TableFull => {
+                if self.count_dropped(DropReason::TableFull) == 1 {
+                    self.table.events.push(MembershipEvent::TableFull);
+                }
+            }
+            MergeOutcome::Refuted => {
+                self.failure_detector.degrade_health();
+                let own_name = Rc::clone(&self.table.own.name);
+                self.dissemination.add(&own_name);
+                if self.table.has_name_conflict() && record.incarnation < self.incarnation {
+                    self.silent_until = self.now + NAME_CONFLICT_SILENCE_US;
+                }
+            }
+            MergeOutcome::Changed | MergeOutcome::SuspicionConfirmed => {
+                self.dissemination.add(&record.name);
+                self.schedule_suspicion_timer(&record.name);
+            }
+        }
+    }
+
+    /// Records that a datagram of a member arrived, and tells it what is wrong about it here.
+    fn record_sender(&mut self, index: usize, datagram: &Datagram, was_known: bool) {
+        let name = Rc::clone(&self.table.members[index].record.name);
+        self.table.record_received(&name, datagram.incarnation);
+        let member = &mut self.table.members[index];
+        if member.record.incarnation != datagram.incarnation {
+            return;
+        }
+        let is_recent = member
+            .last_received_at
+            .is_some_and(|at| self.now < at + OLD_REPLY_INTERVAL_US);
+        let was_away = member.record.state == MemberState::Dead && !is_recent;
+        member.last_received_at = Some(self.now);
+        let address = member.record.address;
+        let state = member.record.state;
+        let is_disputed = !matches!(state, MemberState::Alive | MemberState::Left);
+        // Gossip is not answered by gossip: two members that hold each other for dead would never end.
+        if is_disputed && datagram.message != Message::Gossip {
+            let record = member.record.clone();
+            self.send(address, Message::Gossip, vec![record]);
+        }
+        if (!was_known || was_away) && state != MemberState::Left {
+            self.send_whole_table(index);
+        }
+    }
+
+    fn receive_message(&mut self, index: usize, datagram: &Datagram) {
+        match &datagram.message {
+            Message::Gossip => {}
+            Message::Probe { number, target } => {
+                let is_target = target
+                    .as_ref()
+                    .is_none_or(|target| **target == *self.config.name);
+                if is_target {
+                    self.send_to_member(index, Message::Ack { number: *number });
+                }
+            }
+            Message::Ack { number } => self.receive_ack(*number, &datagram.sender),
+            Message::ProbeRequest {
+                number,
+                target,
+                address,
+            } => {
+                let requester = self.table.members[index].record.address;
+                let Some(number) = self.failure_detector.relay_probe(requester, *number) else {
+                    return;
+                };
+                let target = Some(Rc::clone(target));
+                self.send(*address, Message::Probe { number, target }, Vec::new());
+                let timeout_at = self.now + self.config.probe_timeout;
+                self.timers
+                    .schedule(timeout_at, Timer::RelayedProbe(number));
+            }
+            Message::ProbeReport { number, answered } => {
+                self.receive_probe_report(*number, *answered);
+            }
+            Message::TableSync { reply_wanted } => {
+                if *reply_wanted {
+                    self.send_table_part(index, false);
+                }
+            }
+            Message::Lease(message) => {
+                let name = Rc::clone(&self.table.members[index].record.name);
+                if let Some(leases) = &mut self.leases {
+                    leases.receive(self.now, &name, datagram.incarnation.random_id, message);
+                }
+                self.send_lease_messages();
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/cluster/src/cluster/suspicions.rs
@@ -0,0 +1,71 @@
+//! Suspicions: how long they last, and their end in death.
+
+use std::rc::Rc;
+
+use super::Cluster;
+use crate::Micros;
+use crate::messages::{MemberRecord, MemberState};
+use crate::timers::Timer;
+
+/// The longest suspicion relative to the shortest one. Independent suspicions shorten it from the one to the other.
+const MAX_OVER_MIN_SUSPICION: f64 = 3.0;
+/// The number of independent suspicions at which it is shortest.
+const SUSPECTERS_FOR_MIN_SUSPICION: f64 = 3.0;
+
+impl Cluster {
+    /// How long a suspicion lasts: shorter the more processes share it, and longer in a larger fleet, where news takes
+    /// longer to arrive.
+    fn suspicion_timeout(&self, suspecters: usize) -> Micros {
+        let members = self.table.members.len() as f64 + 1.0;
+        let min = self.config.min_suspicion as f64 * members.log10().max(1.0);
+        let shared = (suspecters.max(1) as f64).ln() / SUSPECTERS_FOR_MIN_SUSPICION.ln();
+        let factor = MAX_OVER_MIN_SUSPICION - (MAX_OVER_MIN_SUSPICION - 1.0) * shared.min(1.0);
+        (min * factor) as Micros
+    }
+
+    /// Schedules the end of the suspicion of a member, where there is one.
+    pub(super) fn schedule_suspicion_timer(&mut self, name: &Rc<str>) {
+        let member = self.table.named(name);
+        let Some(suspicion) = member.and_then(|member| member.suspicion.as_ref()) else {
+            return;
+        };
+        let timeout = self.suspicion_timeout(suspicion.suspecters.len());
+        let at = (suspicion.started_at + timeout).max(self.now);
+        self.timers.schedule(at, Timer::Suspicion(Rc::clone(name)));
+    }
+
+    /// Restarts all suspicions, since refutations may have been missed.
+    pub(super) fn restart_suspicions(&mut self) {
+        let mut names = Vec::new();
+        for member in &mut self.table.members {
+            if let Some(suspicion) = &mut member.suspicion {
+                suspicion.started_at = self.now;
+                names.push(Rc::clone(&member.record.name));
+            }
+        }
+        for name in names {
+            self.schedule_suspicion_timer(&name);
+        }
+    }
+
+    /// Declares a member dead if its suspicion has lasted its time.
+    pub(super) fn expire_suspicion(&mut self, name: &str) {
+        let Some(member) = self.table.named(name) else {
+            return;
+        };
+        let Some(suspicion) = &member.suspicion else {
+            return;
+        };
+        let ends_at = suspicion.started_at + self.suspicion_timeout(suspicion.suspecters.len());
+        // Without replies after a pause nobody is declared dead; suspicions restart with the first reply.
+        if !self.is_reachable() || ends_at > self.now {
+            return;
+        }
+        let record = MemberRecord {
+            state: MemberState::Dead,
+            suspected_by: 0,
+            ..member.record.clone()
+        };
+        self.learn(&record);
+    }
+}
--- a/crates/cluster/src/tests.rs
+++ b/crates/cluster/src/cluster/tests.rs
@@ -1,8 +1,16 @@
 use rstest::rstest;
 
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+use std::rc::Rc;
+
 use super::*;
-use crate::membership::table::ServingStatus;
-use crate::membership::table::{MayServeReason, StopProof};
+use crate::datagram::{DropReason, Key};
+use crate::leases::term::LeaseId;
+use crate::leases::{Lease, LeaseConfig};
+use crate::membership::events::MembershipEvent;
+use crate::membership::member::{MayServeReason, ServingStatus, StopProof};
+use crate::messages::{MemberRecord, MemberState, Message};
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
@@ -41,14 +49,14 @@
             .map(|(n, one)| (n, one.take_datagrams()))
             .collect();
         for (n, sent) in sent {
-            for (to, bytes) in sent {
+            for OutgoingDatagram { to, bytes } in sent {
                 let at = usize::from(to.port() - 7_000);
                 if !unheard.contains(&n) && !unheard.contains(&at) && at < all.len() {
                     all[at].receive(now, &bytes);
                 }
             }
         }
-        all.iter_mut().for_each(|one| one.due(now));
+        all.iter_mut().for_each(|one| one.run_timers(now));
     }
 }
 
@@ -116,14 +124,14 @@
     let mut all: Vec<Cluster> = (0..4).map(cluster).collect();
     carry(&mut all, 0, 3 * SECOND, &[]);
     all[1].take_events();
-    all[1].due(3 * SECOND + lasted);
+    all[1].run_timers(3 * SECOND + lasted);
     assert_eq!(
-        (all[1].is_reachable(), all[1].pauses_seen()),
+        (all[1].is_reachable(), all[1].pause_count()),
         (!pauses_seen, u64::from(pauses_seen))
     );
     // Nobody hears it: however long it waits, it judges nobody.
     for at in 0..100 {
-        all[1].due(3 * SECOND + lasted + at * 100 * MS);
+        all[1].run_timers(3 * SECOND + lasted + at * 100 * MS);
     }
     let judged = all[1].take_events().iter().any(|event| {
         matches!(
@@ -139,8 +147,8 @@
 fn time_that_seems_to_go_back_changes_nothing() {
     let mut all: Vec<Cluster> = (0..2).map(cluster).collect();
     carry(&mut all, 0, 2 * SECOND, &[]);
-    all[0].due(SECOND);
-    assert!(all[0].is_reachable() && all[0].next_due() > 2 * SECOND - MS);
+    all[0].run_timers(SECOND);
+    assert!(all[0].is_reachable() && all[0].next_timer() > 2 * SECOND - MS);
 }
 
 #[test]
@@ -206,7 +214,7 @@
     carry(&mut all, 0, 3 * SECOND, &[]);
     let (incarnation, own) = (all[2].incarnation(), all[0].config.clone());
     let confirmed_dead = [(Rc::from("b2"), incarnation)].into();
-    all[0].renew(
+    all[0].update_config(
         &MemberConfig {
             confirmed_dead,
             ..own
@@ -267,15 +275,15 @@
     let mut all: Vec<Cluster> = (0..3).map(cluster).collect();
     carry(&mut all, 0, 2 * SECOND, &[]);
     all[0].take_datagrams();
-    all[1].due(2 * SECOND + 400 * MS);
+    all[1].run_timers(2 * SECOND + 400 * MS);
     let sent = all[1]
         .take_datagrams()
         .into_iter()
-        .find(|(to, _)| to.port() == 7_000)
+        .find(|sent| sent.to.port() == 7_000)
         .unwrap()
-        .1;
+        .bytes;
     all[0].receive(2 * SECOND + 400 * MS, &sent);
-    let (taken, members) = (all[0].traffic().taken, all[0].table.members.len());
+    let (taken, members) = (all[0].traffic().accepted, all[0].table.members.len());
     for number in 0..1_000 {
         all[0].receive(2 * SECOND + 400 * MS, &sent);
         let mut spoilt = sent.clone();
@@ -284,7 +292,7 @@
     }
     let dropped = &all[0].traffic().dropped;
     assert_eq!(
-        (all[0].traffic().taken, all[0].table.members.len()),
+        (all[0].traffic().accepted, all[0].table.members.len()),
         (taken, members)
     );
     assert_eq!(
@@ -305,7 +313,7 @@
         all.iter_mut()
             .for_each(|one| one.configure_leases(now, terms(), vec![Lease::new("d", None)]));
     };
-    let holders = |all: &[Cluster], now| -> Vec<leases::term::Term> {
+    let holders = |all: &[Cluster], now| -> Vec<crate::leases::term::Term> {
         let held = |one: &Cluster| {
             one.leases()
                 .and_then(|leases| leases.holds(now, LeaseId::of("d"), 0))
@@ -328,7 +336,7 @@
 /// Names as long as may be and numbers as great: a frame that does not fit would never be sent, and its duties never held.
 #[test]
 fn what_a_voter_tells_of_as_many_duties_as_it_may_fits_into_a_datagram() {
-    let long = "n".repeat(messages::MAX_NAME_BYTES);
+    let long = "n".repeat(crate::messages::MAX_NAME_BYTES);
     let config = MemberConfig {
         fleet: long.clone(),
         name: long.clone(),
@@ -337,25 +345,25 @@
         ..config(0)
     };
     let mut one = Cluster::new(config, Key::new(b"0123456789abcdef").unwrap(), 1, 0);
-    let term = leases::term::Term {
+    let term = crate::leases::term::Term {
         number: u64::MAX,
         incarnation_id: u64::MAX,
     };
-    let status = leases::messages::GrantStatus {
+    let status = crate::leases::messages::GrantStatus {
         lease: LeaseId(u32::MAX),
         term: Some(term),
         available_in_us: u32::MAX,
     };
-    let statuses = vec![status; leases::messages::MAX_LEASES_PER_MESSAGE];
-    let message = leases::messages::LeaseMessage::QueryReply {
+    let statuses = vec![status; crate::leases::messages::MAX_LEASES_PER_MESSAGE];
+    let message = crate::leases::messages::LeaseMessage::QueryReply {
         round: u32::MAX,
         statuses,
     };
-    one.counter = u64::MAX - 1;
+    one.sequence_number = u64::MAX - 1;
     // With the record of whom it is sent to, who is doubted.
     let doubted = MemberRecord {
         state: MemberState::Suspected,
-        by: u64::MAX,
+        suspected_by: u64::MAX,
         ..one.table.own.clone()
     };
     one.send(
--- a/crates/cluster/src/datagram.rs
+++ b/crates/cluster/src/datagram.rs
@@ -1,158 +1,140 @@
-//! What each datagram is sealed in. Nothing of a datagram is looked at before its keyed hash is right; what is not
-//! taken is counted by cause.
+//! Datagrams and how they are sealed. Nothing of a datagram is read before its keyed hash has been checked; datagrams
+//! that are not accepted are counted by reason.
 
-use std::collections::BTreeMap;
+mod replay_filter;
 
 use serde::{Deserialize, Serialize};
 
-use crate::messages::{MemberRecord, Message};
+use crate::Incarnation;
+use crate::messages::{MemberRecord, Message, PROTOCOL_VERSION};
 
-/// Bytes of a datagram at most: what passes any way without being cut in pieces.
+pub use replay_filter::ReplayFilter;
+
+/// The largest datagram, which passes any network without fragmentation.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
-/// Bytes of the keyed hash at the head of a datagram.
-const HASH: usize = 32;
-/// What the key is derived for: a key that serves elsewhere too gives away nothing here.
-const CONTEXT: &str = "pinefront accord datagrams 1";
-/// Shortest key: fewer bytes can be guessed.
+/// The shortest key; a shorter one could be guessed.
 pub const MIN_KEY_BYTES: usize = 16;
-/// The version spoken, and the first that is still read. There was none before the first.
-pub const VERSION: u8 = 1;
-const READ_FROM: u8 = 1;
-/// Datagrams of one process that may overtake one another; what comes later still is passed over.
-const REPLAY_WINDOW_LENGTH: u64 = 128;
-/// Processes whose counters are kept; members are fewer.
-const MAX_REPLAY_WINDOWS: usize = 4_096;
-
-/// A secret that all members share. It is never printed.
+/// The length of the keyed hash at the head of a datagram.
+const HASH_BYTES: usize = 32;
+/// The length of the version that follows it.
+const VERSION_BYTES: usize = 1;
+/// The context of the key derivation: the derived key is of no use elsewhere.
+const KEY_CONTEXT: &str = "pinefront accord datagrams 1";
+/// The oldest protocol version that is read.
+const MIN_READ_VERSION: u8 = 1;
+
+/// The secret that all members of a fleet share. It is never printed.
 #[derive(Clone)]
 pub struct Key([u8; 32]);
 
+/// A key file with too few bytes.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the key has {0} bytes; {MIN_KEY_BYTES} are the fewest")]
 pub struct KeyTooShort(usize);
 
 impl Key {
-    /// Takes the bytes of a key file; blanks at its ends are not part of it.
+    /// Derives the key from the bytes of a key file without leading and trailing white space.
+    ///
+    /// # Errors
+    ///
+    /// Fails if fewer than [`MIN_KEY_BYTES`] are left.
     pub fn new(bytes: &[u8]) -> Result<Self, KeyTooShort> {
         let bytes = bytes.trim_ascii();
         match bytes.len() >= MIN_KEY_BYTES {
-            true => Ok(Self(blake3::derive_key(CONTEXT, bytes))),
+            true => Ok(Self(blake3::derive_key(KEY_CONTEXT, bytes))),
             false => Err(KeyTooShort(bytes.len())),
         }
     }
 }
 
-/// Who a process is: a name that outlives it, and which of all processes of that name.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Incarnation {
-    /// When it began, Unix time in microseconds by its own clock, which may be wrong.
-    pub started_at_us: u64,
-    /// Chance, so that two that began at once are told apart.
-    pub random_id: u64,
-}
-
-impl std::fmt::Display for Incarnation {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{:x}-{:016x}", self.started_at_us, self.random_id)
-    }
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("is no life as /fleet shows it, such as 1878a0c41c8c0-00c0ffee00c0ffee")]
-pub struct InvalidIncarnation;
-
-impl std::str::FromStr for Incarnation {
-    type Err = InvalidIncarnation;
-
-    fn from_str(text: &str) -> Result<Self, InvalidIncarnation> {
-        let (started_at_us, rng) = text.split_once('-').ok_or(InvalidIncarnation)?;
-        let number = |text: &str| u64::from_str_radix(text, 16).map_err(|_| InvalidIncarnation);
-        Ok(Self {
-            started_at_us: number(started_at_us)?,
-            random_id: number(rng)?,
-        })
-    }
-}
-
-/// All that a datagram says.
+/// The contents of a datagram.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub struct Datagram {
+    /// The fleet of the sender.
     pub fleet: String,
+    /// The name of the sender.
     pub sender: String,
+    /// The process of the sender.
     pub incarnation: Incarnation,
+    /// The sender's refutation counter.
     pub refutation_counter: u64,
-    /// Rises with each datagram of this process.
-    pub counter: u64,
+    /// Increases with each datagram of the process.
+    pub sequence_number: u64,
+    /// The message.
     pub message: Message,
+    /// Records of members, the sender's own first.
     pub records: Vec<MemberRecord>,
 }
 
-/// Why a datagram was not taken.
+/// Why a datagram was not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DropReason {
-    /// Longer than may be, or shorter than a hash.
+    /// Longer than [`MAX_DATAGRAM_BYTES`] or shorter than a hash.
     Size,
-    /// The keyed hash is wrong: a stranger's, altered, cut short.
+    /// The keyed hash is wrong: another key, corrupted, or truncated.
     Hash,
-    /// A version that is not read.
+    /// A protocol version that is not read.
     Version,
-    /// It can't be decoded, or holds what nobody sends.
+    /// It cannot be decoded, or holds invalid names.
     #[serde(rename = "form")]
     Malformed,
-    /// Another fleet's with the same key.
+    /// From another fleet with the same key.
     #[serde(rename = "fleet")]
     ForeignFleet,
-    /// Its counter was seen, or lies too far back.
+    /// Its sequence number was seen before or is too old.
     Replayed,
-    /// From a process that a later one of the same name has followed.
+    /// From a process that a later one of the same name has superseded.
     #[serde(rename = "old")]
     OldIncarnation,
-    /// The table of members is full.
+    /// The member table is full.
     #[serde(rename = "full")]
     TableFull,
-    /// Its own, come back.
+    /// Sent by this process itself.
     #[serde(rename = "own")]
     OwnDatagram,
 }
 
-/// Seals what is said.
+/// Encodes and seals a datagram. Returns nothing if it would be longer than [`MAX_DATAGRAM_BYTES`].
 pub fn seal(key: &Key, datagram: &Datagram) -> Option<Vec<u8>> {
-    let mut bytes = vec![0; HASH];
-    bytes.push(VERSION);
+    let mut bytes = vec![0; HASH_BYTES];
+    bytes.push(PROTOCOL_VERSION);
     let mut bytes = postcard::to_extend(datagram, bytes).ok()?;
-    let hash = blake3::keyed_hash(&key.0, &bytes[HASH..]);
-    bytes[..HASH].copy_from_slice(hash.as_bytes());
+    let hash = blake3::keyed_hash(&key.0, &bytes[HASH_BYTES..]);
+    bytes[..HASH_BYTES].copy_from_slice(hash.as_bytes());
     (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
 }
 
-/// Bytes that a letter takes sealed, with no records.
+/// The length of a sealed datagram in bytes.
 pub fn sealed_length(datagram: &Datagram) -> usize {
-    HASH + 1 + postcard::to_stdvec(datagram).map_or(MAX_DATAGRAM_BYTES, |bytes| bytes.len())
+    let body = postcard::to_stdvec(datagram).map_or(MAX_DATAGRAM_BYTES, |bytes| bytes.len());
+    HASH_BYTES + VERSION_BYTES + body
 }
 
+/// Opens a sealed datagram of a fleet.
+///
+/// # Errors
+///
+/// Fails with the reason why it is not accepted.
 pub fn open(key: &Key, fleet: &str, bytes: &[u8]) -> Result<Datagram, DropReason> {
     if bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(DropReason::Size);
     }
-    let (hash, rest) = bytes.split_at_checked(HASH).ok_or(DropReason::Size)?;
-    let hash: [u8; HASH] = hash.try_into().map_err(|_| DropReason::Size)?;
-    // Compared in a time that does not depend on where they differ.
-    if blake3::keyed_hash(&key.0, rest) != blake3::Hash::from(hash) {
+    let (hash, sealed) = bytes
+        .split_first_chunk::<HASH_BYTES>()
+        .ok_or(DropReason::Size)?;
+    // `blake3::Hash` compares in constant time.
+    if blake3::keyed_hash(&key.0, sealed) != blake3::Hash::from(*hash) {
         return Err(DropReason::Hash);
     }
-    let (version, body) = rest.split_first().ok_or(DropReason::Malformed)?;
-    if !(READ_FROM..=VERSION).contains(version) {
+    let (version, body) = sealed.split_first().ok_or(DropReason::Malformed)?;
+    if !(MIN_READ_VERSION..=PROTOCOL_VERSION).contains(version) {
         return Err(DropReason::Version);
     }
-    let (datagram, left): (Datagram, &[u8]) =
+    let (datagram, trailing): (Datagram, &[u8]) =
         postcard::take_from_bytes(body).map_err(|_| DropReason::Malformed)?;
-    if !left.is_empty()
-        || datagram
-            .records
-            .iter()
-            .any(|record| !record.is_well_formed())
-    {
+    let is_well_formed = datagram.records.iter().all(MemberRecord::is_well_formed);
+    if !trailing.is_empty() || !is_well_formed {
         return Err(DropReason::Malformed);
     }
     if datagram.fleet != fleet {
@@ -161,77 +143,5 @@
     Ok(datagram)
 }
 
-/// Which counters of one process were seen.
-struct ReplayWindow {
-    incarnation: Incarnation,
-    highest: u64,
-    /// Bit n: `highest - n` was seen.
-    seen: u128,
-    used: u64,
-}
-
-/// Counters seen of each name's process. A later process of a name begins anew; the earlier one is not heard again.
-#[derive(Default)]
-pub struct ReplayFilter {
-    windows: BTreeMap<String, ReplayWindow>,
-    uses: u64,
-    #[cfg(feature = "planted")]
-    pub(crate) takes_replays: bool,
-}
-
-impl ReplayFilter {
-    pub fn take(&mut self, datagram: &Datagram) -> Result<(), DropReason> {
-        #[cfg(feature = "planted")]
-        if self.takes_replays {
-            return Ok(());
-        }
-        self.uses += 1;
-        let used = self.uses;
-        let Some(window) = self.windows.get_mut(&datagram.sender) else {
-            if self.windows.len() >= MAX_REPLAY_WINDOWS {
-                let oldest = self.windows.iter().min_by_key(|entry| entry.1.used);
-                let oldest = oldest.map(|entry| entry.0.clone());
-                oldest
-                    .into_iter()
-                    .for_each(|name| _ = self.windows.remove(&name));
-            }
-            let window = ReplayWindow {
-                incarnation: datagram.incarnation,
-                highest: datagram.counter,
-                seen: 1,
-                used,
-            };
-            self.windows.insert(datagram.sender.clone(), window);
-            return Ok(());
-        };
-        window.used = used;
-        if window.incarnation != datagram.incarnation {
-            *window = ReplayWindow {
-                incarnation: datagram.incarnation,
-                highest: datagram.counter,
-                seen: 1,
-                used,
-            };
-            return Ok(());
-        }
-        if datagram.counter > window.highest {
-            let by = datagram.counter - window.highest;
-            window.seen = if by < REPLAY_WINDOW_LENGTH {
-                window.seen << by
-            } else {
-                0
-            } | 1;
-            window.highest = datagram.counter;
-            return Ok(());
-        }
-        let back = window.highest - datagram.counter;
-        if back >= REPLAY_WINDOW_LENGTH || window.seen >> back & 1 == 1 {
-            return Err(DropReason::Replayed);
-        }
-        window.seen |= 1 << back;
-        Ok(())
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/cluster/src/datagram/tests.rs
+++ b/crates/cluster/src/datagram/tests.rs
@@ -2,7 +2,7 @@
 use rstest::rstest;
 
 use super::*;
-use crate::membership::table::own_record;
+use crate::datagram::replay_filter::{MAX_REPLAY_WINDOWS, REPLAY_WINDOW_LENGTH};
 
 fn key() -> Key {
     Key::new(b"0123456789abcdef\n").unwrap()
@@ -13,13 +13,13 @@
         started_at_us: 5,
         random_id: 6,
     };
-    let own = own_record("b1", "a", "127.0.0.1:9".parse().unwrap(), incarnation);
+    let own = MemberRecord::of_new_process("b1", "a", "127.0.0.1:9".parse().unwrap(), incarnation);
     Datagram {
         fleet: "f".into(),
         sender: "b1".into(),
         incarnation,
         refutation_counter: 5,
-        counter,
+        sequence_number: counter,
         message: Message::Gossip,
         records: vec![own],
     }
@@ -52,7 +52,7 @@
 #[rstest]
 #[case::other_version(sealed(&[9, 1, 2]), DropReason::Version)]
 #[case::nothing(sealed(&[]), DropReason::Malformed)]
-#[case::no_letter(sealed(&[VERSION, 255, 255]), DropReason::Malformed)]
+#[case::no_letter(sealed(&[PROTOCOL_VERSION, 255, 255]), DropReason::Malformed)]
 #[case::short(vec![0; 31], DropReason::Size)]
 #[case::long(vec![0; MAX_DATAGRAM_BYTES + 1], DropReason::Size)]
 fn what_nobody_sends_is_dropped_by_cause(#[case] bytes: Vec<u8>, #[case] cause: DropReason) {
@@ -61,7 +61,7 @@
 
 #[test]
 fn more_behind_a_letter_or_a_name_of_blanks_is_no_letter() {
-    let mut bytes = vec![VERSION];
+    let mut bytes = vec![PROTOCOL_VERSION];
     bytes.extend(postcard::to_stdvec(&datagram(0)).unwrap());
     bytes.push(0);
     assert_eq!(
@@ -93,12 +93,12 @@
     }
 
     #[test]
-    fn each_counter_is_taken_once(replay_filter in prop::collection::vec(0u64..300, 1..200)) {
+    fn each_counter_is_taken_once(numbers in prop::collection::vec(0u64..300, 1..200)) {
         let (mut taken, mut known) = (ReplayFilter::default(), Vec::new());
-        for counter in replay_filter {
+        for counter in numbers {
             let highest = known.iter().copied().max().unwrap_or(0);
             let fresh = !known.contains(&counter) && (known.is_empty() || counter + REPLAY_WINDOW_LENGTH > highest);
-            prop_assert_eq!(taken.take(&datagram(counter)).is_ok(), fresh);
+            prop_assert_eq!(taken.accept(&datagram(counter)).is_ok(), fresh);
             if fresh {
                 known.push(counter);
             }
@@ -112,7 +112,7 @@
     for number in 0..MAX_REPLAY_WINDOWS + 10 {
         let mut datagram = datagram(1);
         datagram.sender = format!("n{number}");
-        replay_filter.take(&datagram).unwrap();
+        replay_filter.accept(&datagram).unwrap();
     }
-    assert_eq!(replay_filter.windows.len(), MAX_REPLAY_WINDOWS);
+    assert_eq!(replay_filter.window_count(), MAX_REPLAY_WINDOWS);
 }
--- a/crates/cluster/src/membership/dissemination.rs
+++ b/crates/cluster/src/membership/dissemination.rs
@@ -1,38 +1,53 @@
-//! What is still to be told on, riding on whatever is sent anyway.
+//! Dissemination of changed records, which ride on all messages.
 
 use std::rc::Rc;
 
-/// How often a piece of news is sent: so many times the logarithm of the members, so that all hear it though some of it
-/// is lost (SWIM, section 4.1).
-const TIMES: f64 = 5.0;
+/// How often a changed record is sent, times the logarithm of the number of members, so that all receive it although
+/// datagrams are lost (SWIM, section 4.1).
+const TRANSMISSIONS_PER_LOG_MEMBERS: f64 = 5.0;
+/// The smallest number of times a changed record is sent.
+const MIN_TRANSMISSIONS: u32 = 3;
 
-/// Names whose records are news, and how often each was sent.
+/// A changed record by the name of its member.
+struct Change {
+    name: Rc<str>,
+    transmissions: u32,
+}
+
+/// The changed records that are still to be sent.
 #[derive(Default)]
 pub struct Dissemination {
-    news: Vec<(Rc<str>, u32)>,
+    changes: Vec<Change>,
 }
 
 impl Dissemination {
-    /// A record changed: its telling begins anew.
+    /// Begins to disseminate the record of a member anew.
     pub fn add(&mut self, name: &Rc<str>) {
-        self.news.retain(|entry| entry.0 != *name);
-        self.news.push((Rc::clone(name), 0));
+        self.changes.retain(|change| change.name != *name);
+        self.changes.push(Change {
+            name: Rc::clone(name),
+            transmissions: 0,
+        });
     }
 
+    /// Whether nothing is to be sent.
     pub fn is_empty(&self) -> bool {
-        self.news.is_empty()
+        self.changes.is_empty()
     }
 
-    /// Names to tell now, what was told least first; `fits` takes them while there is room.
-    pub fn take(&mut self, members: usize, mut fits: impl FnMut(&str) -> bool) {
-        self.news.sort_by_key(|entry| entry.1);
-        let most = (TIMES * (members as f64 + 1.0).log10()).ceil() as u32;
-        for entry in &mut self.news {
-            if !fits(&entry.0) {
+    /// Offers the names of changed records to `add_to_datagram`, least sent first, until it returns false since a
+    /// record does not fit.
+    pub fn take(&mut self, members: usize, mut add_to_datagram: impl FnMut(&str) -> bool) {
+        self.changes.sort_by_key(|change| change.transmissions);
+        for change in &mut self.changes {
+            if !add_to_datagram(&change.name) {
                 break;
             }
-            entry.1 += 1;
+            change.transmissions += 1;
         }
-        self.news.retain(|entry| entry.1 < most.max(3));
+        let log_members = (members as f64 + 1.0).log10();
+        let max = (TRANSMISSIONS_PER_LOG_MEMBERS * log_members).ceil() as u32;
+        let max = max.max(MIN_TRANSMISSIONS);
+        self.changes.retain(|change| change.transmissions < max);
     }
 }
--- a/crates/cluster/src/membership/failure_detector.rs
+++ b/crates/cluster/src/membership/failure_detector.rs
@@ -1,93 +1,113 @@
-//! Whom to probe next, what became of it, and what was asked for others.
+//! The state of the failure detector: the probe in progress, the members to probe in this round, and the probes relayed
+//! for other members.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
 
 use nanorand::{Rng, WyRand};
 
-use crate::Micros;
-use crate::datagram::Incarnation;
+use crate::{Incarnation, Micros};
 
-/// The worst that this process thinks of itself (Lifeguard's local health).
+/// The largest health penalty (Lifeguard's local health multiplier).
 const MAX_HEALTH_PENALTY: u32 = 8;
-/// Errands for others at once; more are not taken.
+/// The largest number of probes relayed for other members at once.
 const MAX_RELAYED_PROBES: usize = 256;
 
-/// The probe under way.
+/// The probe in progress.
 pub struct Probe {
+    /// Its number.
     pub number: u32,
+    /// The name of the member that is probed.
     pub target: Rc<str>,
+    /// The process of that member.
     pub incarnation: Incarnation,
-    pub answered: bool,
-    /// Members asked to probe for us, and how many said that they did.
-    pub query: u32,
-    pub told: u32,
+    /// Whether a reply came, direct or relayed.
+    pub is_answered: bool,
+    /// How many members were asked to relay it.
+    pub requested: u32,
+    /// How many of them reported a result.
+    pub reported: u32,
 }
 
-/// A probe for another.
+/// A probe relayed for another member.
 pub struct RelayedProbe {
+    /// The number of the probe here.
     pub number: u32,
-    pub for_whom: SocketAddr,
-    pub their_number: u32,
+    /// The address of the member that requested it.
+    pub requester: SocketAddr,
+    /// The number of the probe there.
+    pub requester_number: u32,
 }
 
+/// The state of the failure detector.
 #[derive(Default)]
 pub struct FailureDetector {
+    /// The probe of this round.
     pub pending: Option<Probe>,
-    pub relayed_probes: Vec<RelayedProbe>,
-    /// Names in the order of this round; every member has its turn before one has a second.
-    round: Vec<Rc<str>>,
-    /// 0 is well: each step makes this process slower to doubt others, as it may be at fault itself.
-    pub health: u32,
+    relayed_probes: Vec<RelayedProbe>,
+    /// The members still to probe before any is probed again.
+    remaining: Vec<Rc<str>>,
+    /// Scales timeouts up while replies fail, as the fault may be with this process; 0 while all is well.
+    health_penalty: u32,
+    /// The number of the last probe.
     pub last_number: u32,
 }
 
 impl FailureDetector {
-    pub fn number(&mut self) -> u32 {
+    /// The number of a new probe.
+    pub fn next_number(&mut self) -> u32 {
         self.last_number = self.last_number.wrapping_add(1);
         self.last_number
     }
 
-    /// The next name of the round; a new round is shuffled when one is over.
-    pub fn next(&mut self, rng: &mut WyRand, names: impl Fn() -> Vec<Rc<str>>) -> Option<Rc<str>> {
-        if self.round.is_empty() {
-            self.round = names();
-            rng.shuffle(&mut self.round);
+    /// The next member to probe. All of `names` are probed in random order before any is probed again.
+    pub fn next_target(
+        &mut self,
+        rng: &mut WyRand,
+        names: impl Fn() -> Vec<Rc<str>>,
+    ) -> Option<Rc<str>> {
+        if self.remaining.is_empty() {
+            self.remaining = names();
+            rng.shuffle(&mut self.remaining);
         }
-        self.round.pop()
+        self.remaining.pop()
     }
 
-    pub fn degrade(&mut self) {
-        self.health = (self.health + 1).min(MAX_HEALTH_PENALTY);
+    /// Increases the health penalty.
+    pub fn degrade_health(&mut self) {
+        self.health_penalty = (self.health_penalty + 1).min(MAX_HEALTH_PENALTY);
     }
 
-    pub fn improve(&mut self) {
-        self.health = self.health.saturating_sub(1);
+    /// Decreases the health penalty.
+    pub fn improve_health(&mut self) {
+        self.health_penalty = self.health_penalty.saturating_sub(1);
     }
 
+    /// Scales a span by the health penalty.
     pub fn scaled(&self, span: Micros) -> Micros {
-        span * (2 + u64::from(self.health)) / 2
+        span * (2 + u64::from(self.health_penalty)) / 2
     }
 
-    /// Takes on a probe for another; nothing where there are too many.
-    pub fn relay_probe(&mut self, for_whom: SocketAddr, their_number: u32) -> Option<u32> {
+    /// Accepts a probe to relay and returns its number here; nothing if there are too many.
+    pub fn relay_probe(&mut self, requester: SocketAddr, requester_number: u32) -> Option<u32> {
         if self.relayed_probes.len() >= MAX_RELAYED_PROBES {
             return None;
         }
-        let number = self.number();
+        let number = self.next_number();
         self.relayed_probes.push(RelayedProbe {
             number,
-            for_whom,
-            their_number,
+            requester,
+            requester_number,
         });
         Some(number)
     }
 
+    /// Ends a relayed probe.
     pub fn take_relayed_probe(&mut self, number: u32) -> Option<RelayedProbe> {
-        let at = self
+        let index = self
             .relayed_probes
             .iter()
-            .position(|relayed_probe| relayed_probe.number == number)?;
-        Some(self.relayed_probes.swap_remove(at))
+            .position(|probe| probe.number == number)?;
+        Some(self.relayed_probes.swap_remove(index))
     }
 }
--- /dev/null
+++ b/crates/cluster/src/membership/merge.rs
@@ -0,0 +1,180 @@
+//! Merging of received records into the member table.
+
+use std::rc::Rc;
+
+use super::events::{MembershipEvent, MergeOutcome};
+use super::member::{EarlierIncarnation, Member, Suspicion};
+use super::table::{MAX_MEMBERS, MemberTable, NAME_CONFLICT_THRESHOLD};
+use crate::messages::{MemberRecord, MemberState};
+use crate::{InjectedFault, Micros};
+
+/// The largest number of earlier processes of one name that are listed; more are only counted.
+const MAX_EARLIER_INCARNATIONS: usize = 8;
+/// The largest number of processes counted that suspect one member.
+const MAX_SUSPECTERS: usize = 3;
+
+impl MemberTable {
+    /// Merges a record that was received or that this process made.
+    pub fn merge(&mut self, now: Micros, record: &MemberRecord) -> MergeOutcome {
+        if record.name == self.own.name {
+            return self.merge_own(record);
+        }
+        let Some(index) = self.index(&record.name) else {
+            return self.insert(now, record);
+        };
+        if !record.supersedes(&self.members[index].record) {
+            return self.merge_superseded(index, record);
+        }
+        let member = &mut self.members[index];
+        let before = std::mem::replace(&mut member.record, record.clone());
+        if record.incarnation != before.incarnation {
+            member.keep_earlier(&before);
+        }
+        if record.state != before.state || record.incarnation != before.incarnation {
+            member.since = now;
+        }
+        member.suspicion = (record.state == MemberState::Suspected).then(|| Suspicion {
+            started_at: now,
+            suspecters: [record.suspected_by]
+                .into_iter()
+                .filter(|by| *by != 0)
+                .collect(),
+        });
+        self.events.extend(event_of_change(&before, record));
+        MergeOutcome::Changed
+    }
+
+    /// Merges a record that does not supersede the known one: it may be a further suspicion.
+    fn merge_superseded(&mut self, index: usize, record: &MemberRecord) -> MergeOutcome {
+        let accepts_old = self.has_fault(InjectedFault::AcceptsOldRecords);
+        let member = &mut self.members[index];
+        if accepts_old
+            && record.state == MemberState::Dead
+            && member.record.state != MemberState::Dead
+        {
+            member.record.state = MemberState::Dead;
+            return MergeOutcome::Changed;
+        }
+        let is_same_suspicion = record.is_same_version(&member.record)
+            && record.state == MemberState::Suspected
+            && member.record.state == MemberState::Suspected;
+        if !is_same_suspicion || record.suspected_by == 0 {
+            return MergeOutcome::Unchanged;
+        }
+        let Some(suspicion) = &mut member.suspicion else {
+            return MergeOutcome::Unchanged;
+        };
+        if suspicion.suspecters.len() >= MAX_SUSPECTERS
+            || suspicion.suspecters.contains(&record.suspected_by)
+        {
+            return MergeOutcome::Unchanged;
+        }
+        suspicion.suspecters.push(record.suspected_by);
+        member.record.suspected_by = record.suspected_by;
+        MergeOutcome::SuspicionConfirmed
+    }
+
+    fn insert(&mut self, now: Micros, record: &MemberRecord) -> MergeOutcome {
+        let member = Member::new(now, record);
+        let index = if self.members.len() + 1 < MAX_MEMBERS {
+            self.members.push(member);
+            self.members.len() - 1
+        } else {
+            let Some(index) = self.oldest_replaceable() else {
+                return MergeOutcome::TableFull;
+            };
+            let name = Rc::clone(&self.members[index].record.name);
+            self.by_name.remove(&name);
+            self.members[index] = member;
+            index
+        };
+        self.by_name.insert(Rc::clone(&record.name), index);
+        let name = Rc::clone(&record.name);
+        self.events.extend(match record.state {
+            MemberState::Alive => Some(MembershipEvent::Joined(name)),
+            MemberState::Suspected => Some(MembershipEvent::Suspected(name)),
+            MemberState::Dead => Some(MembershipEvent::Dead(name)),
+            MemberState::Left => None,
+        });
+        MergeOutcome::Changed
+    }
+
+    /// The member none of whose processes may serve that changed its state first.
+    fn oldest_replaceable(&self) -> Option<usize> {
+        let is_replaceable = |member: &Member| {
+            member.record.state >= MemberState::Dead && self.may_serve(member) == 0
+        };
+        (0..self.members.len())
+            .filter(|&index| is_replaceable(&self.members[index]))
+            .min_by_key(|&index| self.members[index].since)
+    }
+
+    /// Merges what others hold of this process, which alone decides its state: what is wrong is refuted by a greater
+    /// refutation counter.
+    fn merge_own(&mut self, record: &MemberRecord) -> MergeOutcome {
+        let is_other_process = record.incarnation != self.own.incarnation;
+        let is_wrong = record.state != MemberState::Alive || is_other_process;
+        if self.own.state == MemberState::Left
+            || !is_wrong
+            || record.refutation_counter < self.own.refutation_counter
+        {
+            return MergeOutcome::Unchanged;
+        }
+        if is_other_process {
+            // Records of an ended process do not answer refutations; those of a running one come again and again.
+            self.name_conflicts += 1;
+            if self.name_conflicts == NAME_CONFLICT_THRESHOLD {
+                self.events.push(MembershipEvent::NameConflict);
+            }
+        }
+        if self.has_fault(InjectedFault::NoRefutation) && !is_other_process {
+            return MergeOutcome::Unchanged;
+        }
+        self.own.refutation_counter = record.refutation_counter.saturating_add(1);
+        if self.has_fault(InjectedFault::RefutationCounterDecreases) {
+            self.own.refutation_counter = record.refutation_counter.saturating_sub(1);
+        }
+        if !is_other_process {
+            self.refutations += 1;
+            self.events.push(MembershipEvent::Refuted);
+        }
+        MergeOutcome::Refuted
+    }
+}
+
+impl Member {
+    /// Keeps the process before the current one among the earlier ones, unless it is known to have ended.
+    fn keep_earlier(&mut self, before: &MemberRecord) {
+        // A process keeps its socket until it ends, so one whose address is used by another has ended.
+        let address = self.record.address;
+        let has_ended = before.state == MemberState::Left || address == before.address;
+        if !has_ended {
+            match self.earlier.len() < MAX_EARLIER_INCARNATIONS {
+                true => self.earlier.push(EarlierIncarnation {
+                    incarnation: before.incarnation,
+                    address: before.address,
+                }),
+                false => self.earlier_uncounted += 1,
+            }
+        }
+        // Only of this name: of two names nobody knows whose record is the later one.
+        self.earlier.retain(|earlier| earlier.address != address);
+        self.last_received_at = None;
+    }
+}
+
+fn event_of_change(before: &MemberRecord, after: &MemberRecord) -> Option<MembershipEvent> {
+    let name = Rc::clone(&after.name);
+    let is_same_process = before.incarnation == after.incarnation;
+    match (before.state, after.state) {
+        (MemberState::Alive, MemberState::Alive) if is_same_process => None,
+        (MemberState::Alive | MemberState::Left, MemberState::Alive) => {
+            Some(MembershipEvent::Joined(name))
+        }
+        (_, MemberState::Alive) => Some(MembershipEvent::Recovered(name)),
+        (before, after) if before == after => None,
+        (_, MemberState::Suspected) => Some(MembershipEvent::Suspected(name)),
+        (_, MemberState::Dead) => Some(MembershipEvent::Dead(name)),
+        (_, MemberState::Left) => Some(MembershipEvent::Left(name)),
+    }
+}
--- a/crates/cluster/src/membership/mod.rs
+++ b/crates/cluster/src/membership/mod.rs
@@ -1,6 +1,9 @@
-//! Who is there, in the manner of SWIM (Das, Gupta, Motivala, 2002) with Lifeguard's cures for slow processes (Dadgar,
-//! Phillips, Currey, 2018): what is known of each member and what can't be known, whom to probe, and what to tell on.
+//! Membership in the manner of SWIM (Das, Gupta, Motivala, 2002) with Lifeguard's extensions for slow processes (Dadgar,
+//! Phillips, Currey, 2018): the member table, the failure detector, and the dissemination of changes.
 
 pub mod dissemination;
+pub mod events;
 pub mod failure_detector;
+pub mod member;
+mod merge;
 pub mod table;
--- a/crates/cluster/src/membership/table/tests.rs
+++ b/crates/cluster/src/membership/table/tests.rs
@@ -1,6 +1,8 @@
 use rstest::rstest;
 
+use super::super::events::MergeOutcome;
 use super::*;
+use crate::Micros;
 
 const OWN: Incarnation = Incarnation {
     started_at_us: 1,
@@ -16,7 +18,7 @@
 };
 
 fn record(incarnation: Incarnation, refutation_counter: u64, state: MemberState) -> MemberRecord {
-    let own = own_record("b1", "a", "127.0.0.1:9".parse().unwrap(), incarnation);
+    let own = MemberRecord::of_new_process("b1", "a", "127.0.0.1:9".parse().unwrap(), incarnation);
     MemberRecord {
         refutation_counter,
         state,
@@ -25,7 +27,12 @@
 }
 
 fn table() -> MemberTable {
-    MemberTable::new(own_record("b0", "a", "127.0.0.1:8".parse().unwrap(), OWN))
+    MemberTable::new(MemberRecord::of_new_process(
+        "b0",
+        "a",
+        "127.0.0.1:8".parse().unwrap(),
+        OWN,
+    ))
 }
 
 #[rstest]
@@ -184,7 +191,7 @@
 fn doubts_of_several_are_counted_once_each() {
     let mut table = table();
     let suspicion = |by| MemberRecord {
-        by,
+        suspected_by: by,
         ..record(FIRST, 10, MemberState::Suspected)
     };
     let merged = [5, 5, 6, 7, 8].map(|by| table.merge(0, &suspicion(by)));
--- a/crates/cluster/src/shared_list/mod.rs
+++ b/crates/cluster/src/shared_list/mod.rs
@@ -1,12 +1,13 @@
-//! The list of upstreams asked for by one balancer of a zone and passed on to the others: the duty `roster/ZONE`.
+//! The endpoint list of a zone, polled from discovery by the holder of the lease `roster/ZONE` and passed on to the
+//! other members of the zone.
 //!
-//! Its holder follows discovery and cuts what that says into numbered pages, which all others take in order. Whoever
-//! misses one asks for it, or for the whole list as it stands. A beat every so often tells the last page, and that the
-//! watch goes on; where none comes for [`STALE`], a reader asks discovery for itself again, as it would without.
+//! The holder follows discovery and cuts what it reports into numbered pages, which the others apply in order. Whoever
+//! misses chunks of a page requests them, or the full list. A heartbeat tells the number of the last page and that the
+//! holder's watch is open; without one for [`HEARTBEAT_TIMEOUT_US`] a subscriber polls discovery itself.
 //!
-//! What a reader holds is at most as old as the last beat it took plus what the holder's own watch allows: a beat says
-//! that the holder's watch is open and that no later page was made before it was sent, and it counts only when all
-//! pages up to that one were taken.
+//! A subscriber's list is at most as old as the last heartbeat it counted plus what the holder's own watch allows: a
+//! heartbeat says that the watch is open and that no later page was made before it was sent, and it counts only when
+//! all pages up to that one have been applied.
 
 pub mod publisher;
 pub mod subscriber;
@@ -18,62 +19,84 @@
 #[cfg(test)]
 mod tests;
 
-/// Bytes of a page in one frame.
+/// The largest number of bytes of a page in one message.
 pub const MAX_CHUNK_BYTES: usize = 560;
-/// Parts of one page at most: some thousand upstreams.
+/// The largest number of chunks of a page, enough for some thousand endpoints.
 pub const MAX_CHUNKS: u16 = 4_096;
-/// How often a holder tells that it goes on.
-pub const HEARTBEAT_INTERVAL: Micros = 400_000;
-/// Without a beat that counts for so long a reader asks for itself.
-pub const HEARTBEAT_TIMEOUT: Micros = 3_000_000;
-/// How long a holder that told what can't be is passed over.
-pub const DISTRUST_PERIOD: Micros = 30_000_000;
+/// How often the holder sends a heartbeat.
+pub const HEARTBEAT_INTERVAL_US: Micros = 400_000;
+/// Without a counting heartbeat for this long, a subscriber polls discovery itself.
+pub const HEARTBEAT_TIMEOUT_US: Micros = 3_000_000;
+/// How long a holder that sent an impossible list is ignored.
+pub const DISTRUST_PERIOD_US: Micros = 30_000_000;
 
-/// What is said under the duty's term.
+/// A chunk of a page. Fields are encoded by their order.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Chunk {
+    /// The number of the page.
+    pub page: u32,
+    /// Whether the page is a full list, which replaces all pages up to its own.
+    pub is_full: bool,
+    /// The version that discovery gave the list.
+    pub version: u64,
+    /// The index of the chunk.
+    pub index: u16,
+    /// The number of chunks of the page.
+    pub count: u16,
+    /// The bytes of the chunk.
+    pub bytes: Vec<u8>,
+}
+
+/// A message of the holder, sent as a command under its term. Fields and variants are encoded by their order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListMessage {
-    /// One part of a page. A whole list stands for all pages up to its own.
-    Chunk {
+    /// A chunk of a page.
+    Chunk(Chunk),
+    /// A sign that the list is up to date.
+    Heartbeat {
+        /// The number of the last page.
         page: u32,
-        whole: bool,
-        version: u64,
-        part: u16,
-        of: u16,
-        bytes: Vec<u8>,
+        /// Whether the holder's watch on discovery is open.
+        is_watching: bool,
     },
-    /// The last page, and whether the holder's watch is open.
-    Heartbeat { page: u32, follows: bool },
 }
 
 impl ListMessage {
-    pub fn bytes(&self) -> Option<Vec<u8>> {
+    /// Encodes the message.
+    pub fn encode(&self) -> Option<Vec<u8>> {
         postcard::to_stdvec(self).ok()
     }
 
-    pub fn read(bytes: &[u8]) -> Option<Self> {
+    /// Decodes a message; nothing if it is malformed.
+    pub fn decode(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
     }
 }
 
-impl ListRequest {
-    pub fn bytes(&self) -> Option<Vec<u8>> {
-        postcard::to_stdvec(self).ok()
-    }
-
-    pub fn read(bytes: &[u8]) -> Option<Self> {
-        postcard::from_bytes(bytes).ok()
-    }
-}
-
-/// What a reader asks of the holder.
+/// What a subscriber requests of the holder. Fields and variants are encoded by their order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListRequest {
-    /// These parts of a page, or of the whole list as it stood with it.
+    /// Chunks of a page.
     Chunks {
+        /// The number of the page.
         page: u32,
-        whole: bool,
-        parts: Vec<u16>,
+        /// Whether the page is a full list.
+        is_full: bool,
+        /// The indices of the chunks.
+        indices: Vec<u16>,
     },
-    /// The whole list as it stands.
+    /// The full list as it is now.
     FullList,
 }
+
+impl ListRequest {
+    /// Encodes the request.
+    pub fn encode(&self) -> Option<Vec<u8>> {
+        postcard::to_stdvec(self).ok()
+    }
+
+    /// Decodes a request; nothing if it is malformed.
+    pub fn decode(bytes: &[u8]) -> Option<Self> {
+        postcard::from_bytes(bytes).ok()
+    }
+}
--- a/crates/cluster/src/shared_list/publisher.rs
+++ b/crates/cluster/src/shared_list/publisher.rs
@@ -1,187 +1,189 @@
-//! The holder's side: the list as it stands, and the last pages.
+//! The holder's side: the list as it is now, and its last pages.
 
 use std::collections::{BTreeMap, VecDeque};
 
-use super::{HEARTBEAT_INTERVAL, ListMessage, ListRequest, MAX_CHUNK_BYTES, MAX_CHUNKS};
+use super::{Chunk, HEARTBEAT_INTERVAL_US, ListMessage, ListRequest, MAX_CHUNK_BYTES, MAX_CHUNKS};
 use crate::Micros;
 
-/// Pages kept for those who miss parts of them.
+/// How many pages are retained for subscribers that miss chunks of them.
 const MAX_RETAINED_PAGES: usize = 64;
 
-/// One entry of what discovery said.
+/// An entry of a list as discovery reported it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
+    /// The identifier of the endpoint.
     pub id: String,
-    /// It is gone: a whole list does not name it.
-    pub left: bool,
-    /// As discovery worded it.
+    /// Whether the endpoint has left, so that a full list does not name it.
+    pub has_left: bool,
+    /// The entry's JSON text as discovery reported it.
     pub text: String,
 }
 
 struct Page {
     number: u32,
-    whole: bool,
+    is_full: bool,
     version: u64,
     text: Vec<u8>,
 }
 
-/// What the holder of a roster passes on.
+/// The list that the holder of its lease passes on.
 #[derive(Default)]
 pub struct ListPublisher {
     entries: BTreeMap<String, String>,
     version: u64,
-    page: u32,
+    /// The number of the last page; 0 before the first one.
+    last_page: u32,
     pages: VecDeque<Page>,
-    heartbeat_at: Micros,
-    follows: bool,
+    next_heartbeat_at: Micros,
+    is_watching: bool,
 }
 
-fn encode_list<'a>(version: u64, all: bool, texts: impl Iterator<Item = &'a str>) -> Vec<u8> {
-    let texts: Vec<&str> = texts.collect();
-    format!(
-        "{{\"rev\":{version},\"all\":{all},\"targets\":[{}]}}",
-        texts.join(",")
-    )
-    .into_bytes()
+fn encode_list<'a>(version: u64, is_full: bool, entries: impl Iterator<Item = &'a str>) -> Vec<u8> {
+    let entries: Vec<&str> = entries.collect();
+    let entries = entries.join(",");
+    format!("{{\"rev\":{version},\"all\":{is_full},\"targets\":[{entries}]}}").into_bytes()
 }
 
 impl Page {
-    fn parts(&self) -> u16 {
+    fn chunk_count(&self) -> u16 {
         u16::try_from(self.text.len().div_ceil(MAX_CHUNK_BYTES).max(1)).unwrap_or(u16::MAX)
     }
 
-    fn part(&self, part: u16) -> Option<ListMessage> {
-        let bytes = self
-            .text
-            .chunks(MAX_CHUNK_BYTES)
-            .nth(usize::from(part))?
-            .to_vec();
-        let (page, whole, version, of) = (self.number, self.whole, self.version, self.parts());
-        Some(ListMessage::Chunk {
-            page,
-            whole,
-            version,
-            part,
-            of,
-            bytes,
-        })
+    fn chunk(&self, index: u16) -> Option<ListMessage> {
+        let bytes = self.text.chunks(MAX_CHUNK_BYTES).nth(usize::from(index))?;
+        Some(ListMessage::Chunk(Chunk {
+            page: self.number,
+            is_full: self.is_full,
+            version: self.version,
+            index,
+            count: self.chunk_count(),
+            bytes: bytes.to_vec(),
+        }))
     }
 
-    fn said(&self) -> Vec<ListMessage> {
-        (0..self.parts())
-            .filter_map(|part| self.part(part))
+    fn chunks(&self) -> Vec<ListMessage> {
+        (0..self.chunk_count())
+            .filter_map(|index| self.chunk(index))
             .collect()
     }
 }
 
 impl ListPublisher {
-    /// Discovery said this: what is to be told to all. The first thing told under a term is a whole list.
-    pub fn said(&mut self, version: u64, complete: bool, entries: &[Entry]) -> Vec<ListMessage> {
-        if complete {
-            self.entries.clear();
-        }
-        for entry in entries {
-            match entry.left {
-                true => _ = self.entries.remove(&entry.id),
-                false => _ = self.entries.insert(entry.id.clone(), entry.text.clone()),
-            }
-        }
-        self.version = version;
-        self.follows = true;
-        if self.page == 0 && !complete {
-            // Changes to a list that was never told whole tell nobody anything.
+    /// Applies what discovery reported and returns the messages for all subscribers. The first page under a term is a
+    /// full list.
+    pub fn publish(&mut self, version: u64, is_full: bool, entries: &[Entry]) -> Vec<ListMessage> {
+        self.apply(version, is_full, entries);
+        // Changes to a list that was never sent in full are of no use.
+        let is_first_change = self.last_page == 0 && !is_full;
+        let is_empty_change = entries.is_empty() && !is_full;
+        if is_first_change || is_empty_change {
             return Vec::new();
         }
-        if entries.is_empty() && !complete {
-            return Vec::new();
-        }
-        self.page += 1;
-        let page = match complete {
-            true => self.whole(),
-            false => {
-                let text = encode_list(
+        self.last_page += 1;
+        let page = match is_full {
+            true => self.full_page(),
+            false => Page {
+                number: self.last_page,
+                is_full: false,
+                version,
+                text: encode_list(
                     version,
                     false,
                     entries.iter().map(|entry| entry.text.as_str()),
-                );
-                Page {
-                    number: self.page,
-                    whole: false,
-                    version,
-                    text,
-                }
-            }
+                ),
+            },
         };
         if page.text.len() > MAX_CHUNK_BYTES * usize::from(MAX_CHUNKS) {
             return Vec::new();
         }
-        let told = page.said();
+        let chunks = page.chunks();
         self.pages.push_back(page);
         if self.pages.len() > MAX_RETAINED_PAGES {
             self.pages.pop_front();
         }
-        self.heartbeat_at = 0;
-        told
+        self.next_heartbeat_at = 0;
+        chunks
     }
 
-    /// The watch failed, or goes on again.
-    pub fn follows(&mut self, follows: bool) {
-        self.follows = follows;
+    fn apply(&mut self, version: u64, is_full: bool, entries: &[Entry]) {
+        if is_full {
+            self.entries.clear();
+        }
+        for entry in entries {
+            if entry.has_left {
+                self.entries.remove(&entry.id);
+            } else {
+                self.entries.insert(entry.id.clone(), entry.text.clone());
+            }
+        }
+        self.version = version;
+        self.is_watching = true;
+    }
+
+    /// Records whether the watch on discovery is open.
+    pub fn set_watching(&mut self, is_watching: bool) {
+        self.is_watching = is_watching;
     }
 
-    /// What one reader wants.
-    pub fn tracked(&self, wants: &ListRequest) -> Vec<ListMessage> {
-        if self.page == 0 {
+    /// Answers the request of a subscriber.
+    pub fn answer(&self, request: &ListRequest) -> Vec<ListMessage> {
+        if self.last_page == 0 {
             return Vec::new();
         }
-        let ListRequest::Chunks { page, whole, parts } = wants else {
-            return self.whole().said();
+        let ListRequest::Chunks {
+            page,
+            is_full,
+            indices,
+        } = request
+        else {
+            return self.full_page().chunks();
+        };
+        let requested = |page: &Page| {
+            indices
+                .iter()
+                .filter_map(|index| page.chunk(*index))
+                .collect()
         };
-        let random_members =
-            |page: &Page| parts.iter().filter_map(|part| page.part(*part)).collect();
-        let kept = self
+        let retained = self
             .pages
             .iter()
-            .find(|known| (known.number, known.whole) == (*page, *whole));
-        match kept {
-            Some(kept) => random_members(kept),
-            None if *whole && *page == self.page => random_members(&self.whole()),
-            None => self.whole().said(),
+            .find(|retained| retained.number == *page && retained.is_full == *is_full);
+        match retained {
+            Some(retained) => requested(retained),
+            None if *is_full && *page == self.last_page => requested(&self.full_page()),
+            None => self.full_page().chunks(),
         }
     }
 
-    /// The list as it stands. The same entries give the same bytes, so that parts of one fit to those of another.
-    fn whole(&self) -> Page {
-        let text = encode_list(
-            self.version,
-            true,
-            self.entries.values().map(String::as_str),
-        );
+    /// The list as it is now. The same entries give the same bytes, so that chunks of two of them fit together.
+    fn full_page(&self) -> Page {
+        let entries = self.entries.values().map(String::as_str);
         Page {
-            number: self.page,
-            whole: true,
+            number: self.last_page,
+            is_full: true,
             version: self.version,
-            text,
+            text: encode_list(self.version, true, entries),
         }
     }
 
-    /// A beat, if one is due.
+    /// The next heartbeat, if it is time for one.
     pub fn heartbeat(&mut self, now: Micros) -> Option<ListMessage> {
-        if now < self.heartbeat_at || self.page == 0 {
+        if now < self.next_heartbeat_at || self.last_page == 0 {
             return None;
         }
-        self.heartbeat_at = now + HEARTBEAT_INTERVAL;
+        self.next_heartbeat_at = now + HEARTBEAT_INTERVAL_US;
         Some(ListMessage::Heartbeat {
-            page: self.page,
-            follows: self.follows,
+            page: self.last_page,
+            is_watching: self.is_watching,
         })
     }
 
-    pub fn next_due(&self) -> Micros {
-        if self.page == 0 {
+    /// When [`ListPublisher::heartbeat`] is to be called.
+    pub fn next_timer(&self) -> Micros {
+        if self.last_page == 0 {
             Micros::MAX
         } else {
-            self.heartbeat_at
+            self.next_heartbeat_at
         }
     }
 }
--- a/crates/cluster/src/shared_list/subscriber.rs
+++ b/crates/cluster/src/shared_list/subscriber.rs
@@ -1,212 +1,253 @@
-//! A reader's side: pages in order, and whether what it holds is fresh.
+//! A subscriber's side: pages applied in order, and whether the list is up to date.
 
 use std::collections::BTreeMap;
 
-use super::{DISTRUST_PERIOD, HEARTBEAT_TIMEOUT, ListMessage, ListRequest, MAX_CHUNKS};
+use super::{
+    Chunk, DISTRUST_PERIOD_US, HEARTBEAT_TIMEOUT_US, ListMessage, ListRequest, MAX_CHUNKS,
+};
 use crate::Micros;
 use crate::leases::term::Term;
 
-/// Pages under way at once; a whole list is asked for beyond that.
+/// The largest number of incomplete pages; beyond that the full list is requested.
 const MAX_PARTIAL_PAGES: usize = 16;
-/// Parts named in one wish.
+/// The largest number of chunks in one request.
 const MAX_CHUNKS_PER_REQUEST: usize = 64;
-/// How long a wish has before it is said again.
-const REQUEST_INTERVAL: Micros = 150_000;
+/// The shortest time between two requests.
+const REQUEST_INTERVAL_US: Micros = 150_000;
 
+/// A page of which chunks may be missing.
 struct PartialPage {
-    whole: bool,
+    is_full: bool,
     version: u64,
-    parts: Vec<Option<Vec<u8>>>,
-    since: Micros,
+    chunks: Vec<Option<Vec<u8>>>,
+    started_at: Micros,
 }
 
 impl PartialPage {
+    /// The text of the page once all chunks have arrived.
     fn text(&self) -> Option<Vec<u8>> {
-        self.parts
+        self.chunks
             .iter()
             .map(Option::as_deref)
             .collect::<Option<Vec<&[u8]>>>()
-            .map(|parts| parts.concat())
+            .map(|chunks| chunks.concat())
     }
+
+    fn missing_chunks(&self) -> Vec<u16> {
+        (0u16..)
+            .zip(&self.chunks)
+            .filter(|(_, chunk)| chunk.is_none())
+            .map(|(index, _)| index)
+            .take(MAX_CHUNKS_PER_REQUEST)
+            .collect()
+    }
+}
+
+impl Chunk {
+    fn new_page(&self, now: Micros) -> PartialPage {
+        PartialPage {
+            is_full: self.is_full,
+            version: self.version,
+            chunks: vec![None; usize::from(self.count)],
+            started_at: now,
+        }
+    }
+
+    fn is_of(&self, page: &PartialPage) -> bool {
+        self.is_full == page.is_full
+            && self.version == page.version
+            && usize::from(self.count) == page.chunks.len()
+    }
+}
+
+/// What a message of the holder leads to.
+#[derive(Debug, Default)]
+pub struct ListUpdate {
+    /// The texts of pages to apply now, in order, in discovery's own format.
+    pub pages: Vec<Vec<u8>>,
+    /// A request to send to the holder.
+    pub request: Option<ListRequest>,
 }
 
-/// A page to be taken now: its text as discovery words lists.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ReceivedPage {
-    pub text: Vec<u8>,
+/// A holder whose list was impossible.
+struct DistrustedTerm {
+    term: Term,
+    until: Micros,
 }
 
+/// The list of a zone as one of its members receives it.
 #[derive(Default)]
 pub struct ListSubscriber {
     term: Option<Term>,
-    /// The last page taken under this term; 0: none yet.
-    page: u32,
+    /// The last page applied under this term; 0 before the first one.
+    applied_page: u32,
     version: Option<u64>,
-    partial: BTreeMap<u32, PartialPage>,
-    /// The holder's last page as far as it told.
-    last: u32,
-    wanted_at: Micros,
-    /// When the last beat came that counts.
-    fresh: Option<Micros>,
-    /// A term that told what can't be, and until when it is passed over.
-    distrusted: Option<(Term, Micros)>,
+    partial_pages: BTreeMap<u32, PartialPage>,
+    /// The last page of the holder as far as it is known.
+    last_page: u32,
+    next_request_at: Micros,
+    /// When the last heartbeat arrived that counts.
+    last_heartbeat_at: Option<Micros>,
+    distrusted: Option<DistrustedTerm>,
 }
 
 impl ListSubscriber {
-    /// Whether what this balancer holds is as fresh as the holder's: it need not ask for itself.
+    /// Whether the list is as fresh as the holder's, so that this member need not poll discovery.
     pub fn is_fresh(&self, now: Micros) -> bool {
-        self.fresh
-            .is_some_and(|fresh| now < fresh + HEARTBEAT_TIMEOUT)
+        self.last_heartbeat_at
+            .is_some_and(|at| now < at + HEARTBEAT_TIMEOUT_US)
             && !self.is_distrusted(now)
     }
 
-    /// Until when it is, if nothing more comes.
+    /// Until when the list is fresh without a further heartbeat.
     pub fn fresh_until(&self) -> Micros {
-        self.fresh.map_or(0, |fresh| fresh + HEARTBEAT_TIMEOUT)
+        self.last_heartbeat_at
+            .map_or(0, |at| at + HEARTBEAT_TIMEOUT_US)
     }
 
-    /// How long ago the last beat came that counts.
+    /// The time since the last heartbeat that counted.
     pub fn age(&self, now: Micros) -> Option<Micros> {
-        self.fresh.map(|fresh| now.saturating_sub(fresh))
+        self.last_heartbeat_at.map(|at| now.saturating_sub(at))
     }
 
-    pub fn page(&self) -> u32 {
-        self.page
+    /// The number of the last page applied; 0 before the first one.
+    pub fn applied_page(&self) -> u32 {
+        self.applied_page
     }
 
     fn is_distrusted(&self, now: Micros) -> bool {
         self.distrusted
-            .is_some_and(|(term, until)| Some(term) == self.term && now < until)
+            .as_ref()
+            .is_some_and(|distrusted| Some(distrusted.term) == self.term && now < distrusted.until)
     }
 
-    /// The list was had from discovery itself: what a holder tells must not be older.
-    pub fn own_list_received(&mut self, version: u64) {
+    /// Records the version of a list polled from discovery itself; that of a holder must not be older.
+    pub fn record_own_version(&mut self, version: u64) {
         self.version = Some(version);
     }
 
-    /// The holder of that term says something: pages to take now, in order, and what to ask of it.
-    pub fn receive(
-        &mut self,
-        now: Micros,
-        term: Term,
-        said: &ListMessage,
-    ) -> (Vec<ReceivedPage>, Option<ListRequest>) {
+    /// Receives a message of the holder under that term.
+    pub fn receive(&mut self, now: Micros, term: Term, message: &ListMessage) -> ListUpdate {
         if self.term.is_none_or(|known| known < term) {
-            // Another holder counts its pages anew.
-            (self.term, self.page, self.last, self.wanted_at) = (Some(term), 0, 0, 0);
-            self.partial.clear();
+            self.follow_holder(term);
         }
         if self.term != Some(term) || self.is_distrusted(now) {
-            return (Vec::new(), None);
+            return ListUpdate::default();
         }
-        match said {
-            ListMessage::Chunk {
-                page,
-                whole,
-                version,
-                part,
-                of,
-                bytes,
-            } => {
-                self.last = self.last.max(*page);
-                if *page > self.page && *of <= MAX_CHUNKS && part < of {
-                    let count = usize::from(*of);
-                    let known = self.partial.get(page);
-                    let same = (*whole, *version, count);
-                    let other = known.is_some_and(|known| {
-                        (known.whole, known.version, known.parts.len()) != same
-                    });
-                    if known.is_none() && self.partial.len() >= MAX_PARTIAL_PAGES {
-                        self.partial.clear();
-                    }
-                    let new = || PartialPage {
-                        whole: *whole,
-                        version: *version,
-                        parts: vec![None; count],
-                        since: now,
-                    };
-                    let partial = self.partial.entry(*page).or_insert_with(new);
-                    if other {
-                        // The same page as change and as whole list: the whole list needs no earlier page.
-                        if *whole {
-                            *partial = new();
-                        } else {
-                            return (Vec::new(), None);
-                        }
-                    }
-                    partial.parts[usize::from(*part)] = Some(bytes.clone());
+        match message {
+            ListMessage::Chunk(chunk) => {
+                self.last_page = self.last_page.max(chunk.page);
+                let pages = match self.store_chunk(now, chunk) {
+                    true => self.apply_pages(now),
+                    false => Vec::new(),
+                };
+                ListUpdate {
+                    pages,
+                    request: None,
                 }
-                (self.take(now), None)
             }
-            ListMessage::Heartbeat { page, follows } => {
-                self.last = self.last.max(*page);
-                let taken = self.take(now);
-                if *page == self.page && *follows && self.page > 0 {
-                    self.fresh = Some(now);
+            ListMessage::Heartbeat { page, is_watching } => {
+                self.last_page = self.last_page.max(*page);
+                let pages = self.apply_pages(now);
+                if *page == self.applied_page && *is_watching && self.applied_page > 0 {
+                    self.last_heartbeat_at = Some(now);
                 }
-                (taken, self.track(now))
+                let request = self.next_request(now);
+                ListUpdate { pages, request }
             }
         }
     }
 
-    /// Takes all pages that follow on one another.
-    fn take(&mut self, now: Micros) -> Vec<ReceivedPage> {
-        let mut taken = Vec::new();
-        loop {
-            let follows = |(page, partial): (&u32, &PartialPage)| {
-                (partial.whole || (*page == self.page + 1 && self.page > 0))
-                    .then(|| partial.text())?
-                    .map(|text| (*page, text))
-            };
-            let Some((page, text)) = self.partial.iter().find_map(follows) else {
-                break;
-            };
-            let Some(partial) = self.partial.remove(&page) else {
+    /// Follows a new holder, which numbers its pages anew.
+    fn follow_holder(&mut self, term: Term) {
+        self.term = Some(term);
+        self.applied_page = 0;
+        self.last_page = 0;
+        self.next_request_at = 0;
+        self.partial_pages.clear();
+    }
+
+    /// Stores a chunk. Returns false if it contradicts a page of which other chunks have arrived.
+    fn store_chunk(&mut self, now: Micros, chunk: &Chunk) -> bool {
+        let is_usable = chunk.page > self.applied_page
+            && chunk.count <= MAX_CHUNKS
+            && chunk.index < chunk.count;
+        if !is_usable {
+            return true;
+        }
+        let is_new = !self.partial_pages.contains_key(&chunk.page);
+        if is_new && self.partial_pages.len() >= MAX_PARTIAL_PAGES {
+            self.partial_pages.clear();
+        }
+        let partial = self
+            .partial_pages
+            .entry(chunk.page)
+            .or_insert_with(|| chunk.new_page(now));
+        if !chunk.is_of(partial) {
+            // The same page as a change and as a full list: the full list needs no earlier page.
+            if !chunk.is_full {
+                return false;
+            }
+            *partial = chunk.new_page(now);
+        }
+        partial.chunks[usize::from(chunk.index)] = Some(chunk.bytes.clone());
+        true
+    }
+
+    /// Takes all complete pages that follow on the last one applied.
+    fn apply_pages(&mut self, now: Micros) -> Vec<Vec<u8>> {
+        let mut texts = Vec::new();
+        while let Some((number, text)) = self.next_complete_page() {
+            let Some(page) = self.partial_pages.remove(&number) else {
                 break;
             };
-            let older = self
-                .version
-                .is_some_and(|version| partial.version < version);
-            let empty = partial.whole && !text.windows(2).any(|pair| pair == b"[{");
-            if older || empty {
-                // Discovery's versions don't go back, and a list of nobody takes all away: each looks for itself.
-                self.distrusted = self.term.map(|term| (term, now + DISTRUST_PERIOD));
-                self.fresh = None;
-                self.partial.clear();
+            let is_older = self.version.is_some_and(|version| page.version < version);
+            let is_empty = page.is_full && !text.windows(2).any(|pair| pair == b"[{");
+            if is_older || is_empty {
+                // Discovery's versions do not decrease, and an empty list would remove all endpoints.
+                self.distrusted = self.term.map(|term| DistrustedTerm {
+                    term,
+                    until: now + DISTRUST_PERIOD_US,
+                });
+                self.last_heartbeat_at = None;
+                self.partial_pages.clear();
                 break;
             }
-            (self.page, self.version) = (page, Some(partial.version));
-            self.partial.retain(|number, _| *number > page);
-            taken.push(ReceivedPage { text });
+            self.applied_page = number;
+            self.version = Some(page.version);
+            self.partial_pages.retain(|other, _| *other > number);
+            texts.push(text);
         }
-        taken
+        texts
+    }
+
+    /// The first complete page that is a full list or follows on the last one applied, with its text.
+    fn next_complete_page(&self) -> Option<(u32, Vec<u8>)> {
+        self.partial_pages.iter().find_map(|(number, page)| {
+            let is_next = *number == self.applied_page + 1 && self.applied_page > 0;
+            let text = (page.is_full || is_next).then(|| page.text())??;
+            Some((*number, text))
+        })
     }
 
-    /// What is missing, if it was not asked for just now.
-    fn track(&mut self, now: Micros) -> Option<ListRequest> {
-        if self.last <= self.page || now < self.wanted_at {
+    /// A request for what is missing, unless one was made just now.
+    fn next_request(&mut self, now: Micros) -> Option<ListRequest> {
+        if self.last_page <= self.applied_page || now < self.next_request_at {
             return None;
         }
-        self.wanted_at = now + REQUEST_INTERVAL;
-        let next = self.page + 1;
-        let missing = |partial: &PartialPage| -> Vec<u16> {
-            let parts = (0u16..)
-                .zip(&partial.parts)
-                .filter(|(_, part)| part.is_none())
-                .map(|(number, _)| number);
-            parts.take(MAX_CHUNKS_PER_REQUEST).collect()
-        };
-        let pending = self
-            .partial
+        self.next_request_at = now + REQUEST_INTERVAL_US;
+        let next = self.applied_page + 1;
+        let partial = self
+            .partial_pages
             .iter()
-            .find(|(page, partial)| partial.whole || **page == next);
-        match pending {
-            // Its parts may still be on their way.
-            Some((_, partial)) if now < partial.since + REQUEST_INTERVAL => None,
-            Some((page, partial)) => Some(ListRequest::Chunks {
-                page: *page,
-                whole: partial.whole,
-                parts: missing(partial),
+            .find(|(number, page)| page.is_full || **number == next);
+        match partial {
+            // Its chunks may still be on their way.
+            Some((_, page)) if now < page.started_at + REQUEST_INTERVAL_US => None,
+            Some((number, page)) => Some(ListRequest::Chunks {
+                page: *number,
+                is_full: page.is_full,
+                indices: page.missing_chunks(),
             }),
             None => Some(ListRequest::FullList),
         }
--- a/crates/cluster/src/shared_list/tests.rs
+++ b/crates/cluster/src/shared_list/tests.rs
@@ -1,7 +1,7 @@
 use rstest::rstest;
 
 use super::publisher::{Entry, ListPublisher};
-use super::subscriber::{ListSubscriber, ReceivedPage};
+use super::subscriber::ListSubscriber;
 use super::*;
 use crate::leases::term::Term;
 
@@ -17,20 +17,16 @@
         Entry {
             text: format!("{{\"uid\":\"{id}\",\"note\":\"{}\"}}", "x".repeat(60)),
             id,
-            left: false,
+            has_left: false,
         }
     };
     names.map(entry).collect()
 }
 
-fn names(taken: &[ReceivedPage]) -> Vec<usize> {
+fn names(taken: &[Vec<u8>]) -> Vec<usize> {
     taken
         .iter()
-        .map(|page| {
-            String::from_utf8_lossy(&page.text)
-                .matches("\"uid\"")
-                .count()
-        })
+        .map(|page| String::from_utf8_lossy(page).matches("\"uid\"").count())
         .collect()
 }
 
@@ -41,20 +37,24 @@
     now: Micros,
     said: &[ListMessage],
     lost: &[usize],
-) -> Vec<ReceivedPage> {
+) -> Vec<Vec<u8>> {
     let mut taken = Vec::new();
     for (_, one) in said
         .iter()
         .enumerate()
         .filter(|(place, _)| !lost.contains(place))
     {
-        taken.extend(subscriber.receive(now, FIRST, one).0);
+        taken.extend(subscriber.receive(now, FIRST, one).pages);
     }
     let heartbeat = publisher.heartbeat(now + 500 * MS).unwrap();
-    let (more, wants) = subscriber.receive(now + 500 * MS, FIRST, &heartbeat);
-    taken.extend(more);
-    for one in wants.iter().flat_map(|wants| publisher.tracked(wants)) {
-        taken.extend(subscriber.receive(now + 501 * MS, FIRST, &one).0);
+    let update = subscriber.receive(now + 500 * MS, FIRST, &heartbeat);
+    taken.extend(update.pages);
+    for one in update
+        .request
+        .iter()
+        .flat_map(|request| publisher.answer(request))
+    {
+        taken.extend(subscriber.receive(now + 501 * MS, FIRST, &one).pages);
     }
     taken
 }
@@ -65,58 +65,61 @@
 #[case::all(&[0, 1, 2, 3], &[20])]
 fn what_is_lost_of_a_list_is_asked_for(#[case] lost: &[usize], #[case] found: &[usize]) {
     let (mut publisher, mut subscriber) = (ListPublisher::default(), ListSubscriber::default());
-    let said = publisher.said(7, true, &entries(0..20));
+    let said = publisher.publish(7, true, &entries(0..20));
     assert_eq!(said.len(), 4);
     let taken = carry(&mut subscriber, &mut publisher, 0, &said, lost);
     assert_eq!(names(&taken), found);
     let heartbeat = publisher.heartbeat(1_000 * MS).unwrap();
     subscriber.receive(1_000 * MS, FIRST, &heartbeat);
     assert!(
-        subscriber.is_fresh(1_000 * MS + HEARTBEAT_TIMEOUT - 1)
-            && !subscriber.is_fresh(1_000 * MS + HEARTBEAT_TIMEOUT)
+        subscriber.is_fresh(1_000 * MS + HEARTBEAT_TIMEOUT_US - 1)
+            && !subscriber.is_fresh(1_000 * MS + HEARTBEAT_TIMEOUT_US)
     );
 }
 
 #[test]
 fn changes_are_taken_in_order_and_a_whole_list_stands_for_all_before() {
     let (mut publisher, mut subscriber) = (ListPublisher::default(), ListSubscriber::default());
-    let whole = publisher.said(7, true, &entries(0..3));
+    let whole = publisher.publish(7, true, &entries(0..3));
     let changes: Vec<_> = (8..12)
-        .map(|version| publisher.said(version, false, &entries(3..4)))
+        .map(|version| publisher.publish(version, false, &entries(3..4)))
         .collect();
     // The whole list comes last.
     for change in changes.iter().rev().flatten() {
-        assert!(subscriber.receive(0, FIRST, change).0.is_empty());
+        assert!(subscriber.receive(0, FIRST, change).pages.is_empty());
     }
     let taken: Vec<_> = whole
         .iter()
-        .flat_map(|part| subscriber.receive(0, FIRST, part).0)
+        .flat_map(|part| subscriber.receive(0, FIRST, part).pages)
         .collect();
-    assert_eq!((names(&taken), subscriber.page()), (vec![3, 1, 1, 1, 1], 5));
+    assert_eq!(
+        (names(&taken), subscriber.applied_page()),
+        (vec![3, 1, 1, 1, 1], 5)
+    );
     // One that comes later is told as much by one list.
     let mut late = ListSubscriber::default();
-    let told: Vec<_> = publisher.tracked(&ListRequest::FullList);
+    let told: Vec<_> = publisher.answer(&ListRequest::FullList);
     let taken: Vec<_> = told
         .iter()
-        .flat_map(|part| late.receive(0, FIRST, part).0)
+        .flat_map(|part| late.receive(0, FIRST, part).pages)
         .collect();
-    assert_eq!((names(&taken), late.page()), (vec![4], 5));
+    assert_eq!((names(&taken), late.applied_page()), (vec![4], 5));
 }
 
 #[test]
 fn what_left_is_in_no_whole_list() {
     let mut publisher = ListPublisher::default();
-    publisher.said(7, true, &entries(0..3));
-    publisher.said(
+    publisher.publish(7, true, &entries(0..3));
+    publisher.publish(
         8,
         false,
         &[Entry {
-            left: true,
+            has_left: true,
             ..entries(1..2).remove(0)
         }],
     );
-    let told = publisher.tracked(&ListRequest::FullList);
-    let ListMessage::Chunk { bytes, version, .. } = &told[0] else {
+    let told = publisher.answer(&ListRequest::FullList);
+    let ListMessage::Chunk(Chunk { bytes, version, .. }) = &told[0] else {
         panic!("{told:?}")
     };
     assert_eq!(
@@ -132,15 +135,15 @@
 #[test]
 fn a_holder_that_does_not_follow_feeds_nobody() {
     let (mut publisher, mut subscriber) = (ListPublisher::default(), ListSubscriber::default());
-    let said = publisher.said(7, true, &entries(0..3));
+    let said = publisher.publish(7, true, &entries(0..3));
     carry(&mut subscriber, &mut publisher, 0, &said, &[]);
     assert!(subscriber.is_fresh(600 * MS));
-    publisher.follows(false);
+    publisher.set_watching(false);
     for at in 1..20 {
-        let now = at * HEARTBEAT_INTERVAL + 600 * MS;
+        let now = at * HEARTBEAT_INTERVAL_US + 600 * MS;
         subscriber.receive(now, FIRST, &publisher.heartbeat(now).unwrap());
     }
-    assert!(!subscriber.is_fresh(600 * MS + HEARTBEAT_TIMEOUT));
+    assert!(!subscriber.is_fresh(600 * MS + HEARTBEAT_TIMEOUT_US));
 }
 
 #[rstest]
@@ -153,9 +156,9 @@
     #[case] taken: bool,
 ) {
     let mut subscriber = ListSubscriber::default();
-    subscriber.own_list_received(7);
+    subscriber.record_own_version(7);
     let mut publisher = ListPublisher::default();
-    let said = publisher.said(version, true, &entries(named));
+    let said = publisher.publish(version, true, &entries(named));
     let pages = carry(&mut subscriber, &mut publisher, 0, &said, &[]);
     assert_eq!(
         (pages.len(), subscriber.is_fresh(600 * MS)),
@@ -166,12 +169,17 @@
         number: 2,
         incarnation_id: 1,
     };
-    let told: Vec<_> = ListPublisher::default().said(9, true, &entries(0..4));
+    let told: Vec<_> = ListPublisher::default().publish(9, true, &entries(0..4));
     let pages: Vec<_> = told
         .iter()
-        .flat_map(|part| subscriber.receive(700 * MS, later, part).0)
+        .flat_map(|part| subscriber.receive(700 * MS, later, part).pages)
         .collect();
     assert_eq!(names(&pages), [4]);
     // And an earlier one no more.
-    assert!(subscriber.receive(800 * MS, FIRST, &said[0]).0.is_empty());
+    assert!(
+        subscriber
+            .receive(800 * MS, FIRST, &said[0])
+            .pages
+            .is_empty()
+    );
 }
--- a/crates/cluster/tests/datagrams.rs
+++ b/crates/cluster/tests/datagrams.rs
@@ -5,14 +5,14 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-use pinefront_cluster::datagram::{Datagram, Incarnation, Key, open, seal};
+use pinefront_cluster::datagram::{Datagram, Key, open, seal};
 
 use pinefront_cluster::leases::messages::{GrantStatus, LeaseMessage, TermNumber};
 use pinefront_cluster::leases::term::{LeaseId, Term};
 use pinefront_cluster::leases::{Lease, LeaseConfig};
 use pinefront_cluster::messages::{MemberRecord, MemberState, Message};
-use pinefront_cluster::shared_list::{ListMessage, ListRequest};
-use pinefront_cluster::{Cluster, MemberConfig};
+use pinefront_cluster::shared_list::{Chunk, ListMessage, ListRequest};
+use pinefront_cluster::{Cluster, Incarnation, MemberConfig, OutgoingDatagram};
 
 const KEY: &[u8] = b"recorded key of the datagram test\n";
 const LIFE: Incarnation = Incarnation {
@@ -57,7 +57,7 @@
         incarnation: LIFE,
         refutation_counter: 77,
         state,
-        by,
+        suspected_by: by,
         version: 1,
     }
 }
@@ -183,43 +183,43 @@
 
 fn list_messages() -> Vec<(&'static str, LeaseMessage)> {
     let lease = LeaseId::of("roster/a");
-    let send_command = |body: ListMessage| LeaseMessage::Command {
+    let command = |body: ListMessage| LeaseMessage::Command {
         lease,
         term: TERM,
-        body: body.bytes().unwrap(),
+        body: body.encode().unwrap(),
     };
-    let say = |body: ListRequest| LeaseMessage::Note {
+    let note = |body: ListRequest| LeaseMessage::Note {
         lease,
-        body: body.bytes().unwrap(),
+        body: body.encode().unwrap(),
     };
     vec![
         (
             "roster: part",
-            send_command(ListMessage::Chunk {
+            command(ListMessage::Chunk(Chunk {
                 page: 400,
-                whole: true,
+                is_full: true,
                 version: 70_000,
-                part: 2,
-                of: 3,
+                index: 2,
+                count: 3,
                 bytes: b"{\"rev\":70000}".to_vec(),
-            }),
+            })),
         ),
         (
             "roster: beat",
-            send_command(ListMessage::Heartbeat {
+            command(ListMessage::Heartbeat {
                 page: 401,
-                follows: true,
+                is_watching: true,
             }),
         ),
         (
             "roster: parts wanted",
-            say(ListRequest::Chunks {
+            note(ListRequest::Chunks {
                 page: 400,
-                whole: false,
-                parts: vec![0, 2, 300],
+                is_full: false,
+                indices: vec![0, 2, 300],
             }),
         ),
-        ("roster: whole list wanted", say(ListRequest::FullList)),
+        ("roster: whole list wanted", note(ListRequest::FullList)),
     ]
 }
 
@@ -229,7 +229,7 @@
         sender: "b1".into(),
         incarnation: LIFE,
         refutation_counter: 77,
-        counter,
+        sequence_number: counter,
         message,
         records: vec![
             record("b1", MemberState::Alive, 0),
@@ -270,14 +270,14 @@
         match message {
             LeaseMessage::Command { body, .. } => {
                 assert_eq!(
-                    ListMessage::read(&body).unwrap().bytes().unwrap(),
+                    ListMessage::decode(&body).unwrap().encode().unwrap(),
                     body,
                     "{name}"
                 );
             }
             LeaseMessage::Note { body, .. } => {
                 assert_eq!(
-                    ListRequest::read(&body).unwrap().bytes().unwrap(),
+                    ListRequest::decode(&body).unwrap().encode().unwrap(),
                     body,
                     "{name}"
                 );
@@ -340,13 +340,13 @@
             }
         }
         for (n, member) in members.iter_mut().enumerate() {
-            if member.next_due() <= now {
-                member.due(now);
+            if member.next_timer() <= now {
+                member.run_timers(now);
             }
             if n == 1 && now == 7_000_000 {
                 member.leave(now);
             }
-            for (to, bytes) in member.take_datagrams() {
+            for OutgoingDatagram { to, bytes } in member.take_datagrams() {
                 sent += 1;
                 all.update(&bytes);
                 if sent % 16 == 1 {
--- a/crates/proxy/src/fleet/carrier.rs
+++ b/crates/proxy/src/fleet/carrier.rs
@@ -11,8 +11,8 @@
 use pinefront_cluster::datagram::MAX_DATAGRAM_BYTES;
 use pinefront_cluster::leases::LeaseEvent;
 use pinefront_cluster::leases::term::Term;
-use pinefront_cluster::membership::table::MembershipEvent;
-use pinefront_cluster::{Cluster, Micros};
+use pinefront_cluster::membership::events::MembershipEvent;
+use pinefront_cluster::{Cluster, Micros, OutgoingDatagram};
 use rustix::time::{ClockId, clock_gettime};
 use slog::{Logger, info, warn};
 
@@ -131,19 +131,19 @@
     /// How long the loop may wait for it.
     pub fn wait(&self) -> Micros {
         self.cluster
-            .next_due()
-            .min(self.shared_lists.next_due())
+            .next_timer()
+            .min(self.shared_lists.next_timer())
             .saturating_sub(now())
     }
 
     /// Does what is due.
     pub fn turn(&mut self) {
         let now = now();
-        if self.cluster.next_due() <= now {
-            self.cluster.due(now);
+        if self.cluster.next_timer() <= now {
+            self.cluster.run_timers(now);
             self.carry();
         }
-        if self.shared_lists.next_due() <= now {
+        if self.shared_lists.next_timer() <= now {
             self.shared_lists.turn(now, &mut self.cluster);
             self.carry();
         }
@@ -182,7 +182,7 @@
             ("fleet.member", old.part.name != new.part.name),
             ("fleet.zone", old.part.zone != new.part.zone),
         ];
-        self.cluster.renew(&new.part, new.key.clone());
+        self.cluster.update_config(&new.part, new.key.clone());
         match &new.leases {
             Some((lease_config, leases)) => {
                 self.cluster
@@ -203,7 +203,7 @@
     }
 
     fn carry(&mut self) {
-        for (to, bytes) in self.cluster.take_datagrams() {
+        for OutgoingDatagram { to, bytes } in self.cluster.take_datagrams() {
             let to = self.terms.via.get(&to).copied().unwrap_or(to);
             // A full socket loses one as well as the network does.
             if self.socket.send_to(&bytes, to).is_err() {
@@ -237,7 +237,7 @@
                     body,
                 } if self.shared_lists.is_shared_list(*lease) => {
                     let wants = self.shared_lists.told(now, *lease, *term, body);
-                    if let Some(body) = wants.and_then(|wants| wants.bytes()) {
+                    if let Some(body) = wants.and_then(|wants| wants.encode()) {
                         self.cluster.send_lease_note(now, *lease, from, body);
                     }
                 }
--- a/crates/proxy/src/fleet/operator.rs
+++ b/crates/proxy/src/fleet/operator.rs
@@ -6,14 +6,14 @@
 use std::ops::Range;
 use std::rc::Rc;
 
-use pinefront_cluster::datagram::{Incarnation, Key};
+use pinefront_cluster::datagram::Key;
 use pinefront_cluster::leases::term::LeaseId;
 use pinefront_cluster::leases::{
     DEFAULT_LEASE_US, Lease, LeaseConfig, MAX_LEASE_US, MAX_LEASES, MAX_VOTERS, MIN_LEASE_US,
 };
 use pinefront_cluster::membership::table::MAX_MEMBERS;
 use pinefront_cluster::messages::{MAX_NAME_BYTES, is_valid_name};
-use pinefront_cluster::{MemberConfig, Micros};
+use pinefront_cluster::{Incarnation, MemberConfig, Micros};
 use serde::Deserialize;
 use toml::Spanned;
 
--- a/crates/proxy/src/fleet/page.rs
+++ b/crates/proxy/src/fleet/page.rs
@@ -1,6 +1,7 @@
 //! `GET /fleet`: what this balancer holds of the others, and what it can't know.
 
-use pinefront_cluster::membership::table::{Member, MemberTable, ServingStatus};
+use pinefront_cluster::membership::member::{Member, ServingStatus};
+use pinefront_cluster::membership::table::MemberTable;
 use serde_json::{Value, json};
 
 use crate::fleet::carrier::{Fleet, format_term, now};
@@ -17,7 +18,7 @@
         "life": record.incarnation.to_string(),
         "incarnation": record.refutation_counter, "version": record.version,
         "state": record.state, "standing": serving_status,
-        "since_ms": ago(member.since), "heard_ms": member.heard.map(ago),
+        "since_ms": ago(member.since), "heard_ms": member.last_received_at.map(ago),
         "earlier": table.earlier_of(member).map(|earlier| earlier.incarnation.to_string()).collect::<Vec<_>>(),
         "earlier_uncounted": member.earlier_uncounted,
     })
@@ -32,11 +33,11 @@
         let page = json!({
             "fleet": part.fleet, "member": part.name, "zone": part.zone, "address": part.address.to_string(),
             "life": cluster.incarnation().to_string(),
-            "incarnation": cluster.table.own.refutation_counter, "heard": cluster.is_reachable(), "slept": cluster.pauses_seen(),
+            "incarnation": cluster.table.own.refutation_counter, "heard": cluster.is_reachable(), "slept": cluster.pause_count(),
             "name_taken": cluster.table.has_name_conflict(), "refuted": cluster.table.refutations,
             "present": cluster.table.alive().count() + 1, "may_be_serving": cluster.table.count_may_serve() + 1,
             "members": members.into_iter().map(|one| member(at, &cluster.table, one)).collect::<Vec<_>>(),
-            "sent": traffic.sent, "sent_bytes": traffic.sent_bytes, "unsent": self.unsent, "taken": traffic.taken,
+            "sent": traffic.sent, "sent_bytes": traffic.sent_bytes, "unsent": self.unsent, "taken": traffic.accepted,
             "dropped": traffic.dropped, "duties": self.leases_page(),
         });
         page.to_string() + "\n"
@@ -86,7 +87,7 @@
         let (shared_lists, at) = (&self.shared_lists, now());
         json!({
             "tells": shared_lists.is_publishing(), "told": shared_lists.fresh_until(at).is_some(),
-            "page": shared_lists.subscriber().page(), "age_ms": shared_lists.subscriber().age(at).map(|age| age / 1_000),
+            "page": shared_lists.subscriber().applied_page(), "age_ms": shared_lists.subscriber().age(at).map(|age| age / 1_000),
         })
     }
 
--- a/crates/proxy/src/fleet/page/tests.rs
+++ b/crates/proxy/src/fleet/page/tests.rs
@@ -7,11 +7,11 @@
 use std::time::{Duration, Instant};
 
 use calloop::EventLoop;
-use pinefront_cluster::MemberConfig;
-use pinefront_cluster::datagram::{Datagram, DropReason, Incarnation, Key, seal};
+use pinefront_cluster::datagram::{Datagram, DropReason, Key, seal};
 use pinefront_cluster::leases::{Lease, LeaseConfig};
-use pinefront_cluster::membership::table::{MayServeReason, StopProof, own_record};
+use pinefront_cluster::membership::member::{MayServeReason, StopProof};
 use pinefront_cluster::messages::{MemberRecord, MemberState, Message};
+use pinefront_cluster::{Incarnation, MemberConfig};
 use slog::Logger;
 
 use super::*;
@@ -79,7 +79,8 @@
 
 fn record(number: u64, state: MemberState) -> MemberRecord {
     let address = SocketAddr::from(([127, 0, 0, 1], 9_000 + number as u16));
-    let own = own_record(&format!("b{number}"), "z", address, incarnation(number));
+    let own =
+        MemberRecord::of_new_process(&format!("b{number}"), "z", address, incarnation(number));
     MemberRecord { state, ..own }
 }
 
@@ -111,7 +112,7 @@
         sender: format!("b{sender}"),
         incarnation: incarnation(sender),
         refutation_counter: incarnation(sender).started_at_us,
-        counter,
+        sequence_number: counter,
         message: Message::Gossip,
         records: vec![record(sender, MemberState::Alive)],
     };
--- a/crates/proxy/src/fleet/shared_list.rs
+++ b/crates/proxy/src/fleet/shared_list.rs
@@ -97,7 +97,7 @@
             let members: Vec<_> = members
                 .map(|member| Rc::clone(&member.record.name))
                 .collect();
-            let bodies: Vec<_> = said.iter().filter_map(ListMessage::bytes).collect();
+            let bodies: Vec<_> = said.iter().filter_map(ListMessage::encode).collect();
             for name in &members {
                 for body in &bodies {
                     // Where it is not held, or not long enough, nothing is sent.
@@ -110,7 +110,7 @@
     /// Discovery told this balancer itself.
     pub fn listed(&mut self, now: Micros, cluster: &mut Cluster, list: &Value) {
         let version = list["rev"].as_u64().unwrap_or(0);
-        self.subscriber.own_list_received(version);
+        self.subscriber.record_own_version(version);
         let Some(publisher) = &mut self.publisher else {
             return;
         };
@@ -122,12 +122,12 @@
                 let id = entry["uid"].as_str()?.to_owned();
                 Some(Entry {
                     id,
-                    left: entry["state"] == "left",
+                    has_left: entry["state"] == "left",
                     text: entry.to_string(),
                 })
             });
         let entries: Vec<Entry> = entries.collect();
-        let said = publisher.said(version, list["all"] == Value::Bool(true), &entries);
+        let said = publisher.publish(version, list["all"] == Value::Bool(true), &entries);
         self.log_membership_event(now, cluster, &said);
     }
 
@@ -135,7 +135,7 @@
     pub fn failed(&mut self) {
         self.publisher
             .iter_mut()
-            .for_each(|publisher| publisher.follows(false));
+            .for_each(|publisher| publisher.set_watching(false));
     }
 
     /// Sends a beat where one is due.
@@ -149,10 +149,10 @@
         }
     }
 
-    pub fn next_due(&self) -> Micros {
+    pub fn next_timer(&self) -> Micros {
         self.publisher
             .as_ref()
-            .map_or(Micros::MAX, ListPublisher::next_due)
+            .map_or(Micros::MAX, ListPublisher::next_timer)
     }
 
     /// The holder of a zone's roster says something. What it is to be asked for.
@@ -166,11 +166,11 @@
         if self.own != Some(lease) || self.publisher.is_some() {
             return None;
         }
-        let (pages, wants) = self
+        let update = self
             .subscriber
-            .receive(now, term, &ListMessage::read(body)?);
-        self.pages.extend(pages.into_iter().map(|page| page.text));
-        wants
+            .receive(now, term, &ListMessage::decode(body)?);
+        self.pages.extend(update.pages);
+        update.request
     }
 
     /// A subscriber wants something of the list.
@@ -182,12 +182,12 @@
         from: &Rc<str>,
         body: &[u8],
     ) {
-        let said = self.publisher.as_ref().zip(ListRequest::read(body));
+        let said = self.publisher.as_ref().zip(ListRequest::decode(body));
         for said in said
             .iter()
-            .flat_map(|(publisher, wants)| publisher.tracked(wants))
+            .flat_map(|(publisher, wants)| publisher.answer(wants))
         {
-            if let Some(body) = said.bytes() {
+            if let Some(body) = said.encode() {
                 cluster.send_command(now, lease, from, TELLS_WITHIN, body);
             }
         }
--- a/crates/testbed/src/cluster/checker.rs
+++ b/crates/testbed/src/cluster/checker.rs
@@ -3,10 +3,10 @@
 
 use std::collections::BTreeSet;
 
-use pinefront_cluster::Cluster;
-use pinefront_cluster::datagram::Incarnation;
-use pinefront_cluster::membership::table::{MembershipEvent, ServingStatus};
+use pinefront_cluster::membership::events::MembershipEvent;
+use pinefront_cluster::membership::member::ServingStatus;
 use pinefront_cluster::messages::MemberState;
+use pinefront_cluster::{Cluster, Incarnation};
 use pinefront_model::process_history::{ClaimedStatus, ProcessHistory, ViewEntry};
 use pinefront_model::{Micros, SECOND};
 
@@ -155,7 +155,7 @@
                 self.breaks(now, format!("the incarnation of b{member} fell"));
             }
             self.refutation_counters[member] = own;
-            if cluster.traffic().taken > self.came[member].len() as u64 {
+            if cluster.traffic().accepted > self.came[member].len() as u64 {
                 self.breaks(now, format!("b{member} took a datagram twice"));
             }
             for other in &cluster.table.members {
--- a/crates/testbed/src/cluster/simulation.rs
+++ b/crates/testbed/src/cluster/simulation.rs
@@ -4,10 +4,10 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-use pinefront_cluster::datagram::{Incarnation, Key};
+use pinefront_cluster::datagram::Key;
 use pinefront_cluster::leases::{DEFAULT_LEASE_US, Lease, LeaseConfig, LeaseEvent, LossReason};
-use pinefront_cluster::membership::table::MembershipEvent;
-use pinefront_cluster::{Cluster, InjectedFault, MemberConfig};
+use pinefront_cluster::membership::events::MembershipEvent;
+use pinefront_cluster::{Cluster, Incarnation, InjectedFault, MemberConfig, OutgoingDatagram};
 use pinefront_model::chance::Chance;
 use pinefront_model::lease_history::{Held, LeaseHistory};
 use pinefront_model::{Micros, SECOND};
@@ -240,7 +240,7 @@
                 }
                 let local = process.local(self.now);
                 if let Some(cluster) = process.cluster.as_mut() {
-                    cluster.due(local);
+                    cluster.run_timers(local);
                 }
                 self.after(member, false);
             }
@@ -285,7 +285,7 @@
                 if self.chance.happens(0.5)
                     && let Some(cluster) = self.processes[member].cluster.as_mut()
                 {
-                    cluster.due(local);
+                    cluster.run_timers(local);
                     let events = cluster.take_events();
                     self.told(member, &events, true);
                 }
@@ -296,7 +296,7 @@
                     }
                 }
                 if let Some(cluster) = self.processes[member].cluster.as_mut() {
-                    cluster.due(local);
+                    cluster.run_timers(local);
                 }
                 self.after(member, true);
             }
@@ -361,7 +361,7 @@
         let Some(cluster) = process.cluster.as_mut() else {
             return;
         };
-        let (events, next) = (cluster.take_events(), cluster.next_due());
+        let (events, next) = (cluster.take_events(), cluster.next_timer());
         let next = process.global(next).max(self.now + 1);
         process.turn += 1;
         let turn = process.turn;
@@ -455,7 +455,7 @@
         let Some(cluster) = self.processes[member].cluster.as_mut() else {
             return;
         };
-        for (to, mut bytes) in cluster.take_datagrams() {
+        for OutgoingDatagram { to, mut bytes } in cluster.take_datagrams() {
             for byte in &bytes {
                 self.played.trace =
                     (self.played.trace ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
--- a/crates/testbed/src/fleet/simulated_members.rs
+++ b/crates/testbed/src/fleet/simulated_members.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use pinefront_cluster::datagram::{Key, MAX_DATAGRAM_BYTES};
-use pinefront_cluster::{Cluster, MemberConfig, Micros};
+use pinefront_cluster::{Cluster, MemberConfig, Micros, OutgoingDatagram};
 
 const FLEET: &str = "lab";
 const KEY: &str = "a key for the lab's own fleet\n";
@@ -111,11 +111,11 @@
             while let Ok((length, _)) = socket.recv_from(&mut bytes) {
                 cluster.receive(now(), &bytes[..length]);
             }
-            if cluster.next_due() <= now() {
-                cluster.due(now());
+            if cluster.next_timer() <= now() {
+                cluster.run_timers(now());
             }
             cluster.take_events();
-            for (to, bytes) in cluster.take_datagrams() {
+            for OutgoingDatagram { to, bytes } in cluster.take_datagrams() {
                 // A full socket loses one as well as the network does.
                 let _ = socket.send_to(&bytes, to);
             }
