--- /dev/null
+++ b/crates/proxy/src/connections/endpoint.rs
@@ -0,0 +1,202 @@
+//! Events of connections to endpoints: established, readable, writable, timer expired.
+
+use pinefront_policy::{AttemptOutcome, Micros};
+
+use crate::close_reason::CloseReason;
+use crate::connections::http_message::MAX_MESSAGE_BYTES;
+use crate::connections::response_parser::{ParsedResponse, ResponseFrame, parse_response};
+use crate::state::buffers::ReadOutcome;
+use crate::state::endpoint_connection::EndpointConnection;
+use crate::state::keys::EndpointConnectionKey;
+use crate::state::proxy::{Proxy, ProxyState};
+use crate::state::send_refusal::SendRefusal;
+
+#[cfg(test)]
+mod tests;
+
+impl Proxy {
+    /// Handles a connection to an endpoint that became readable or writable.
+    pub fn endpoint_connection_ready(&mut self, key: EndpointConnectionKey) {
+        let read = self.state.borrow_mut().read_endpoint_connection(key);
+        match read {
+            EndpointRead::Nothing => {}
+            EndpointRead::Closed { outcome, reason } => {
+                self.endpoint_connection_closed(key, outcome, reason);
+            }
+            EndpointRead::Response(frame) => self.response_received(key, &frame),
+        }
+    }
+
+    /// Handles the expired timer of a connection to an endpoint: it was idle for too long, was not established in time,
+    /// or its exchange has timed out.
+    pub fn endpoint_connection_timer_expired(&mut self, key: EndpointConnectionKey) {
+        let mut state = self.state.borrow_mut();
+        let now = state.now();
+        let Some(connection) = state.endpoint_connections.get_mut(key) else {
+            return;
+        };
+        connection.timer = None;
+        let (outcome, reason) = match &connection.exchange {
+            None => (AttemptOutcome::NotSent, CloseReason::EndpointIdle),
+            Some(_) if !connection.connected => {
+                (AttemptOutcome::Unreachable, CloseReason::ConnectTimeout)
+            }
+            // Proven not run only while its last byte was not sent.
+            Some(_) if !connection.write_buffer.is_empty() => {
+                (AttemptOutcome::Unreachable, CloseReason::NotWritten)
+            }
+            Some(exchange) if exchange.expire_at <= now => {
+                (AttemptOutcome::TimedOut, CloseReason::TimedOut)
+            }
+            Some(exchange) => {
+                let at = exchange.expire_at;
+                return state.set_endpoint_connection_timer(key, at);
+            }
+        };
+        drop(state);
+        self.endpoint_connection_closed(key, outcome, reason);
+    }
+
+    /// Closes a connection and ends the exchange on it.
+    fn endpoint_connection_closed(
+        &mut self,
+        key: EndpointConnectionKey,
+        outcome: AttemptOutcome,
+        reason: CloseReason,
+    ) {
+        let mut state = self.state.borrow_mut();
+        let connection = state.endpoint_connections.get_mut(key);
+        let interrupted = connection
+            .and_then(|connection| Some((connection.exchange.take()?, connection.endpoint)));
+        state.close_endpoint_connection(key, reason);
+        drop(state);
+        match interrupted {
+            Some((exchange, endpoint)) if exchange.is_probe() => {
+                self.probe_finished(endpoint, false);
+            }
+            Some((exchange, _)) => {
+                self.attempt_finished(exchange.request, exchange.number, outcome, exchange.sent);
+            }
+            None => {}
+        }
+    }
+}
+
+/// What was found on a connection to an endpoint.
+enum EndpointRead {
+    /// Nothing to act on.
+    Nothing,
+    /// The connection has to be closed; `outcome` is that of the attempt on it.
+    Closed {
+        outcome: AttemptOutcome,
+        reason: CloseReason,
+    },
+    /// A complete response.
+    Response(ResponseFrame),
+}
+
+impl EndpointRead {
+    fn closed(outcome: AttemptOutcome, reason: CloseReason) -> Self {
+        Self::Closed { outcome, reason }
+    }
+}
+
+impl ProxyState {
+    /// Writes and reads what can be on a connection to an endpoint.
+    fn read_endpoint_connection(&mut self, key: EndpointConnectionKey) -> EndpointRead {
+        let now = self.now();
+        let is_established = |connection: &EndpointConnection| connection.connected;
+        if !self
+            .endpoint_connections
+            .get(key)
+            .is_some_and(is_established)
+            && let Some(read) = self.complete_connect(key, now)
+        {
+            return read;
+        }
+        let Some(connection) = self.endpoint_connections.get_mut(key) else {
+            return EndpointRead::Nothing;
+        };
+        let stream = &connection.socket.stream;
+        let is_written = connection.write_buffer.drain(stream).is_ok();
+        let outcome = connection.read_buffer.fill(stream, MAX_MESSAGE_BYTES);
+        if connection.exchange.is_none() {
+            return self.check_idle_connection(key, outcome);
+        }
+        read_response(connection, is_written, &outcome)
+    }
+
+    /// Completes the connecting of a new connection and sends the attempt on it. Returns what to do where the connection
+    /// is not established or the attempt is refused.
+    fn complete_connect(
+        &mut self,
+        key: EndpointConnectionKey,
+        now: Micros,
+    ) -> Option<EndpointRead> {
+        let connection = self.endpoint_connections.get_mut(key)?;
+        if !matches!(connection.socket.stream.take_error(), Ok(None)) {
+            let reason = CloseReason::ConnectFailed;
+            return Some(EndpointRead::closed(AttemptOutcome::Unreachable, reason));
+        }
+        if connection.socket.stream.peer_addr().is_err() {
+            return Some(EndpointRead::Nothing);
+        }
+        connection.connected = true;
+        let exchange = connection.exchange?;
+        self.set_endpoint_connection_timer(key, exchange.expire_at);
+        if exchange.is_probe() {
+            return None;
+        }
+        let refusal = self.write_attempt(key, now).err()?;
+        let outcome = match refusal {
+            SendRefusal::Draining => AttemptOutcome::Unreachable,
+            _ => AttemptOutcome::NotSent,
+        };
+        Some(EndpointRead::closed(outcome, CloseReason::NotSent(refusal)))
+    }
+
+    /// An idle connection that was closed, or on which the endpoint sent bytes, cannot be reused.
+    fn check_idle_connection(
+        &mut self,
+        key: EndpointConnectionKey,
+        outcome: ReadOutcome,
+    ) -> EndpointRead {
+        let Some(connection) = self.endpoint_connections.get(key) else {
+            return EndpointRead::Nothing;
+        };
+        let has_bytes = !connection.read_buffer.bytes().is_empty();
+        if has_bytes {
+            self.received_unsolicited(connection.endpoint);
+        } else if outcome == ReadOutcome::WouldBlock {
+            return EndpointRead::Nothing;
+        }
+        EndpointRead::closed(AttemptOutcome::NotSent, CloseReason::EndpointClosed)
+    }
+}
+
+/// Reads the response of the exchange on a connection.
+fn read_response(
+    connection: &mut EndpointConnection,
+    is_written: bool,
+    outcome: &ReadOutcome,
+) -> EndpointRead {
+    let is_lost = !is_written || matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed);
+    // A failed write consumes the report of a reset: what is read then looks like an orderly end.
+    let is_closed = *outcome == ReadOutcome::Closed && is_written;
+    match parse_response(&mut connection.read_buffer, is_closed) {
+        ParsedResponse::Complete(mut frame) => {
+            frame.is_reusable &= !is_lost;
+            EndpointRead::Response(frame)
+        }
+        _ if is_lost && connection.write_buffer.is_empty() => {
+            let reason = CloseReason::EndpointConnectionLost;
+            EndpointRead::closed(AttemptOutcome::ConnectionLost, reason)
+        }
+        // Its last byte was not sent: proven not run.
+        _ if is_lost => EndpointRead::closed(AttemptOutcome::Unreachable, CloseReason::NotWritten),
+        ParsedResponse::Incomplete => EndpointRead::Nothing,
+        ParsedResponse::Malformed => {
+            EndpointRead::closed(AttemptOutcome::Failed, CloseReason::MalformedMessage)
+        }
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/connections/request.rs
@@ -0,0 +1,198 @@
+//! Requests of clients: received, checked and passed to the policy.
+
+use std::rc::Rc;
+
+use bytes::Bytes;
+use httparse::Request as RequestHead;
+use pinefront_policy::{Idempotency, Micros, RequestArrival};
+
+use crate::close_reason::CloseReason;
+use crate::connections::http_message::{self, MAX_FIELDS};
+use crate::connections::request_parser::{
+    InvalidMessage, RequestMessage, expects_continue, parse_request, path_of, request_parameters,
+};
+use crate::state::client_connection::READ_AHEAD_BYTES;
+use crate::state::keys::ClientKey;
+use crate::state::proxy::{Proxy, ProxyState};
+use crate::state::request::Request;
+
+#[cfg(test)]
+mod tests;
+
+/// Time reserved for the way of the response back to the client.
+const MAX_RETURN_TIME_US: Micros = 10_000;
+/// The divisor of short remaining times that bounds this reserve.
+const RETURN_TIME_DIVISOR: Micros = 10;
+/// How soon after it was accepted a connection's request may have been sent before that.
+const SENT_BEFORE_ACCEPT_US: Micros = 20_000;
+
+impl Proxy {
+    /// Takes the first complete request from a client's read buffer, if there is one, and passes it to the policy.
+    pub fn read_request(&mut self, key: ClientKey) {
+        let mut borrowed = self.state.borrow_mut();
+        let state = &mut *borrowed;
+        let Some(message) = state.take_request_message(key) else {
+            return;
+        };
+        let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
+        let mut head = RequestHead::new(&mut fields);
+        let parsed = head.parse(&message.bytes[..message.head_length]);
+        let (Ok(_), Some(method), Some(target)) = (parsed, head.method, head.path) else {
+            // Does not happen: the same bytes were parsed to find the end of the message.
+            return state.reject_and_close(key, 400, CloseReason::Malformed);
+        };
+        state.note_keep_alive(key, &head);
+        let path = path_of(target);
+        // A class may be named like a page: a request with an id belongs to a class.
+        if http_message::field(head.headers, "x-txn").is_none()
+            && state.serve_own_page(key, method, path)
+        {
+            return;
+        }
+        let parameters = match request_parameters(&state.config, method, path, head.headers) {
+            Ok(parameters) => parameters,
+            Err(status) => return state.reject(key, status),
+        };
+        if state.requests.key_of(parameters.id).is_some() {
+            return state.reject(key, 409);
+        }
+        let now = state.now();
+        let deadline = state.request_deadline(key, now, parameters.remaining);
+        let idempotency = state.config.idempotencies[parameters.class];
+        let id = state.add_request(key, parameters.id, idempotency, &message, &head);
+        drop(borrowed);
+        let arrival = RequestArrival {
+            id: &id,
+            class: parameters.class,
+            tenant: parameters.tenant,
+            deadline,
+            work_hint: parameters.estimate,
+            key: parameters.ordering_key,
+        };
+        self.balancer.request_arrived(now, arrival);
+    }
+}
+
+impl ProxyState {
+    /// Takes a complete message from the front of a client's read buffer. Where there is none, waits for the rest of
+    /// it or rejects it.
+    fn take_request_message(&mut self, key: ClientKey) -> Option<RequestMessage> {
+        let unread = self.clients.get(key)?.read_buffer.bytes().len();
+        // Nothing of the request was sent yet. Small messages are still accepted: they are bounded by their number.
+        if unread > READ_AHEAD_BYTES && self.buffered_bytes() > self.config.max_message_bytes {
+            self.reject_and_close(key, 503, CloseReason::MemoryLimit);
+            return None;
+        }
+        let client = self.clients.get_mut(key)?;
+        match parse_request(client.read_buffer.bytes()) {
+            Ok(Some(frame)) => {
+                client.sent_continue = false;
+                client.partial_request = None;
+                Some(RequestMessage {
+                    bytes: client.read_buffer.take(frame.end),
+                    head_length: frame.head_length,
+                    body: frame.body,
+                })
+            }
+            Ok(None) => {
+                self.send_continue(key);
+                self.wait_for_rest(key);
+                None
+            }
+            Err(InvalidMessage { status, reason }) => {
+                self.reject_and_close(key, status, reason);
+                None
+            }
+        }
+    }
+
+    /// Sends `100 Continue` once, if the request at the front of the read buffer asks for it.
+    fn send_continue(&mut self, key: ClientKey) {
+        let Some(client) = self.clients.get_mut(key) else {
+            return;
+        };
+        if client.sent_continue || !expects_continue(client.read_buffer.bytes()) {
+            return;
+        }
+        client.sent_continue = true;
+        client
+            .write_buffer
+            .push(Bytes::from_static(b"HTTP/1.1 100 Continue\r\n\r\n"));
+        // A lost connection shows when it is read next.
+        let _ = client.write_buffer.drain(&client.socket.stream);
+    }
+
+    /// Notes whether the client wants the connection closed after this response. HTTP/1.0 has no persistent connections
+    /// unless both sides ask for them, which we do not.
+    fn note_keep_alive(&mut self, key: ClientKey, head: &RequestHead) {
+        if let Some(client) = self.clients.get_mut(key) {
+            client.no_keep_alive =
+                http_message::contains_token(head.headers, "connection", "close")
+                    || head.version == Some(0);
+        }
+    }
+
+    /// When the response must be on its way to the client, in microseconds. The remaining time counts from when the
+    /// request was sent: it may have waited in the socket, and a new connection in the backlog before that.
+    fn request_deadline(&self, key: ClientKey, now: Micros, remaining: Micros) -> Micros {
+        let in_backlog = self
+            .clients
+            .get(key)
+            .filter(|client| now < client.opened + SENT_BEFORE_ACCEPT_US)
+            .map_or(0, |client| client.waited);
+        let waited = self.loop_iteration.late(now).max(in_backlog);
+        let return_time = MAX_RETURN_TIME_US.min(remaining / RETURN_TIME_DIVISOR);
+        (now + remaining)
+            .saturating_sub(return_time + waited)
+            .max(now)
+    }
+
+    /// Adds a request of a client to the table and returns its id.
+    pub fn add_request(
+        &mut self,
+        key: ClientKey,
+        id: &str,
+        idempotency: Idempotency,
+        message: &RequestMessage,
+        head: &RequestHead,
+    ) -> Rc<str> {
+        let id: Rc<str> = Rc::from(id);
+        let request = self.requests.insert(Request {
+            id: Rc::clone(&id),
+            client: Some(key),
+            head: forwarded_head(&message.bytes, head),
+            body: http_message::slices(&message.bytes, &message.body),
+            has_host: http_message::field(head.headers, "host").is_some(),
+            has_body: head.method != Some("GET"),
+            length: message.bytes.len(),
+            attempts: Vec::new(),
+            idempotency,
+            may_have_run_since: None,
+        });
+        self.counters.requests_received += 1;
+        if let Some(client) = self.clients.get_mut(key) {
+            client.request = Some(request);
+            client.requests_received += 1;
+            self.timers.clear(&mut client.timer);
+        }
+        id
+    }
+}
+
+/// The request line and the fields that are forwarded to endpoints, as slices of the message.
+fn forwarded_head(message: &Bytes, head: &RequestHead) -> Vec<Bytes> {
+    let part = |text: Option<&str>| {
+        let text = text.unwrap_or("").as_bytes();
+        message.slice(http_message::byte_range(message, text))
+    };
+    let mut slices = vec![
+        part(head.method),
+        Bytes::from_static(b" "),
+        part(head.path),
+        Bytes::from_static(b" HTTP/1.1\r\n"),
+    ];
+    slices.extend(http_message::lines(message, head.headers, |name| {
+        http_message::is_end_to_end(name) && !name.eq_ignore_ascii_case("x-remaining-ms")
+    }));
+    slices
+}
--- /dev/null
+++ b/crates/proxy/src/state/buffers.rs
@@ -0,0 +1,140 @@
+//! Read and write buffers of a stream. Messages are slices of the buffer that they were read into.
+
+use std::collections::VecDeque;
+use std::io::{self, ErrorKind, IoSlice, Read, Write};
+use std::net::TcpStream;
+
+use bytes::{Buf, Bytes, BytesMut};
+
+#[cfg(test)]
+mod tests;
+
+/// Bytes to ask of a socket in one read: most messages fit, and an idle connection holds no more.
+const READ_CHUNK_BYTES: usize = 4096;
+/// Slices to pass to one write; the system takes no more than 1,024.
+const MAX_SLICES_PER_WRITE: usize = 64;
+
+/// Why reading stopped.
+#[derive(Debug, PartialEq, Eq)]
+pub enum ReadOutcome {
+    /// The socket holds no more bytes for now.
+    WouldBlock,
+    /// The limit is reached; the socket may hold more bytes.
+    Full,
+    /// The peer shut down its side.
+    Closed,
+    /// The connection was reset, or reading failed.
+    Failed,
+}
+
+/// Bytes received and not taken yet.
+#[derive(Default)]
+pub struct ReadBuffer {
+    bytes: BytesMut,
+}
+
+impl ReadBuffer {
+    /// Reads until the socket holds no more bytes or the buffer holds `limit` bytes.
+    pub fn fill(&mut self, mut stream: &TcpStream, limit: usize) -> ReadOutcome {
+        while self.bytes.len() < limit {
+            let filled = self.bytes.len();
+            let chunk = READ_CHUNK_BYTES.min(limit - filled);
+            self.bytes.resize(filled + chunk, 0);
+            let read = stream.read(&mut self.bytes[filled..]);
+            let count = read.as_ref().map_or(0, |count| *count);
+            self.bytes.truncate(filled + count);
+            match read {
+                Ok(0) => return ReadOutcome::Closed,
+                Ok(_) => {}
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(error) if error.kind() == ErrorKind::WouldBlock => {
+                    return ReadOutcome::WouldBlock;
+                }
+                Err(_) => return ReadOutcome::Failed,
+            }
+        }
+        ReadOutcome::Full
+    }
+
+    /// The bytes in the buffer.
+    pub fn bytes(&self) -> &[u8] {
+        &self.bytes
+    }
+
+    /// Takes a message of that length from the front; its slices share the buffer that it was read into.
+    pub fn take(&mut self, length: usize) -> Bytes {
+        self.bytes.split_to(length.min(self.bytes.len())).freeze()
+    }
+
+    /// Discards the bytes and frees the buffer.
+    pub fn clear(&mut self) {
+        self.bytes = BytesMut::new();
+    }
+}
+
+/// Bytes to be sent.
+#[derive(Default)]
+pub struct WriteBuffer {
+    slices: VecDeque<Bytes>,
+}
+
+impl WriteBuffer {
+    /// Appends a slice.
+    pub fn push(&mut self, slice: Bytes) {
+        if !slice.is_empty() {
+            self.slices.push_back(slice);
+        }
+    }
+
+    /// Appends several slices.
+    pub fn extend(&mut self, slices: impl IntoIterator<Item = Bytes>) {
+        slices.into_iter().for_each(|slice| self.push(slice));
+    }
+
+    /// Whether everything is sent.
+    pub fn is_empty(&self) -> bool {
+        self.slices.is_empty()
+    }
+
+    /// The number of bytes to be sent.
+    #[cfg(test)]
+    pub fn length(&self) -> usize {
+        self.slices.iter().map(Bytes::len).sum()
+    }
+
+    /// Writes as many bytes as the socket takes.
+    ///
+    /// # Errors
+    ///
+    /// Fails when the connection is lost.
+    pub fn drain(&mut self, mut stream: &TcpStream) -> io::Result<()> {
+        while !self.slices.is_empty() {
+            let batch: Vec<IoSlice> = self
+                .slices
+                .iter()
+                .take(MAX_SLICES_PER_WRITE)
+                .map(|slice| IoSlice::new(slice))
+                .collect();
+            match stream.write_vectored(&batch) {
+                Ok(0) => return Err(ErrorKind::WriteZero.into()),
+                Ok(written) => self.advance(written),
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(()),
+                Err(error) => return Err(error),
+            }
+        }
+        Ok(())
+    }
+
+    /// Removes bytes that were written from the front.
+    fn advance(&mut self, mut count: usize) {
+        while let Some(first) = self.slices.front_mut().filter(|_| count > 0) {
+            let part = count.min(first.len());
+            first.advance(part);
+            count -= part;
+            if first.is_empty() {
+                self.slices.pop_front();
+            }
+        }
+    }
+}
--- a/crates/testbed/src/fleet/views.rs
+++ b/crates/testbed/src/fleet/views.rs
@@ -6,9 +6,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use pinefront_model::faults::What;
 use pinefront_model::lease_history::LeaseHistory;
 use pinefront_model::process_history::{ClaimedStatus, ProcessHistory, ViewEntry};
+use pinefront_model::timeline::TimelineEvent;
 use pinefront_model::{Micros, SECOND};
 use serde::Deserialize;
 use tokio::net::TcpStream;
@@ -96,16 +96,16 @@
 
 impl Views {
     pub fn new(world: &World, balancers: usize) -> Self {
-        let line = world.line();
+        let line = world.timeline();
         let events = line
             .events
             .iter()
-            .filter(|(_, what)| what.balancer().is_some());
+            .filter(|scheduled| scheduled.event.balancer().is_some());
         let over = events
-            .map(|(at, _)| *at)
+            .map(|scheduled| scheduled.at)
             .max()
             .unwrap_or(0)
-            .max(line.ways.over());
+            .max(line.links.last_fault_end());
         let truth = vec![
             Truth {
                 runs: true,
@@ -129,25 +129,30 @@
     }
 
     /// A balancer is about to be killed, stopped, or goes on.
-    pub fn happens(&mut self, now: Micros, what: What, stall_lasts: Micros) {
+    pub fn happens(&mut self, now: Micros, what: TimelineEvent, stall_lasts: Micros) {
         let (number, runs, stopped, away) = match what {
-            What::BalancerKilled(number) => (number, false, false, Some(now)),
-            What::BalancerStopped(number) => (number, false, false, None),
-            What::BalancerPauses(number) => (
+            TimelineEvent::BalancerKilled(number) => (number, false, false, Some(now)),
+            TimelineEvent::BalancerStopped(number) => (number, false, false, None),
+            TimelineEvent::BalancerPaused(number) => (
                 number,
                 true,
                 true,
                 (stall_lasts >= LONG_STALL).then_some(now),
             ),
-            What::BalancerGoesOn(number)
-            | What::BalancerStarts(number)
-            | What::BalancerTakesPlace(number, _) => (number, true, false, None),
+            TimelineEvent::BalancerResumed(number)
+            | TimelineEvent::BalancerStarted(number)
+            | TimelineEvent::BalancerMoved { number, .. } => (number, true, false, None),
             _ => return,
         };
         let Some(truth) = self.truth.get_mut(number) else {
             return;
         };
-        if !runs || matches!(what, What::BalancerStarts(_) | What::BalancerTakesPlace(..)) {
+        if !runs
+            || matches!(
+                what,
+                TimelineEvent::BalancerStarted(_) | TimelineEvent::BalancerMoved { .. }
+            )
+        {
             truth.incarnation = None;
             truth.refutations = 0;
             self.process_history
