--- a/crates/model/src/checker/observation.rs
+++ b/crates/model/src/checker/observation.rs
@@ -142,17 +142,19 @@
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Self::RequestReceived {
-                balancer, deadline, ..
-            } => {
-                let deadline = Seconds(*deadline);
-                write!(out, "received by balancer {balancer}, deadline {deadline}")
-            }
+                balancer: number,
+                deadline: due,
+                ..
+            } => write!(
+                out,
+                "received by balancer {number}, deadline {}",
+                Seconds(*due)
+            ),
             Self::AttemptReceived {
-                target, started_at, ..
-            } => {
-                let started_at = Seconds(*started_at);
-                write!(out, "complete at s{}, started {started_at}", target.server)
-            }
+                target: AttemptTarget { server, .. },
+                started_at: start,
+                ..
+            } => write!(out, "complete at s{server}, started {}", Seconds(*start)),
             Self::TimeoutAdvertised { remaining, .. } => {
                 write!(out, "advertised {remaining} us remaining")
             }
@@ -160,14 +162,7 @@
             Self::AttemptRan { server, .. } => write!(out, "ran at s{server}"),
             Self::ResponseReceived {
                 outcome, genuine, ..
-            } => {
-                let suffix = if *genuine {
-                    ""
-                } else {
-                    " with a response that no server made for it"
-                };
-                write!(out, "{outcome:?}{suffix}")
-            }
+            } => write!(out, "{outcome:?}{}", genuineness(*genuine)),
             Self::ConnectionLost { .. } => write!(out, "connection ended without a response"),
             Self::ClientDisconnected { .. } => write!(out, "client disconnected"),
             Self::EndpointReported {
@@ -190,6 +185,14 @@
     }
 }
 
+fn genuineness(genuine: bool) -> &'static str {
+    if genuine {
+        ""
+    } else {
+        " with a response that no server made for it"
+    }
+}
+
 /// A time that is displayed in seconds.
 struct Seconds(Micros);
 
--- /dev/null
+++ b/crates/testbed/src/balancers/usage.rs
@@ -0,0 +1,37 @@
+//! CPU time and memory of a process, from `/proc`.
+
+/// Resources that a process has used.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Usage {
+    pub cpu_us: u64,
+    pub memory_kb: u64,
+}
+
+impl Usage {
+    /// The usage of a running process; zero for values that can't be read.
+    pub fn of_process(process: u32) -> Self {
+        let field = |file: &str, index: usize| -> Option<u64> {
+            let text = std::fs::read_to_string(format!("/proc/{process}/{file}")).ok()?;
+            text.split_whitespace().nth(index)?.parse().ok()
+        };
+        let page_kb = rustix::param::page_size() as u64 / 1024;
+        let cpu_ns = field("schedstat", 0).unwrap_or(0);
+        let resident_pages = field("statm", 1).unwrap_or(0);
+        Self {
+            cpu_us: cpu_ns / 1000,
+            memory_kb: resident_pages * page_kb,
+        }
+    }
+
+    pub fn memory_mb(self) -> f64 {
+        self.memory_kb as f64 / 1024.0
+    }
+
+    /// The usage of two processes that ran one after the other.
+    pub fn followed_by(self, next: Self) -> Self {
+        Self {
+            cpu_us: self.cpu_us + next.cpu_us,
+            memory_kb: self.memory_kb.max(next.memory_kb),
+        }
+    }
+}
--- a/crates/testbed/src/baseline.rs
+++ b/crates/testbed/src/baseline.rs
@@ -1,5 +1,5 @@
-//! Plain policies as stand-in balancers, to compare with. They live in the lab only: one dispatch for a ticket, another
-//! only where a connection was refused, no limits, no suspicion, no regard to the cold.
+//! Simple load balancing policies as stand-in balancers, for comparison: one attempt per request, another only where a
+//! connection was refused, without limits, outlier detection or slow start.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,13 +18,18 @@
 use crate::http;
 use crate::world::{World, locked};
 
-/// How often a stand-in balancer reads the list, and how many servers a ticket is tried at that refuse it.
-const LIST_APART: Duration = Duration::from_millis(200);
-const TRIES: usize = 3;
-const CONNECT_WITHIN: Duration = Duration::from_millis(250);
-/// Time kept back of what a client waits, for the way.
-const WAY_BACK: Duration = Duration::from_millis(10);
+/// How often the endpoint list is read.
+const LIST_INTERVAL: Duration = Duration::from_millis(200);
+/// Number of servers that a request is tried at while connections are refused.
+const MAX_ATTEMPTS: usize = 3;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Subtracted from the client's timeout, for the way back.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(10);
+/// The timeout where a request states none, in milliseconds.
+const DEFAULT_TIMEOUT_MS: u64 = 1000;
+const BAD_GATEWAY: &[u8] = b"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n";
 
+/// How an endpoint is selected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Policy {
     Random,
@@ -51,192 +56,201 @@
     }
 }
 
-struct Upstream {
-    number: usize,
+struct Endpoint {
+    server: usize,
     address: SocketAddr,
     in_flight: Arc<AtomicUsize>,
-    idle: Arc<Mutex<Vec<TcpStream>>>,
+    idle_connections: Arc<Mutex<Vec<TcpStream>>>,
 }
 
-struct Plain {
+/// A stand-in balancer.
+struct BaselineBalancer {
+    number: usize,
     policy: Policy,
-    upstreams: Mutex<Vec<Arc<Upstream>>>,
-    turn: AtomicUsize,
-    chance: Mutex<RandomSource>,
+    endpoints: Mutex<Vec<Arc<Endpoint>>>,
+    next_turn: AtomicUsize,
+    random: Mutex<RandomSource>,
+}
+
+/// Starts a stand-in balancer. Returns the address at which it listens.
+pub async fn start(world: &Arc<World>, policy: Policy, number: usize) -> io::Result<SocketAddr> {
+    let listener = TcpListener::bind("127.0.0.1:0").await?;
+    let address = listener.local_addr()?;
+    let balancer = Arc::new(BaselineBalancer {
+        number,
+        policy,
+        endpoints: Mutex::default(),
+        next_turn: AtomicUsize::new(number),
+        random: Mutex::new(RandomSource::split(world.seed, "baseline", number as u64)),
+    });
+    balancer.read_list(world);
+    tokio::spawn(follow_list(Arc::clone(&balancer), Arc::clone(world)));
+    tokio::spawn(async move {
+        while let Ok((stream, _)) = listener.accept().await {
+            tokio::spawn(serve(Arc::clone(&balancer), stream));
+        }
+    });
+    Ok(address)
+}
+
+async fn follow_list(balancer: Arc<BaselineBalancer>, world: Arc<World>) {
+    loop {
+        tokio::time::sleep(LIST_INTERVAL).await;
+        balancer.read_list(&world);
+    }
+}
+
+/// Serves the requests of one client connection.
+async fn serve(balancer: Arc<BaselineBalancer>, mut stream: TcpStream) {
+    let _ = stream.set_nodelay(true);
+    let mut buffer = Vec::new();
+    while let Some(request) = http::read_request(&mut stream, &mut buffer).await {
+        let message: Vec<u8> = buffer.drain(..request.end).collect();
+        let client_timeout =
+            Duration::from_millis(request.remaining_ms.unwrap_or(DEFAULT_TIMEOUT_MS));
+        let forward = balancer.forward(&message);
+        let response = timeout(client_timeout.saturating_sub(RESPONSE_MARGIN), forward).await;
+        let written = match response {
+            Ok(Some(response)) => stream.write_all(&response).await,
+            Ok(None) => {
+                let status = "503 Service Unavailable";
+                http::write_response(&mut stream, status, "", "nobody takes it\n").await
+            }
+            Err(_) => {
+                let status = "502 Bad Gateway";
+                http::write_response(&mut stream, status, "", "no answer in time\n").await
+            }
+        };
+        if written.is_err() {
+            return;
+        }
+    }
+}
+
+/// Counts an attempt as in flight until it is dropped, also when its future is.
+struct InFlight(Arc<AtomicUsize>);
+
+impl InFlight {
+    fn start(endpoint: &Endpoint) -> Self {
+        endpoint.in_flight.fetch_add(1, Ordering::Relaxed);
+        Self(Arc::clone(&endpoint.in_flight))
+    }
+}
+
+impl Drop for InFlight {
+    fn drop(&mut self) {
+        self.0.fetch_sub(1, Ordering::Relaxed);
+    }
 }
 
-impl Plain {
-    fn choose(&self) -> Option<Arc<Upstream>> {
-        let upstreams = locked(&self.upstreams);
-        let count = upstreams.len();
+impl BaselineBalancer {
+    fn select(&self) -> Option<Arc<Endpoint>> {
+        let endpoints = locked(&self.endpoints);
+        let count = endpoints.len();
         if count == 0 {
             return None;
         }
-        let busy = |place: &usize| upstreams[*place].in_flight.load(Ordering::Relaxed);
-        let drawn = || locked(&self.chance).below(count);
-        let turn = || self.turn.fetch_add(1, Ordering::Relaxed) % count;
-        let place = match self.policy {
-            Policy::Random => drawn(),
-            Policy::RoundRobin => turn(),
-            // From another one each time, or ties would all fall to the first.
+        let in_flight = |index: &usize| endpoints[*index].in_flight.load(Ordering::Relaxed);
+        let draw = || locked(&self.random).below(count);
+        let take_turn = || self.next_turn.fetch_add(1, Ordering::Relaxed) % count;
+        let index = match self.policy {
+            Policy::Random => draw(),
+            Policy::RoundRobin => take_turn(),
             Policy::LeastInFlight => {
-                let first = turn();
-                (0..count)
-                    .map(|step| (first + step) % count)
-                    .min_by_key(busy)
-                    .unwrap_or(first)
+                // Starts at another endpoint each time, so that ties don't all go to the first.
+                let first = take_turn();
+                let indices = (0..count).map(|step| (first + step) % count);
+                indices.min_by_key(in_flight).unwrap_or(first)
+            }
+            Policy::TwoChoices => {
+                let candidates = [draw(), draw()];
+                candidates.into_iter().min_by_key(in_flight).unwrap_or(0)
             }
-            Policy::TwoChoices => [drawn(), drawn()].into_iter().min_by_key(busy).unwrap_or(0),
         };
-        Some(Arc::clone(&upstreams[place]))
+        Some(Arc::clone(&endpoints[index]))
     }
 
-    /// Follows the list, as a watch would.
-    fn read_list(&self, world: &World, balancer: usize) {
+    /// Brings the endpoints up to date with the endpoint list.
+    fn read_list(&self, world: &World) {
         let now = world.now();
         let (_, entries) = world.with_registry(|registry| registry.list(now));
-        let active: Vec<_> = entries
+        let active: Vec<usize> = entries
             .iter()
             .filter(|entry| entry.state == State::Active)
-            .map(|e| e.server)
+            .map(|entry| entry.server)
             .collect();
-        let mut upstreams = locked(&self.upstreams);
-        upstreams.retain(|upstream| {
-            let stays = active.contains(&upstream.number)
-                && world
-                    .stand(upstream.number)
-                    .and_then(|stand| stand.address())
-                    == Some(upstream.address);
+        let address_of = |server| world.server(server).and_then(|host| host.address());
+        let mut endpoints = locked(&self.endpoints);
+        endpoints.retain(|endpoint| {
+            let is_same = address_of(endpoint.server) == Some(endpoint.address);
+            let stays = active.contains(&endpoint.server) && is_same;
             if !stays {
-                world.record(
-                    now,
-                    Observation::EndpointReported {
-                        balancer,
-                        server: upstream.number,
-                        draining: true,
-                    },
-                );
+                self.record(world, endpoint.server, true);
             }
             stays
         });
-        for number in active {
-            if upstreams.iter().any(|upstream| upstream.number == number) {
+        for server in active {
+            if endpoints.iter().any(|endpoint| endpoint.server == server) {
                 continue;
             }
-            let Some(address) = world.stand(number).and_then(|stand| stand.address()) else {
+            let Some(address) = address_of(server) else {
                 continue;
             };
-            world.record(
-                now,
-                Observation::EndpointReported {
-                    balancer,
-                    server: number,
-                    draining: false,
-                },
-            );
-            upstreams.push(Arc::new(Upstream {
-                number,
+            self.record(world, server, false);
+            endpoints.push(Arc::new(Endpoint {
+                server,
                 address,
                 in_flight: Arc::default(),
-                idle: Arc::default(),
+                idle_connections: Arc::default(),
             }));
         }
     }
-}
 
-/// Starts one and says where it listens.
-pub async fn start(world: &Arc<World>, policy: Policy, balancer: usize) -> io::Result<SocketAddr> {
-    let listener = TcpListener::bind("127.0.0.1:0").await?;
-    let address = listener.local_addr()?;
-    let plain = Arc::new(Plain {
-        policy,
-        upstreams: Mutex::default(),
-        turn: AtomicUsize::new(balancer),
-        chance: Mutex::new(RandomSource::split(world.seed, "baseline", balancer as u64)),
-    });
-    plain.read_list(world, balancer);
-    let (list, lists) = (Arc::clone(&plain), Arc::clone(world));
-    tokio::spawn(async move {
-        loop {
-            tokio::time::sleep(LIST_APART).await;
-            list.read_list(&lists, balancer);
-        }
-    });
-    tokio::spawn(async move {
-        while let Ok((stream, _)) = listener.accept().await {
-            tokio::spawn(carry(Arc::clone(&plain), stream));
-        }
-    });
-    Ok(address)
-}
+    fn record(&self, world: &World, server: usize, draining: bool) {
+        let observation = Observation::EndpointReported {
+            balancer: self.number,
+            server,
+            draining,
+        };
+        world.record(world.now(), observation);
+    }
 
-/// Carries the tickets of one client connection.
-async fn carry(plain: Arc<Plain>, mut stream: TcpStream) {
-    let _ = stream.set_nodelay(true);
-    let mut kept = Vec::new();
-    while let Some(asked) = http::next_request(&mut stream, &mut kept).await {
-        let message: Vec<u8> = kept.drain(..asked.end).collect();
-        let wait =
-            Duration::from_millis(asked.remaining_ms.unwrap_or(1000)).saturating_sub(WAY_BACK);
-        let found = timeout(wait, dispatch(&plain, &message)).await;
-        let written = match found {
-            Ok(Some(answer)) => stream.write_all(&answer).await,
-            Ok(None) => {
-                http::answer(
-                    &mut stream,
-                    "503 Service Unavailable",
-                    "",
-                    "nobody takes it\n",
-                )
-                .await
+    /// Forwards a request. Returns the response's bytes; none where no server processed it.
+    async fn forward(&self, message: &[u8]) -> Option<Vec<u8>> {
+        for _ in 0..MAX_ATTEMPTS {
+            let endpoint = self.select()?;
+            let _in_flight = InFlight::start(&endpoint);
+            let idle = std::iter::from_fn(|| locked(&endpoint.idle_connections).pop())
+                .find(http::is_reusable);
+            let stream = match idle {
+                Some(stream) => Ok(Ok(stream)),
+                None => timeout(CONNECT_TIMEOUT, TcpStream::connect(endpoint.address)).await,
+            };
+            if let Ok(Ok(stream)) = stream {
+                return exchange(&endpoint, stream, message).await;
             }
-            Err(_) => http::answer(&mut stream, "502 Bad Gateway", "", "no answer in time\n").await,
-        };
-        if written.is_err() {
-            return;
         }
+        None
     }
 }
 
-/// Counts a dispatch as in flight until it is dropped, also where its time is over.
-struct InFlight(Arc<AtomicUsize>);
-
-impl Drop for InFlight {
-    fn drop(&mut self) {
-        self.0.fetch_sub(1, Ordering::Relaxed);
+/// Sends a request on a connection. Returns the response's bytes; none where the server did not process it.
+async fn exchange(endpoint: &Endpoint, mut stream: TcpStream, message: &[u8]) -> Option<Vec<u8>> {
+    let _ = stream.set_nodelay(true);
+    if stream.write_all(message).await.is_err() {
+        return Some(BAD_GATEWAY.to_vec());
     }
-}
-
-/// The answer to a ticket as bytes; nothing where no server took it, so that it is proven not run.
-async fn dispatch(plain: &Plain, message: &[u8]) -> Option<Vec<u8>> {
-    const FAILED: &[u8] = b"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n";
-    for _ in 0..TRIES {
-        let upstream = plain.choose()?;
-        upstream.in_flight.fetch_add(1, Ordering::Relaxed);
-        let _held = InFlight(Arc::clone(&upstream.in_flight));
-        let kept = std::iter::from_fn(|| locked(&upstream.idle).pop()).find(http::is_usable);
-        let stream = match kept {
-            Some(stream) => Ok(Ok(stream)),
-            None => timeout(CONNECT_WITHIN, TcpStream::connect(upstream.address)).await,
-        };
-        let Ok(Ok(mut stream)) = stream else { continue };
-        let _ = stream.set_nodelay(true);
-        if stream.write_all(message).await.is_err() {
-            return Some(FAILED.to_vec());
-        }
-        let mut heard = Vec::new();
-        let Ok(answer) = http::read_answer(&mut stream, &mut heard).await else {
-            return Some(FAILED.to_vec());
-        };
-        if answer.lasts {
-            locked(&upstream.idle).push(stream);
-        }
-        heard.truncate(answer.end);
-        return match answer.status {
-            200 => Some(heard),
-            503 if answer.turned_away => None,
-            _ => Some(FAILED.to_vec()),
-        };
+    let mut buffer = Vec::new();
+    let Ok(response) = http::read_response(&mut stream, &mut buffer).await else {
+        return Some(BAD_GATEWAY.to_vec());
+    };
+    if response.keep_alive {
+        locked(&endpoint.idle_connections).push(stream);
+    }
+    buffer.truncate(response.end);
+    match response.status {
+        200 => Some(buffer),
+        503 if response.is_rejection => None,
+        _ => Some(BAD_GATEWAY.to_vec()),
     }
-    None
 }
--- a/crates/testbed/src/clock.rs
+++ b/crates/testbed/src/clock.rs
@@ -1,22 +1,28 @@
-//! The lab's clock: microseconds since the day began, and Unix time for what speaks of it.
+//! The clock of a run: microseconds since its start, and Unix time.
 
 use std::sync::OnceLock;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use pinefront_model::Micros;
 
-/// Stands at 0 until the day begins.
+/// When a run started.
+struct Start {
+    instant: Instant,
+    unix_ms: u64,
+}
+
+/// Stands at 0 until the run starts.
 #[derive(Default)]
-pub struct Clock(OnceLock<(Instant, u64)>);
+pub struct Clock(OnceLock<Start>);
 
 impl Clock {
-    /// The day begins now; a second call changes nothing.
+    /// Starts the clock. A second call changes nothing.
     pub fn begin(&self) {
-        let unix = SystemTime::now()
-            .duration_since(UNIX_EPOCH)
-            .unwrap_or_default();
-        self.0
-            .get_or_init(|| (Instant::now(), unix.as_millis() as u64));
+        let unix = SystemTime::now().duration_since(UNIX_EPOCH);
+        self.0.get_or_init(|| Start {
+            instant: Instant::now(),
+            unix_ms: unix.unwrap_or_default().as_millis() as u64,
+        });
     }
 
     pub fn has_begun(&self) -> bool {
@@ -24,18 +30,19 @@
     }
 
     pub fn now(&self) -> Micros {
-        self.0
-            .get()
-            .map_or(0, |(began, _)| began.elapsed().as_micros() as Micros)
+        let start = self.0.get();
+        start.map_or(0, |start| start.instant.elapsed().as_micros() as Micros)
     }
 
-    /// The instant of a moment; before the day begins, as if it began now.
-    pub fn at(&self, moment: Micros) -> Instant {
-        self.0.get().map_or_else(Instant::now, |(began, _)| *began) + Duration::from_micros(moment)
+    /// The instant of a time; until the run starts, as if it started now.
+    pub fn at(&self, time: Micros) -> Instant {
+        let start = self.0.get();
+        start.map_or_else(Instant::now, |start| start.instant) + Duration::from_micros(time)
     }
 
-    /// Unix time of a moment, in milliseconds.
-    pub fn unix_ms(&self, moment: Micros) -> u64 {
-        self.0.get().map_or(0, |(_, unix)| unix + moment / 1000)
+    /// Unix time in milliseconds; 0 until the run starts.
+    pub fn unix_ms(&self, time: Micros) -> u64 {
+        let start = self.0.get();
+        start.map_or(0, |start| start.unix_ms + time / 1000)
     }
 }
--- a/crates/testbed/src/commands/soaking.rs
+++ b/crates/testbed/src/commands/soaking.rs
@@ -1,5 +1,6 @@
-//! Days drawn from seeds.
+//! The command that runs scenarios drawn from seeds.
 
+use std::ops::Range;
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -7,19 +8,21 @@
 
 use clap::Args;
 
-use crate::commands::{Failure, seeds, span, write_json};
-use crate::play::Who;
-use crate::{balancers, soak as soaks};
+use crate::commands::{Failure, binary_subject, duration, seeds, write_json};
+use crate::soak as soak_tests;
+
+/// The shortest scenario, in seconds.
+const MIN_SECONDS: u64 = 8;
 
 #[derive(Args)]
 pub struct Soak {
     /// From the first seed up to the last, which is left out
     #[arg(long, default_value = "0..10", value_parser = seeds)]
-    seeds: std::ops::Range<u64>,
-    /// How long each day is
-    #[arg(long = "for", default_value = "20s", value_parser = span)]
-    lasts: Duration,
-    /// Days that are played side by side
+    seeds: Range<u64>,
+    /// How long each scenario is
+    #[arg(long = "for", default_value = "20s", value_parser = duration)]
+    duration: Duration,
+    /// Scenarios that run at the same time
     #[arg(long, default_value_t = 3)]
     parallel: usize,
     /// How many balancers, in place of a drawn number
@@ -28,10 +31,10 @@
     /// Requests a second
     #[arg(long, default_value_t = 200.0)]
     rate: f64,
-    /// A trouble that every day has beside the drawn ones
+    /// A fault that every scenario has beside the drawn ones
     #[arg(long)]
     with: Vec<String>,
-    /// Where the schedules of failing seeds are kept
+    /// Folder for the schedules of failing seeds
     #[arg(long, default_value = "target/soak")]
     save: PathBuf,
     /// Leave out what a failing schedule does not need
@@ -44,24 +47,25 @@
     json: Option<PathBuf>,
 }
 
-pub fn soak(options: &Soak, over: &Arc<AtomicBool>) -> Result<(), Failure> {
-    let shape = soaks::schedule::Shape {
-        seconds: options.lasts.as_secs().max(8),
+/// Runs scenarios drawn from seeds.
+pub fn soak(options: &Soak, stop: &Arc<AtomicBool>) -> Result<(), Failure> {
+    let shape = soak_tests::schedule::Shape {
+        seconds: options.duration.as_secs().max(MIN_SECONDS),
         balancers: options.balancers,
         rate: options.rate,
         with: options.with.clone(),
     };
-    let wish = soaks::Wish {
+    let soak_options = soak_tests::Options {
         seeds: options.seeds.clone(),
         shape,
         parallel: options.parallel,
         save: options.save.clone(),
         shrinks: options.shrink,
-        who: Who::Binary(options.binary.clone().unwrap_or_else(balancers::own_binary)),
+        subject: binary_subject(options.binary.as_ref()),
     };
-    let found = soaks::soak(&wish, over);
+    let found = soak_tests::soak(&soak_options, stop);
     println!(
-        "{} days played, {} broke a rule, {} more on a machine that was late (as it was on {}), {} not played; {} pairs of troubles met",
+        "{} scenarios run, {} violated a rule, {} more on a machine that was too slow (as it was on {}), {} not run; {} pairs of faults met",
         found.played.len(),
         found.failed,
         found.doubtful,
@@ -71,14 +75,12 @@
     );
     write_json(options.json.as_deref(), &found)?;
     if found.failed + found.not_played.len() > 0 {
-        return Err(Failure::Failed(
-            "a rule was broken or a day not played; see above".into(),
-        ));
+        let text = "a rule was violated or a scenario not run; see above";
+        return Err(Failure::Failed(text.into()));
     }
     if found.invalid == found.played.len() {
-        return Err(Failure::Failed(
-            "the machine was late on every day: nothing was found out".into(),
-        ));
+        let text = "the machine was too slow in every scenario: there is no result";
+        return Err(Failure::Failed(text.into()));
     }
     Ok(())
 }
--- /dev/null
+++ b/crates/testbed/src/figures/table.rs
@@ -0,0 +1,157 @@
+//! The figures of a run as a table of plain text.
+
+use std::fmt::Write as _;
+
+use super::{Figures, Times};
+use crate::accord::spread;
+use crate::fleet::Known;
+use crate::fleet::duties::DutiesFound;
+
+/// Lines with a name and a text.
+struct Table(String);
+
+impl Table {
+    fn line(&mut self, name: &str, text: impl AsRef<str>) {
+        // Writing to a string cannot fail.
+        let _ = writeln!(self.0, "  {name:<16} {}", text.as_ref());
+    }
+
+    /// One line with the name for each text.
+    fn lines<'a>(&mut self, name: &str, texts: impl IntoIterator<Item = &'a String>) {
+        for text in texts {
+            self.line(name, text);
+        }
+    }
+}
+
+impl Figures {
+    /// The table, one line for each figure.
+    pub fn table(&self) -> String {
+        let mut table = Table(String::new());
+        self.add_requests(&mut table);
+        self.add_costs(&mut table);
+        if let Some(cluster) = &self.cluster {
+            add_cluster(&mut table, cluster);
+        }
+        self.add_violations(&mut table);
+        table.0
+    }
+
+    fn add_requests(&self, table: &mut Table) {
+        let counts = &self.counts;
+        let text = format!(
+            "{} sent, {} succeeded, {} rejected, {} failed",
+            counts.sent, counts.succeeded, counts.rejected, counts.failed
+        );
+        table.line("requests", text);
+        if counts.unanswered + counts.disconnected + counts.unreachable > 0 {
+            let text = format!(
+                "{} unanswered, {} disconnected by their clients, {} reached no balancer",
+                counts.unanswered, counts.disconnected, counts.unreachable
+            );
+            table.line("", text);
+        }
+        let Times { p50, p90, p99, max } = self.latency_ms;
+        let text = format!("p50 {p50:.1} ms, p90 {p90:.1}, p99 {p99:.1}, max {max:.1}");
+        table.line("latency", text);
+        let parts = &self.service_parts;
+        let text = format!(
+            "{:.3} (overall {:.3}, worst 10 s {:.3}, worst class {:.3}, tail {:.3})",
+            self.service, parts.overall, parts.worst_10s, parts.worst_class, parts.tail
+        );
+        table.line("service", text);
+    }
+
+    fn add_costs(&self, table: &mut Table) {
+        if self.cpu_us_per_request > 0.0 {
+            let text = format!(
+                "{}: {:.0} us of CPU a request, {:.1} MB at most",
+                self.balancers, self.cpu_us_per_request, self.memory_mb
+            );
+            table.line("balancers", text);
+        }
+        let text = format!("{:.3} a request", self.attempts_per_request);
+        table.line("attempts", text);
+        let Times { p99, max, .. } = self.lateness_ms;
+        table.line("load's lateness", format!("p99 {p99:.2} ms, max {max:.2}"));
+        table.line("testbed", format!("{:.0} MB", self.testbed_memory_mb));
+    }
+
+    fn add_violations(&self, table: &mut Table) {
+        match self.rule_violation_count {
+            0 => table.line("rules", "none violated"),
+            count => {
+                table.line("rules", format!("{count} VIOLATED"));
+                table.lines("", &self.rule_violations);
+            }
+        }
+        table.lines("DIED", &self.unexpected_ends);
+        table.lines("INVALID", &self.why_invalid);
+    }
+}
+
+fn add_cluster(table: &mut Table, cluster: &Known) {
+    let agreement = cluster
+        .views_agree_after_ms
+        .map_or("NEVER AGREE".to_owned(), |ms| {
+            format!("agree {ms:.0} ms after the last fault")
+        });
+    table.line("views", format!("{agreement}, of {} polls", cluster.looks));
+    let text = format!("detected after {}", times(&cluster.detected_ms));
+    table.line("failures", text);
+    if !cluster.detected_by_all_ms.is_empty() {
+        let text = format!("after {}", times(&cluster.detected_by_all_ms));
+        table.line("detected by all", text);
+    }
+    let text = format!(
+        "{} calls, {:.2} a second",
+        cluster.discovery_calls, cluster.discovery_calls_a_second
+    );
+    table.line("discovery", text);
+    if cluster.flooded > 0 {
+        table.line("strangers sent", cluster.flooded.to_string());
+    }
+    let text = format!("{} suspicions, also of suspended members", cluster.refuted);
+    table.line("refuted", text);
+    let text = format!(
+        "{}; considered dead while running: {}",
+        cluster.wrongly_gone, cluster.held_gone_while_running
+    );
+    table.line("wrongly dead", text);
+    if let Some(duties) = &cluster.duties {
+        add_duties(table, duties);
+    }
+    table.lines("", &cluster.why);
+}
+
+fn add_duties(table: &mut Table, duties: &DutiesFound) {
+    let text = format!(
+        "{}: {} OVERLAPS, {} old terms accepted, {} changes ({} of one in a minute at most), {} vacant",
+        duties.duties,
+        duties.overlaps,
+        duties.old_terms_taken,
+        duties.changes,
+        duties.changes_most_a_minute,
+        duties.vacant
+    );
+    table.line("duties", text);
+    let vacancy = spread(duties.without_holder_ms.clone());
+    let text = format!(
+        "{:.0} ms (median), worst {:.0} of {}",
+        vacancy.p50, vacancy.worst, vacancy.count
+    );
+    table.line("without a holder", text);
+    for (cause, vacancies_ms) in &duties.without_holder_by {
+        table.line("", format!("{cause}: {}", times(vacancies_ms)));
+    }
+    table.lines("", &duties.why);
+}
+
+/// Median, maximum and number of some durations in milliseconds.
+fn times(values_ms: &[f64]) -> String {
+    let spread = spread(values_ms.to_vec());
+    format!(
+        "{:.0} ms, worst {:.0} of {}",
+        spread.p50, spread.worst, spread.count
+    )
+}
--- a/crates/testbed/src/fleet/views.rs
+++ b/crates/testbed/src/fleet/views.rs
@@ -324,6 +324,6 @@
     let text = "GET /fleet HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n";
     tokio::io::AsyncWriteExt::write_all(&mut stream, text.as_bytes()).await?;
     let mut kept = Vec::new();
-    let answer = http::read_answer(&mut stream, &mut kept).await?;
+    let answer = http::read_response(&mut stream, &mut kept).await?;
     Ok(kept[answer.body].to_vec())
 }
--- a/crates/testbed/src/http.rs
+++ b/crates/testbed/src/http.rs
@@ -1,276 +1,266 @@
-//! HTTP/1.1 messages as stand-ins and load speak them: raw sockets and httparse, since a stand-in must be able to cut
-//! and spoil what it sends, and load must know when the last byte left and came.
+//! Reading and writing of HTTP/1.1 messages on raw sockets: stand-ins must be able to truncate and corrupt what they
+//! send, and the load must know when the last byte was sent and received.
 
 use std::io;
+use std::ops::Range;
 use std::time::Duration;
 
 use httparse::{Header, Request, Response, Status};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-const FIELDS_MOST: usize = 64;
-/// Longest message taken from anywhere.
-const MESSAGE_MOST: usize = 8 * 1024 * 1024;
-const READ_STEP: usize = 16 * 1024;
+const MAX_HEADERS: usize = 64;
+/// The longest message that is accepted.
+const MAX_MESSAGE_BYTES: usize = 8 * 1024 * 1024;
+const READ_BYTES: usize = 16 * 1024;
+/// Pause between two pieces of a message.
+const PIECE_PAUSE: Duration = Duration::from_millis(1);
 
-/// What is read of a request.
+/// A parsed request. Offsets count from the start of the buffer.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Asked {
+pub struct ParsedRequest {
     pub method: String,
     pub path: String,
+    /// The request's identity, from `X-Txn`.
     pub id: Option<String>,
-    /// What the sender will wait, in milliseconds.
+    /// How long the sender waits, from `X-Remaining-Ms`.
     pub remaining_ms: Option<u64>,
-    pub head: usize,
+    /// Offset of the body.
+    pub body_start: usize,
+    /// Offset of the first byte after the request.
     pub end: usize,
 }
 
-/// What is read of an answer.
+/// A parsed response. Offsets count from the start of the buffer.
 #[derive(Debug, PartialEq)]
-pub struct Answered {
+pub struct ParsedResponse {
     pub status: u16,
-    /// Seconds.
-    pub retry_after: Option<f64>,
-    pub turned_away: bool,
+    pub retry_after_seconds: Option<f64>,
+    /// Whether the server states that it did not process the request.
+    pub is_rejection: bool,
     /// Whether the connection can carry another request.
-    pub lasts: bool,
-    pub body: std::ops::Range<usize>,
+    pub keep_alive: bool,
+    pub body: Range<usize>,
+    /// Offset of the first byte after the response.
     pub end: usize,
 }
 
-fn bad(what: &str) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, what.to_owned())
+fn invalid(reason: &str) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, reason.to_owned())
 }
 
-fn field<'a>(fields: &[Header<'a>], name: &str) -> Option<&'a str> {
-    let found = fields
-        .iter()
-        .find(|field| field.name.eq_ignore_ascii_case(name))?;
+fn header<'a>(headers: &[Header<'a>], name: &str) -> Option<&'a str> {
+    let mut headers = headers.iter();
+    let found = headers.find(|header| header.name.eq_ignore_ascii_case(name))?;
     std::str::from_utf8(found.value).ok().map(str::trim)
 }
 
-/// Where a body ends; nothing while part is missing. `ended`: no more will come.
+/// The end of a body without a stated length.
+#[derive(Clone, Copy)]
+enum UnstatedLength {
+    /// There is no body.
+    NoBody,
+    /// The body ends with the connection.
+    UntilClosed { is_closed: bool },
+}
+
+/// The offset at which a body ends; none while part of it is missing.
 fn body_end(
-    kept: &[u8],
-    head: usize,
-    fields: &[Header],
-    ended: bool,
-    unsaid: Unsaid,
+    buffer: &[u8],
+    start: usize,
+    headers: &[Header],
+    unstated: UnstatedLength,
 ) -> io::Result<Option<usize>> {
-    if let Some(length) = field(fields, "content-length") {
-        let length: usize = length
-            .parse()
-            .map_err(|_| bad("a length that is no number"))?;
-        let end = head
-            .checked_add(length)
-            .filter(|end| *end <= MESSAGE_MOST)
-            .ok_or_else(|| bad("too long"))?;
-        return Ok((kept.len() >= end).then_some(end));
+    if let Some(length) = header(headers, "content-length") {
+        return content_end(buffer, start, length);
     }
-    if field(fields, "transfer-encoding")
-        .is_some_and(|coding| coding.eq_ignore_ascii_case("chunked"))
-    {
-        let mut at = head;
-        loop {
-            match httparse::parse_chunk_size(&kept[at.min(kept.len())..]) {
-                Ok(Status::Complete((line, size))) => {
-                    let size = usize::try_from(size)
-                        .ok()
-                        .filter(|size| *size <= MESSAGE_MOST);
-                    let size = size.ok_or_else(|| bad("too long"))?;
-                    at += line + size + 2;
-                    if size == 0 {
-                        return Ok((kept.len() >= at).then_some(at));
-                    }
-                }
-                Ok(Status::Partial) => return Ok(None),
-                Err(_) => return Err(bad("chunks that cannot be read")),
-            }
-        }
+    let coding = header(headers, "transfer-encoding");
+    if coding.is_some_and(|coding| coding.eq_ignore_ascii_case("chunked")) {
+        return chunks_end(buffer, start);
     }
-    Ok(match unsaid {
-        Unsaid::Nothing => Some(head),
-        Unsaid::ToTheEnd => ended.then_some(kept.len()),
+    Ok(match unstated {
+        UnstatedLength::NoBody => Some(start),
+        UnstatedLength::UntilClosed { is_closed } => is_closed.then_some(buffer.len()),
     })
 }
 
-/// What a body is whose length nobody states.
-#[derive(Clone, Copy)]
-enum Unsaid {
-    Nothing,
-    ToTheEnd,
+fn content_end(buffer: &[u8], start: usize, length: &str) -> io::Result<Option<usize>> {
+    let length: usize = length
+        .parse()
+        .map_err(|_| invalid("a length that is no number"))?;
+    let end = start
+        .checked_add(length)
+        .filter(|end| *end <= MAX_MESSAGE_BYTES)
+        .ok_or_else(|| invalid("too long"))?;
+    Ok((buffer.len() >= end).then_some(end))
 }
 
-/// The first whole request in what was read; nothing while part is missing.
-pub fn asked(kept: &[u8]) -> io::Result<Option<Asked>> {
-    let mut fields = [httparse::EMPTY_HEADER; FIELDS_MOST];
-    let mut request = Request::new(&mut fields);
-    let head = match request.parse(kept).map_err(|_| bad("no request"))? {
-        Status::Complete(head) => head,
-        Status::Partial => return Ok(None),
+fn chunks_end(buffer: &[u8], start: usize) -> io::Result<Option<usize>> {
+    const LINE_END_BYTES: usize = 2;
+    let mut offset = start;
+    loop {
+        let rest = &buffer[offset.min(buffer.len())..];
+        let (line, size) = match httparse::parse_chunk_size(rest) {
+            Ok(Status::Complete(chunk)) => chunk,
+            Ok(Status::Partial) => return Ok(None),
+            Err(_) => return Err(invalid("chunks that cannot be read")),
+        };
+        let size = usize::try_from(size)
+            .ok()
+            .filter(|size| *size <= MAX_MESSAGE_BYTES)
+            .ok_or_else(|| invalid("too long"))?;
+        offset += line + size + LINE_END_BYTES;
+        if size == 0 {
+            return Ok((buffer.len() >= offset).then_some(offset));
+        }
+    }
+}
+
+/// Parses the first request of the buffer; none while part of it is missing.
+pub fn parse_request(buffer: &[u8]) -> io::Result<Option<ParsedRequest>> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut request = Request::new(&mut headers);
+    let status = request.parse(buffer).map_err(|_| invalid("no request"))?;
+    let Status::Complete(body_start) = status else {
+        return Ok(None);
     };
-    let fields = &*request.headers;
-    let Some(end) = body_end(kept, head, fields, false, Unsaid::Nothing)? else {
+    let headers = &*request.headers;
+    let Some(end) = body_end(buffer, body_start, headers, UnstatedLength::NoBody)? else {
         return Ok(None);
     };
-    Ok(Some(Asked {
+    Ok(Some(ParsedRequest {
         method: request.method.unwrap_or("").to_owned(),
         path: request.path.unwrap_or("").to_owned(),
-        id: field(fields, "x-txn").map(str::to_owned),
-        remaining_ms: field(fields, "x-remaining-ms").and_then(|text| text.parse().ok()),
-        head,
+        id: header(headers, "x-txn").map(str::to_owned),
+        remaining_ms: header(headers, "x-remaining-ms").and_then(|text| text.parse().ok()),
+        body_start,
         end,
     }))
 }
 
-/// The whole answer in what was read; nothing while part is missing.
-pub fn answered(kept: &[u8], ended: bool) -> io::Result<Option<Answered>> {
-    let mut fields = [httparse::EMPTY_HEADER; FIELDS_MOST];
-    let mut response = Response::new(&mut fields);
-    let head = match response.parse(kept).map_err(|_| bad("no answer"))? {
-        Status::Complete(head) => head,
-        Status::Partial => return Ok(None),
+/// Parses the first response of the buffer; none while part of it is missing. `is_closed`: the connection has ended.
+pub fn parse_response(buffer: &[u8], is_closed: bool) -> io::Result<Option<ParsedResponse>> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut response = Response::new(&mut headers);
+    let status = response.parse(buffer).map_err(|_| invalid("no answer"))?;
+    let Status::Complete(body_start) = status else {
+        return Ok(None);
     };
-    let fields = &*response.headers;
-    let Some(end) = body_end(kept, head, fields, ended, Unsaid::ToTheEnd)? else {
+    let headers = &*response.headers;
+    let unstated = UnstatedLength::UntilClosed { is_closed };
+    let Some(end) = body_end(buffer, body_start, headers, unstated)? else {
         return Ok(None);
     };
-    let stated =
-        field(fields, "content-length").is_some() || field(fields, "transfer-encoding").is_some();
-    let closes = field(fields, "connection").is_some_and(|word| word.eq_ignore_ascii_case("close"));
-    Ok(Some(Answered {
+    let has_length = header(headers, "content-length").is_some()
+        || header(headers, "transfer-encoding").is_some();
+    let closes =
+        header(headers, "connection").is_some_and(|word| word.eq_ignore_ascii_case("close"));
+    Ok(Some(ParsedResponse {
         status: response.code.unwrap_or(0),
-        retry_after: field(fields, "retry-after").and_then(|text| text.parse().ok()),
-        turned_away: field(fields, "x-turned-away").is_some_and(|text| text == "1"),
-        lasts: stated && !closes && response.version == Some(1),
-        body: head..end,
+        retry_after_seconds: header(headers, "retry-after").and_then(|text| text.parse().ok()),
+        is_rejection: header(headers, "x-turned-away") == Some("1"),
+        keep_alive: has_length && !closes && response.version == Some(1),
+        body: body_start..end,
         end,
     }))
 }
 
-/// Reads some more; whether anything came before the end.
-pub async fn more(stream: &mut TcpStream, kept: &mut Vec<u8>) -> io::Result<bool> {
-    if kept.len() > MESSAGE_MOST {
-        return Err(bad("too long"));
+/// Reads more bytes into the buffer. Returns false at the end of the connection.
+pub async fn read_more(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> io::Result<bool> {
+    if buffer.len() > MAX_MESSAGE_BYTES {
+        return Err(invalid("too long"));
     }
-    kept.reserve(READ_STEP);
-    Ok(stream.read_buf(kept).await? > 0)
+    buffer.reserve(READ_BYTES);
+    Ok(stream.read_buf(buffer).await? > 0)
 }
 
-/// Reads until a request is whole, and says what it asks; `kept` then begins with it. Nothing where the connection
-/// ended, broke, or brought what is no request.
-pub async fn next_request(stream: &mut TcpStream, kept: &mut Vec<u8>) -> Option<Asked> {
+/// Reads until the buffer starts with a complete request. Returns none where the connection ended or failed, or where
+/// the bytes are no request.
+pub async fn read_request(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<ParsedRequest> {
     loop {
-        if !kept.is_empty()
-            && let Some(found) = asked(kept).ok()?
+        if !buffer.is_empty()
+            && let Some(request) = parse_request(buffer).ok()?
         {
-            return Some(found);
+            return Some(request);
         }
-        if !more(stream, kept).await.ok()? {
+        if !read_more(stream, buffer).await.ok()? {
             return None;
         }
     }
 }
 
-/// Reads until the answer is whole.
-pub async fn read_answer(stream: &mut TcpStream, kept: &mut Vec<u8>) -> io::Result<Answered> {
+/// Reads until the buffer starts with a complete response.
+pub async fn read_response(
+    stream: &mut TcpStream,
+    buffer: &mut Vec<u8>,
+) -> io::Result<ParsedResponse> {
     loop {
-        if !kept.is_empty()
-            && let Some(found) = answered(kept, false)?
+        if !buffer.is_empty()
+            && let Some(response) = parse_response(buffer, false)?
         {
-            return Ok(found);
+            return Ok(response);
         }
-        if !more(stream, kept).await? {
-            let found = if kept.is_empty() {
+        if !read_more(stream, buffer).await? {
+            let response = if buffer.is_empty() {
                 None
             } else {
-                answered(kept, true)?
+                parse_response(buffer, true)?
             };
-            return found.ok_or_else(|| io::ErrorKind::UnexpectedEof.into());
+            return response.ok_or_else(|| io::ErrorKind::UnexpectedEof.into());
         }
     }
 }
 
-/// A plain answer with a body.
-pub fn answer_text(status: &str, fields: &str, body: &str) -> String {
-    format!(
-        "HTTP/1.1 {status}\r\n{fields}Content-Length: {}\r\n\r\n{body}",
-        body.len()
-    )
+/// Opens a connection, sends a request and returns the status of its response.
+pub async fn fetch_status(address: std::net::SocketAddr, request: &str) -> io::Result<u16> {
+    let mut stream = TcpStream::connect(address).await?;
+    stream.write_all(request.as_bytes()).await?;
+    let response = read_response(&mut stream, &mut Vec::new()).await?;
+    Ok(response.status)
 }
 
-pub async fn answer(
+/// The text of a response. Each line of `headers` includes its line end.
+pub fn response_text(status: &str, headers: &str, body: &str) -> String {
+    let length = body.len();
+    format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {length}\r\n\r\n{body}")
+}
+
+/// Writes a response.
+pub async fn write_response(
     stream: &mut TcpStream,
     status: &str,
-    fields: &str,
+    headers: &str,
     body: &str,
 ) -> io::Result<()> {
-    stream
-        .write_all(answer_text(status, fields, body).as_bytes())
-        .await
+    let text = response_text(status, headers, body);
+    stream.write_all(text.as_bytes()).await
 }
 
-/// Writes in so many pieces, with a millisecond between two.
-pub async fn in_pieces(stream: &mut TcpStream, bytes: &[u8], pieces: usize) -> io::Result<()> {
+/// Writes bytes in at most that many pieces, with a pause between two.
+pub async fn write_in_pieces(
+    stream: &mut TcpStream,
+    bytes: &[u8],
+    pieces: usize,
+) -> io::Result<()> {
     for piece in bytes.chunks(bytes.len().div_ceil(pieces).max(1)) {
         stream.write_all(piece).await?;
-        tokio::time::sleep(Duration::from_millis(1)).await;
+        tokio::time::sleep(PIECE_PAUSE).await;
     }
     Ok(())
 }
 
-/// Whether an idle connection can still be used: nothing came and it has not ended.
-pub fn is_usable(stream: &TcpStream) -> bool {
-    matches!(stream.try_read(&mut [0; 1]), Err(problem) if problem.kind() == io::ErrorKind::WouldBlock)
+/// Whether an idle connection can be reused: nothing was received and it is open.
+pub fn is_reusable(stream: &TcpStream) -> bool {
+    let read = stream.try_read(&mut [0; 1]);
+    read.is_err_and(|problem| problem.kind() == io::ErrorKind::WouldBlock)
 }
 
-/// Ends a connection by a reset.
+/// Closes a connection by a reset.
 pub fn reset(stream: TcpStream) {
-    // Where that fails the connection ends plainly, which is as good a fault.
+    // Where the option can't be set the connection closes normally.
     let _ = stream.set_zero_linger();
     drop(stream);
 }
 
 #[cfg(test)]
-mod tests {
-    use rstest::rstest;
-
-    use super::*;
-
-    #[rstest]
-    #[case(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", Some((200, 38..40, true)))]
-    #[case(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab", None)]
-    #[case(b"HTTP/1.1 503 No\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n", Some((503, 47..58, true)))]
-    #[case(b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", Some((200, 57..57, false)))]
-    #[case(b"HTTP/1.1 200 OK\r\n\r\nab", None)]
-    fn answers_are_read_whole(
-        #[case] text: &[u8],
-        #[case] wanted: Option<(u16, std::ops::Range<usize>, bool)>,
-    ) {
-        let found = answered(text, false)
-            .unwrap()
-            .map(|found| (found.status, found.body, found.lasts));
-        assert_eq!(found, wanted);
-    }
-
-    #[rstest]
-    #[case(b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n")]
-    #[case(b"HTTP/1.1 200 OK\r\nContent-Length: 99999999999999999999\r\n\r\n")]
-    #[case(b"HTTP/1.1 200 OK\r\nContent-Length: 18446744073709551615\r\n\r\n")]
-    #[case(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nfffffffffffffff\r\n")]
-    #[case(b"noise\r\n\r\n")]
-    fn nonsense_is_an_error(#[case] text: &[u8]) {
-        assert!(answered(text, false).is_err());
-    }
-
-    #[test]
-    fn requests_tell_their_ticket() {
-        let text = b"GET /look/1 HTTP/1.1\r\nX-Txn: ab\r\nX-Remaining-Ms: 90\r\n\r\n";
-        let found = asked(text).unwrap().unwrap();
-        assert_eq!(
-            (found.id.as_deref(), found.remaining_ms, found.end),
-            (Some("ab"), Some(90), text.len())
-        );
-        assert_eq!(asked(&text[..30]).unwrap(), None);
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/testbed/src/load/mod.rs
@@ -0,0 +1,184 @@
+//! Open-loop load on an HTTP address of this machine: requests are sent at their scheduled times whatever became of
+//! others, and latency counts from there. A run in which the load itself was late is invalid.
+
+mod worker;
+
+use std::net::{SocketAddr, ToSocketAddrs};
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, AtomicU64};
+use std::time::{Duration, Instant};
+
+use hdrhistogram::Histogram;
+use pinefront_model::random::RandomSource;
+use serde::Serialize;
+use tokio::sync::mpsc;
+use worker::Worker;
+
+use crate::clients::latency_histogram;
+use crate::error::{Context, Error};
+use crate::figures::Times;
+use crate::pace::{CHANNEL_CAPACITY, Scheduled, send_on_schedule};
+
+/// The 99th percentile of lateness beyond which a run is invalid.
+pub const MAX_LATENESS_MS: f64 = 1.0;
+
+/// Where load goes, and how.
+#[derive(Clone, Debug)]
+pub struct Plan {
+    pub addresses: Vec<SocketAddr>,
+    pub path: String,
+    /// Further header lines, each with its line end.
+    pub headers: String,
+    /// Requests per second; none for a closed loop, in which each client sends its next request after its response.
+    pub rate: Option<f64>,
+    pub duration: Duration,
+    /// Number of connections; unlimited where none is given.
+    pub clients: Option<usize>,
+    pub threads: usize,
+    /// How long clients wait for a response.
+    pub timeout: Duration,
+    pub seed: u64,
+}
+
+/// The results of a load.
+#[derive(Clone, Debug, Default, Serialize)]
+pub struct Found {
+    #[serde(rename = "asked")]
+    pub sent: u64,
+    pub succeeded: u64,
+    #[serde(rename = "dismissed")]
+    pub rejected: u64,
+    #[serde(rename = "abandoned")]
+    pub failed: u64,
+    pub unanswered: u64,
+    /// Never sent, since the load was too slow.
+    pub dropped: u64,
+    #[serde(rename = "rate_asked")]
+    pub rate_sent: f64,
+    pub rate_succeeded: f64,
+    pub latency_ms: Times,
+    pub lateness_ms: Times,
+    pub valid: bool,
+    pub why_invalid: Vec<String>,
+}
+
+/// Counts and latencies of one worker.
+struct WorkerResults {
+    counts: Found,
+    latency: Histogram<u64>,
+    lateness: Histogram<u64>,
+}
+
+impl WorkerResults {
+    fn new() -> Self {
+        Self {
+            counts: Found::default(),
+            latency: latency_histogram(),
+            lateness: latency_histogram(),
+        }
+    }
+
+    fn add(&mut self, other: Self) {
+        self.counts.sent += other.counts.sent;
+        self.counts.succeeded += other.counts.succeeded;
+        self.counts.rejected += other.counts.rejected;
+        self.counts.failed += other.counts.failed;
+        self.counts.unanswered += other.counts.unanswered;
+        self.latency += other.latency;
+        self.lateness += other.lateness;
+    }
+}
+
+/// The address and the path of a URL.
+///
+/// # Errors
+/// Where the URL is no `http://` address of this machine.
+pub fn parse_url(url: &str) -> Result<(SocketAddr, String), Error> {
+    let rest = url
+        .strip_prefix("http://")
+        .ok_or_else(|| Error::new(format!("'{url}' is no http:// address")))?;
+    let (host, path) = rest.find('/').map_or((rest, "/"), |at| rest.split_at(at));
+    let has_port = host.rsplit(']').next().is_some_and(|end| end.contains(':'));
+    let host = if has_port {
+        host.to_owned()
+    } else {
+        format!("{host}:80")
+    };
+    let mut addresses = host.to_socket_addrs().context(format!("'{host}'"))?;
+    let address = addresses
+        .next()
+        .ok_or_else(|| Error::new(format!("'{host}' has no address")))?;
+    if !address.ip().is_loopback() {
+        return Err(Error::new(format!(
+            "{address} is not on this machine; the lab loads loopback addresses only"
+        )));
+    }
+    Ok((address, path.to_owned()))
+}
+
+/// The times of a Poisson process.
+fn arrivals(rate: f64, duration: Duration, seed: u64) -> impl Iterator<Item = Scheduled<Instant>> {
+    let started_at = Instant::now();
+    let mut random = RandomSource::split(seed, "load", 0);
+    let mut seconds = 0.0;
+    std::iter::from_fn(move || {
+        seconds += random.exponential(1.0 / rate);
+        let at = started_at + Duration::from_secs_f64(seconds);
+        let is_within = seconds < duration.as_secs_f64();
+        is_within.then_some(Scheduled { at, item: at })
+    })
+}
+
+/// Runs a plan. Returns early when `stop` is set.
+pub fn run(plan: Plan, stop: &AtomicBool) -> Result<Found, Error> {
+    let plan = Arc::new(plan);
+    let threads = plan.threads.max(1).min(plan.clients.unwrap_or(usize::MAX));
+    let next_number = Arc::new(AtomicU64::new(1));
+    let (mut senders, mut workers) = (Vec::new(), Vec::new());
+    for thread in 0..threads {
+        let (sender, scheduled) = mpsc::channel(CHANNEL_CAPACITY);
+        senders.push(sender);
+        let (plan, next_number) = (Arc::clone(&plan), Arc::clone(&next_number));
+        workers.push(std::thread::spawn(move || {
+            Worker::new(plan, next_number, thread, threads).run(scheduled)
+        }));
+    }
+    let started_at = Instant::now();
+    let dropped = AtomicU64::new(0);
+    if let Some(rate) = plan.rate {
+        let arrivals = arrivals(rate, plan.duration, plan.seed);
+        send_on_schedule(arrivals, &senders, stop, &dropped);
+    }
+    drop(senders);
+    let mut results = WorkerResults::new();
+    for worker in workers {
+        let joined = worker.join().map_err(|_| Error::new("the load failed"))?;
+        results.add(joined.context("the load failed")?);
+    }
+    let elapsed = started_at.elapsed().min(plan.duration);
+    Ok(found(&plan, results, dropped.into_inner(), elapsed))
+}
+
+fn found(plan: &Plan, results: WorkerResults, dropped: u64, elapsed: Duration) -> Found {
+    let mut found = results.counts;
+    let seconds = elapsed.as_secs_f64();
+    found.dropped = dropped;
+    found.rate_sent = found.sent as f64 / seconds;
+    found.rate_succeeded = found.succeeded as f64 / seconds;
+    found.latency_ms = Times::of(&results.latency);
+    found.lateness_ms = Times::of(&results.lateness);
+    let lateness_ms = found.lateness_ms.p99;
+    if plan.rate.is_some() && lateness_ms > MAX_LATENESS_MS {
+        let reason = format!("the load was late: p99 {lateness_ms:.2} ms");
+        found.why_invalid.push(reason);
+    }
+    if dropped > 0 {
+        let reason = format!("{dropped} requests were never sent");
+        found.why_invalid.push(reason);
+    }
+    found.valid = found.why_invalid.is_empty();
+    found
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,12 +1,15 @@
-//! `pinefront-testbed`: runs pinefront before stand-in servers, plays days, measures.
+//! `pinefront-testbed`: runs balancers before stand-in servers on this machine, with faults, and measures them.
 
 mod accord;
+mod assumed_notifications;
 mod balancers;
 mod baseline;
 mod clients;
 mod clock;
 mod commands;
-mod discovery;
+mod discovery_stand_in;
+mod environment;
+mod error;
 mod explore;
 mod figures;
 mod fleet;
@@ -14,16 +17,15 @@
 mod load;
 mod overhead;
 mod pace;
-mod play;
 mod report;
+mod runner;
+mod server_stand_in;
 mod soak;
-mod stand;
-mod standing;
-mod stopping;
-mod system;
+mod stalled_clients;
+mod stand_alone;
+mod system_faults;
 #[cfg(test)]
 mod tests;
-mod told;
 mod world;
 
 use std::process::ExitCode;
@@ -34,14 +36,15 @@
 
 use crate::commands::Failure;
 use crate::commands::agreement::{AccordOf, Explore, accord_of, explore};
-use crate::commands::measuring::{LoadAt, Overhead, load_at, overhead};
+use crate::commands::measuring::{LoadAt, Overhead, load_at, measure_overhead};
 use crate::commands::scenarios::{
-    Compare, Demo, FleetDay, Run, Standing, compare, demo, fleet_day, run, stand,
+    ClusterRun, Compare, Demo, Run, StandAlone, compare, demo, run, run_cluster, stand,
 };
 use crate::commands::soaking::{Soak, soak};
-/// Runs pinefront before stand-in servers on this machine, plays days of trouble, and measures.
+
+/// Runs pinefront before stand-in servers on this machine, with faults, and measures it.
 ///
-/// Exit codes: 0 all is well, 1 a rule was broken, a balancer died or the lab failed, 2 a day or an argument is wrong.
+/// Exit codes: 0 success, 1 a rule was violated, a balancer died or the testbed failed, 2 a scenario or an argument is wrong.
 #[derive(Parser)]
 #[command(version)]
 struct Line {
@@ -51,31 +54,31 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serves calm traffic with the real balancer before a stand-in fleet
+    /// Serves calm traffic with the balancer before stand-in servers
     Demo(Demo),
-    /// Plays a day from a file
+    /// Runs a scenario from a file
     Run(Run),
-    /// Starts a stand-in fleet and discovery alone, with a page to inject faults by hand
-    Stand(Standing),
+    /// Starts stand-in servers and discovery alone, with a page to inject faults by hand
+    Stand(StandAlone),
     /// Loads an HTTP address of this machine, open loop
     Load(LoadAt),
-    /// Measures what a balancer costs: the same load straight to servers and through it
+    /// Measures the overhead of a balancer: the same load directly on servers and through it
     Overhead(Overhead),
-    /// Plays a day with balancers that know each other, a relay on each way between two of them
-    Fleet(FleetDay),
+    /// Runs a scenario with balancers that form a cluster, with a relay on each link between two of them
+    Fleet(ClusterRun),
     /// Plays the accord of many members on a virtual clock, under faults drawn from seeds
     Accord(AccordOf),
     /// Goes through every order of events of a few members and one duty, to a depth
     Explore(Explore),
-    /// Plays days drawn from seeds, with troubles that overlap, until a rule is broken or all are played
+    /// Runs scenarios drawn from seeds, with faults that overlap
     Soak(Soak),
-    /// Plays a day with plain policies as stand-in balancers, to compare with
+    /// Runs a scenario with simple policies as stand-in balancers, for comparison
     Baseline(Compare),
 }
 
-/// Ctrl-C or SIGTERM ends the day early: what was found so far is told all the same.
-fn watch_signals(over: &Arc<AtomicBool>) {
-    let over = Arc::clone(over);
+/// Sets `stop` at Ctrl-C or SIGTERM, which ends a run early; its figures are printed all the same.
+fn watch_signals(stop: &Arc<AtomicBool>) {
+    let stop = Arc::clone(stop);
     std::thread::spawn(move || {
         let Ok(runtime) = tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -90,27 +93,27 @@
                 _ = tokio::signal::ctrl_c() => {}
                 _ = term.recv() => {}
             }
-            over.store(true, Ordering::Relaxed);
+            stop.store(true, Ordering::Relaxed);
         });
     });
 }
 
 fn main() -> ExitCode {
     let line = Line::parse();
-    play::raise_descriptors();
-    let over = Arc::new(AtomicBool::new(false));
-    watch_signals(&over);
+    environment::raise_descriptor_limit();
+    let stop = Arc::new(AtomicBool::new(false));
+    watch_signals(&stop);
     let done = match &line.command {
-        Command::Demo(options) => demo(options, &over),
-        Command::Run(options) => run(options, &over),
-        Command::Stand(options) => stand(options, &over),
-        Command::Load(options) => load_at(options, &over),
-        Command::Overhead(options) => overhead(options, &over),
-        Command::Fleet(options) => fleet_day(options, &over),
-        Command::Explore(options) => explore(options, &over),
-        Command::Soak(options) => soak(options, &over),
-        Command::Accord(options) => accord_of(options, &over),
-        Command::Baseline(options) => compare(options, &over),
+        Command::Demo(options) => demo(options, &stop),
+        Command::Run(options) => run(options, &stop),
+        Command::Stand(options) => stand(options, &stop),
+        Command::Load(options) => load_at(options, &stop),
+        Command::Overhead(options) => measure_overhead(options, &stop),
+        Command::Fleet(options) => run_cluster(options, &stop),
+        Command::Explore(options) => explore(options, &stop),
+        Command::Soak(options) => soak(options, &stop),
+        Command::Accord(options) => accord_of(options, &stop),
+        Command::Baseline(options) => compare(options, &stop),
     };
     match done {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/testbed/src/overhead.rs
+++ b/crates/testbed/src/overhead.rs
@@ -1,26 +1,34 @@
-//! What a balancer costs: the same load straight to servers and through a balancer, in one run.
+//! The overhead of a balancer: the same load directly on servers and through a balancer, in one measurement.
 
 use std::net::SocketAddr;
+use std::path::PathBuf;
 use std::sync::atomic::AtomicBool;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
+use pinefront_model::scenario::Scenario;
 use pinefront_model::validation;
 use serde::Serialize;
 use tokio::net::{TcpListener, TcpStream};
+use tokio::runtime::Runtime;
 
-use crate::balancers::{Balancer, wait_ready};
+use crate::balancers::{Balancer, BalancerSetup, Usage, wait_until_ready};
+use crate::environment::{TemporaryFolder, stand_in_runtime};
+use crate::error::{Context, Error};
 use crate::fleet::company::Company;
-use crate::load::{Found, Plan, load};
-use crate::play::{Folder, runtime};
+use crate::load::{self, Found, Plan};
 use crate::world::{World, locked};
-use crate::{discovery, http};
+use crate::{discovery_stand_in, http};
 
-/// Tickets before those that count: connections come about, and the balancer learns the fleet.
-const WARMS: Duration = Duration::from_secs(2);
-/// How long members of a fleet take to know one another.
-const MEETS: Duration = Duration::from_secs(8);
+/// Load before the measurement, in which connections are opened and the balancer learns.
+const WARM_UP: Duration = Duration::from_secs(2);
+/// How long the members of a cluster take to find each other.
+const CLUSTER_FORMATION: Duration = Duration::from_secs(8);
+/// How long clients wait for a response.
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(2);
+const SEED: u64 = 1;
 
+/// One measurement.
 #[derive(Clone, Debug, Serialize)]
 pub struct Point {
     pub servers: usize,
@@ -34,191 +42,240 @@
     pub p99_ratio: f64,
     pub added_p50_ms: f64,
     pub added_p99_ms: f64,
-    pub cpu_us_per_ticket: f64,
-    /// Tickets a second that one balancer served when each client sent its next at once.
+    #[serde(rename = "cpu_us_per_ticket")]
+    pub cpu_us_per_request: f64,
+    /// Requests per second in a closed loop.
     pub highest_rate: f64,
     pub memory_mb: f64,
-    /// Members of its fleet, itself included; none where it has no operator file.
+    /// Members of the balancer's cluster, itself included; none where it has no operator file.
     pub members: Option<usize>,
-    /// Of one core, while no ticket comes.
-    pub cpu_part_at_rest: f64,
+    /// CPU time without load, as a fraction of one core.
+    #[serde(rename = "cpu_part_at_rest")]
+    pub idle_cpu_fraction: f64,
     pub through: Found,
     pub valid: bool,
 }
 
-/// What to measure with.
-pub struct Wishes {
-    pub binary: std::path::PathBuf,
+/// What is measured, and how.
+pub struct Options {
+    pub binary: PathBuf,
     pub rate: f64,
-    pub lasts: Duration,
-    /// How long a server takes to answer.
+    pub duration: Duration,
+    /// How long a server takes to respond.
     pub work: Duration,
     pub threads: usize,
-    /// Members of its fleet, itself included.
+    /// Members of the balancer's cluster, itself included; none for no cluster.
     pub members: Option<usize>,
-    pub over: Arc<AtomicBool>,
+    pub stop: Arc<AtomicBool>,
 }
 
-/// A server that answers each ticket after the same time, and does as little as can be beside.
-pub async fn plain_server(work: Duration) -> std::io::Result<SocketAddr> {
+/// Starts a server that responds to each request after the same time. Returns its address.
+pub async fn start_plain_server(work: Duration) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            tokio::spawn(answer_each(stream, work));
+            tokio::spawn(serve(stream, work));
         }
     });
     Ok(address)
 }
 
-async fn answer_each(mut stream: TcpStream, work: Duration) {
+async fn serve(mut stream: TcpStream, work: Duration) {
     let _ = stream.set_nodelay(true);
-    let mut kept = Vec::new();
-    while let Some(asked) = http::next_request(&mut stream, &mut kept).await {
-        kept.drain(..asked.end);
+    let mut buffer = Vec::new();
+    while let Some(request) = http::read_request(&mut stream, &mut buffer).await {
+        buffer.drain(..request.end);
         if !work.is_zero() {
             tokio::time::sleep(work).await;
         }
-        if http::answer(&mut stream, "200 OK", "", "served\n")
-            .await
-            .is_err()
-        {
+        let written = http::write_response(&mut stream, "200 OK", "", "served\n").await;
+        if written.is_err() {
             return;
         }
     }
 }
 
-/// One balancer before so many servers under load from so many client connections.
-pub fn point(servers: usize, clients: usize, wishes: &Wishes) -> Result<Point, String> {
-    let runtime = runtime().map_err(|problem| format!("cannot start threads: {problem}"))?;
+/// A balancer before plain servers.
+struct Setup {
+    runtime: Runtime,
+    servers: Vec<SocketAddr>,
+    balancer: Mutex<Vec<Balancer>>,
+    balancer_address: SocketAddr,
+    /// Other members of the cluster, which end with the value.
+    _members: Option<Company>,
+    _folder: TemporaryFolder,
+}
+
+impl Setup {
+    fn start(servers: usize, options: &Options) -> Result<Self, Error> {
+        let runtime = stand_in_runtime().context("cannot start threads")?;
+        let world = Arc::new(World::new(scenario(servers, options.work)?, SEED));
+        let folder = TemporaryFolder::new()?;
+        let (servers, discovery) = runtime.block_on(async {
+            let servers = start_servers(&world, servers, options.work).await?;
+            let discovery = discovery_stand_in::start(&world, 0).await?;
+            Ok::<_, Error>((servers, discovery))
+        })?;
+        let members = options
+            .members
+            .map(|members| Company::start(members.saturating_sub(1)))
+            .transpose()
+            .context("cannot start the fleet's other members")?;
+        let operator_file = members
+            .as_ref()
+            .map(|members| members.operator_file(folder.path()))
+            .transpose()?;
+        let mut balancer = Balancer::new(&BalancerSetup {
+            scenario: &world.scenario,
+            seed: SEED,
+            number: 0,
+            binary: &options.binary,
+            folder: folder.path(),
+            discovery: [discovery; 2],
+            operator_file,
+        })?;
+        balancer.start()?;
+        let balancer_address = balancer.address;
+        let balancer = Mutex::new(vec![balancer]);
+        runtime.block_on(wait_until_ready(&balancer, 0))?;
+        world.clock.begin();
+        Ok(Self {
+            runtime,
+            servers,
+            balancer,
+            balancer_address,
+            _members: members,
+            _folder: folder,
+        })
+    }
+
+    fn usage(&self) -> Usage {
+        let balancers = locked(&self.balancer);
+        balancers.first().map(Balancer::usage).unwrap_or_default()
+    }
+
+    fn stop(self) {
+        locked(&self.balancer).iter_mut().for_each(Balancer::stop);
+        self.runtime.shutdown_background();
+    }
+}
+
+/// A scenario whose servers report no load.
+fn scenario(servers: usize, work: Duration) -> Result<Scenario, Error> {
+    let work_us = work.as_micros().max(1);
     let text = format!(
         "name = \"overhead\"\nlength = \"1h\"\nbalancers = 1\n[fleet]\nservers = {servers}\nzones = [\"a\"]\nreports = \"0s\"\n\
-         idle = \"60s\"\n[[use_cases]]\nname = \"look\"\neffect = \"redoable\"\nwork = \"{}us\"\npromised_time = \"500ms\"\n\
-         hard_stop = \"2s\"\n",
-        wishes.work.as_micros().max(1)
+         idle = \"60s\"\n[[use_cases]]\nname = \"look\"\neffect = \"redoable\"\nwork = \"{work_us}us\"\npromised_time = \"500ms\"\n\
+         hard_stop = \"2s\"\n"
     );
-    let scenario =
-        validation::read(&text, "overhead").map_err(|problems| problems[0].to_string())?;
-    let world = Arc::new(World::new(scenario, 1));
-    let folder = Folder::new().map_err(|problem| problem.to_string())?;
-    let (addresses, discovery) = runtime.block_on(async {
-        let mut addresses = Vec::new();
-        for number in 0..servers {
-            let address = plain_server(wishes.work)
-                .await
-                .map_err(|problem| problem.to_string())?;
-            world.listens(number, address, false);
-            addresses.push(address);
-        }
-        let discovery = discovery::serve(&world, 0)
-            .await
-            .map_err(|problem| problem.to_string())?;
-        Ok::<_, String>((addresses, discovery))
-    })?;
-    let company = wishes
-        .members
-        .map(|members| Company::start(members.saturating_sub(1)))
-        .transpose();
-    let company =
-        company.map_err(|problem| format!("cannot start the fleet's other members: {problem}"))?;
-    let operator = company
-        .as_ref()
-        .map(|company| company.operator_file(&folder.0))
-        .transpose();
-    let operator = operator.map_err(|problem| problem.to_string())?;
-    let child = Balancer::new(
-        &world.scenario,
-        1,
-        0,
-        &wishes.binary,
-        &folder.0,
-        [discovery; 2],
-        operator,
-    );
-    let mut child = child.map_err(|problem| problem.to_string())?;
-    child.start().map_err(|problem| problem.to_string())?;
-    let listen = child.listen;
-    let children = Mutex::new(vec![child]);
-    runtime.block_on(wait_ready(&children, 0))?;
-    world.clock.begin();
-    let plan = |addresses: &[SocketAddr], rate: Option<f64>, lasts| Plan {
-        addresses: addresses.to_vec(),
-        path: "/look/1".into(),
-        fields: "X-Lane: look\r\n".into(),
-        rate,
-        lasts,
-        clients: Some(clients),
-        threads: wishes.threads,
-        wait: Duration::from_secs(2),
-        seed: 1,
+    validation::read(&text, "overhead").map_err(|problems| Error::new(problems[0].to_string()))
+}
+
+async fn start_servers(
+    world: &World,
+    count: usize,
+    work: Duration,
+) -> Result<Vec<SocketAddr>, Error> {
+    let mut addresses = Vec::new();
+    for number in 0..count {
+        let address = start_plain_server(work).await?;
+        world.set_server_address(number, address, false);
+        addresses.push(address);
+    }
+    Ok(addresses)
+}
+
+/// Measures a balancer before that many servers, under load from that many client connections.
+pub fn measure(servers: usize, clients: usize, options: &Options) -> Result<Point, Error> {
+    let setup = Setup::start(servers, options)?;
+    let run = |addresses: &[SocketAddr], rate: Option<f64>, duration: Duration| {
+        let plan = Plan {
+            addresses: addresses.to_vec(),
+            path: "/look/1".into(),
+            headers: "X-Lane: look\r\n".into(),
+            rate,
+            duration,
+            clients: Some(clients),
+            threads: options.threads,
+            timeout: CLIENT_TIMEOUT,
+            seed: SEED,
+        };
+        load::run(plan, &options.stop)
     };
-    let (rate, lasts, over) = (Some(wishes.rate), wishes.lasts, &wishes.over);
-    let direct = load(plan(&addresses, rate, lasts), over)?;
-    load(plan(&[listen], rate, WARMS), over)?;
-    let used = || locked(&children)[0].used();
-    if wishes.members.is_some() {
-        std::thread::sleep(MEETS);
+    let (rate, duration) = (Some(options.rate), options.duration);
+    let balancer = [setup.balancer_address];
+    let direct = run(&setup.servers, rate, duration)?;
+    run(&balancer, rate, WARM_UP)?;
+    if options.members.is_some() {
+        std::thread::sleep(CLUSTER_FORMATION);
     }
-    let rests = used();
-    std::thread::sleep(lasts);
-    let cpu_part_at_rest = (used().cpu_us - rests.cpu_us) as f64 / lasts.as_micros().max(1) as f64;
-    let before = used();
-    let through = load(plan(&[listen], rate, lasts), over)?;
-    let after = used();
-    let highest = load(plan(&[listen], None, lasts), over)?;
-    let memory_mb = used().memory_kb as f64 / 1024.0;
-    locked(&children)[0].end();
-    runtime.shutdown_background();
-    let (straight, via) = (&direct.latency_ms, &through.latency_ms);
+    let idle_from = setup.usage();
+    std::thread::sleep(duration);
+    let idle_cpu_us = setup.usage().cpu_us - idle_from.cpu_us;
+    let loaded_from = setup.usage();
+    let through = run(&balancer, rate, duration)?;
+    let loaded_cpu_us = setup.usage().cpu_us - loaded_from.cpu_us;
+    let closed_loop = run(&balancer, None, duration)?;
+    let memory_mb = setup.usage().memory_mb();
+    setup.stop();
+    let (direct_ms, through_ms) = (&direct.latency_ms, &through.latency_ms);
     Ok(Point {
         servers,
         clients,
-        rate: wishes.rate,
-        direct_p50_ms: straight.p50,
-        direct_p99_ms: straight.p99,
-        through_p50_ms: via.p50,
-        through_p99_ms: via.p99,
-        p50_ratio: via.p50 / straight.p50,
-        p99_ratio: via.p99 / straight.p99,
-        added_p50_ms: via.p50 - straight.p50,
-        added_p99_ms: via.p99 - straight.p99,
-        cpu_us_per_ticket: (after.cpu_us - before.cpu_us) as f64 / through.asked.max(1) as f64,
-        highest_rate: highest.rate_succeeded,
+        rate: options.rate,
+        direct_p50_ms: direct_ms.p50,
+        direct_p99_ms: direct_ms.p99,
+        through_p50_ms: through_ms.p50,
+        through_p99_ms: through_ms.p99,
+        p50_ratio: through_ms.p50 / direct_ms.p50,
+        p99_ratio: through_ms.p99 / direct_ms.p99,
+        added_p50_ms: through_ms.p50 - direct_ms.p50,
+        added_p99_ms: through_ms.p99 - direct_ms.p99,
+        cpu_us_per_request: loaded_cpu_us as f64 / through.sent.max(1) as f64,
+        highest_rate: closed_loop.rate_succeeded,
         memory_mb,
-        members: wishes.members,
-        cpu_part_at_rest,
+        members: options.members,
+        idle_cpu_fraction: idle_cpu_us as f64 / duration.as_micros().max(1) as f64,
         valid: direct.valid && through.valid,
         through,
     })
 }
 
-pub const TABLE_HEAD: &str = "| servers | clients | p50 direct, ms | p50 through | ratio | p99 direct | p99 through | ratio | CPU a ticket, us | highest rate |\n\
+/// Head of the table of [`Point::row`], in Markdown.
+pub const TABLE_HEAD: &str = "| servers | clients | p50 direct, ms | p50 through | ratio | p99 direct | p99 through | ratio | CPU a request, us | highest rate |\n\
                               | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |";
-pub const FLEET_HEAD: &str = "| members | core at rest | CPU a ticket, us | memory, MB | p50 through, ms | p99 through | highest rate |\n\
-                              | --- | --- | --- | --- | --- | --- | --- |";
+/// Head of the table of [`Point::cluster_row`], in Markdown.
+pub const CLUSTER_TABLE_HEAD: &str = "| members | core at rest | CPU a request, us | memory, MB | p50 through, ms | p99 through | highest rate |\n\
+                                      | --- | --- | --- | --- | --- | --- | --- |";
 
 impl Point {
-    /// A row of the table that compares fleets of several sizes.
-    pub fn fleet_row(&self) -> String {
+    fn validity(&self) -> &'static str {
+        if self.valid {
+            ""
+        } else {
+            " (invalid: the load was late)"
+        }
+    }
+
+    /// A row of the table that compares clusters of several sizes.
+    pub fn cluster_row(&self) -> String {
+        let members = self
+            .members
+            .map_or("no operator file".into(), |members| members.to_string());
         format!(
-            "| {} | {:.2} % | {:.1} | {:.1} | {:.2} | {:.2} | {:.0} |{}",
-            self.members
-                .map_or("no operator file".into(), |members| members.to_string()),
-            100.0 * self.cpu_part_at_rest,
-            self.cpu_us_per_ticket,
+            "| {members} | {:.2} % | {:.1} | {:.1} | {:.2} | {:.2} | {:.0} |{}",
+            100.0 * self.idle_cpu_fraction,
+            self.cpu_us_per_request,
             self.memory_mb,
             self.through_p50_ms,
             self.through_p99_ms,
             self.highest_rate,
-            if self.valid {
-                ""
-            } else {
-                " (invalid: the load was late)"
-            }
+            self.validity()
         )
     }
 
-    /// A row of the table, which is Markdown.
+    /// A row of the table.
     pub fn row(&self) -> String {
         format!(
             "| {} | {} | {:.2} | {:.2} | {:.2} | {:.2} | {:.2} | {:.2} | {:.1} | {:.0} |{}",
@@ -230,13 +287,9 @@
             self.direct_p99_ms,
             self.through_p99_ms,
             self.p99_ratio,
-            self.cpu_us_per_ticket,
+            self.cpu_us_per_request,
             self.highest_rate,
-            if self.valid {
-                ""
-            } else {
-                " (invalid: the load was late)"
-            }
+            self.validity()
         )
     }
 }
--- a/crates/testbed/src/pace.rs
+++ b/crates/testbed/src/pace.rs
@@ -1,41 +1,52 @@
-//! Pacing: what is due is handed over at its time, by a thread that sleeps to the microsecond. The runtime's own
-//! timers count whole milliseconds, which would make each ticket late by one.
+//! Sends items to workers at their scheduled times, from a thread that sleeps with microsecond precision. The timers of
+//! the runtime have a precision of a millisecond.
 
-use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
 use tokio::sync::mpsc::{Sender, error::TrySendError};
 
-/// The longest sleep, so that an early end is seen.
-const LOOKS_APART: Duration = Duration::from_millis(50);
+/// The longest sleep, so that an early end is noticed.
+const MAX_SLEEP: Duration = Duration::from_millis(50);
 
-/// How many wait between the pacing thread and a worker at most: beyond it the workers are too slow, and what is
-/// due is counted as dropped, which makes the run invalid.
-pub const QUEUE: usize = 65_536;
+/// Capacity of the channel to a worker. Items that do not fit are counted as dropped, which makes the run invalid.
+pub const CHANNEL_CAPACITY: usize = 65_536;
 
-/// Hands each item to the workers in turn at its moment. Ends early when told.
-pub fn pace<T>(
-    due: impl Iterator<Item = (Instant, T)>,
+/// An item and when it is due.
+pub struct Scheduled<T> {
+    pub at: Instant,
+    pub item: T,
+}
+
+/// Sends each item at its time, to the workers in turn. Returns early when `stop` is set or a worker is gone.
+pub fn send_on_schedule<T>(
+    scheduled: impl Iterator<Item = Scheduled<T>>,
     workers: &[Sender<T>],
-    over: &Arc<AtomicBool>,
+    stop: &AtomicBool,
     dropped: &AtomicU64,
 ) {
-    for (turn, (moment, item)) in due.enumerate() {
-        loop {
-            if over.load(Ordering::Relaxed) {
-                return;
-            }
-            let left = moment.saturating_duration_since(Instant::now());
-            if left.is_zero() {
-                break;
-            }
-            std::thread::sleep(left.min(LOOKS_APART));
+    for (index, Scheduled { at, item }) in scheduled.enumerate() {
+        if !sleep_until(at, stop) {
+            return;
         }
-        match workers[turn % workers.len()].try_send(item) {
+        match workers[index % workers.len()].try_send(item) {
             Ok(()) => {}
             Err(TrySendError::Full(_)) => _ = dropped.fetch_add(1, Ordering::Relaxed),
             Err(TrySendError::Closed(_)) => return,
         }
     }
 }
+
+/// Sleeps until a time. Returns false where `stop` was set before.
+fn sleep_until(at: Instant, stop: &AtomicBool) -> bool {
+    loop {
+        if stop.load(Ordering::Relaxed) {
+            return false;
+        }
+        let remaining = at.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
+            return true;
+        }
+        std::thread::sleep(remaining.min(MAX_SLEEP));
+    }
+}
--- a/crates/testbed/src/soak/coverage.rs
+++ b/crates/testbed/src/soak/coverage.rs
@@ -1,4 +1,4 @@
-//! Which pairs of troubles overlapped, in how many days, and how many requests were under way in the overlaps.
+//! Which pairs of faults overlapped, in how many scenarios, and how many requests were sent meanwhile.
 
 use std::collections::BTreeMap;
 
@@ -6,59 +6,65 @@
 use pinefront_model::{Micros, SECOND};
 use serde::Serialize;
 
-use crate::soak::schedule::name;
+use crate::soak::schedule::fault_name;
 
-/// Two troubles that met.
+/// Two kinds of faults that overlapped.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Pair {
-    pub troubles: [String; 2],
+    #[serde(rename = "troubles")]
+    pub faults: [String; 2],
     #[serde(rename = "days")]
     pub scenarios: usize,
-    /// Requests asked while both held, by the mean rate of the day.
+    /// Requests sent while both were active, by the mean rate of the scenario.
     pub requests: u64,
 }
 
-/// From its beginning to its end; what happens at one moment counts for a second.
-fn span(fault: &Fault) -> (Micros, Micros) {
-    (
-        fault.at.0,
-        fault.at.0 + fault.over.0 + fault.duration.0.max(SECOND),
-    )
+/// A scenario and the number of requests sent in it.
+pub struct PlayedScenario {
+    pub scenario: Scenario,
+    pub requests: u64,
+}
+
+/// When a fault starts and ends. An instant fault counts for a second.
+fn active_time(fault: &Fault) -> std::ops::Range<Micros> {
+    let end = fault.at.0 + fault.over.0 + fault.duration.0.max(SECOND);
+    fault.at.0..end
 }
 
-fn overlap(one: &Fault, other: &Fault) -> Micros {
-    let (one, other) = (span(one), span(other));
-    one.1.min(other.1).saturating_sub(one.0.max(other.0))
+/// How long two faults overlap.
+fn overlap(first: &Fault, second: &Fault) -> Micros {
+    let (first, second) = (active_time(first), active_time(second));
+    let start = first.start.max(second.start);
+    first.end.min(second.end).saturating_sub(start)
 }
 
-/// All pairs of all days, with how many requests each day had.
-pub fn pairs(scenarios: &[(u64, Scenario)]) -> Vec<Pair> {
-    let mut met: BTreeMap<[String; 2], (usize, u64)> = BTreeMap::new();
-    for (asked, scenario) in scenarios {
+/// All pairs of faults in some scenarios.
+pub fn pairs(played: &[PlayedScenario]) -> Vec<Pair> {
+    let mut pairs: BTreeMap<[String; 2], Pair> = BTreeMap::new();
+    for PlayedScenario { scenario, requests } in played {
+        let length = scenario.length.get_ref().0.max(1);
         let faults: Vec<&Fault> = scenario
             .faults
             .iter()
             .map(|fault| fault.get_ref())
             .collect();
-        for (place, one) in faults.iter().enumerate() {
-            for other in &faults[..place] {
-                let both = overlap(one, other);
-                if both == 0 {
+        for (index, first) in faults.iter().enumerate() {
+            for second in &faults[..index] {
+                let overlap = overlap(first, second);
+                if overlap == 0 {
                     continue;
                 }
-                let mut troubles = [name(one.kind), name(other.kind)];
-                troubles.sort();
-                let pair = met.entry(troubles).or_default();
-                pair.0 += 1;
-                pair.1 += asked * both / scenario.length.get_ref().0.max(1);
+                let mut names = [first, second].map(|fault| fault_name(fault.kind).to_owned());
+                names.sort();
+                let pair = pairs.entry(names.clone()).or_insert(Pair {
+                    faults: names,
+                    scenarios: 0,
+                    requests: 0,
+                });
+                pair.scenarios += 1;
+                pair.requests += requests * overlap / length;
             }
         }
     }
-    met.into_iter()
-        .map(|(troubles, (scenarios, requests))| Pair {
-            troubles,
-            scenarios,
-            requests,
-        })
-        .collect()
+    pairs.into_values().collect()
 }
--- a/crates/testbed/src/soak/mod.rs
+++ b/crates/testbed/src/soak/mod.rs
@@ -1,11 +1,11 @@
-//! The soak: days drawn from seeds, with two or three troubles that overlap in time on purpose, played with real
-//! processes and judged from what clients, servers and discovery saw.
+//! Soak tests: scenarios drawn from seeds, with faults that overlap, run with real processes and checked from outside.
 
 pub mod coverage;
 pub mod schedule;
 mod shrink;
 
-use std::path::PathBuf;
+use std::ops::Range;
+use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 
@@ -13,191 +13,226 @@
 use pinefront_model::validation;
 use serde::Serialize;
 
+use crate::error::{Context, Error};
 use crate::figures::Figures;
-use crate::play::{Who, Wishes, play};
-use crate::soak::coverage::Pair;
+use crate::runner::{RunOptions, Subject, run};
+use crate::soak::coverage::{Pair, PlayedScenario};
 use crate::soak::schedule::Shape;
 use crate::world::locked;
 
-/// What is wanted.
-pub struct Wish {
-    pub seeds: std::ops::Range<u64>,
+/// Violations that are printed of each seed.
+const MAX_PRINTED_VIOLATIONS: usize = 3;
+
+/// What is run.
+pub struct Options {
+    pub seeds: Range<u64>,
     pub shape: Shape,
-    /// Days that are played side by side.
+    /// Number of scenarios that run at the same time.
     pub parallel: usize,
-    /// Where schedules of failing seeds are kept.
+    /// Folder for the schedules of failing seeds.
     pub save: PathBuf,
+    /// Whether failing schedules are reduced.
     pub shrinks: bool,
-    pub who: Who,
+    pub subject: Subject,
 }
 
-/// One seed's day.
+/// The result of one seed.
 #[derive(Clone, Debug, Serialize)]
 pub struct Played {
     pub seed: u64,
-    pub troubles: Vec<String>,
-    pub asked: u64,
+    #[serde(rename = "troubles")]
+    pub faults: Vec<String>,
+    #[serde(rename = "asked")]
+    pub sent: u64,
     pub succeeded: u64,
-    /// False where the machine lagged: what it found is shown and does not count for it.
+    /// False where the machine was too slow: failures are shown and do not count.
     pub valid: bool,
     pub why_invalid: Vec<String>,
     #[serde(rename = "broken")]
-    pub violated_rules: Vec<String>,
-    pub broken_count: usize,
+    pub rule_violations: Vec<String>,
+    #[serde(rename = "broken_count")]
+    pub rule_violation_count: usize,
     pub violations: u64,
-    pub deaths: Vec<String>,
-    /// The command that plays it again, where it failed.
+    #[serde(rename = "deaths")]
+    pub unexpected_ends: Vec<String>,
+    /// The command that runs it again, where it failed.
     #[serde(rename = "again")]
-    pub retry: Option<String>,
+    pub rerun_command: Option<String>,
 }
 
 impl Played {
+    fn new(seed: u64, scenario: &Scenario, figures: &Figures) -> Self {
+        Self {
+            seed,
+            faults: schedule::fault_names(scenario),
+            sent: figures.counts.sent,
+            succeeded: figures.counts.succeeded,
+            valid: figures.valid,
+            why_invalid: figures.why_invalid.clone(),
+            rule_violations: figures.rule_violations.clone(),
+            rule_violation_count: figures.rule_violation_count,
+            violations: figures.violations,
+            unexpected_ends: figures.unexpected_ends.clone(),
+            rerun_command: None,
+        }
+    }
+
+    /// Whether no rule was violated and no balancer failed.
     pub fn is_sound(&self) -> bool {
-        self.broken_count == 0 && self.violations == 0 && self.deaths.is_empty()
+        self.rule_violation_count == 0 && self.violations == 0 && self.unexpected_ends.is_empty()
+    }
+
+    fn print(&self) {
+        let verdict = match (self.is_sound(), self.valid) {
+            (true, true) => "passed",
+            (true, false) => "passed, slow",
+            (false, _) => "FAILED",
+        };
+        println!(
+            "seed {:>5}  {verdict:<12} {:>5} sent {:>5} succeeded  {}",
+            self.seed,
+            self.sent,
+            self.succeeded,
+            self.faults.join(" + ")
+        );
+        for violation in self.rule_violations.iter().take(MAX_PRINTED_VIOLATIONS) {
+            println!("    {violation}");
+        }
+        if self.violations > 0 {
+            println!(
+                "    {} violations of balancers' invariants",
+                self.violations
+            );
+        }
+        for end in &self.unexpected_ends {
+            println!("    {end}");
+        }
+        if let Some(command) = &self.rerun_command {
+            println!("    again: {command}");
+        }
     }
 }
 
-/// All of them.
+/// The results of all seeds.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Found {
     pub played: Vec<Played>,
-    /// Days that broke something, on a machine that kept up.
+    /// Number of failures on a machine that was fast enough.
     pub failed: usize,
-    /// Days that broke something on a machine that was late: the lab itself may have been late to see it.
+    /// Number of failures on a machine that was too slow, for which the testbed may be the cause.
     pub doubtful: usize,
     pub invalid: usize,
     pub pairs: Vec<Pair>,
-    /// Seeds that the lab itself could not play, and why.
+    /// Seeds that could not be run, and why.
     pub not_played: Vec<String>,
 }
 
-/// Reads a schedule that was drawn.
-pub fn day_of(text: &str) -> Result<Scenario, String> {
+/// Parses the text of a schedule.
+pub fn parse_schedule(text: &str) -> Result<Scenario, Error> {
     validation::read(text, "soak").map_err(|problems| {
-        problems
-            .iter()
-            .map(ToString::to_string)
-            .collect::<Vec<_>>()
-            .join("; ")
+        let problems: Vec<_> = problems.iter().map(ToString::to_string).collect();
+        Error::new(problems.join("; "))
     })
 }
 
-fn played(seed: u64, scenario: &Scenario, figures: &Figures) -> Played {
-    Played {
-        seed,
-        troubles: schedule::troubles(scenario),
-        asked: figures.requests.asked,
-        succeeded: figures.requests.succeeded,
-        valid: figures.valid,
-        why_invalid: figures.why_invalid.clone(),
-        violated_rules: figures.rules_broken.clone(),
-        broken_count: figures.rules_broken_count,
-        violations: figures.violations,
-        deaths: figures.deaths.clone(),
-        retry: None,
-    }
+/// Results that the threads of a soak share.
+#[derive(Default)]
+struct Shared {
+    found: Mutex<Found>,
+    scenarios: Mutex<Vec<PlayedScenario>>,
 }
 
-/// Plays one seed. A failing one is kept as a file, as small as it can be made where that is wanted.
-fn one(wish: &Wish, seed: u64, over: &Arc<AtomicBool>) -> Result<(Played, Scenario), String> {
-    let text = schedule::draw(seed, &wish.shape);
-    let scenario = day_of(&text)?;
-    let wishes = Wishes {
-        over: Arc::clone(over),
-        ..Wishes::default()
-    };
-    let figures = play(&scenario, seed, &wish.who, &wishes)?;
-    let mut played = played(seed, &scenario, &figures);
-    if !played.is_sound() {
-        let text = if wish.shrinks {
-            shrink::shrink(&text, seed, &wish.who, over)
-        } else {
-            text
-        };
-        std::fs::create_dir_all(&wish.save).map_err(|problem| problem.to_string())?;
-        let path = wish.save.join(format!("soak-{seed}.toml"));
-        std::fs::write(&path, text).map_err(|problem| format!("{}: {problem}", path.display()))?;
-        played.retry = Some(format!(
-            "pinefront-testbed run {} --seed {seed}",
-            path.display()
-        ));
+impl Shared {
+    fn add(&self, played: Played, scenario: Scenario) {
+        played.print();
+        locked(&self.scenarios).push(PlayedScenario {
+            scenario,
+            requests: played.sent,
+        });
+        locked(&self.found).played.push(played);
     }
-    Ok((played, scenario))
-}
 
-fn say(played: &Played) {
-    let verdict = match (played.is_sound(), played.valid) {
-        (true, true) => "kept",
-        (true, false) => "kept, machine late",
-        (false, _) => "BROKEN",
-    };
-    println!(
-        "seed {:>5}  {verdict:<18} {:>5} asked {:>5} served  {}",
-        played.seed,
-        played.asked,
-        played.succeeded,
-        played.troubles.join(" + ")
-    );
-    played
-        .violated_rules
-        .iter()
-        .take(3)
-        .for_each(|record_violation| println!("    {record_violation}"));
-    if played.violations > 0 {
-        println!("    {} violations of balancers' guards", played.violations);
+    fn add_error(&self, seed: u64, problem: &Error) {
+        println!("seed {seed:>5}  not played: {problem}");
+        let text = format!("seed {seed}: {problem}");
+        locked(&self.found).not_played.push(text);
+    }
+
+    fn into_found(self) -> Found {
+        let mut found = self.found.into_inner().unwrap_or_default();
+        found.played.sort_by_key(|played| played.seed);
+        let count = |selects: &dyn Fn(&Played) -> bool| {
+            let played = found.played.iter();
+            played.filter(|played| selects(played)).count()
+        };
+        let failed = count(&|played| !played.is_sound() && played.valid);
+        let doubtful = count(&|played| !played.is_sound() && !played.valid);
+        let invalid = count(&|played| !played.valid);
+        Found {
+            failed,
+            doubtful,
+            invalid,
+            pairs: coverage::pairs(&locked(&self.scenarios)),
+            ..found
+        }
     }
-    played
-        .deaths
-        .iter()
-        .for_each(|death| println!("    {death}"));
-    played
-        .retry
-        .iter()
-        .for_each(|retry| println!("    again: {retry}"));
 }
 
-/// Plays all seeds, some side by side.
-pub fn soak(wish: &Wish, over: &Arc<AtomicBool>) -> Found {
-    let next = AtomicU64::new(wish.seeds.start);
-    let (found, scenarios) = (Mutex::new(Found::default()), Mutex::new(Vec::new()));
+/// Runs all seeds, some at the same time.
+pub fn soak(options: &Options, stop: &Arc<AtomicBool>) -> Found {
+    let next_seed = AtomicU64::new(options.seeds.start);
+    let shared = Shared::default();
     std::thread::scope(|scope| {
-        for _ in 0..wish.parallel.max(1) {
+        for _ in 0..options.parallel.max(1) {
             scope.spawn(|| {
                 loop {
-                    let seed = next.fetch_add(1, Ordering::Relaxed);
-                    if seed >= wish.seeds.end || over.load(Ordering::Relaxed) {
+                    let seed = next_seed.fetch_add(1, Ordering::Relaxed);
+                    if seed >= options.seeds.end || stop.load(Ordering::Relaxed) {
                         return;
                     }
-                    match one(wish, seed, over) {
-                        Ok((played, scenario)) => {
-                            say(&played);
-                            locked(&scenarios).push((played.asked, scenario));
-                            locked(&found).played.push(played);
-                        }
-                        Err(problem) => {
-                            println!("seed {seed:>5}  not played: {problem}");
-                            locked(&found)
-                                .not_played
-                                .push(format!("seed {seed}: {problem}"));
-                        }
+                    match run_seed(options, seed, stop) {
+                        Ok((played, scenario)) => shared.add(played, scenario),
+                        Err(problem) => shared.add_error(seed, &problem),
                     }
                 }
             });
         }
     });
-    let mut found = found.into_inner().unwrap_or_default();
-    found.played.sort_by_key(|played| played.seed);
-    let broke = |valid: bool| {
-        found
-            .played
-            .iter()
-            .filter(|one| !one.is_sound() && one.valid == valid)
-            .count()
+    shared.into_found()
+}
+
+/// Runs one seed. The schedule of a failing one is saved.
+fn run_seed(
+    options: &Options,
+    seed: u64,
+    stop: &Arc<AtomicBool>,
+) -> Result<(Played, Scenario), Error> {
+    let text = schedule::draw(seed, &options.shape);
+    let scenario = parse_schedule(&text)?;
+    let run_options = RunOptions {
+        stop: Arc::clone(stop),
+        ..RunOptions::default()
     };
-    (found.failed, found.doubtful) = (broke(true), broke(false));
-    found.invalid = found.played.iter().filter(|played| !played.valid).count();
-    found.pairs = coverage::pairs(&locked(&scenarios));
-    found
+    let figures = run(&scenario, seed, &options.subject, &run_options)?;
+    let mut played = Played::new(seed, &scenario, &figures);
+    if !played.is_sound() {
+        let text = if options.shrinks {
+            shrink::shrink(&text, seed, &options.subject, stop)
+        } else {
+            text
+        };
+        let path = save(&options.save, seed, &text)?;
+        let path = path.display();
+        played.rerun_command = Some(format!("pinefront-testbed run {path} --seed {seed}"));
+    }
+    Ok((played, scenario))
+}
+
+fn save(folder: &Path, seed: u64, text: &str) -> Result<PathBuf, Error> {
+    std::fs::create_dir_all(folder)?;
+    let path = folder.join(format!("soak-{seed}.toml"));
+    std::fs::write(&path, text).context(path.display())?;
+    Ok(path)
 }
 
 #[cfg(test)]
--- a/crates/testbed/src/soak/shrink.rs
+++ b/crates/testbed/src/soak/shrink.rs
@@ -1,50 +1,48 @@
-//! Makes a failing schedule smaller: troubles are left out one after the other as long as it still fails.
+//! Reduces a failing schedule: faults are removed one after the other as long as it still fails.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-use crate::play::{Who, Wishes, play};
-use crate::soak::day_of;
+use crate::runner::{RunOptions, Subject, run};
+use crate::soak::parse_schedule;
 
-/// What stands between two troubles in a schedule's text.
-const FAULT: &str = "[[faults]]\n";
+/// Separates the faults in a schedule's text.
+const FAULT_HEADER: &str = "[[faults]]\n";
 
-fn fails(text: &str, seed: u64, who: &Who, over: &Arc<AtomicBool>) -> bool {
-    let wishes = Wishes {
-        over: Arc::clone(over),
-        ..Wishes::default()
+fn fails(text: &str, seed: u64, subject: &Subject, stop: &Arc<AtomicBool>) -> bool {
+    let options = RunOptions {
+        stop: Arc::clone(stop),
+        ..RunOptions::default()
     };
-    let played = day_of(text).and_then(|scenario| play(&scenario, seed, who, &wishes));
-    played.is_ok_and(|figures| !figures.is_sound())
+    let figures = parse_schedule(text).and_then(|scenario| run(&scenario, seed, subject, &options));
+    figures.is_ok_and(|figures| !figures.is_sound())
 }
 
 /// The smallest schedule found that still fails.
-pub fn shrink(text: &str, seed: u64, who: &Who, over: &Arc<AtomicBool>) -> String {
-    let parts: Vec<&str> = text.split(FAULT).collect();
-    let mut kept = without_needless(&parts, |parts| {
-        !over.load(Ordering::Relaxed) && fails(&parts.join(FAULT), seed, who, over)
+pub fn shrink(text: &str, seed: u64, subject: &Subject, stop: &Arc<AtomicBool>) -> String {
+    let parts: Vec<&str> = text.split(FAULT_HEADER).collect();
+    let smallest = remove_needless(&parts, |parts| {
+        !stop.load(Ordering::Relaxed) && fails(&parts.join(FAULT_HEADER), seed, subject, stop)
     });
-    if kept.is_empty() {
-        kept = parts;
-    }
-    kept.join(FAULT)
+    smallest.join(FAULT_HEADER)
 }
 
-/// Leaves out each part but the first, the head, without which it still fails.
-pub fn without_needless<'a>(
+/// Removes each part but the first, the settings, without which `fails` still holds. At least one fault remains.
+pub fn remove_needless<'a>(
     parts: &[&'a str],
     mut fails: impl FnMut(&[&'a str]) -> bool,
 ) -> Vec<&'a str> {
-    let mut kept = parts.to_vec();
-    let mut at = 1;
-    while at < kept.len() && kept.len() > 2 {
-        let mut fewer = kept.clone();
-        fewer.remove(at);
+    const MIN_PARTS: usize = 2;
+    let mut remaining = parts.to_vec();
+    let mut index = 1;
+    while index < remaining.len() && remaining.len() > MIN_PARTS {
+        let mut fewer = remaining.clone();
+        fewer.remove(index);
         if fails(&fewer) {
-            kept = fewer;
+            remaining = fewer;
         } else {
-            at += 1;
+            index += 1;
         }
     }
-    kept
+    remaining
 }
--- a/crates/testbed/src/tests.rs
+++ b/crates/testbed/src/tests.rs
@@ -15,13 +15,13 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use crate::clients::RequestCounts;
+use crate::clients::{self, RequestCounts};
 use crate::figures::{Figures, Second, Times};
 use crate::fleet::Known;
 use crate::fleet::duties::DutiesFound;
 use crate::soak::schedule::{self, Shape};
-use crate::world::World;
-use crate::{balancers, clients, discovery, load, overhead, soak, stand, system};
+use crate::world::{FoundRequest, World};
+use crate::{balancers, discovery_stand_in, load, overhead, server_stand_in, soak, system_faults};
 
 const EVERY_KEY: &str = include_str!("../../model/tests/recorded/every_key.toml");
 
@@ -62,7 +62,7 @@
         };
         for seed in [0, 1, 2, 3, 17, 40, 99, 1_000_003] {
             let drawn = schedule::draw(seed, &shape);
-            let read = soak::day_of(&drawn).unwrap();
+            let read = soak::parse_schedule(&drawn).unwrap();
             assert_eq!(read.faults.len(), drawn.matches("[[faults]]").count());
             text += &drawn;
             text += "# ----\n";
@@ -120,14 +120,14 @@
         seed: 21,
         balancers: 22,
         servers: 23,
-        requests: RequestCounts {
-            asked: 24,
+        counts: RequestCounts {
+            sent: 24,
             succeeded: 25,
             rejected: 26,
             failed: 27,
             unanswered: 28,
-            left: 29,
-            unreached: 30,
+            disconnected: 29,
+            unreachable: 30,
         },
         latency_ms: times(31.0),
         lateness_ms: times(32.0),
@@ -142,35 +142,35 @@
             tail: 0.38,
             total: 0.39,
         },
-        rules_broken: vec!["rule 1".into()],
-        rules_broken_count: 40,
-        deaths: vec!["balancer 0 died".into()],
+        rule_violations: vec!["rule 1".into()],
+        rule_violation_count: 40,
+        unexpected_ends: vec!["balancer 0 died".into()],
         violations: 41,
-        cpu_us_per_ticket: 42.5,
+        cpu_us_per_request: 42.5,
         memory_mb: 43.5,
-        lab_memory_mb: 44.5,
-        dispatches_per_ticket: 45.5,
-        sends: vec![46, 47],
+        testbed_memory_mb: 44.5,
+        attempts_per_request: 45.5,
+        attempts_by_server: vec![46, 47],
         seconds: vec![Second {
             service: 0.48,
             p50_ms: 49.5,
             p90_ms: 50.5,
             p99_ms: 51.5,
         }],
-        known: Some(known()),
-        cut_short: true,
+        cluster: Some(known()),
+        interrupted: true,
     }
 }
 
 fn load_found() -> load::Found {
     load::Found {
-        asked: 60,
+        sent: 60,
         succeeded: 61,
         rejected: 62,
         failed: 63,
         unanswered: 64,
         dropped: 65,
-        rate_asked: 66.5,
+        rate_sent: 66.5,
         rate_succeeded: 67.5,
         latency_ms: times(68.0),
         lateness_ms: times(69.0),
@@ -192,11 +192,11 @@
         p99_ratio: 78.5,
         added_p50_ms: 79.5,
         added_p99_ms: 80.5,
-        cpu_us_per_ticket: 81.5,
+        cpu_us_per_request: 81.5,
         highest_rate: 82.5,
         memory_mb: 83.5,
         members: Some(84),
-        cpu_part_at_rest: 85.5,
+        idle_cpu_fraction: 85.5,
         through: load_found(),
         valid: true,
     }
@@ -207,28 +207,28 @@
         failed: 90,
         doubtful: 91,
         invalid: 92,
-        pairs: soak::coverage::pairs(&[(
-            100,
-            scenario(
+        pairs: soak::coverage::pairs(&[soak::coverage::PlayedScenario {
+            requests: 100,
+            scenario: scenario(
                 "name = 'd'\nlength = '20s'\n[[faults]]\nkind = 'burst'\nat = '1s'\nfor = '2s'\n\
                  [[faults]]\nkind = 'spoilt'\nat = '2s'\nfor = '2s'",
             ),
-        )]),
+        }]),
         not_played: vec!["seed 93".into()],
         ..soak::Found::default()
     };
     found.played.push(soak::Played {
         seed: 94,
-        troubles: vec!["burst".into()],
-        asked: 95,
+        faults: vec!["burst".into()],
+        sent: 95,
         succeeded: 96,
         valid: true,
         why_invalid: vec!["late".into()],
-        violated_rules: vec!["rule 2".into()],
-        broken_count: 97,
+        rule_violations: vec!["rule 2".into()],
+        rule_violation_count: 97,
         violations: 98,
-        deaths: vec!["died".into()],
-        retry: Some("run".into()),
+        unexpected_ends: vec!["died".into()],
+        rerun_command: Some("run".into()),
     });
     found
 }
@@ -254,7 +254,7 @@
     let world = Arc::new(World::new(scenario, 1));
     for number in 0..3 {
         let address = format!("10.0.0.{}:8000", number + 1).parse().unwrap();
-        world.listens(number, address, false);
+        world.set_server_address(number, address, false);
     }
     world
 }
@@ -305,7 +305,7 @@
     let mut text = String::new();
     for (title, rest, request) in cases {
         let world = world(&rest);
-        let address = discovery::serve(&world, 0).await.unwrap();
+        let address = discovery_stand_in::start(&world, 0).await.unwrap();
         text += &exchange_text(title, request, &answer_to(address, request).await);
     }
     let world = world("");
@@ -313,12 +313,12 @@
         pinefront_model::timeline::TimelineEvent::DrainStarted(0),
         pinefront_model::timeline::TimelineEvent::ServerCrashed(1),
     ] {
-        world.happens(what);
+        world.apply_event(what);
     }
-    let address = discovery::serve(&world, 0).await.unwrap();
+    let address = discovery_stand_in::start(&world, 0).await.unwrap();
     text += &exchange_text("draining and gone", SINCE, &answer_to(address, SINCE).await);
     text += &exchange_text("those that are left", ALL, &answer_to(address, ALL).await);
-    text += &format!("== given at a start\n{}\n", world.list_now());
+    text += &format!("== given at a start\n{}\n", world.list_document());
     compare("discovery_answers.txt", &text);
 }
 
@@ -352,17 +352,21 @@
         let world = Arc::new(World::new(scenario, 1));
         world.clock.begin();
         world.apply_conditions();
-        stand::server(&world, 0, false).await.unwrap();
-        let address = world.stand(0).unwrap().address().unwrap();
+        server_stand_in::start(&world, 0, false).await.unwrap();
+        let address = world.server(0).unwrap().address().unwrap();
         if full {
             let occupied = Request {
                 number: 1,
                 work: 60_000_000.0,
                 ..Request::default()
             };
-            let stand = world.stand(0).unwrap();
-            for _ in 0..stand.with(|server| server.spec.cores) {
-                let _ = world.sent(&stand, None, &occupied, 0, 0.0);
+            let occupied = FoundRequest {
+                number: None,
+                request: occupied,
+            };
+            let host = world.server(0).unwrap();
+            for _ in 0..host.with_server(|server| server.spec.cores) {
+                let _ = world.receive_attempt(&host, &occupied, 0, 0.0);
             }
         }
         text += &exchange_text(title, request, &answer_to(address, request).await);
@@ -372,7 +376,7 @@
 
 #[test]
 fn a_server_tells_its_load_as_recorded() {
-    let text = stand::load_field(&pinefront_model::server::Report {
+    let text = server_stand_in::load_header(&pinefront_model::server::Report {
         in_flight: 3,
         queue: 2,
         utilisation: 0.456,
@@ -410,14 +414,14 @@
 #[test]
 fn the_preloaded_library_is_told_as_recorded() {
     let bytes: Vec<u8> = (1_i64..=7).flat_map(i64::to_ne_bytes).collect();
-    let control = system::Control {
-        fails: 1,
-        is_short: 2,
-        interrupted: 3,
-        held_up: 4,
-        held_up_us: 5,
+    let control = system_faults::Control {
+        failing_calls: 1,
+        short_calls: 2,
+        interrupted_calls: 3,
+        delayed_writes: 4,
+        write_delay_us: 5,
         clock_offset_us: 6,
-        violations: 7,
+        broken_connections: 7,
     };
-    assert_eq!(control.bytes(), bytes);
+    assert_eq!(control.to_bytes(), bytes);
 }
--- /dev/null
+++ b/crates/testbed/src/world/server_host.rs
@@ -0,0 +1,76 @@
+//! One simulated server, and those who wait for its responses.
+
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::sync::Mutex;
+use std::sync::atomic::AtomicU64;
+
+use pinefront_model::Micros;
+use pinefront_model::random::RandomSource;
+use pinefront_model::scenario::Scenario;
+use pinefront_model::server::{JobOutcome, Report, Server, ServerSpec};
+use tokio::sync::{Notify, oneshot, watch};
+
+use super::locked;
+
+/// A server behind a lock.
+pub struct ServerHost {
+    pub(super) state: Mutex<HostState>,
+    /// Wakes the timer of the stand-in, which then asks for the server's next event.
+    pub wake_timer: Notify,
+    /// Counts restarts. Connections of an earlier incarnation are reset.
+    pub incarnation: watch::Sender<u64>,
+    /// Number of complete attempts received.
+    pub attempts: AtomicU64,
+}
+
+pub(super) struct HostState {
+    pub(super) server: Server,
+    /// By job.
+    pub(super) waiting: HashMap<u64, Waiter>,
+    pub(super) address: Option<SocketAddr>,
+}
+
+/// The connection that waits for the outcome of a job.
+pub(super) struct Waiter {
+    pub(super) request: Option<u64>,
+    pub(super) outcome: oneshot::Sender<JobOutcome>,
+}
+
+impl ServerHost {
+    pub(super) fn new(scenario: &Scenario, seed: u64, spec: ServerSpec) -> Self {
+        let random = RandomSource::split(seed, "server", spec.number as u64);
+        let server = Server::new(spec, &scenario.fleet, &scenario.rules, random);
+        Self {
+            state: Mutex::new(HostState {
+                server,
+                waiting: HashMap::new(),
+                address: None,
+            }),
+            wake_timer: Notify::new(),
+            incarnation: watch::Sender::new(0),
+            attempts: AtomicU64::new(0),
+        }
+    }
+
+    /// Calls a function with the locked server.
+    pub fn with_server<T>(&self, call: impl FnOnce(&mut Server) -> T) -> T {
+        call(&mut locked(&self.state).server)
+    }
+
+    /// The address of the stand-in, once it listens.
+    pub fn address(&self) -> Option<SocketAddr> {
+        locked(&self.state).address
+    }
+
+    /// The load that a response reports now.
+    pub fn report(&self, now: Micros) -> Option<Report> {
+        self.with_server(|server| server.report(now))
+    }
+
+    /// Ends the current incarnation.
+    pub(super) fn end_incarnation(&self) {
+        self.incarnation
+            .send_modify(|incarnation| *incarnation += 1);
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/world/servers.rs
@@ -0,0 +1,269 @@
+//! The simulated servers: attempts that reach them, and events of the timeline.
+
+use std::sync::atomic::Ordering;
+use std::sync::{Arc, PoisonError};
+
+use pinefront_model::checker::{AttemptTarget, Observation};
+use pinefront_model::discovery::State;
+use pinefront_model::random::RandomSource;
+use pinefront_model::scenario::{Idempotency, IdempotencyScope};
+use pinefront_model::server::{
+    DUPLICATE_WORK_US, FinishedJob, Job, JobOutcome, Server, ServerSpec,
+};
+use pinefront_model::timeline::TimelineEvent;
+use pinefront_model::{Micros, fleet};
+use tokio::sync::oneshot;
+
+use super::server_host::{HostState, Waiter};
+use super::{FoundRequest, ServerHost, World, locked};
+
+/// Scope numbers of zones start here.
+const FIRST_ZONE_SCOPE: usize = 1;
+/// Scope numbers of cells start here, beyond those of all zones.
+const FIRST_CELL_SCOPE: usize = 1000;
+
+/// An attempt that a server received.
+pub struct ReceivedAttempt {
+    /// The job's number at the server.
+    pub job: u64,
+    /// Receives how the job ended.
+    pub outcome: oneshot::Receiver<JobOutcome>,
+}
+
+impl World {
+    /// All servers that ever existed, by number.
+    pub fn servers(&self) -> Vec<Arc<ServerHost>> {
+        self.servers
+            .read()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
+    }
+
+    pub fn server(&self, number: usize) -> Option<Arc<ServerHost>> {
+        self.servers
+            .read()
+            .unwrap_or_else(PoisonError::into_inner)
+            .get(number)
+            .cloned()
+    }
+
+    /// Applies the active faults to all servers.
+    pub fn apply_conditions(&self) {
+        let now = self.now();
+        for (number, host) in self.servers().iter().enumerate() {
+            let condition = self.timeline().condition(number, now);
+            if host.with_server(|server| *server.condition() != condition) {
+                self.change_server(host, |server, now, finished| {
+                    server.set_condition(now, condition, finished);
+                });
+            }
+        }
+    }
+
+    /// Passes a complete attempt, whose first byte arrived at `started_at`, to a server. `extra_work` is added to the
+    /// request's work.
+    pub fn receive_attempt(
+        &self,
+        host: &ServerHost,
+        found: &FoundRequest,
+        started_at: Micros,
+        extra_work: f64,
+    ) -> ReceivedAttempt {
+        let now = self.now();
+        let id = self.next_job.fetch_add(1, Ordering::Relaxed);
+        let (sender, outcome) = oneshot::channel();
+        host.attempts.fetch_add(1, Ordering::Relaxed);
+        let mut state = locked(&host.state);
+        if let Some(request) = found.number {
+            let observation = Observation::AttemptReceived {
+                request,
+                target: attempt_target(&state.server, now),
+                started_at,
+                work: found.request.work,
+            };
+            self.record(now, observation);
+        }
+        let is_duplicate = self.is_duplicate(&state.server.spec, found, now);
+        let request_work = if is_duplicate {
+            DUPLICATE_WORK_US
+        } else {
+            found.request.work
+        };
+        let waiter = Waiter {
+            request: found.number,
+            outcome: sender,
+        };
+        state.waiting.insert(id, waiter);
+        let job = Job {
+            id,
+            work: extra_work + request_work,
+            off_core_time: found.request.off_core_time,
+            key: Some(found.request.key),
+        };
+        self.run_job(host, &mut state, now, job);
+        drop(state);
+        host.wake_timer.notify_one();
+        ReceivedAttempt { job: id, outcome }
+    }
+
+    /// Whether the server discards an attempt as a duplicate.
+    fn is_duplicate(&self, spec: &ServerSpec, found: &FoundRequest, now: Micros) -> bool {
+        let class = self.scenario.classes[found.request.class].get_ref();
+        let has_key = found.number.is_some() && class.idempotency == Idempotency::IdempotencyKey;
+        let scope = match class.scope {
+            IdempotencyScope::All => 0,
+            IdempotencyScope::Zone => FIRST_ZONE_SCOPE + spec.zone,
+            IdempotencyScope::Cell => FIRST_CELL_SCOPE + spec.cell,
+        };
+        let (key, window) = (found.request.idempotency_key, class.idempotency_window.0);
+        has_key && locked(&self.duplicates).is_duplicate(now, scope, key, window)
+    }
+
+    fn run_job(&self, host: &ServerHost, state: &mut HostState, now: Micros, job: Job) {
+        let mut finished = Vec::new();
+        let had_crashed = state.server.crashed_in_slow_start();
+        state.server.receive(now, job, &mut finished);
+        if state.server.crashed_in_slow_start() && !had_crashed {
+            let server = state.server.spec.number;
+            self.record(now, Observation::ServerOverloaded { server });
+            host.end_incarnation();
+        }
+        self.deliver(state, now, finished);
+    }
+
+    /// Changes a server, and delivers the outcomes of jobs that end by it.
+    pub fn change_server(
+        &self,
+        host: &ServerHost,
+        change: impl FnOnce(&mut Server, Micros, &mut Vec<FinishedJob>),
+    ) {
+        let now = self.now();
+        let mut state = locked(&host.state);
+        let mut finished = Vec::new();
+        change(&mut state.server, now, &mut finished);
+        self.deliver(&mut state, now, finished);
+        drop(state);
+        host.wake_timer.notify_one();
+    }
+
+    /// Simulates a server up to now. Returns the time of its next event.
+    pub fn advance_server(&self, host: &ServerHost) -> Option<Micros> {
+        let now = self.now();
+        let mut state = locked(&host.state);
+        let mut finished = Vec::new();
+        state.server.advance(now, &mut finished);
+        self.deliver(&mut state, now, finished);
+        state.server.next_event()
+    }
+
+    fn deliver(&self, state: &mut HostState, now: Micros, finished: Vec<FinishedJob>) {
+        let server = state.server.spec.number;
+        for job in finished {
+            let Some(waiter) = state.waiting.remove(&job.id) else {
+                continue;
+            };
+            if let Some(request) = waiter.request {
+                if job.outcome.ran() {
+                    self.record(now, Observation::AttemptRan { request, server });
+                } else if job.outcome == JobOutcome::Rejected {
+                    self.record(now, Observation::AttemptNotRun { request, server });
+                }
+            }
+            // The connection may have closed meanwhile.
+            let _ = waiter.outcome.send(job.outcome);
+        }
+    }
+
+    /// Cancels an attempt whose connection closed.
+    pub fn cancel_attempt(&self, host: &ServerHost, job: u64) {
+        self.change_server(host, |server, now, finished| {
+            server.cancel(now, job, finished);
+        });
+        locked(&host.state).waiting.remove(&job);
+    }
+
+    /// Applies an event to a server. Returns the numbers of servers that need a new stand-in on sockets.
+    pub fn apply_event(&self, event: TimelineEvent) -> Vec<usize> {
+        match event {
+            TimelineEvent::DrainStarted(server) => {
+                self.change_list(server, State::Draining);
+                Vec::new()
+            }
+            TimelineEvent::DrainFinished(server) => {
+                self.remove_server(server);
+                self.add_servers(1, Some(server))
+            }
+            TimelineEvent::ServerCrashed(server) => {
+                self.remove_server(server);
+                Vec::new()
+            }
+            TimelineEvent::ServerRestored(server) | TimelineEvent::ServerRestarted(server) => {
+                self.kill_server(server);
+                self.restart_server(server);
+                vec![server]
+            }
+            TimelineEvent::ServersAdded(count) => self.add_servers(count, None),
+            TimelineEvent::BalancerKilled(_)
+            | TimelineEvent::BalancerStopped(_)
+            | TimelineEvent::BalancerStarted(_)
+            | TimelineEvent::BalancerMoved { .. }
+            | TimelineEvent::BalancerReloaded(_)
+            | TimelineEvent::BalancerPaused(_)
+            | TimelineEvent::BalancerResumed(_) => Vec::new(),
+        }
+    }
+
+    fn remove_server(&self, number: usize) {
+        self.kill_server(number);
+        self.change_list(number, State::Removed);
+    }
+
+    fn kill_server(&self, number: usize) {
+        let Some(host) = self.server(number) else {
+            return;
+        };
+        self.change_server(&host, |server, now, finished| server.kill(now, finished));
+        host.end_incarnation();
+    }
+
+    fn restart_server(&self, number: usize) {
+        let Some(host) = self.server(number) else {
+            return;
+        };
+        let now = self.now();
+        let mut state = locked(&host.state);
+        let spec = ServerSpec {
+            started_at: Some(now),
+            ..state.server.spec.clone()
+        };
+        let incarnation = *host.incarnation.borrow();
+        let stream = number as u64 + (incarnation << 32);
+        let random = RandomSource::split(self.seed, "server", stream);
+        let (fleet, rules) = (&self.scenario.fleet, &self.scenario.rules);
+        state.server = Server::new(spec, fleet, rules, random);
+    }
+
+    fn add_servers(&self, count: usize, replaced: Option<usize>) -> Vec<usize> {
+        let replaced = replaced
+            .and_then(|number| self.server(number))
+            .map(|host| host.with_server(|server| server.spec.clone()));
+        let now = self.now();
+        let mut servers = self.servers.write().unwrap_or_else(PoisonError::into_inner);
+        let first = servers.len();
+        for number in first..first + count {
+            let spec = fleet::new_server(&self.scenario, self.seed, number, replaced.as_ref(), now);
+            servers.push(Arc::new(ServerHost::new(&self.scenario, self.seed, spec)));
+        }
+        (first..first + count).collect()
+    }
+}
+
+fn attempt_target(server: &Server, now: Micros) -> AttemptTarget {
+    let is_in_slow_start = server.slow_start_factor(now) < 1.0;
+    AttemptTarget {
+        server: server.spec.number,
+        zone: server.spec.zone,
+        cell: server.spec.cell,
+        slow_start_capacity: is_in_slow_start.then(|| server.capacity(now)),
+    }
+}
