--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -16,6 +16,7 @@
 use crate::state::fleet_statistics::FleetStatistics;
 use crate::state::idle_drops::IdleDrops;
 use crate::state::key_queue::KeyQueues;
+use crate::state::load_polls::LoadPolls;
 use crate::state::outliers::Outliers;
 use crate::state::request::Request;
 use crate::state::request_queue::RequestQueue;
@@ -87,9 +88,7 @@
     /// Requests that wait for capacity.
     pub(crate) queue: RequestQueue,
     /// Requests that wait for the loads of endpoints.
-    pub(crate) awaiting_loads: Vec<Request>,
-    /// When a request last found no endpoint that would meet its objective by the polled loads.
-    pub(crate) last_unplaced_at: Micros,
+    pub(crate) load_polls: LoadPolls,
     pub(crate) key_queues: KeyQueues,
     pub(crate) timers: Timers,
     pub(crate) admission: Admission,
@@ -115,8 +114,7 @@
             failed_list_polls: 0,
             requests: HashMap::new(),
             queue: RequestQueue::default(),
-            awaiting_loads: Vec::new(),
-            last_unplaced_at: 0,
+            load_polls: LoadPolls::default(),
             key_queues: KeyQueues::default(),
             timers: Timers::default(),
             admission: Admission::new(settings.tenant_quotas.len()),
@@ -280,7 +278,7 @@
     /// The lists of requests that wait for capacity, for loads or for their key.
     fn waiting_lists(&mut self) -> impl Iterator<Item = &mut Vec<Request>> {
         let key_queues = self.key_queues.queues.values_mut();
-        [&mut self.queue.requests, &mut self.awaiting_loads]
+        [&mut self.queue.requests, &mut self.load_polls.requests]
             .into_iter()
             .chain(key_queues.map(|queue| &mut queue.waiting))
     }
--- a/crates/policy/src/decisions/load_probing.rs
+++ b/crates/policy/src/decisions/load_probing.rs
@@ -27,7 +27,7 @@
     pub(crate) fn poll_loads(&mut self, now: Micros, mut request: Request) {
         let candidates = self.candidates(now, &request);
         if candidates.is_empty() || request.answer_by() <= now {
-            self.last_unplaced_at = now;
+            self.load_polls.last_unplaced_at = now;
             return self.reject_or_fail(now, request);
         }
         let wait = self.settings.classes[request.class].latency_objective / OBJECTIVE_PER_WAIT;
@@ -45,13 +45,13 @@
         let wait = wait.min(request.deadline.saturating_sub(now) / 2);
         let purpose = TimerPurpose::LoadsPolled(Rc::clone(&request.id));
         self.timers.schedule(&mut self.host, wait, purpose);
-        self.awaiting_loads.push(request);
+        self.load_polls.requests.push(request);
     }
 
     /// Time in microseconds for which a load counts as fresh.
     fn loads_fresh_for(&self, now: Micros, wait: Micros) -> Micros {
         let long = WAITS_FRESH_UNDER_LOAD * wait;
-        let under_load = now < self.last_unplaced_at + long;
+        let under_load = now < self.load_polls.last_unplaced_at + long;
         if !self.settings.load_from_probes && under_load {
             long
         } else {
@@ -83,25 +83,15 @@
 
     /// The load of an endpoint was received, or cannot be.
     pub(crate) fn load_received(&mut self, now: Micros, index: usize, answered: bool) {
-        for request in &mut self.awaiting_loads {
-            let mut pending = request.pending_loads.iter();
-            if let Some(position) = pending.position(|&pending| pending == index) {
-                request.pending_loads.swap_remove(position);
-                request.known_loads.extend(answered.then_some(index));
-            }
-        }
-        let is_complete = |request: &Request| request.pending_loads.is_empty();
-        while let Some(position) = self.awaiting_loads.iter().position(is_complete) {
-            let request = self.awaiting_loads.remove(position);
+        self.load_polls.received(index, answered);
+        while let Some(request) = self.load_polls.take_complete() {
             self.place_by_load(now, request);
         }
     }
 
     /// A request has waited long enough for loads.
     pub(crate) fn load_poll_timed_out(&mut self, now: Micros, id: &str) {
-        let waiting = |request: &Request| *request.id == *id;
-        if let Some(position) = self.awaiting_loads.iter().position(waiting) {
-            let request = self.awaiting_loads.remove(position);
+        if let Some(request) = self.load_polls.take_timed_out(id) {
             self.place_by_load(now, request);
         }
     }
@@ -120,7 +110,7 @@
         if !candidates.is_empty() && self.select_and_send(now, &mut request, &candidates) {
             self.requests.insert(Rc::clone(&request.id), request);
         } else {
-            self.last_unplaced_at = now;
+            self.load_polls.last_unplaced_at = now;
             self.reject_or_fail(now, request);
         }
     }
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -9,6 +9,7 @@
 pub(crate) mod idle_drops;
 pub(crate) mod key_queue;
 pub(crate) mod load_ledger;
+pub(crate) mod load_polls;
 pub(crate) mod outliers;
 pub(crate) mod request;
 pub(crate) mod request_queue;
--- a/crates/policy/src/tests/load_probing.rs
+++ b/crates/policy/src/tests/load_probing.rs
@@ -73,7 +73,7 @@
         (recorder.count("attempt"), recorder.count("reject")),
         (attempted, rejected)
     );
-    assert!(balancer.awaiting_loads.is_empty() && balancer.queue.requests.is_empty());
+    assert!(balancer.load_polls.requests.is_empty() && balancer.queue.requests.is_empty());
 }
 
 /// Clients that retry at once must not flood the balancers with gossip.
