--- a/crates/proxy/src/fleet/carrier/tests.rs
+++ b/crates/proxy/src/cluster/node/tests.rs
@@ -6,6 +6,7 @@
 use pinefront_cluster::leases::{DEFAULT_LEASE_US, Lease, LeaseConfig};
 
 use super::*;
+use crate::cluster::operator_file::FleetLeases;
 
 const LONG: Duration = Duration::from_secs(20);
 
@@ -13,7 +14,7 @@
     event_loop: &EventLoop<'static, ()>,
     name: &str,
     seeds: Vec<std::net::SocketAddr>,
-) -> Rc<RefCell<Fleet>> {
+) -> Rc<RefCell<ClusterNode>> {
     open_with(event_loop, name, seeds, false)
 }
 
@@ -23,12 +24,12 @@
     name: &str,
     seeds: Vec<std::net::SocketAddr>,
     shared_list: bool,
-) -> Rc<RefCell<Fleet>> {
+) -> Rc<RefCell<ClusterNode>> {
     let free = UdpSocket::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
-    let part = MemberConfig {
+    let config = MemberConfig {
         fleet: "f".into(),
         name: name.into(),
         zone: "a".into(),
@@ -46,26 +47,29 @@
         voters: vec!["b0".into()],
         duration: DEFAULT_LEASE_US,
     };
-    let shared_lists = shared_list
+    let shared_list_zones = shared_list
         .then(|| (lease.id, Rc::from("a")))
         .into_iter()
         .collect();
-    let leases = shared_list.then(|| (lease_config, vec![lease]));
-    let terms = FleetTerms {
+    let leases = shared_list.then(|| FleetLeases {
+        config: lease_config,
+        leases: vec![lease],
+    });
+    let settings = FleetSettings {
         listen: free,
-        part,
+        member: config,
         key,
         leases,
-        shared_lists,
+        shared_list_zones,
         via: Default::default(),
     };
     let log = Logger::root(slog::Discard, slog::o!());
-    Fleet::open(&event_loop.handle(), terms, 1, &log).unwrap()
+    ClusterNode::open(&event_loop.handle(), settings, 1, &log).unwrap()
 }
 
 fn until(
     event_loop: &mut EventLoop<'static, ()>,
-    all: &[Rc<RefCell<Fleet>>],
+    all: &[Rc<RefCell<ClusterNode>>],
     seen: impl Fn() -> bool,
 ) {
     let began = Instant::now();
@@ -74,7 +78,7 @@
         event_loop
             .dispatch(Some(Duration::from_millis(5)), &mut ())
             .unwrap();
-        all.iter().for_each(|fleet| fleet.borrow_mut().turn());
+        all.iter().for_each(|fleet| fleet.borrow_mut().run_timers());
     }
 }
 
@@ -83,14 +87,14 @@
 fn members_find_each_other_by_their_sockets_and_tell_of_leaving() {
     let mut event_loop = EventLoop::try_new().unwrap();
     let first = open(&event_loop, "b0", Vec::new());
-    let seed = first.borrow().terms.part.address;
+    let seed = first.borrow().settings.member.address;
     let second = open(&event_loop, "b1", vec![seed]);
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
     (0..50).for_each(|_| _ = stranger.send_to(&[7; 200], seed).unwrap());
     let all = [Rc::clone(&first), Rc::clone(&second)];
-    let knows = |one: &Rc<RefCell<Fleet>>| one.borrow().cluster.table.alive().count() == 1;
+    let knows = |one: &Rc<RefCell<ClusterNode>>| one.borrow().cluster.table.alive().count() == 1;
     until(&mut event_loop, &all, || knows(&first) && knows(&second));
-    let page = first.borrow().page();
+    let page = first.borrow().fleet_page();
     assert!(
         page.contains("\"member\":\"b0\"") && page.contains("\"name\":\"b1\""),
         "{page}"
@@ -102,10 +106,10 @@
     assert!(
         first
             .borrow()
-            .page()
+            .fleet_page()
             .contains("\"proven_gone\":\"said_so\"")
     );
-    assert!(first.borrow().page().contains("\"hash\":50"));
+    assert!(first.borrow().fleet_page().contains("\"hash\":50"));
 }
 
 /// One follows discovery, the other is told the list whole and then its changes, and asks nothing while that goes on.
@@ -113,10 +117,10 @@
 fn the_list_is_passed_on_by_who_holds_the_roster() {
     let mut event_loop = EventLoop::try_new().unwrap();
     let first = open_with(&event_loop, "b0", Vec::new(), true);
-    let seed = first.borrow().terms.part.address;
+    let seed = first.borrow().settings.member.address;
     let second = open_with(&event_loop, "b1", vec![seed], true);
     let all = [Rc::clone(&first), Rc::clone(&second)];
-    let is_publishing = |one: &Rc<RefCell<Fleet>>| one.borrow().shared_lists.is_publishing();
+    let is_publishing = |one: &Rc<RefCell<ClusterNode>>| one.borrow().shared_lists.is_publishing();
     until(&mut event_loop, &all, || {
         is_publishing(&first) || is_publishing(&second)
     });
@@ -132,14 +136,14 @@
     let entry = |n: usize| serde_json::json!({"uid": format!("s{n}"), "state": "active", "note": "x".repeat(90)});
     let whole = serde_json::json!({"rev": 4, "all": true, "targets": (0..40).map(entry).collect::<Vec<_>>()});
     let change = serde_json::json!({"rev": 5, "all": false, "targets": [entry(77)]});
-    holder.borrow_mut().listed(Some(&whole));
-    holder.borrow_mut().listed(Some(&change));
+    holder.borrow_mut().publish_list(&whole);
+    holder.borrow_mut().publish_list(&change);
     let taken = RefCell::new(Vec::new());
     until(&mut event_loop, &all, || {
         taken
             .borrow_mut()
             .extend(reader.borrow_mut().shared_lists.take_pages());
-        taken.borrow().len() == 2 && reader.borrow().fresh_for().is_some()
+        taken.borrow().len() == 2 && reader.borrow().list_fresh_for().is_some()
     });
     let lists: Vec<serde_json::Value> = taken
         .borrow()
@@ -151,10 +155,10 @@
         (lists[0]["rev"].as_u64(), named(&lists[0]), named(&lists[1])),
         (Some(4), 40, 1)
     );
-    assert!(holder.borrow().fresh_for().is_none());
+    assert!(holder.borrow().list_fresh_for().is_none());
     // Its discovery fails it: nobody is told any more that the list is fresh, and each asks for itself.
-    holder.borrow_mut().listed(None);
+    holder.borrow_mut().record_poll_failure();
     until(&mut event_loop, &all, || {
-        reader.borrow().fresh_for().is_none()
+        reader.borrow().list_fresh_for().is_none()
     });
 }
--- /dev/null
+++ b/crates/proxy/src/cluster/operator_file/fields.rs
@@ -0,0 +1,145 @@
+//! Conversion of single fields of the operator file.
+
+use std::net::SocketAddr;
+use std::ops::Range;
+use std::rc::Rc;
+
+use pinefront_cluster::datagram::Key;
+use pinefront_cluster::messages::is_valid_name;
+use pinefront_cluster::{Incarnation, Micros};
+use toml::Spanned;
+
+use super::FileReader;
+use super::error::{FieldError, OperatorFileError, Result};
+
+/// The shortest and the longest span that make sense between processes.
+const MIN_SPAN_US: Micros = 5_000;
+const MAX_SPAN_US: Micros = 60_000_000;
+
+impl FileReader<'_> {
+    pub(super) fn error(
+        &self,
+        at: Range<usize>,
+        field: &str,
+        reason: FieldError,
+    ) -> OperatorFileError {
+        let newlines = self
+            .text
+            .bytes()
+            .take(at.start)
+            .filter(|byte| *byte == b'\n')
+            .count();
+        OperatorFileError::Field {
+            path: self.path.to_owned(),
+            line: newlines + 1,
+            field: field.to_owned(),
+            reason,
+        }
+    }
+
+    pub(super) fn address(&self, value: &Spanned<String>, field: &str) -> Result<SocketAddr> {
+        let text = value.get_ref();
+        match text.parse::<SocketAddr>() {
+            Ok(address) if address.is_ipv4() => Ok(address),
+            _ => {
+                let reason = FieldError::InvalidAddress(text.clone());
+                Err(self.error(value.span(), field, reason))
+            }
+        }
+    }
+
+    /// An address that others can send to.
+    pub(super) fn reachable_address(
+        &self,
+        value: &Spanned<String>,
+        field: &str,
+    ) -> Result<SocketAddr> {
+        let address = self.address(value, field)?;
+        if address.ip().is_unspecified() || address.port() == 0 {
+            let reason = FieldError::UnreachableAddress(address);
+            return Err(self.error(value.span(), field, reason));
+        }
+        Ok(address)
+    }
+
+    pub(super) fn name(&self, value: &Spanned<String>, field: &str) -> Result<String> {
+        let text = value.get_ref();
+        if is_valid_name(text) && !text.contains('"') {
+            return Ok(text.clone());
+        }
+        Err(self.error(value.span(), field, FieldError::InvalidName(text.clone())))
+    }
+
+    /// A span in microseconds, or the default where none is given.
+    pub(super) fn span(
+        &self,
+        value: &Option<Spanned<String>>,
+        field: &str,
+        default: Micros,
+    ) -> Result<Micros> {
+        let Some(value) = value else {
+            return Ok(default);
+        };
+        let text = value.get_ref();
+        humantime::parse_duration(text)
+            .ok()
+            .and_then(|span| Micros::try_from(span.as_micros()).ok())
+            .filter(|span| (MIN_SPAN_US..=MAX_SPAN_US).contains(span))
+            .ok_or_else(|| self.error(value.span(), field, FieldError::InvalidSpan(text.clone())))
+    }
+
+    /// A process by its name and incarnation, as `/fleet` shows them.
+    pub(super) fn process(
+        &self,
+        value: &Spanned<String>,
+        field: &str,
+    ) -> Result<(Rc<str>, Incarnation)> {
+        let parts = value.get_ref().split_once(' ');
+        let Some((name, incarnation)) = parts.filter(|(name, _)| is_valid_name(name)) else {
+            return Err(self.error(value.span(), field, FieldError::NoProcess));
+        };
+        let parsed = incarnation.parse().map_err(|source| {
+            let text = incarnation.to_owned();
+            let reason = FieldError::InvalidIncarnation { text, source };
+            self.error(value.span(), field, reason)
+        })?;
+        Ok((name.into(), parsed))
+    }
+
+    /// The key in the file of that name.
+    pub(super) fn key(&self, path: &Spanned<String>) -> Result<Key> {
+        let field = "fleet.key_file";
+        let name = path.get_ref();
+        let bytes = std::fs::read(name).map_err(|source| {
+            let path_text = name.clone();
+            let reason = FieldError::UnreadableKey {
+                path: path_text,
+                source,
+            };
+            self.error(path.span(), field, reason)
+        })?;
+        Key::new(&bytes).map_err(|source| {
+            let reason = FieldError::ShortKey {
+                path: name.clone(),
+                source,
+            };
+            self.error(path.span(), field, reason)
+        })
+    }
+
+    pub(super) fn check_count(
+        &self,
+        values: &[Spanned<String>],
+        max: usize,
+        field: &str,
+    ) -> Result<()> {
+        match values.get(max) {
+            Some(first_too_many) => {
+                let count = values.len();
+                let reason = FieldError::TooMany { count, max };
+                Err(self.error(first_too_many.span(), field, reason))
+            }
+            None => Ok(()),
+        }
+    }
+}
--- a/crates/proxy/src/fleet/operator/tests.rs
+++ b/crates/proxy/src/cluster/operator_file/tests.rs
@@ -27,25 +27,27 @@
     }
 }
 
-fn terms(text: &str) -> Result<FleetTerms, String> {
-    Reader {
-        file: "o.toml",
+fn settings(text: &str) -> std::result::Result<FleetSettings, String> {
+    FileReader {
+        path: "o.toml",
         text,
     }
-    .terms("b1", "a")
+    .settings("b1", "a")
+    .map_err(|problem| problem.to_string())
 }
 
 #[test]
 fn what_is_left_out_comes_from_the_configuration() {
     let key = KeyFile::new("usual");
-    let terms = terms(&key.text("listen = '127.0.0.1:7400'\nseeds = ['127.0.0.1:7401']")).unwrap();
-    let part = &terms.part;
+    let settings =
+        settings(&key.text("listen = '127.0.0.1:7400'\nseeds = ['127.0.0.1:7401']")).unwrap();
+    let member = &settings.member;
     assert_eq!(
-        (part.name.as_str(), part.zone.as_str(), part.address),
-        ("b1", "a", terms.listen)
+        (member.name.as_str(), member.zone.as_str(), member.address),
+        ("b1", "a", settings.listen)
     );
     assert_eq!(
-        (part.probe_interval, part.seeds.len()),
+        (member.probe_interval, member.seeds.len()),
         (MemberConfig::DEFAULT_PROBE_INTERVAL, 1)
     );
 }
@@ -102,7 +104,7 @@
 #[case::missing("", "o.toml:1: [fleet]: missing field `listen`")]
 fn what_is_wrong_is_named_with_its_line(#[case] more: &str, #[case] problem: &str) {
     let key = KeyFile::new(&format!("{:x}", more.len() * 1_000 + problem.len()));
-    let told = terms(&key.text(more)).err().unwrap();
+    let told = settings(&key.text(more)).err().unwrap();
     assert!(told.starts_with(problem), "{told}");
 }
 
@@ -110,7 +112,7 @@
 fn a_key_that_is_not_there_or_too_short_is_named() {
     let text = "[fleet]\nname = 'f'\nkey_file = '/nowhere/key'\nlisten = '127.0.0.1:1'";
     assert!(
-        terms(text)
+        settings(text)
             .err()
             .unwrap()
             .starts_with("o.toml:3: fleet.key_file: /nowhere/key: ")
@@ -133,18 +135,20 @@
 #[test]
 fn delivered_operator_file_is_read_as_it_stands() {
     let key = KeyFile::new("delivered");
-    let terms = terms(&delivered(&key, false)).unwrap();
-    let part = &terms.part;
-    assert_eq!(part.fleet, "shop");
-    assert_eq!(terms.listen, "0.0.0.0:7400".parse().unwrap());
-    assert_eq!(part.address, "10.0.0.1:7400".parse().unwrap());
+    let settings = settings(&delivered(&key, false)).unwrap();
+    let member = &settings.member;
+    assert_eq!(member.fleet, "shop");
+    assert_eq!(settings.listen, "0.0.0.0:7400".parse().unwrap());
+    assert_eq!(member.address, "10.0.0.1:7400".parse().unwrap());
     let seeds = ["10.0.0.1:7400", "10.0.0.2:7400", "10.0.0.3:7400"];
-    assert_eq!(part.seeds, seeds.map(|seed| seed.parse().unwrap()));
-    assert_eq!((part.name.as_str(), part.zone.as_str()), ("b1", "a"));
+    assert_eq!(member.seeds, seeds.map(|seed| seed.parse().unwrap()));
+    assert_eq!((member.name.as_str(), member.zone.as_str()), ("b1", "a"));
     assert!(
-        part.confirmed_dead.is_empty() && terms.via.is_empty() && terms.shared_lists.is_empty()
+        member.confirmed_dead.is_empty()
+            && settings.via.is_empty()
+            && settings.shared_list_zones.is_empty()
     );
-    assert!(terms.leases.is_none());
+    assert!(settings.leases.is_none());
 }
 
 #[test]
@@ -157,27 +161,33 @@
         .replace("\"1500ms\"", "\"1200ms\"")
         .replace("member = \"b1\"", "member = \"b9\"")
         .replace("zone = \"a\"", "zone = \"c\"");
-    let terms = terms(&text).unwrap();
-    let part = &terms.part;
-    assert_eq!((part.name.as_str(), part.zone.as_str()), ("b9", "c"));
-    assert_eq!(part.probe_interval, 500_000);
-    assert_eq!(part.probe_timeout, 120_000);
-    assert_eq!(part.min_suspicion, 900_000);
+    let settings = settings(&text).unwrap();
+    let member = &settings.member;
+    assert_eq!((member.name.as_str(), member.zone.as_str()), ("b9", "c"));
+    assert_eq!(member.probe_interval, 500_000);
+    assert_eq!(member.probe_timeout, 120_000);
+    assert_eq!(member.min_suspicion, 900_000);
     let incarnation: Incarnation = "1878a0c41c8c0-00c0ffee00c0ffee".parse().unwrap();
     assert_eq!(
-        part.confirmed_dead,
+        member.confirmed_dead,
         [(Rc::from("b7"), incarnation)].into_iter().collect()
     );
     let told: SocketAddr = "10.0.0.2:7400".parse().unwrap();
     let used: SocketAddr = "192.0.2.7:7400".parse().unwrap();
-    assert_eq!(terms.via, [(told, used)].into_iter().collect());
-    let (lease_config, leases) = terms.leases.unwrap();
+    assert_eq!(settings.via, [(told, used)].into_iter().collect());
+    let FleetLeases {
+        config: lease_config,
+        leases,
+    } = settings.leases.unwrap();
     assert_eq!(lease_config.voters, ["b1", "b2", "b3"].map(Rc::from));
     assert_eq!(lease_config.duration, 1_200_000);
     let names: Vec<&str> = leases.iter().map(|lease| &*lease.name).collect();
     assert_eq!(names, ["nightly-report", "roster/a"]);
     let shared_list = (LeaseId::of("roster/a"), Rc::from("a"));
-    assert_eq!(terms.shared_lists, [shared_list].into_iter().collect());
+    assert_eq!(
+        settings.shared_list_zones,
+        [shared_list].into_iter().collect()
+    );
 }
 
 #[rstest]
@@ -191,7 +201,7 @@
 ) {
     let key = KeyFile::new(&format!("unknown-{}", above.len() + below.len()));
     let text = format!("{above}{}\n{below}", key.text("listen = '127.0.0.1:1'"));
-    let problem = terms(&text).err().unwrap();
+    let problem = settings(&text).err().unwrap();
     assert!(
         problem.contains(&format!(": {field}: unknown field")),
         "{problem}"
--- a/crates/proxy/src/fleet/page/tests.rs
+++ b/crates/proxy/src/cluster/pages/tests.rs
@@ -15,7 +15,7 @@
 use slog::Logger;
 
 use super::*;
-use crate::fleet::operator::FleetTerms;
+use crate::cluster::operator_file::{FleetLeases, FleetSettings};
 
 const KEY: &[u8] = b"0123456789abcdef";
 /// Values of these keys depend on the clock or on chance.
@@ -31,13 +31,13 @@
 ];
 
 /// Opens a fleet of one on a free port; with duties, it is the only voter.
-fn open(event_loop: &EventLoop<'static, ()>, with_duties: bool) -> Rc<RefCell<Fleet>> {
+fn open(event_loop: &EventLoop<'static, ()>, with_duties: bool) -> Rc<RefCell<ClusterNode>> {
     let free = UdpSocket::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
     let confirmed_dead = [(Rc::from("b4"), incarnation(4))].into_iter().collect();
-    let part = MemberConfig {
+    let config = MemberConfig {
         fleet: "shop".into(),
         name: "b0".into(),
         zone: "a".into(),
@@ -55,19 +55,22 @@
         voters: vec!["b0".into()],
         duration: 1_500_000,
     };
-    let terms = FleetTerms {
+    let settings = FleetSettings {
         listen: free,
-        part,
+        member: config,
         key: Key::new(KEY).unwrap(),
-        leases: with_duties.then_some((lease_config, leases)),
-        shared_lists: with_duties
+        leases: with_duties.then_some(FleetLeases {
+            config: lease_config,
+            leases,
+        }),
+        shared_list_zones: with_duties
             .then(|| (shared_list.id, Rc::from("a")))
             .into_iter()
             .collect(),
         via: Default::default(),
     };
     let log = Logger::root(slog::Discard, slog::o!());
-    Fleet::open(&event_loop.handle(), terms, 1, &log).unwrap()
+    ClusterNode::open(&event_loop.handle(), settings, 1, &log).unwrap()
 }
 
 fn incarnation(number: u64) -> Incarnation {
@@ -85,10 +88,10 @@
 }
 
 /// The text with the values of masked keys and of the process's own address and life left out.
-fn masked(fleet: &Fleet, text: &str) -> String {
+fn masked(fleet: &ClusterNode, text: &str) -> String {
     let own = fleet.cluster.incarnation();
     let mut text = text
-        .replace(&fleet.terms.part.address.to_string(), "OWN-ADDRESS")
+        .replace(&fleet.settings.member.address.to_string(), "OWN-ADDRESS")
         .replace(&own.to_string(), "OWN-LIFE")
         .replace(&format!(":{}", own.started_at_us), ":OWN-BORN");
     for key in MASKED {
@@ -148,7 +151,7 @@
     fleet.cluster.receive(at, &datagram(KEY, "shop", 1, 1));
     fleet.cluster.receive(at, &datagram(KEY, "shop", 1, 1));
     fleet.cluster.receive(at, &[0; 5]);
-    let page = masked(&fleet, &fleet.page());
+    let page = masked(&fleet, &fleet.fleet_page());
     assert_eq!(page, include_str!("../recorded/fleet.json"));
 }
 
@@ -168,10 +171,10 @@
         event_loop
             .dispatch(Some(Duration::from_millis(5)), &mut ())
             .unwrap();
-        fleet.borrow_mut().turn();
+        fleet.borrow_mut().run_timers();
     }
     assert_eq!(page("nightly"), include_str!("../recorded/duty-held.txt"));
-    let whole = masked(&fleet.borrow(), &fleet.borrow().page());
+    let whole = masked(&fleet.borrow(), &fleet.borrow().fleet_page());
     assert_eq!(whole, include_str!("../recorded/fleet-duties.json"));
 }
 
--- a/crates/proxy/src/connections/own_pages.rs
+++ b/crates/proxy/src/connections/own_pages.rs
@@ -32,10 +32,10 @@
             "/health/ready" => Some((503, "not ready\n".into())),
             "/health/live" => Some((200, "live\n".into())),
             "/stats" => Some((200, self.counters.to_string())),
-            "/fleet" => Some((200, self.fleet.as_ref()?.borrow().page())),
+            "/fleet" => Some((200, self.cluster.as_ref()?.borrow().fleet_page())),
             _ => {
                 let name = path.strip_prefix(DUTY_PREFIX)?;
-                Some(self.fleet.as_ref()?.borrow().lease_page(name))
+                Some(self.cluster.as_ref()?.borrow().lease_page(name))
             }
         }
     }
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -147,9 +147,9 @@
         let told = self.take_list(list)?;
         self.state
             .borrow()
-            .fleet
+            .cluster
             .iter()
-            .for_each(|fleet| fleet.borrow_mut().listed(Some(list)));
+            .for_each(|cluster| cluster.borrow_mut().publish_list(list));
         Ok(told)
     }
 
@@ -185,9 +185,9 @@
             state.counters.list_polls_rejected +=
                 u64::from(matches!(failure, Failure::Refused { .. }));
             state
-                .fleet
+                .cluster
                 .iter()
-                .for_each(|fleet| fleet.borrow_mut().listed(None));
+                .for_each(|cluster| cluster.borrow_mut().record_poll_failure());
         }
     }
 
@@ -251,11 +251,11 @@
     /// Takes what another balancer of the zone tells of the list, and asks for the whole of it where this one has just
     /// begun to tell the others.
     pub fn take_roster(&mut self) {
-        let Some(fleet) = self.state.borrow().fleet.clone() else {
+        let Some(cluster) = self.state.borrow().cluster.clone() else {
             return;
         };
         let (pages, takes_over) = {
-            let shared_lists = &mut fleet.borrow_mut().shared_lists;
+            let shared_lists = &mut cluster.borrow_mut().shared_lists;
             (
                 shared_lists.take_pages(),
                 shared_lists.take_full_list_request(),
@@ -326,9 +326,9 @@
     fn next_discovery_action(&mut self) -> Option<Action> {
         let (now, settings) = (self.now(), self.discovery_settings());
         let fed_for = self
-            .fleet
+            .cluster
             .as_ref()
-            .and_then(|fleet| fleet.borrow().fresh_for());
+            .and_then(|cluster| cluster.borrow().list_fresh_for());
         let schedule = &mut self.discovery.schedule;
         if let Some(fed_for) = fed_for.filter(|_| self.discovery.taken && schedule.is_call_due(now))
         {
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -68,10 +68,9 @@
                 .next()
                 .map_or(TURN_MOST, |at| at.saturating_sub(now))
                 .min(TURN_MOST);
-            let wait = state
-                .fleet
-                .as_ref()
-                .map_or(wait, |fleet| fleet.borrow().wait().min(wait));
+            let wait = state.cluster.as_ref().map_or(wait, |cluster| {
+                cluster.borrow().time_to_next_timer().min(wait)
+            });
             state.loop_iteration.begin(now, now + wait);
             wait
         };
@@ -88,9 +87,9 @@
         proxy
             .state
             .borrow()
-            .fleet
+            .cluster
             .iter()
-            .for_each(|fleet| fleet.borrow_mut().turn());
+            .for_each(|cluster| cluster.borrow_mut().run_timers());
         proxy.take_roster();
         let mut state = proxy.state.borrow_mut();
         let took = state.now().saturating_sub(began);
--- a/crates/proxy/src/lifecycle/reload.rs
+++ b/crates/proxy/src/lifecycle/reload.rs
@@ -6,7 +6,7 @@
 use slog::{info, warn};
 
 use crate::config::{Variables, read, variables};
-use crate::lifecycle::startup::fleet_terms;
+use crate::lifecycle::startup::fleet_settings;
 use crate::state::gossip_socket::GossipSocket;
 use crate::state::proxy::{PendingReload, Proxy, ProxyState};
 use crate::state::timers::TimerEvent;
@@ -23,15 +23,15 @@
     /// Reads the operator file anew, where there is one. What can't be read changes nothing.
     pub fn reload_operator_file(&mut self, path: Option<&str>) {
         let state = self.state.borrow();
-        let Some((path, fleet)) = path.zip(state.fleet.as_ref()) else {
+        let Some((path, cluster)) = path.zip(state.cluster.as_ref()) else {
             return;
         };
-        match fleet_terms(path, &state.config, self.balancer.settings()) {
+        match fleet_settings(path, &state.config, self.balancer.settings()) {
             Ok(settings) => {
-                let kept = fleet.borrow_mut().renew(settings);
+                let unapplied = cluster.borrow_mut().reload(settings);
                 info!(state.log, "operator file reloaded"; "file" => path);
-                if !kept.is_empty() {
-                    warn!(state.log, "change needs a restart"; "fields" => kept.join(","));
+                if !unapplied.is_empty() {
+                    warn!(state.log, "change needs a restart"; "fields" => unapplied.join(","));
                 }
             }
             Err(problem) => warn!(state.log, "operator file reload failed"; "error" => problem),
--- a/crates/proxy/src/lifecycle/reload/tests.rs
+++ b/crates/proxy/src/lifecycle/reload/tests.rs
@@ -10,7 +10,7 @@
 use serde_json::{Value, json};
 
 use super::*;
-use crate::fleet::carrier::Fleet;
+use crate::cluster::node::ClusterNode;
 use crate::state::proxy::ProxyState;
 use crate::test_harness::{TestHarness, answer, document, entry, listener, message, moved, say};
 
@@ -403,22 +403,21 @@
     let opened = {
         let state = harness.proxy.state.borrow();
         let settings =
-            fleet_terms(&path, &state.config, harness.proxy.balancer.settings()).unwrap();
-        Fleet::open(&state.handle, settings, 1, &state.log).unwrap()
+            fleet_settings(&path, &state.config, harness.proxy.balancer.settings()).unwrap();
+        ClusterNode::open(&state.handle, settings, 1, &state.log).unwrap()
     };
-    harness.proxy.state.borrow_mut().fleet = Some(opened);
+    harness.proxy.state.borrow_mut().cluster = Some(opened);
     let mut duties = |text: &str| {
         std::fs::write(&path, format!("{fleet}{text}")).unwrap();
         harness.proxy.reload_operator_file(Some(&path));
         let state = harness.proxy.state.borrow();
-        let duties = |fleet: &Fleet| {
-            fleet
-                .cluster
+        let duties = |node: &ClusterNode| {
+            node.cluster
                 .leases()
                 .map_or(0, |leases| leases.tracked().count())
         };
         state
-            .fleet
+            .cluster
             .as_ref()
             .map_or(0, |fleet| duties(&fleet.borrow()))
     };
--- a/crates/proxy/src/lifecycle/startup.rs
+++ b/crates/proxy/src/lifecycle/startup.rs
@@ -14,11 +14,11 @@
 use slotmap::SlotMap;
 use socket2::{Domain, Protocol, Socket, Type};
 
+use crate::cluster::node::ClusterNode;
+use crate::cluster::operator_file::{self, FleetSettings};
 use crate::config::{Config, LoadError, read, variables};
 use crate::discovery::state::Discovery;
 use crate::event_loop::serve;
-use crate::fleet::carrier::Fleet;
-use crate::fleet::operator::{self, FleetTerms};
 use crate::lifecycle::retry::{is_transient, retry_transient};
 use crate::logging::LogBuffer;
 use crate::state::clock::{Clock, LoopIteration};
@@ -82,7 +82,7 @@
         endpoints: EndpointTable::default(),
         discovery: Discovery::new(seed),
         gossip_socket,
-        fleet: None,
+        cluster: None,
         timers: Timers::default(),
         counters: Counters::default(),
         stopping: None,
@@ -110,12 +110,12 @@
 }
 
 /// What the operator file says of the fleet. Where it names no member or zone, they are those of the configuration.
-pub fn fleet_terms(file: &str, config: &Config, settings: &Settings) -> Decoded<FleetTerms> {
+pub fn fleet_settings(file: &str, config: &Config, settings: &Settings) -> Decoded<FleetSettings> {
     let zone = config
         .zones
         .get(settings.zone as usize)
         .map_or("", String::as_str);
-    operator::read(file, &config.name, zone)
+    operator_file::read(file, &config.name, zone).map_err(|problem| problem.to_string())
 }
 
 /// Runs the balancer until it is told to stop.
@@ -136,8 +136,8 @@
         |unread: &LoadError| unread.is_transient,
         || read(path, &variables()),
     )?;
-    let fleet_terms = operator
-        .map(|file| fleet_terms(file, &config, &settings))
+    let fleet = operator
+        .map(|file| fleet_settings(file, &config, &settings))
         .transpose()?;
     let handle = event_loop.handle();
     let (file, operator) = (path.map(str::to_owned), operator.map(str::to_owned));
@@ -155,10 +155,12 @@
         .map_err(|problem| format!("cannot watch signals: {problem}"))?;
     let log_buffer = LogBuffer::default();
     let mut proxy = open(handle.clone(), &log_buffer, &document, config, settings)?;
-    if let Some(settings) = fleet_terms {
+    if let Some(settings) = fleet {
         let log = proxy.state.borrow().log.clone();
         let seed = proxy.state.borrow().config.seed;
-        proxy.state.borrow_mut().fleet = Some(Fleet::open(&handle, settings, seed, &log)?);
+        let node = ClusterNode::open(&handle, settings, seed, &log)
+            .map_err(|problem| problem.to_string())?;
+        proxy.state.borrow_mut().cluster = Some(node);
     }
     let served = serve(&mut event_loop, &mut proxy, &log_buffer);
     proxy.state.borrow_mut().end_all();
@@ -166,9 +168,9 @@
     proxy
         .state
         .borrow()
-        .fleet
+        .cluster
         .iter()
-        .for_each(|fleet| fleet.borrow_mut().leave());
+        .for_each(|cluster| cluster.borrow_mut().leave());
     proxy.state.borrow().log_counters();
     log_buffer.flush();
     served
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,11 +1,11 @@
 //! `pinefront`: the balancer's command line.
 
 mod close_reason;
+mod cluster;
 mod config;
 mod connections;
 mod discovery;
 mod event_loop;
-mod fleet;
 mod gossip;
 mod lifecycle;
 mod logging;
@@ -61,12 +61,12 @@
         Some("serve") => lifecycle::startup::run(file.as_deref(), operator.as_deref()),
         Some("fleet") => {
             let at = at.ok_or("no balancer named: give --at ADDRESS, where clients reach it")?;
-            fleet::show::show(&at, watch, json)
+            cluster::view_command::run(&at, watch, json).map_err(|problem| problem.to_string())
         }
         Some("check") => {
             let (_, config, settings) = config::read(file.as_deref(), &config::variables())?;
             if let Some(operator) = &operator {
-                lifecycle::startup::fleet_terms(operator, &config, &settings)?;
+                lifecycle::startup::fleet_settings(operator, &config, &settings)?;
             }
             println!("well-formed");
             Ok(())
--- a/crates/proxy/src/state/proxy.rs
+++ b/crates/proxy/src/state/proxy.rs
@@ -10,9 +10,9 @@
 use slog::Logger;
 use slotmap::SlotMap;
 
+use crate::cluster::node::ClusterNode;
 use crate::config::Config;
 use crate::discovery::state::Discovery;
-use crate::fleet::carrier::Fleet;
 use crate::state::client_connection::ClientConnection;
 use crate::state::clock::{Clock, LoopIteration};
 use crate::state::counters::Counters;
@@ -71,7 +71,7 @@
     /// Where gossip from other balancers is received, if the settings allow it.
     pub gossip_socket: Option<GossipSocket>,
     /// This balancer's membership of its cluster, where an operator file names one.
-    pub fleet: Option<Rc<RefCell<Fleet>>>,
+    pub cluster: Option<Rc<RefCell<ClusterNode>>>,
     /// All timers.
     pub timers: Timers,
     /// The counters of `/stats`.
