--- a/crates/proxy/src/connections/own_pages.rs
+++ b/crates/proxy/src/connections/own_pages.rs
@@ -34,10 +34,10 @@
             "/health/ready" => Some((StatusCode::SERVICE_UNAVAILABLE, "not ready\n".into())),
             "/health/live" => Some((StatusCode::OK, "live\n".into())),
             "/stats" => Some((StatusCode::OK, self.counters.to_string())),
-            "/fleet" => Some((StatusCode::OK, self.fleet.as_ref()?.borrow().page())),
+            "/fleet" => Some((StatusCode::OK, self.cluster.as_ref()?.borrow().fleet_page())),
             _ => {
                 let name = path.strip_prefix(LEASE_PREFIX)?;
-                let (status, text) = self.fleet.as_ref()?.borrow().lease_page(name);
+                let (status, text) = self.cluster.as_ref()?.borrow().lease_page(name);
                 Some((StatusCode::new(status), text))
             }
         }
--- a/crates/proxy/src/discovery/handler.rs
+++ b/crates/proxy/src/discovery/handler.rs
@@ -101,8 +101,8 @@
             });
         }
         let summary = self.apply_list(&list)?;
-        if let Some(fleet) = &self.state.borrow().fleet {
-            fleet.borrow_mut().listed(Some(&list));
+        if let Some(cluster) = &self.state.borrow().cluster {
+            cluster.borrow_mut().publish_list(&list);
         }
         Ok(summary)
     }
@@ -147,8 +147,8 @@
         if matches!(failure, PollFailure::Rejected { .. }) {
             state.counters.list_polls_rejected += 1;
         }
-        if let Some(fleet) = &state.fleet {
-            fleet.borrow_mut().listed(None);
+        if let Some(cluster) = &state.cluster {
+            cluster.borrow_mut().record_poll_failure();
         }
     }
 
@@ -262,8 +262,8 @@
 
     fn next_poll_action(&mut self) -> Option<PollAction> {
         let (now, settings) = (self.now(), self.polling_settings());
-        let fleet = self.fleet.as_ref();
-        let fresh_for = fleet.and_then(|fleet| fleet.borrow().fresh_for());
+        let cluster = self.cluster.as_ref();
+        let fresh_for = cluster.and_then(|cluster| cluster.borrow().list_fresh_for());
         let schedule = &mut self.discovery.schedule;
         let may_pause = self.discovery.has_received_list && schedule.is_poll_due(now);
         if let Some(fresh_for) = fresh_for.filter(|_| may_pause) {
--- a/crates/proxy/src/lifecycle/error.rs
+++ b/crates/proxy/src/lifecycle/error.rs
@@ -5,6 +5,8 @@
 
 use thiserror::Error;
 
+use crate::cluster::node::OpenError;
+use crate::cluster::operator_file::OperatorFileError;
 use crate::config::{ConfigError, LoadError};
 
 /// Why a process cannot start or go on.
@@ -14,11 +16,11 @@
     #[error(transparent)]
     Load(#[from] LoadError),
     /// The operator file cannot be used.
-    #[error("{0}")]
-    OperatorFile(String),
+    #[error(transparent)]
+    OperatorFile(#[from] OperatorFileError),
     /// The cluster's socket cannot be opened.
-    #[error("{0}")]
-    Cluster(String),
+    #[error(transparent)]
+    Cluster(#[from] OpenError),
     /// The event loop cannot be made.
     #[error("cannot make the event loop: {0}")]
     EventLoop(io::Error),
--- a/crates/proxy/src/lifecycle/startup.rs
+++ b/crates/proxy/src/lifecycle/startup.rs
@@ -14,11 +14,11 @@
 use slotmap::SlotMap;
 use socket2::{Domain, Protocol, Socket, Type};
 
+use crate::cluster::node::ClusterNode;
+use crate::cluster::operator_file::{self, FleetSettings};
 use crate::config::{Config, LoadError, load, variables};
 use crate::discovery::state::Discovery;
 use crate::event_loop::serve;
-use crate::fleet::carrier::Fleet;
-use crate::fleet::operator::{self, FleetTerms};
 use crate::lifecycle::error::StartupError;
 use crate::lifecycle::retry::{is_transient, retry_transient};
 use crate::logging::LogBuffer;
@@ -49,7 +49,7 @@
     let signals = open_signals()?;
     let load_config = || load(config_file, &variables());
     let loaded = retry_transient(LoadError::is_transient, load_config)?;
-    let fleet_terms = operator_file
+    let fleet_settings = operator_file
         .map(|file| read_operator_file(file, &loaded.config, &loaded.settings))
         .transpose()?;
     let handle = event_loop.handle();
@@ -62,8 +62,8 @@
         loaded.config,
         loaded.settings,
     )?;
-    if let Some(terms) = fleet_terms {
-        join_cluster(&proxy, &handle, terms)?;
+    if let Some(fleet_settings) = fleet_settings {
+        join_cluster(&proxy, &handle, fleet_settings)?;
     }
     let served = serve(&mut event_loop, &mut proxy, &log_buffer);
     proxy.close_all();
@@ -175,7 +175,7 @@
         endpoints: EndpointTable::default(),
         discovery,
         gossip_socket,
-        fleet: None,
+        cluster: None,
         timers: Timers::default(),
         counters: Counters::default(),
         stopping: None,
@@ -227,19 +227,19 @@
     file: &str,
     config: &Config,
     settings: &Settings,
-) -> Result<FleetTerms, StartupError> {
+) -> Result<FleetSettings, StartupError> {
     let zone = config.zones.get(settings.zone as usize);
     let zone = zone.map_or("", String::as_str);
-    operator::read(file, &config.name, zone).map_err(StartupError::OperatorFile)
+    operator_file::read(file, &config.name, zone).map_err(StartupError::OperatorFile)
 }
 
 fn join_cluster(
     proxy: &Proxy,
     handle: &LoopHandle<'static, Proxy>,
-    terms: FleetTerms,
+    fleet_settings: FleetSettings,
 ) -> Result<(), StartupError> {
     let mut state = proxy.state.borrow_mut();
-    let fleet = Fleet::open(handle, terms, state.config.seed, &state.log);
-    state.fleet = Some(fleet.map_err(StartupError::Cluster)?);
+    let node = ClusterNode::open(handle, fleet_settings, state.config.seed, &state.log);
+    state.cluster = Some(node.map_err(StartupError::Cluster)?);
     Ok(())
 }
