--- a/crates/proxy/src/connections/accept/tests.rs
+++ b/crates/proxy/src/connections/accept/tests.rs
@@ -8,8 +8,7 @@
 
 const SECOND: Micros = 1_000_000;
 
-/// How a client stands: what it was answered, what it sent of a request, and how long it has kept
-/// us waiting.
+/// A client connection: responses it got, what it sent of a request, and for how long it is idle.
 type Standing = (u64, &'static str, Micros);
 
 fn stands(harness: &mut TestHarness, (answered, sent, waited): Standing) -> (TcpStream, ClientKey) {
@@ -32,7 +31,7 @@
 #[case::a_trickling_one_before_a_used_one((0, "POST /p", 3 * SECOND), (1, "", 2 * SECOND))]
 #[case::a_used_one_before_one_just_opened((1, "", 0), (0, "", SECOND / 2))]
 #[case::a_used_one_before_one_just_begun((1, "", 0), (1, "POST /p", SECOND / 2))]
-fn room_is_made_by_whoever_keeps_us_waiting(#[case] gives_way: Standing, #[case] stays: Standing) {
+fn the_longest_waiting_client_is_evicted(#[case] gives_way: Standing, #[case] stays: Standing) {
     let mut harness = TestHarness::new();
     let (kept, key) = stands(&mut harness, stays);
     let (ended, _) = stands(&mut harness, gives_way);
@@ -43,7 +42,7 @@
 }
 
 #[test]
-fn what_lies_unread_is_not_closed() {
+fn a_client_with_unread_bytes_is_not_evicted() {
     let mut harness = TestHarness::new();
     let (client, key) = harness.client();
     say(&client, "POST /p");
@@ -59,7 +58,7 @@
 }
 
 #[test]
-fn nobody_gives_way_where_nobody_waits() {
+fn nobody_is_evicted_for_an_empty_backlog() {
     let mut harness = TestHarness::new();
     let (_client, key) = stands(&mut harness, (1, "", 3 * SECOND));
     harness
@@ -73,7 +72,7 @@
 }
 
 #[test]
-fn without_room_accepting_rests_and_goes_on() {
+fn accepting_pauses_and_resumes() {
     let mut harness = TestHarness::new();
     harness
         .proxy
@@ -103,7 +102,7 @@
 }
 
 #[test]
-fn a_full_house_takes_a_new_client_for_an_idle_one() {
+fn at_the_limit_an_idle_client_is_evicted_for_a_new_one() {
     let mut harness = TestHarness::new();
     harness
         .proxy
@@ -119,9 +118,9 @@
     assert!(harness.heard(&third, "live\n").starts_with("HTTP/1.1 200 "));
 }
 
-/// A request that was read and not yet looked at is owed its answer.
+/// A request that was received and not parsed yet is owed a response.
 #[test]
-fn who_has_sent_what_nobody_has_looked_at_does_not_give_way() {
+fn a_client_with_unparsed_bytes_is_not_evicted() {
     let mut harness = TestHarness::new();
     let (client, key) = stands(&mut harness, (1, "", 3 * SECOND));
     say(&client, "GET /health/live HTTP/1.1\r\n\r\n");
@@ -140,18 +139,17 @@
     );
 }
 
-/// Idle connections to endpoints are room for others of these only: for each that gave way to a
-/// client beyond the most, a new one was opened later, and all together went over the limit of
+/// Idle connections to endpoints count against a limit of their own. For each that was evicted for
+/// a client above the client limit, a new one would be opened later, beyond the limit of
 /// descriptors.
 #[test]
-fn idle_connections_to_endpoints_make_no_room_for_clients_beyond_the_most() {
+fn idle_endpoint_connections_are_not_evicted_at_the_client_limit() {
     let mut harness = TestHarness::new();
     let endpoint = harness.endpoint("s1");
     let (_client, _) = harness.start_attempt("t0", "s1", 60 * SECOND);
-    let connection = harness.accepted(&endpoint);
-    harness.heard(&connection, "body");
+    let connection = harness.accept_request(&endpoint);
     say(&connection, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
-    harness.until(|proxy| (proxy.state.borrow().counters.attempts_failed == 1).then_some(()));
+    harness.until_counters(|counters| counters.attempts_failed == 1);
     let (_busy, _) = harness.start_attempt("t1", "s1", 60 * SECOND);
     let (busy, _) = harness.start_attempt("t2", "s1", 60 * SECOND);
     let most = harness.proxy.state.borrow().clients.len();
@@ -163,7 +161,7 @@
         .max_client_connections = most;
     let waiting = TcpStream::connect(harness.address).unwrap();
     let endpoint_connections = harness.proxy.state.borrow().endpoint_connections.len();
-    // The first client's request is open too: nobody rests.
+    // The first client's request is in flight too: nobody is idle.
     while !has_pending_connection(&harness.proxy.state.borrow().listener.as_ref().unwrap().0) {}
     assert!(!harness.proxy.accept());
     let state = harness.proxy.state.borrow();
@@ -175,18 +173,15 @@
 }
 
 #[rstest]
-#[case::nobody(Errno::AGAIN, AcceptFailure::WouldBlock)]
+#[case::empty_backlog(Errno::AGAIN, AcceptFailure::WouldBlock)]
 #[case::left_the_queue(Errno::CONNABORTED, AcceptFailure::Transient)]
 #[case::network_down(Errno::NETDOWN, AcceptFailure::Transient)]
 #[case::protocol(Errno::PROTO, AcceptFailure::Transient)]
 #[case::signal(Errno::INTR, AcceptFailure::Transient)]
-#[case::own_limit(Errno::MFILE, AcceptFailure::ProcessLimit)]
+#[case::process_limit(Errno::MFILE, AcceptFailure::ProcessLimit)]
 #[case::files_of_all(Errno::NFILE, AcceptFailure::SystemLimit)]
 #[case::buffers(Errno::NOBUFS, AcceptFailure::SystemLimit)]
 #[case::memory(Errno::NOMEM, AcceptFailure::SystemLimit)]
-fn only_the_limit_of_our_own_ends_connections_of_ours(
-    #[case] code: Errno,
-    #[case] wanted: AcceptFailure,
-) {
+fn only_the_process_limit_evicts_connections(#[case] code: Errno, #[case] wanted: AcceptFailure) {
     assert_eq!(accept_failure(&code.into()), wanted);
 }
--- a/crates/proxy/src/connections/attempt.rs
+++ b/crates/proxy/src/connections/attempt.rs
@@ -12,6 +12,9 @@
 use crate::state::proxy::{Proxy, ProxyState};
 use crate::state::timers::TimerEvent;
 
+#[cfg(test)]
+mod tests;
+
 impl Proxy {
     /// Ends an attempt that was started at `sent`, in microseconds, without a response.
     pub fn attempt_finished(
--- a/crates/proxy/src/connections/client_lifetime.rs
+++ b/crates/proxy/src/connections/client_lifetime.rs
@@ -12,6 +12,9 @@
 use crate::state::proxy::ProxyState;
 use crate::state::timers::TimerEvent;
 
+#[cfg(test)]
+mod tests;
+
 /// How long a client may take to send a request, and to read a response.
 pub const TRANSFER_TIMEOUT_US: Micros = 10_000_000;
 /// How long a client may stall in the middle of a request, and how long after connecting its first
--- a/crates/proxy/src/connections/client_response.rs
+++ b/crates/proxy/src/connections/client_response.rs
@@ -11,6 +11,9 @@
 use crate::state::proxy::ProxyState;
 use crate::state::timers::TimerEvent;
 
+#[cfg(test)]
+mod tests;
+
 /// A response to a client. Its `Content-Length` follows from the body.
 pub struct ClientResponse {
     /// The status code.
--- /dev/null
+++ b/crates/proxy/src/connections/client_response/tests.rs
@@ -0,0 +1,92 @@
+use rstest::rstest;
+
+use crate::test_harness::{TestHarness, message, say};
+
+#[rstest]
+#[case::stated("1.1\r\nConnection: Close")]
+#[case::http_1_0("1.0")]
+fn a_connection_without_keep_alive_is_closed_after_the_response(#[case] version: &str) {
+    let mut harness = TestHarness::new();
+    let (client, _) = harness.client();
+    say(&client, &format!("GET /stats HTTP/{version}\r\n\r\n"));
+    let heard = harness.heard(&client, "longest_loop_iteration_us 0\n");
+    assert!(
+        heard.contains("\r\nConnection: close\r\n")
+            && heard.contains("\nclient_connections_accepted 1\n"),
+        "{heard}"
+    );
+    harness.ends(&client);
+}
+
+#[rstest]
+#[case::above(0, true)]
+#[case::none(1, false)]
+fn above_the_threshold_a_connection_closes_after_the_response(
+    #[case] crowd: usize,
+    #[case] closes: bool,
+) {
+    let mut harness = TestHarness::new();
+    harness.proxy.state.borrow_mut().config.crowd_threshold = crowd;
+    let endpoint = harness.endpoints();
+    let (client, key) = harness.client();
+    say(&client, &message("t1", "body"));
+    let connection = harness.accept_request(&endpoint);
+    say(
+        &connection,
+        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
+    );
+    assert_eq!(
+        harness
+            .heard(&client, "ok")
+            .contains("Connection: close\r\n"),
+        closes
+    );
+    assert_eq!(
+        harness.proxy.state.borrow().clients[key].is_lingering,
+        closes
+    );
+    if closes {
+        // Our side is shut down immediately, the connection closed when the client notices; what it
+        // sent meanwhile causes no reset.
+        say(&client, &message("t2", "body"));
+        harness.ends(&client);
+        assert_eq!(harness.proxy.state.borrow().counters.requests_received, 1);
+        drop(client);
+        harness.until(|proxy| (!proxy.state.borrow().clients.contains_key(key)).then_some(()));
+    }
+}
+
+/// A request that was read ahead would be lost if its connection were closed: neither the
+/// connection threshold nor the shutdown does so.
+#[test]
+fn requests_read_ahead_are_answered_before_the_connection_closes() {
+    for (crowd, closing) in [(0, false), (usize::MAX, true)] {
+        let mut harness = TestHarness::new();
+        let endpoint = harness.endpoints();
+        let (client, key) = harness.client();
+        say(&client, &(message("t1", "one") + &message("t2", "two")));
+        let first = harness.accepted(&endpoint);
+        harness.heard(&first, "one");
+        {
+            let mut state = harness.proxy.state.borrow_mut();
+            (state.config.crowd_threshold, state.closing) = (crowd, closing);
+            assert!(
+                !state.clients[key].read_buffer.bytes().is_empty(),
+                "the second is read ahead"
+            );
+        }
+        say(
+            &first,
+            "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\neins",
+        );
+        assert!(!harness.heard(&client, "eins").contains("Connection: close"));
+        let second = harness.accepted(&endpoint);
+        harness.heard(&second, "two");
+        say(
+            &second,
+            "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\nzwei",
+        );
+        assert!(harness.heard(&client, "zwei").contains("Connection: close"));
+        harness.ends(&client);
+    }
+}
--- a/crates/proxy/src/connections/endpoint_pool.rs
+++ b/crates/proxy/src/connections/endpoint_pool.rs
@@ -14,6 +14,9 @@
 use crate::state::socket::{RegisteredSocket, connect};
 use crate::state::timers::TimerEvent;
 
+#[cfg(test)]
+mod tests;
+
 /// Share of the idle time in the settings after which we close first: a request written to a
 /// connection that the endpoint is closing would be lost.
 const IDLE_SHARE: f64 = 0.8;
--- /dev/null
+++ b/crates/proxy/src/connections/endpoint_pool/tests.rs
@@ -0,0 +1,311 @@
+use pinefront_policy::Host;
+use rstest::rstest;
+
+use std::io::ErrorKind;
+
+use super::*;
+use crate::connections::endpoint_pool::{REUSE_DELAY_US, is_remote_failure};
+use crate::state::proxy::ProxyHost;
+use crate::test_harness::{TestHarness, entry, listener, say};
+
+const LONG: Micros = 60_000_000;
+
+#[test]
+fn the_connection_used_last_is_reused_first() {
+    let mut harness = TestHarness::new();
+    let endpoint = harness.endpoint("s1");
+    let _clients = [
+        harness.start_attempt("t1", "s1", LONG),
+        harness.start_attempt("t2", "s1", LONG),
+    ];
+    let (first, second) = (harness.accepted(&endpoint), harness.accepted(&endpoint));
+    for connection in [&second, &first] {
+        harness.heard(connection, "body");
+        say(connection, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
+        let before = harness.proxy.state.borrow().counters.attempts_failed;
+        harness.until_counters(|counters| counters.attempts_failed > before);
+    }
+    // The reuse delay of both has passed.
+    harness
+        .proxy
+        .state
+        .borrow_mut()
+        .endpoint_connections
+        .values_mut()
+        .for_each(|connection| connection.answered = 0);
+    let _third = harness.start_attempt("t3", "s1", LONG);
+    harness.heard(&first, "body");
+    assert_eq!(
+        harness
+            .proxy
+            .state
+            .borrow()
+            .counters
+            .endpoint_connections_reused,
+        1
+    );
+}
+
+#[test]
+fn a_connection_closed_by_the_endpoint_is_not_reused() {
+    let mut harness = TestHarness::new();
+    let endpoint = harness.endpoint("s1");
+    let connection = harness.idle_connection(&endpoint);
+    let key = harness.only_endpoint_connection();
+    drop(connection);
+    while harness.proxy.state.borrow().endpoint_connections[key]
+        .socket
+        .stream
+        .peek(&mut [0])
+        .is_err()
+    {}
+    let _client = harness.start_attempt("t1", "s1", LONG);
+    let _fresh = harness.accept_request(&endpoint);
+    assert!(
+        !harness
+            .proxy
+            .state
+            .borrow()
+            .endpoint_connections
+            .contains_key(key)
+    );
+}
+
+#[test]
+fn an_idle_connection_is_closed_before_the_endpoint_would() {
+    let mut harness = TestHarness::new();
+    let endpoint = harness.endpoint("s1");
+    let connection = harness.idle_connection(&endpoint);
+    let (key, due, now) = {
+        let state = harness.proxy.state.borrow();
+        let (key, kept) = state.endpoint_connections.iter().next().unwrap();
+        (key, kept.timer.unwrap().at, state.now())
+    };
+    assert!(
+        (now + 10_000_000..now + 14_000_000).contains(&due),
+        "{}",
+        due - now
+    );
+    harness.proxy.endpoint_connection_timer_expired(key);
+    harness.ends(&connection);
+}
+
+#[rstest]
+#[case::timed_out(LONG, |harness: &mut TestHarness, key| harness.proxy.endpoint_connection_timer_expired(key), 0)]
+#[case::not_established(LONG, |harness: &mut TestHarness, key| {
+    harness.proxy.state.borrow_mut().endpoint_connections[key].connected = false;
+    harness.proxy.endpoint_connection_timer_expired(key);
+}, 0)]
+#[case::connection_lost(LONG, |harness: &mut TestHarness, key| {
+    let stream = harness.proxy.state.borrow().endpoint_connections[key].socket.stream.clone();
+    stream.shutdown(std::net::Shutdown::Both).unwrap();
+    harness.proxy.endpoint_connection_ready(key);
+}, 0)]
+#[case::cancelled_late(LONG, |harness: &mut TestHarness, _| ProxyHost(harness.proxy.state.clone()).cancel_attempt("t2", 0), 0)]
+#[case::cancelled_early(0, |harness: &mut TestHarness, _| ProxyHost(harness.proxy.state.clone()).cancel_attempt("t2", 0), 1)]
+fn doubt_about_one_connection_closes_the_idle_ones(
+    #[case] waited: Micros,
+    #[case] act: fn(&mut TestHarness, EndpointConnectionKey),
+    #[case] left: usize,
+) {
+    let mut harness = TestHarness::new();
+    let endpoint = harness.endpoint("s1");
+    let (_first, _second) = (
+        harness.start_attempt("t1", "s1", LONG),
+        harness.start_attempt("t2", "s1", LONG),
+    );
+    let endpoint_connections = [harness.accepted(&endpoint), harness.accepted(&endpoint)];
+    for connection in &endpoint_connections {
+        harness.heard(connection, "body");
+    }
+    let find = |harness: &TestHarness, id: &str| {
+        let state = harness.proxy.state.borrow();
+        state
+            .requests
+            .get(state.requests.key_of(id).unwrap())
+            .unwrap()
+            .attempts[0]
+            .unwrap()
+    };
+    let (idle, key) = (find(&harness, "t1"), find(&harness, "t2"));
+    {
+        let mut state = harness.proxy.state.borrow_mut();
+        state.endpoint_connections[idle].exchange = None;
+        state.keep_idle(idle);
+        let exchange = state.endpoint_connections[key].exchange.as_mut().unwrap();
+        (exchange.sent, exchange.expire_at) = (exchange.sent - waited, 0);
+    }
+    act(&mut harness, key);
+    assert_eq!(
+        harness.proxy.state.borrow().endpoint_connections.len(),
+        left
+    );
+}
+
+#[rstest]
+#[case(ErrorKind::ConnectionRefused, true)]
+#[case(ErrorKind::AddrNotAvailable, false)]
+#[case(ErrorKind::NotFound, false)]
+fn a_shortage_of_our_own_is_not_held_against_an_endpoint(
+    #[case] kind: ErrorKind,
+    #[case] expected: bool,
+) {
+    assert_eq!(is_remote_failure(&kind.into()), expected);
+}
+
+#[rstest]
+#[case::draining("leaving")]
+#[case::removed("left")]
+fn idle_connections_to_a_departing_endpoint_are_closed(#[case] state: &str) {
+    let mut harness = TestHarness::new();
+    let endpoint = harness.endpoint("s1");
+    let connection = harness.idle_connection(&endpoint);
+    harness.list(&[entry("s1", endpoint.local_addr().unwrap(), state)]);
+    harness.ends(&connection);
+}
+
+#[test]
+fn an_endpoint_that_moved_is_reached_at_its_new_address() {
+    let mut harness = TestHarness::new();
+    let (endpoint, moved) = (harness.endpoint("s1"), listener());
+    let connection = harness.idle_connection(&endpoint);
+    harness.list(&[entry("s1", moved.local_addr().unwrap(), "active")]);
+    harness.ends(&connection);
+    let _client = harness.start_attempt("t1", "s1", LONG);
+    let _fresh = harness.accept_request(&moved);
+}
+
+#[test]
+fn without_a_descriptor_an_idle_connection_is_evicted_or_nothing_is_sent() {
+    let mut harness = TestHarness::new();
+    let endpoint = harness.endpoint("s1");
+    let connection = harness.idle_connection(&endpoint);
+    let other = harness.endpoint("s2");
+    harness
+        .proxy
+        .state
+        .borrow_mut()
+        .config
+        .max_endpoint_connections = 1;
+    let _clients = [
+        harness.start_attempt("t1", "s2", LONG),
+        harness.start_attempt("t2", "s1", LONG),
+    ];
+    harness.ends(&connection);
+    let _fresh = harness.accept_request(&other);
+    harness.until_counters(|counters| counters.attempts_not_sent == 1);
+    let told = harness.proxy.state.borrow().shortage_logged_at;
+    harness.again("t2", "s1", LONG);
+    let state = harness.proxy.state.borrow();
+    assert_eq!(
+        (
+            state.counters.endpoint_connections_exhausted,
+            state.shortage_logged_at
+        ),
+        (2, told)
+    );
+}
+
+#[rstest]
+#[case::at_once(0, 2)]
+#[case::rested(REUSE_DELAY_US, 1)]
+fn a_connection_is_reused_only_after_the_delay(
+    #[case] since: Micros,
+    #[case] endpoint_connections: usize,
+) {
+    let mut harness = TestHarness::new();
+    let endpoint = harness.endpoint("s1");
+    let _client = harness.start_attempt("t1", "s1", LONG);
+    let connection = harness.accept_request(&endpoint);
+    say(
+        &connection,
+        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
+    );
+    harness.first_outcome();
+    {
+        let mut state = harness.proxy.state.borrow_mut();
+        let key = state.endpoint_connections.keys().next().unwrap();
+        // However slow the test is, the response was received a moment ago.
+        state.endpoint_connections[key].answered = if since == 0 {
+            Micros::MAX - REUSE_DELAY_US
+        } else {
+            state.now() - since
+        };
+        let endpoint = state.endpoints.key_of("s1").unwrap();
+        state.connection_to(endpoint).unwrap();
+    }
+    assert_eq!(
+        harness.proxy.state.borrow().endpoint_connections.len(),
+        endpoint_connections
+    );
+}
+
+/// A connection to the former address carries no request once the list names another address.
+#[test]
+fn a_connection_to_a_former_address_is_not_kept() {
+    let mut harness = TestHarness::new();
+    let before = harness.endpoint("s1");
+    let (_client, _) = harness.start_attempt("t1", "s1", LONG);
+    let connection = harness.accept_request(&before);
+    let after = harness.endpoint("s1");
+    say(&connection, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
+    assert_eq!(harness.first_outcome(), "failed 1");
+    harness
+        .proxy
+        .state
+        .borrow_mut()
+        .endpoint_connections
+        .values_mut()
+        .for_each(|connection| connection.answered = 0);
+    let _second = harness.start_attempt("t2", "s1", LONG);
+    assert_eq!(
+        harness
+            .proxy
+            .state
+            .borrow()
+            .counters
+            .endpoint_connections_reused,
+        0
+    );
+    harness.accept_request(&after);
+}
+
+/// A second response, some milliseconds late, must not be taken for that to the next request.
+#[test]
+fn after_unsolicited_bytes_an_endpoint_gets_one_request_per_connection() {
+    let mut harness = TestHarness::new();
+    let endpoint = harness.endpoint("s1");
+    let connection = harness.idle_connection(&endpoint);
+    say(
+        &connection,
+        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno",
+    );
+    harness.until(|proxy| {
+        proxy
+            .state
+            .borrow()
+            .endpoint_connections
+            .is_empty()
+            .then_some(())
+    });
+    let _client = harness.start_attempt("t1", "s1", LONG);
+    let connection = harness.accept_request(&endpoint);
+    say(&connection, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
+    harness.until_counters(|counters| counters.attempts_failed == 2);
+    assert!(harness.proxy.state.borrow().endpoint_connections.is_empty());
+    // After a while its connections are reused again.
+    let key = harness.proxy.state.borrow().endpoints.key_of("s1").unwrap();
+    harness
+        .proxy
+        .state
+        .borrow_mut()
+        .endpoints
+        .get_mut(key)
+        .unwrap()
+        .single_use_until = 0;
+    let _client = harness.start_attempt("t2", "s1", LONG);
+    let connection = harness.accept_request(&endpoint);
+    say(&connection, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
+    harness.until_counters(|counters| counters.attempts_failed == 3);
+    assert_eq!(harness.proxy.state.borrow().endpoint_connections.len(), 1);
+}
--- a/crates/proxy/src/connections/http_message/tests.rs
+++ b/crates/proxy/src/connections/http_message/tests.rs
@@ -13,7 +13,7 @@
 #[rstest]
 #[case::none(&[], Ok(Framing::UntilClose))]
 #[case::length(&[("Content-Length", "12")], Ok(Framing::Length(12)))]
-#[case::said_twice(&[("Content-Length", "12"), ("content-length", "12")], Ok(Framing::Length(12)))]
+#[case::repeated(&[("Content-Length", "12"), ("content-length", "12")], Ok(Framing::Length(12)))]
 #[case::chunked(&[("Transfer-Encoding", "Chunked")], Ok(Framing::Chunked))]
 #[case::two_lengths(&[("Content-Length", "12"), ("Content-Length", "13")], Err(Conflicting))]
 #[case::listed_lengths(&[("Content-Length", "12, 12")], Err(Conflicting))]
@@ -64,7 +64,7 @@
 #[case("close", true)]
 #[case("keep-alive, Close", true)]
 #[case("closer", false)]
-fn a_word_is_found_in_a_list(#[case] value: &str, #[case] expected: bool) {
+fn a_token_is_found_in_a_list(#[case] value: &str, #[case] expected: bool) {
     assert_eq!(
         contains_token(&[named("Connection", value)], "connection", "close"),
         expected
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_field_said_twice_is_none() {
+fn a_repeated_field_has_no_single_value() {
     let twice = [named("X-Txn", "a"), named("x-txn", "b")];
     assert_eq!(
         (
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn fields_go_on_as_slices_of_their_buffer() {
+fn forwarded_fields_are_slices_of_their_buffer() {
     let message =
         Bytes::from_static(b"GET / HTTP/1.1\r\nA:  b c \r\nConnection: close\r\nX: y\r\n\r\n");
     let mut fields = [EMPTY_HEADER; 8];
--- a/crates/proxy/src/connections/load_report/tests.rs
+++ b/crates/proxy/src/connections/load_report/tests.rs
@@ -19,7 +19,7 @@
 #[case("TEXT inflight=7", report(None, None, Some(7.0)))]
 #[case("TEXT util=NaN, queue=inf", report(None, None, None))]
 #[case("nonsense", report(None, None, None))]
-fn loads_are_read_as_far_as_they_can_be(#[case] text: &str, #[case] expected: LoadReport) {
+fn valid_values_of_a_report_are_read(#[case] text: &str, #[case] expected: LoadReport) {
     assert_eq!(parse_load_report(text), expected);
 }
 
@@ -27,7 +27,7 @@
 #[case::none(&[], None)]
 #[case::what_cannot_be_read_tells_nothing(&["%%%"], None)]
 #[case::behind_what_cannot_be_read(&["{", "TEXT util=0.5"], Some(report(Some(0.5), None, None)))]
-fn the_report_that_can_be_read_counts(
+fn the_first_valid_report_counts(
     #[case] texts: &[&'static str],
     #[case] expected: Option<LoadReport>,
 ) {
--- a/crates/proxy/src/connections/own_pages.rs
+++ b/crates/proxy/src/connections/own_pages.rs
@@ -8,6 +8,9 @@
 use crate::state::keys::ClientKey;
 use crate::state::proxy::ProxyState;
 
+#[cfg(test)]
+mod tests;
+
 /// The path under which leases are shown.
 const LEASE_PREFIX: &str = "/duty/";
 
--- a/crates/proxy/src/connections/request/tests.rs
+++ b/crates/proxy/src/connections/request/tests.rs
@@ -13,7 +13,7 @@
 #[case::no_head("nonsense\r\n\r\n".into(), 400)]
 #[case::two_lengths(with("\r\n\r\n", "\r\nContent-Length: 5\r\n\r\n"), 400)]
 #[case::length_and_chunks(with("\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\n\r\n"), 400)]
-#[case::chunks_of_old(with("\r\nContent-Length: 4", "\r\nTransfer-Encoding: chunked").replace("1.1", "1.0"), 400)]
+#[case::chunks_in_http_1_0(with("\r\nContent-Length: 4", "\r\nTransfer-Encoding: chunked").replace("1.1", "1.0"), 400)]
 #[case::odd_chunks(with("\r\n\r\n", "\r\ntransfer-encoding: \t chUnked\r\n\r\n"), 400)]
 #[case::spaced_chunks(with("\r\n\r\n", "\r\nTransfer-Encoding : chunked\r\n\r\n"), 400)]
 #[case::bare_line_feed(
@@ -23,7 +23,7 @@
 #[case::bare_line_feed_before_the_body(with("\r\n\r\n", "\r\n\n"), 400)]
 #[case::bare_return(with("Host: app", "Host: a\rpp"), 400)]
 #[case::folded(with("Host: app", "Host: app\r\n app"), 400)]
-#[case::two_labels(
+#[case::two_idempotency_keys(
     with("Idempotency-Key: k", "Idempotency-Key: k\r\nIdempotency-Key: l"),
     400
 )]
@@ -32,17 +32,17 @@
 #[case::two_ids(with("X-Txn: t1", "X-Txn: t1\r\nX-Txn: t2"), 400)]
 #[case::no_time(with("X-Remaining-Ms: 900\r\n", ""), 400)]
 #[case::odd_time(with("X-Remaining-Ms: 900", "X-Remaining-Ms: -9"), 400)]
-#[case::no_label(with("Idempotency-Key: k\r\n", ""), 400)]
+#[case::no_idempotency_key(with("Idempotency-Key: k\r\n", ""), 400)]
 #[case::long_head(with("Host: app", &format!("Host: {}", "a".repeat(MAX_HEAD_BYTES))), 431)]
 #[case::many_fields(with("Host: app\r\n", &"A: b\r\n".repeat(MAX_FIELDS)), 431)]
 #[case::long_body(with("Content-Length: 4", "Content-Length: 65537"), 413)]
 #[case::longest_body(with("Content-Length: 4", "Content-Length: 99999999999999999999"), 413)]
-#[case::other_use_case(with("/pay/", "/buy/"), 404)]
+#[case::unknown_class(with("/pay/", "/buy/"), 404)]
 #[case::other_path(with("/pay/1?x=2", "/"), 404)]
-#[case::lane_and_path_differ(with("X-Lane: pay", "X-Lane: look"), 404)]
+#[case::class_field_and_path_differ(with("X-Lane: pay", "X-Lane: look"), 404)]
 #[case::wrong_method(with("POST", "GET"), 405)]
-#[case::wrong_method_of_redoable(with("/pay/", "/look/").replace("Lane: pay", "Lane: look"), 405)]
-fn what_is_no_request_is_answered_so(#[case] text: String, #[case] status: u16) {
+#[case::wrong_method_of_idempotent_class(with("/pay/", "/look/").replace("Lane: pay", "Lane: look"), 405)]
+fn an_invalid_request_gets_its_status(#[case] text: String, #[case] status: u16) {
     let mut harness = TestHarness::new();
     let (stream, _) = harness.client();
     say(&stream, &text);
@@ -51,8 +51,7 @@
     assert_eq!(harness.proxy.state.borrow().counters.requests_received, 0);
 }
 
-/// A balancer whose labelled requests run in order for each key; times are long, so that a slow
-/// test changes nothing.
+/// A proxy whose requests are ordered by key; times are long, so that a slow test changes nothing.
 fn ordered_by_key() -> TestHarness {
     TestHarness::with(|told| {
         let settings = &mut told["settings"];
@@ -71,11 +70,11 @@
     )
 }
 
-/// The next request comes on a connection of its own.
+/// A response after which the endpoint closes the connection.
 const DONE: &str = "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
-/// The second request of a key comes after the first is over, however that ends; one of another key
-/// does not wait.
+/// The second request of a key is sent after the first has finished, in whatever way; one of
+/// another key does not wait.
 #[rstest]
 #[case::answered(Some(DONE))]
 #[case::failed(Some("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"))]
@@ -106,7 +105,7 @@
         Some(end) => say(&first, end),
         None => drop(first),
     }
-    // What failed or was reset is labelled and goes on; until it is over nothing of t2 may come.
+    // A request that failed or was reset is retried; until it has finished, t2 must not be sent.
     let mut connection = harness.accepted(&endpoint);
     let mut heard = harness.heard(&connection, "body");
     let mut again = 0;
@@ -131,10 +130,10 @@
     );
 }
 
-/// A drain moves later requests elsewhere, but does not let them overtake what still runs where it
-/// drains.
+/// A drain moves later requests elsewhere, but they must not overtake one that still runs at the
+/// draining endpoint.
 #[test]
-fn a_drain_does_not_let_a_key_overtake_itself() {
+fn a_drain_keeps_the_order_of_a_key() {
     let mut harness = ordered_by_key();
     let draining = harness.endpoint("s1");
     let clients = ["t1", "t2"].map(|id| {
@@ -172,8 +171,7 @@
     });
 }
 
-/// deploy/sites/harrow-permits.toml, calm+brink, seed 1: with a class named `stats` 1,840 requests
-/// were answered with the counters.
+/// Requests of a class named `stats` must not be answered with the counters.
 #[rstest]
 #[case::counters("stats", "/stats")]
 #[case::below_it("stats", "/stats/1")]
@@ -201,16 +199,15 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
     );
     assert!(harness.heard(&client, "ok").starts_with("HTTP/1.1 200 "));
-    // Without an id the page stays a page.
+    // Without an id it is a request for the page.
     let (operator, _) = harness.client();
     say(&operator, "GET /stats HTTP/1.1\r\nHost: app\r\n\r\n");
     assert!(harness.heard(&operator, "\n").starts_with("HTTP/1.1 200 "));
 }
 
-/// Soak, seed 201: balancers stopped for half a second told endpoints 2.48 s where 1.97 s were
-/// left, of requests on connections that had waited to be accepted meanwhile.
+/// While a balancer is not scheduled, requests wait on connections in its backlog.
 #[test]
-fn a_request_on_a_connection_that_waited_to_be_accepted_has_waited_as_long() {
+fn time_in_the_backlog_counts_against_the_deadline() {
     let mut harness = TestHarness::new();
     let endpoint = harness.endpoints();
     let client = std::net::TcpStream::connect(harness.address).unwrap();
@@ -218,7 +215,7 @@
     say(&client, &message("t1", "body"));
     {
         let mut state = harness.proxy.state.borrow_mut();
-        // This turn should have begun 0.4 s ago.
+        // This iteration should have begun 0.4 s ago.
         state.loop_iteration.until = state.now() - 400_000;
     }
     while harness.proxy.state.borrow().clients.is_empty() {
@@ -234,3 +231,94 @@
         .unwrap();
     assert!(told.parse::<u64>().unwrap() <= 500, "{sent}");
 }
+
+#[test]
+fn a_request_with_an_id_in_flight_is_rejected() {
+    let mut harness = TestHarness::new();
+    let endpoint = harness.endpoints();
+    let (first, _) = harness.client();
+    say(&first, &message("t1", "body"));
+    let connection = harness.accepted(&endpoint);
+    let (second, _) = harness.client();
+    say(&second, &message("t1", "body"));
+    assert!(
+        harness
+            .heard(&second, "\r\n\r\n")
+            .starts_with("HTTP/1.1 409 ")
+    );
+    harness.heard(&connection, "body");
+    say(
+        &connection,
+        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
+    );
+    harness.heard(&first, "ok");
+}
+
+#[test]
+fn a_client_that_expects_it_gets_one_100_continue() {
+    let mut harness = TestHarness::new();
+    let (client, _) = harness.client();
+    say(
+        &client,
+        &message("t1", "").replace("Length: 0", "Length: 4\r\nExpect: 100-continue"),
+    );
+    assert_eq!(
+        harness.heard(&client, "\r\n\r\n"),
+        "HTTP/1.1 100 Continue\r\n\r\n"
+    );
+    say(&client, "body");
+    assert!(
+        harness
+            .heard(&client, "\r\n\r\n")
+            .starts_with("HTTP/1.1 503 ")
+    );
+}
+
+#[test]
+fn buffered_requests_stay_within_the_memory_limit() {
+    let mut harness = TestHarness::new();
+    harness.proxy.state.borrow_mut().config.max_message_bytes = 50_000;
+    let (first, one) = harness.client();
+    let text = message("t1", &"x".repeat(40_000));
+    say(&first, &text[..30_000]);
+    harness.until(|proxy| (proxy.state.borrow().buffered_bytes() == 30_000).then_some(()));
+    let (second, _) = harness.client();
+    say(&second, &text[..30_000]);
+    assert!(
+        harness
+            .heard(&second, "\r\n\r\n")
+            .starts_with("HTTP/1.1 503 ")
+    );
+    let (third, _) = harness.client();
+    say(&third, "GET /health/live HTTP/1.1\r\n\r\n");
+    assert!(
+        harness.heard(&third, "live\n").starts_with("HTTP/1.1 200 "),
+        "small ones are taken"
+    );
+    drop((first, second, third));
+    harness.until(|proxy| proxy.state.borrow().clients.is_empty().then_some(()));
+    assert_eq!(
+        (
+            harness.proxy.state.borrow().buffered_bytes(),
+            harness.proxy.state.borrow().clients.get(one).is_some()
+        ),
+        (0, false)
+    );
+}
+
+#[test]
+fn a_request_counts_as_buffered_until_it_is_answered() {
+    let mut harness = TestHarness::new();
+    let endpoint = harness.endpoints();
+    let (client, _) = harness.client();
+    let text = message("t1", "body");
+    say(&client, &text);
+    let connection = harness.accept_request(&endpoint);
+    assert_eq!(harness.proxy.state.borrow().buffered_bytes(), text.len());
+    say(
+        &connection,
+        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
+    );
+    harness.heard(&client, "ok");
+    assert_eq!(harness.proxy.state.borrow().buffered_bytes(), 0);
+}
--- a/crates/proxy/src/connections/request_parser/tests.rs
+++ b/crates/proxy/src/connections/request_parser/tests.rs
@@ -7,7 +7,7 @@
 #[case("http://app.svc/pay?x=2", "/pay")]
 #[case("http://app.svc", "")]
 #[case("/pay?to=http://x/look", "/pay")]
-fn a_path_stands_without_host_and_query(#[case] target: &str, #[case] expected: &str) {
+fn the_path_excludes_host_and_query(#[case] target: &str, #[case] expected: &str) {
     assert_eq!(path_of(target), expected);
 }
 
@@ -18,7 +18,7 @@
 #[case("", None)]
 #[case("4.5", None)]
 #[case("+4", None)]
-fn a_client_waits_for_whole_milliseconds(#[case] text: &str, #[case] expected: Option<Micros>) {
+fn remaining_time_is_in_whole_milliseconds(#[case] text: &str, #[case] expected: Option<Micros>) {
     let fields = [Header {
         name: "X-Remaining-Ms",
         value: text.as_bytes(),
--- a/crates/proxy/src/connections/send_guard/tests.rs
+++ b/crates/proxy/src/connections/send_guard/tests.rs
@@ -1,14 +1,18 @@
+use pinefront_policy::Host;
 use rstest::rstest;
 
 use super::*;
+use crate::close_reason::CloseReason;
 use crate::state::keys::RequestKey;
+use crate::state::proxy::ProxyHost;
 use crate::test_harness::{TestHarness, entry};
 
 const LONG: Micros = 60_000_000;
+
 const GRACE: Micros = 400_000;
 
-/// A request with a connection that carries its first attempt, and what the guard says of it in a
-/// changed world.
+/// Writes the first attempt of a request after a change of the state. Returns what the guard
+/// decides and the number of violations.
 fn asked(
     change: impl FnOnce(&mut ProxyState, EndpointConnectionKey, RequestKey),
 ) -> (Result<(), SendRefusal>, u64) {
@@ -40,17 +44,20 @@
 }
 
 #[test]
-fn nothing_in_its_way_an_attempt_is_sent() {
+fn an_unobstructed_attempt_is_sent() {
     assert_eq!(asked(|_, _, _| {}), (Ok(()), 0));
 }
 
-/// Held up by 0.15 s before it reads the notice and again before it writes, a process still keeps
-/// to the grace.
+/// A process that is delayed by 0.15 s before it reads the notice, and again before it writes, must
+/// still keep within the grace.
 #[rstest]
-#[case::told_just_now(0, Err(SendRefusal::Draining))]
+#[case::notified_just_now(0, Err(SendRefusal::Draining))]
 #[case::within_the_grace(GRACE - 140_000, Err(SendRefusal::Draining))]
 #[case::grace_over(GRACE, Err(SendRefusal::Draining))]
-fn nothing_is_sent_to_what_drains(#[case] ago: Micros, #[case] wanted: Result<(), SendRefusal>) {
+fn nothing_is_sent_to_a_draining_endpoint(
+    #[case] ago: Micros,
+    #[case] wanted: Result<(), SendRefusal>,
+) {
     assert_eq!(asked(|state, key, _| drained(state, key, ago)), (wanted, 0));
 }
 
@@ -60,11 +67,11 @@
 };
 
 #[rstest]
-#[case::safe(Idempotency::Idempotent, LONG, (Ok(()), 0))]
-#[case::keyed_in_its_window(KEYED, 500_000, (Ok(()), 0))]
-#[case::keyed_within_the_margin(KEYED, 900_000, (Err(SendRefusal::IdempotencyWindowPassed), 0))]
-#[case::unsafe_never(Idempotency::NonIdempotent, 0, (Err(SendRefusal::MayHaveRun), 1))]
-fn what_may_have_run_is_repeated_only_as_its_effect_allows(
+#[case::idempotent(Idempotency::Idempotent, LONG, (Ok(()), 0))]
+#[case::with_key_in_its_window(KEYED, 500_000, (Ok(()), 0))]
+#[case::with_key_within_the_margin(KEYED, 900_000, (Err(SendRefusal::IdempotencyWindowPassed), 0))]
+#[case::non_idempotent(Idempotency::NonIdempotent, 0, (Err(SendRefusal::MayHaveRun), 1))]
+fn a_request_that_may_have_run_is_repeated_only_if_idempotent(
     #[case] idempotency: Idempotency,
     #[case] ago: Micros,
     #[case] wanted: (Result<(), SendRefusal>, u64),
@@ -76,7 +83,7 @@
 }
 
 #[test]
-fn no_second_attempt_is_sent_while_one_is_out() {
+fn no_second_attempt_is_sent_while_one_is_in_flight() {
     let two = |state: &mut ProxyState, key, request: RequestKey| {
         state
             .requests
@@ -89,7 +96,7 @@
 }
 
 #[test]
-fn nothing_is_sent_when_its_time_is_over_or_its_endpoint_has_moved() {
+fn nothing_is_sent_after_the_deadline_or_to_a_former_address() {
     let over = |state: &mut ProxyState, key: EndpointConnectionKey, _| {
         state.endpoint_connections[key]
             .exchange
@@ -105,8 +112,7 @@
     assert_eq!(asked(moved), (Err(SendRefusal::AddressChanged), 0));
 }
 
-/// The client's close lies in its socket, unread as the process was held up, when the connection
-/// has come up.
+/// The client's close is still unread in its socket when the connection is established.
 #[test]
 fn nothing_is_sent_for_a_client_whose_close_is_not_read_yet() {
     let mut harness = TestHarness::new();
@@ -135,3 +141,99 @@
         Err(SendRefusal::ClientDisconnected)
     );
 }
+
+#[test]
+fn nothing_is_sent_after_the_grace_of_a_drain() {
+    let mut harness = TestHarness::new();
+    let endpoint = harness.endpoint("s1");
+    let _client = harness.start_attempt("t1", "s1", LONG);
+    {
+        let mut state = harness.proxy.state.borrow_mut();
+        let told = state.now() - 400_000;
+        let key = state.endpoints.key_of("s1").unwrap();
+        state.endpoints.get_mut(key).unwrap().draining_since = Some(told);
+    }
+    assert_eq!(harness.first_outcome(), "unreachable 1");
+    let connection = harness.accepted(&endpoint);
+    let mut heard = [0];
+    assert_eq!(harness.until(|_| connection.peek(&mut heard).ok()), 0);
+}
+
+/// Time passes between the decision and the connection being established.
+#[test]
+fn an_attempt_states_the_time_that_remains_when_it_is_sent() {
+    let mut harness = TestHarness::new();
+    let endpoint = harness.endpoint("s1");
+    let (_client, _) = harness.start_attempt("t1", "s1", LONG);
+    {
+        let mut state = harness.proxy.state.borrow_mut();
+        let now = state.now();
+        let connection = state.endpoint_connections.values_mut().next().unwrap();
+        assert!(!connection.connected && connection.write_buffer.is_empty());
+        connection.exchange.as_mut().unwrap().expire_at = now + 300_000;
+    }
+    let connection = harness.accepted(&endpoint);
+    let heard = harness.heard(&connection, "body");
+    let told = heard
+        .split("X-Remaining-Ms: ")
+        .nth(1)
+        .and_then(|rest| rest.split('\r').next())
+        .unwrap();
+    assert!((1..=300).contains(&told.parse::<u64>().unwrap()), "{heard}");
+}
+
+/// Between the decision and the connection being established, the client disconnects, its request
+/// gets its response, or the deadline passes. The policy may not be allowed to cancel attempts.
+#[rstest]
+#[case::client_disconnected(|harness: &mut TestHarness| {
+    let key = harness.proxy.state.borrow().clients.keys().next().unwrap();
+    harness.proxy.client_disconnected(key, CloseReason::ClientClosed);
+})]
+#[case::answered(|harness: &mut TestHarness| ProxyHost(harness.proxy.state.clone()).fail("t1"))]
+#[case::deadline_passed(|harness: &mut TestHarness| {
+    let mut state = harness.proxy.state.borrow_mut();
+    let now = state.now();
+    state.endpoint_connections.values_mut().next().unwrap().exchange.as_mut().unwrap().expire_at = now;
+})]
+fn nothing_is_sent_for_a_request_that_is_no_longer_awaited(
+    #[case] meanwhile: fn(&mut TestHarness),
+) {
+    let mut harness = TestHarness::new();
+    let endpoint = harness.endpoint("s1");
+    let (_client, _) = harness.start_attempt("t1", "s1", LONG);
+    meanwhile(&mut harness);
+    let connection = harness.accepted(&endpoint);
+    let mut heard = [0];
+    assert_eq!(harness.until(|_| connection.peek(&mut heard).ok()), 0);
+    harness.until(|proxy| {
+        proxy
+            .state
+            .borrow()
+            .endpoint_connections
+            .is_empty()
+            .then_some(())
+    });
+    assert_eq!(harness.proxy.state.borrow().counters.attempts_not_sent, 1);
+}
+
+/// The idempotency window may end before a late connection is established.
+#[test]
+fn a_request_that_may_have_run_is_not_repeated_after_its_idempotency_window() {
+    let mut harness =
+        TestHarness::with(|told| told["settings"]["useCases"][0]["dedupWindowUs"] = 200_000.into());
+    let endpoint = harness.endpoint("s1");
+    let (_client, _) = harness.start_attempt("t1", "s1", LONG);
+    let connection = harness.accept_request(&endpoint);
+    drop(connection);
+    assert_eq!(harness.first_outcome(), "connection_lost 1");
+    let other = harness.endpoint("s2");
+    std::thread::sleep(std::time::Duration::from_millis(250));
+    harness.again("t1", "s2", LONG);
+    harness.until(|proxy| {
+        let counters = &proxy.state.borrow().counters;
+        (counters.attempts_not_sent > 0 || counters.endpoint_connections_opened > 2).then_some(())
+    });
+    let connection = harness.accepted(&other);
+    harness.until_counters(|counters| counters.attempts_not_sent == 1);
+    harness.ends(&connection);
+}
--- a/crates/proxy/src/state/buffers/tests.rs
+++ b/crates/proxy/src/state/buffers/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_read_buffer_keeps_no_more_than_it_may() {
+fn a_read_buffer_stays_within_its_limit() {
     let (ours, mut theirs) = pair();
     theirs.write_all(&[7; 5000]).unwrap();
     drop(theirs);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_write_buffer_goes_on_where_a_write_stopped() {
+fn a_write_buffer_resumes_a_partial_write() {
     let (ours, mut theirs) = pair();
     let sent: Vec<u8> = (0..8_000_000_u32).map(|n| (n % 251) as u8).collect();
     let mut write_buffer = WriteBuffer::default();
--- a/crates/proxy/src/state/clock/tests.rs
+++ b/crates/proxy/src/state/clock/tests.rs
@@ -7,7 +7,7 @@
 #[case::as_usual(LoopIteration { busy: 2_000, until: 100_000 }, 102_000, 0)]
 #[case::stopped_in_the_wait(LoopIteration { busy: 0, until: 100_000 }, 400_000, 300_000)]
 #[case::busy_before(LoopIteration { busy: 50_000, until: 100_000 }, 90_000, 50_000)]
-fn what_is_read_may_have_lain_while_we_were_not_let_run(
+fn delays_of_the_process_count_as_lateness(
     #[case] loop_iteration: LoopIteration,
     #[case] now: Micros,
     #[case] late: Micros,
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_turn_that_goes_on_for_long_makes_the_next_one_late() {
+fn a_long_iteration_makes_the_next_one_late() {
     let mut iteration = LoopIteration {
         busy: 0,
         until: 100_000,
--- a/crates/proxy/src/state/timers/tests.rs
+++ b/crates/proxy/src/state/timers/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn what_falls_due_comes_by_time_and_then_by_order() {
+fn timers_expire_by_time_then_in_order() {
     let mut timers = Timers::default();
     let keys = [(20, 1), (10, 2), (10, 3), (10, 4)]
         .map(|(at, timer_id)| timers.schedule(at, TimerEvent::PolicyTimer(timer_id)));
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn what_a_turn_hangs_waits_for_the_next() {
+fn a_timer_scheduled_in_an_iteration_waits_for_the_next() {
     let mut timers = Timers::default();
     let last_serial = timers.last_serial();
     timers.schedule(10, TimerEvent::ResumeAccepting);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_deadline_that_moved_stands_only_once() {
+fn a_moved_timer_expires_once() {
     let (mut timers, mut key) = (Timers::default(), None);
     timers.move_to(&mut key, 10, TimerEvent::Shutdown);
     timers.move_to(&mut key, 30, TimerEvent::Shutdown);
--- a/crates/proxy/src/test_harness.rs
+++ b/crates/proxy/src/test_harness.rs
@@ -1,5 +1,4 @@
-//! A balancer between sockets of the test's own. Everything waits for what must come, never for a
-//! time.
+//! A proxy between sockets of the test's own. Tests wait for events, never for a fixed time.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -13,13 +12,14 @@
 use crate::connections::request_parser::RequestMessage;
 use crate::lifecycle::startup::open;
 use crate::logging::LogBuffer;
-use crate::state::keys::{ClientKey, RequestKey};
+use crate::state::counters::Counters;
+use crate::state::keys::{ClientKey, EndpointConnectionKey, RequestKey};
 use crate::state::proxy::{Proxy, ProxyHost};
 
-/// Far more than anything here takes: beyond it a test has failed.
+/// Far more than any event takes: a test that waits longer has failed.
 const LONG: Duration = Duration::from_secs(20);
 
-/// What a balancer is told, with one labelled use case.
+/// A configuration with one class that has an idempotency key and one that is idempotent.
 pub fn document(listen: &str, discovery: &str) -> Value {
     json!({
         "name": "n0", "listen": listen, "discovery": discovery, "seed": "8c1f30d27a5be964",
@@ -39,12 +39,13 @@
     })
 }
 
+/// An entry of the endpoint list.
 pub fn entry(id: &str, address: SocketAddr, state: &str) -> Value {
     json!({"uid": id, "endpoint": address.to_string(), "az": "a", "model": "m1", "pod_group": 0,
         "state": state, "capacity_hint": 1.0, "boot_ms": 0})
 }
 
-/// Discovery's answer with a list.
+/// Discovery's response with a list.
 pub fn answer(list: &Value) -> String {
     let text = list.to_string();
     format!(
@@ -53,7 +54,7 @@
     )
 }
 
-/// A whole request for the labelled use case.
+/// A complete request of the class with an idempotency key.
 pub fn message(id: &str, body: &str) -> String {
     format!(
         "POST /pay/1?x=2 HTTP/1.1\r\nHost: app\r\nX-Txn: {id}\r\nX-Lane: pay\r\nX-Org: acme\r\n\
@@ -62,6 +63,7 @@
     )
 }
 
+/// A proxy in its event loop, and a listener in the place of discovery.
 pub struct TestHarness {
     pub event_loop: EventLoop<'static, Proxy>,
     pub proxy: Proxy,
@@ -70,11 +72,12 @@
 }
 
 impl TestHarness {
+    /// A proxy with the default configuration.
     pub fn new() -> Self {
         Self::with(|_| {})
     }
 
-    /// A balancer that is told so much else.
+    /// A proxy whose configuration is changed before it starts.
     pub fn with(change: impl FnOnce(&mut Value)) -> Self {
         let discovery = listener();
         let mut document = document("127.0.0.1:0", &discovery.local_addr().unwrap().to_string());
@@ -89,7 +92,7 @@
             settings,
         )
         .unwrap();
-        // However slow a test is, it counts as in time.
+        // However slow a test is, its requests count as received in time.
         proxy.state.borrow_mut().loop_iteration.until = Micros::MAX;
         let address = proxy
             .state
@@ -108,15 +111,15 @@
         }
     }
 
-    /// An endpoint of the test's own, named in the list.
+    /// Adds an endpoint to the list.
     pub fn endpoint(&mut self, id: &str) -> TcpListener {
         let listener = listener();
         self.list(&[entry(id, listener.local_addr().unwrap(), "active")]);
         listener
     }
 
-    /// Many endpoints at one address: with so many to itself, a balancer that knows nothing yet
-    /// lets through what comes.
+    /// Adds several endpoints at one address: with so many to itself, a balancer without samples
+    /// admits every request.
     pub fn endpoints(&mut self) -> TcpListener {
         let listener = listener();
         let address = listener.local_addr().unwrap();
@@ -124,13 +127,14 @@
         listener
     }
 
+    /// Receives a list of changes from discovery.
     pub fn list(&mut self, entries: &[Value]) {
         self.proxy
             .take_list(&json!({"rev": 1, "all": false, "targets": entries}))
             .unwrap();
     }
 
-    /// Turns until there is what must come.
+    /// Runs the event loop until `look` finds something.
     pub fn until<T>(&mut self, mut look: impl FnMut(&mut Proxy) -> Option<T>) -> T {
         let began = Instant::now();
         loop {
@@ -139,8 +143,8 @@
             }
             assert!(
                 began.elapsed() < LONG,
-                "it never came; {}",
-                node_state(&self.proxy)
+                "timed out; {}",
+                nonzero_counters(&self.proxy)
             );
             self.event_loop
                 .dispatch(Some(Duration::from_millis(1)), &mut self.proxy)
@@ -149,6 +153,7 @@
         }
     }
 
+    /// Connects a client.
     pub fn client(&mut self) -> (TcpStream, ClientKey) {
         let known: Vec<_> = self.proxy.state.borrow().clients.keys().collect();
         let stream = TcpStream::connect(self.address).unwrap();
@@ -164,19 +169,20 @@
         (stream, key)
     }
 
+    /// Accepts the next connection of the proxy to a listener.
     pub fn accepted(&mut self, listener: &TcpListener) -> TcpStream {
         let stream = self.until(|_| listener.accept().ok()).0;
         stream.set_nonblocking(true).unwrap();
         stream
     }
 
-    /// The next connection to discovery.
+    /// Accepts the next connection to discovery.
     pub fn accepted_discovery(&mut self) -> TcpStream {
         let discovery = self.discovery.try_clone().unwrap();
         self.accepted(&discovery)
     }
 
-    /// What comes until it ends so.
+    /// Reads until the received text ends with `end`.
     pub fn heard(&mut self, mut stream: &TcpStream, end: &str) -> String {
         let mut heard = Vec::new();
         self.until(|_| {
@@ -190,7 +196,7 @@
         String::from_utf8(heard).unwrap()
     }
 
-    /// Whether the other side has ended the connection.
+    /// Waits until the proxy has closed the connection.
     pub fn ends(&mut self, mut stream: &TcpStream) {
         self.until(|_| match stream.read(&mut [0; 4096]) {
             Ok(0) => Some(()),
@@ -199,7 +205,8 @@
         });
     }
 
-    /// A request whose client waits, unknown to the module, and its first dispatch.
+    /// Starts the first attempt of a request that the policy does not know, which times out after
+    /// `wait`, in microseconds.
     pub fn start_attempt(
         &mut self,
         id: &str,
@@ -226,14 +233,61 @@
         (stream, request)
     }
 
+    /// Accepts a connection to an endpoint and reads the request on it, whose body is `body`.
+    pub fn accept_request(&mut self, listener: &TcpListener) -> TcpStream {
+        let connection = self.accepted(listener);
+        self.heard(&connection, "body");
+        connection
+    }
+
+    /// Opens a connection to endpoint `s1` on which an attempt has failed and which is idle now.
+    pub fn idle_connection(&mut self, listener: &TcpListener) -> TcpStream {
+        const MINUTE_US: Micros = 60_000_000;
+        let _client = self.start_attempt("t0", "s1", MINUTE_US);
+        let connection = self.accept_request(listener);
+        say(&connection, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
+        self.first_outcome();
+        connection
+    }
+
+    /// The key of the only connection to an endpoint.
+    pub fn only_endpoint_connection(&self) -> EndpointConnectionKey {
+        let state = self.proxy.state.borrow();
+        state.endpoint_connections.keys().next().unwrap()
+    }
+
+    /// Counts of attempts by their outcome, without those that are 0.
+    pub fn outcomes(&self) -> String {
+        let text = self.proxy.state.borrow().counters.to_string();
+        let outcomes: Vec<_> = text.lines().filter_map(counted_outcome).collect();
+        outcomes.join(", ")
+    }
+
+    /// Waits until an attempt has ended, and returns the counts by outcome.
+    pub fn first_outcome(&mut self) -> String {
+        self.until(|proxy| {
+            let text = proxy.state.borrow().counters.to_string();
+            text.lines()
+                .any(|line| counted_outcome(line).is_some())
+                .then_some(())
+        });
+        self.outcomes()
+    }
+
+    /// Waits until the counters are as expected.
+    pub fn until_counters(&mut self, is_expected: impl Fn(&Counters) -> bool) {
+        self.until(|proxy| is_expected(&proxy.state.borrow().counters).then_some(()));
+    }
+
+    /// Starts another attempt of a request, which times out after `wait`, in microseconds.
     pub fn again(&mut self, id: &str, endpoint: &str, wait: Micros) {
         let expire_at = self.proxy.state.borrow().now() + wait;
         ProxyHost(self.proxy.state.clone()).start_attempt(id, endpoint, expire_at);
     }
 }
 
-/// Makes of what a balancer is told that of a fleet of another build: use cases of its own, loads
-/// told to probes, no second copies, and two balancers that hear each other at these addresses.
+/// Changes a configuration to that of another deployment: other classes, loads reported on health
+/// checks only, no hedged requests, and two balancers that exchange gossip at these addresses.
 pub fn moved(document: &mut Value, peers: &[SocketAddr]) {
     let settings = &mut document["settings"];
     settings["useCases"] = json!([
@@ -249,18 +303,26 @@
     document["peers"] = peers.iter().map(SocketAddr::to_string).collect();
 }
 
+/// A listener on a free port.
 pub fn listener() -> TcpListener {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     listener.set_nonblocking(true).unwrap();
     listener
 }
 
+/// Sends a text.
 pub fn say(mut stream: &TcpStream, text: &str) {
     stream.write_all(text.as_bytes()).unwrap();
 }
 
-/// What a test that failed wants to know.
-fn node_state(proxy: &Proxy) -> String {
+/// The outcome and the count of a line of the counters, if it counts an outcome and is not 0.
+fn counted_outcome(line: &str) -> Option<&str> {
+    line.strip_prefix("attempts_")
+        .filter(|line| !line.starts_with("blocked ") && !line.ends_with(" 0"))
+}
+
+/// The counters that are not 0, for the message of a failed test.
+fn nonzero_counters(proxy: &Proxy) -> String {
     let text = proxy.state.borrow().counters.to_string();
     text.lines()
         .filter(|line| !line.ends_with(" 0"))
