--- a/crates/proxy/src/connections/accept.rs
+++ b/crates/proxy/src/connections/accept.rs
@@ -179,10 +179,10 @@
             .collect();
         // A client that connected or began a request a moment ago is about to go on with it.
         let is_about_to_send = |client: &ClientConnection| {
-            let has_begun = client.answered == 0 || !client.read_buffer.bytes().is_empty();
-            has_begun && now < client.since + ABOUT_TO_SEND_US
+            let has_begun = client.responses_sent == 0 || !client.read_buffer.bytes().is_empty();
+            has_begun && now < client.waiting_since + ABOUT_TO_SEND_US
         };
-        idle.sort_by_key(|(_, client)| (is_about_to_send(client), client.since));
+        idle.sort_by_key(|(_, client)| (is_about_to_send(client), client.waiting_since));
         idle.into_iter()
             .find(|(_, client)| !has_bytes_in_socket(client))
             .map(|(key, _)| key)
--- a/crates/proxy/src/connections/accept/tests.rs
+++ b/crates/proxy/src/connections/accept/tests.rs
@@ -20,7 +20,7 @@
     let mut state = harness.proxy.state.borrow_mut();
     let now = state.now();
     let client = &mut state.clients[key];
-    (client.answered, client.since) = (answered, now - waited);
+    (client.responses_sent, client.waiting_since) = (answered, now - waited);
     drop(state);
     (stream, key)
 }
--- a/crates/proxy/src/connections/attempt.rs
+++ b/crates/proxy/src/connections/attempt.rs
@@ -16,23 +16,23 @@
 mod tests;
 
 impl Proxy {
-    /// Ends an attempt that was started at `sent`, in microseconds, without a response.
+    /// Ends an attempt that was started at `started_at`, in microseconds, without a response.
     pub fn attempt_finished(
         &mut self,
         request: RequestKey,
         number: usize,
         outcome: AttemptOutcome,
-        sent: Micros,
+        started_at: Micros,
     ) {
         let mut state = self.state.borrow_mut();
         let now = state.now();
         state.counters.count_outcome(outcome);
         let finished = state
             .requests
-            .finish_attempt(request, number, outcome, sent);
+            .finish_attempt(request, number, outcome, started_at);
         drop(state);
         if let Some(finished) = finished {
-            let elapsed = now.saturating_sub(sent);
+            let elapsed = now.saturating_sub(started_at);
             self.report_attempt(now, &finished.request_id, number, outcome, elapsed);
         }
     }
@@ -91,7 +91,7 @@
         let exchange = Exchange {
             request: key,
             number,
-            sent: now,
+            started_at: now,
             expire_at,
         };
         match connection {
@@ -103,13 +103,13 @@
     /// Starts the exchange of an attempt on a connection. Where that is not established yet, the
     /// request is written once it is.
     fn start_exchange(&mut self, key: EndpointConnectionKey, exchange: Exchange) {
-        let now = exchange.sent;
+        let now = exchange.started_at;
         let connect_by = now + self.config.connect_timeout;
         let Some(connection) = self.endpoint_connections.get_mut(key) else {
             return;
         };
         connection.exchange = Some(exchange);
-        if !connection.connected {
+        if !connection.is_connected {
             let at = connect_by.min(exchange.expire_at);
             return self.set_endpoint_connection_timer(key, at);
         }
@@ -178,12 +178,12 @@
         connection.exchange = Some(Exchange {
             request: RequestKey::default(),
             number: 0,
-            sent: now,
+            started_at: now,
             expire_at,
         });
         let head = format!("GET {path} HTTP/1.1\r\nHost: {address}\r\n\r\n");
         connection.write_buffer.push(Bytes::from(head));
-        if connection.connected {
+        if connection.is_connected {
             self.flush_endpoint_connection(key, now);
         }
         self.set_endpoint_connection_timer(key, expire_at);
--- a/crates/proxy/src/connections/client_lifetime.rs
+++ b/crates/proxy/src/connections/client_lifetime.rs
@@ -41,9 +41,9 @@
         self.wait_for_client(key, now, now + after);
     }
 
-    fn wait_for_client(&mut self, key: ClientKey, since: Micros, at: Micros) {
+    fn wait_for_client(&mut self, key: ClientKey, waiting_since: Micros, at: Micros) {
         if let Some(client) = self.clients.get_mut(key) {
-            client.since = since;
+            client.waiting_since = waiting_since;
             self.timers
                 .move_to(&mut client.timer, at, TimerEvent::ClientConnection(key));
         }
@@ -63,15 +63,17 @@
             return;
         };
         let length = client.read_buffer.bytes().len();
-        let began = client.partial_request.map_or(now, |partial| partial.began);
+        let started_at = client
+            .partial_request
+            .map_or(now, |partial| partial.started_at);
         let before = client
             .partial_request
-            .replace(PartialRequest { length, began });
+            .replace(PartialRequest { length, started_at });
         // A connection that has brought no request yet gains no time by trickling.
         let has_progressed =
             |before: PartialRequest| before.length < length && client.requests_received > 0;
         if before.is_none_or(has_progressed) {
-            let rest = (began + TRANSFER_TIMEOUT_US).saturating_sub(now);
+            let rest = (started_at + TRANSFER_TIMEOUT_US).saturating_sub(now);
             self.wait_for_next_bytes(key, STALL_TIMEOUT_US.min(rest));
         }
     }
@@ -84,7 +86,7 @@
         };
         let now = self.clock.now();
         let at = if client.requests_received == 0 {
-            client.opened + STALL_TIMEOUT_US
+            client.accepted_at + STALL_TIMEOUT_US
         } else {
             now + after
         };
@@ -99,7 +101,7 @@
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
-        let idle = now.saturating_sub(client.since);
+        let idle = now.saturating_sub(client.waiting_since);
         if client.requests_received == 0
             || idle >= MAX_IDLE_US
             || (is_crowded && idle >= MIN_IDLE_US)
@@ -158,7 +160,7 @@
         client.close_reason.get_or_insert(reason);
         client.is_lingering = true;
         client.read_buffer.clear();
-        if client.answered > 0 && client.socket.stream.shutdown(Shutdown::Write).is_ok() {
+        if client.responses_sent > 0 && client.socket.stream.shutdown(Shutdown::Write).is_ok() {
             self.set_client_timer(key, linger);
         } else {
             self.close_client(key, reason);
@@ -174,7 +176,7 @@
         self.handle.remove(client.socket.token);
         self.counters.client_connections_closed += 1;
         info!(self.log, "client connection closed"; "reason" => reason.code(),
-            "peer" => %client.peer, "responses" => client.answered);
+            "peer" => %client.peer, "responses" => client.responses_sent);
     }
 }
 
--- a/crates/proxy/src/connections/client_lifetime/tests.rs
+++ b/crates/proxy/src/connections/client_lifetime/tests.rs
@@ -63,13 +63,13 @@
     let (client, key) = harness.client();
     say(&client, sent);
     let seen = |client: &ClientConnection| {
-        client.partial_request.is_some() || client.answered > 0 || sent.is_empty()
+        client.partial_request.is_some() || client.responses_sent > 0 || sent.is_empty()
     };
     harness.until(|proxy| seen(&proxy.state.borrow().clients[key]).then_some(()));
     let state = harness.proxy.state.borrow();
     let (due, opened) = (
         state.clients[key].timer.unwrap().at,
-        state.clients[key].opened,
+        state.clients[key].accepted_at,
     );
     assert!(
         due <= opened + STALL_TIMEOUT_US && due + 1_000 * hung as u64 > opened + STALL_TIMEOUT_US,
@@ -97,7 +97,7 @@
         let now = state.now();
         (
             state.clients[key].requests_received,
-            state.clients[key].since,
+            state.clients[key].waiting_since,
         ) = (requests, now - stood);
     }
     harness.proxy.client_timer_expired(key);
@@ -173,7 +173,7 @@
         due = at;
     }
     if let Some(partial) = &mut harness.proxy.state.borrow_mut().clients[key].partial_request {
-        partial.began -= TRANSFER_TIMEOUT_US;
+        partial.started_at -= TRANSFER_TIMEOUT_US;
     }
     say(&client, &text[20..30]);
     assert!(
--- a/crates/proxy/src/connections/client_response.rs
+++ b/crates/proxy/src/connections/client_response.rs
@@ -79,7 +79,7 @@
         client.write_buffer.extend(response.fields);
         client.write_buffer.push(Bytes::from_static(b"\r\n"));
         client.write_buffer.extend(response.body);
-        client.answered += 1;
+        client.responses_sent += 1;
         // A lost connection shows when it is read next.
         let _ = client.write_buffer.drain(&client.socket.stream);
         if client.write_buffer.is_empty() {
--- a/crates/proxy/src/connections/endpoint.rs
+++ b/crates/proxy/src/connections/endpoint.rs
@@ -38,7 +38,7 @@
         connection.timer = None;
         let (outcome, reason) = match &connection.exchange {
             None => (AttemptOutcome::NotSent, CloseReason::EndpointIdle),
-            Some(_) if !connection.connected => {
+            Some(_) if !connection.is_connected => {
                 (AttemptOutcome::Unreachable, CloseReason::ConnectTimeout)
             }
             // Proven not run only while its last byte was not sent.
@@ -75,7 +75,12 @@
                 self.probe_finished(endpoint, false);
             }
             Some((exchange, _)) => {
-                self.attempt_finished(exchange.request, exchange.number, outcome, exchange.sent);
+                self.attempt_finished(
+                    exchange.request,
+                    exchange.number,
+                    outcome,
+                    exchange.started_at,
+                );
             }
             None => {}
         }
@@ -105,13 +110,9 @@
     /// Writes and reads what can be on a connection to an endpoint.
     fn read_endpoint_connection(&mut self, key: EndpointConnectionKey) -> EndpointRead {
         let now = self.now();
-        let is_established = |connection: &EndpointConnection| connection.connected;
-        if !self
-            .endpoint_connections
-            .get(key)
-            .is_some_and(is_established)
-            && let Some(read) = self.complete_connect(key, now)
-        {
+        let connection = self.endpoint_connections.get(key);
+        let is_connected = connection.is_some_and(|connection| connection.is_connected);
+        if !is_connected && let Some(read) = self.complete_connect(key, now) {
             return read;
         }
         let Some(connection) = self.endpoint_connections.get_mut(key) else {
@@ -141,7 +142,7 @@
         if connection.socket.stream.peer_addr().is_err() {
             return Some(EndpointRead::Nothing);
         }
-        connection.connected = true;
+        connection.is_connected = true;
         let exchange = connection.exchange?;
         self.set_endpoint_connection_timer(key, exchange.expire_at);
         if exchange.is_probe() {
--- a/crates/proxy/src/connections/endpoint/tests.rs
+++ b/crates/proxy/src/connections/endpoint/tests.rs
@@ -115,7 +115,7 @@
             (Ok(()), false)
         );
         let connection = &mut state.endpoint_connections[key];
-        connection.connected = connected;
+        connection.is_connected = connected;
         if written {
             connection.write_buffer = WriteBuffer::default();
         }
--- a/crates/proxy/src/connections/endpoint_pool.rs
+++ b/crates/proxy/src/connections/endpoint_pool.rs
@@ -77,7 +77,7 @@
         let is_rested = |key: &EndpointConnectionKey| {
             self.endpoint_connections
                 .get(*key)
-                .is_none_or(|connection| connection.answered + REUSE_DELAY_US <= now)
+                .is_none_or(|connection| connection.last_response_at + REUSE_DELAY_US <= now)
         };
         let position = idle.iter().rposition(is_rested)?;
         Some(idle.remove(position))
@@ -112,12 +112,12 @@
                 socket,
                 endpoint,
                 address,
-                connected: false,
+                is_connected: false,
                 read_buffer: ReadBuffer::default(),
                 write_buffer: WriteBuffer::default(),
                 exchange: None,
                 requests_carried: 0,
-                answered: 0,
+                last_response_at: 0,
                 timer: None,
             })
         })?;
@@ -176,7 +176,7 @@
         let Some(connection) = self.endpoint_connections.get_mut(key) else {
             return;
         };
-        connection.answered = now;
+        connection.last_response_at = now;
         let reason = match self.endpoints.get_mut(connection.endpoint) {
             Some(endpoint) if now < endpoint.single_use_until => CloseReason::UnsolicitedResponse,
             Some(endpoint) if endpoint.draining_since.is_some() => CloseReason::Draining,
@@ -198,7 +198,7 @@
         let idle = self
             .endpoint_connections
             .iter()
-            .filter(|(_, connection)| connection.exchange.is_none() && connection.connected);
+            .filter(|(_, connection)| connection.exchange.is_none() && connection.is_connected);
         let first = idle.min_by_key(|(_, connection)| connection.timer);
         let Some((key, _)) = first else {
             return false;
@@ -243,7 +243,7 @@
         let waited = connection
             .exchange
             .as_ref()
-            .map_or(0, |exchange| self.now().saturating_sub(exchange.sent));
+            .map_or(0, |exchange| self.now().saturating_sub(exchange.started_at));
         waited > self.config.connect_timeout && connection.read_buffer.bytes().is_empty()
     }
 }
--- a/crates/proxy/src/connections/endpoint_pool/tests.rs
+++ b/crates/proxy/src/connections/endpoint_pool/tests.rs
@@ -32,7 +32,7 @@
         .borrow_mut()
         .endpoint_connections
         .values_mut()
-        .for_each(|connection| connection.answered = 0);
+        .for_each(|connection| connection.last_response_at = 0);
     let _third = harness.start_attempt("t3", "s1", LONG);
     harness.heard(&first, "body");
     assert_eq!(
@@ -93,7 +93,7 @@
 #[rstest]
 #[case::timed_out(LONG, |harness: &mut TestHarness, key| harness.proxy.endpoint_connection_timer_expired(key), 0)]
 #[case::not_established(LONG, |harness: &mut TestHarness, key| {
-    harness.proxy.state.borrow_mut().endpoint_connections[key].connected = false;
+    harness.proxy.state.borrow_mut().endpoint_connections[key].is_connected = false;
     harness.proxy.endpoint_connection_timer_expired(key);
 }, 0)]
 #[case::connection_lost(LONG, |harness: &mut TestHarness, key| {
@@ -133,7 +133,7 @@
         state.endpoint_connections[idle].exchange = None;
         state.keep_idle(idle);
         let exchange = state.endpoint_connections[key].exchange.as_mut().unwrap();
-        (exchange.sent, exchange.expire_at) = (exchange.sent - waited, 0);
+        (exchange.started_at, exchange.expire_at) = (exchange.started_at - waited, 0);
     }
     act(&mut harness, key);
     assert_eq!(
@@ -226,7 +226,7 @@
         let mut state = harness.proxy.state.borrow_mut();
         let key = state.endpoint_connections.keys().next().unwrap();
         // However slow the test is, the response was received a moment ago.
-        state.endpoint_connections[key].answered = if since == 0 {
+        state.endpoint_connections[key].last_response_at = if since == 0 {
             Micros::MAX - REUSE_DELAY_US
         } else {
             state.now() - since
@@ -256,7 +256,7 @@
         .borrow_mut()
         .endpoint_connections
         .values_mut()
-        .for_each(|connection| connection.answered = 0);
+        .for_each(|connection| connection.last_response_at = 0);
     let _second = harness.start_attempt("t2", "s1", LONG);
     assert_eq!(
         harness
--- a/crates/proxy/src/connections/request.rs
+++ b/crates/proxy/src/connections/request.rs
@@ -142,8 +142,8 @@
         let in_backlog = self
             .clients
             .get(key)
-            .filter(|client| now < client.opened + SENT_BEFORE_ACCEPT_US)
-            .map_or(0, |client| client.waited);
+            .filter(|client| now < client.accepted_at + SENT_BEFORE_ACCEPT_US)
+            .map_or(0, |client| client.backlog_wait);
         let waited = self.loop_iteration.late(now).max(in_backlog);
         let return_time = MAX_RETURN_TIME_US.min(remaining / RETURN_TIME_DIVISOR);
         (now + remaining)
--- a/crates/proxy/src/connections/request_error.rs
+++ b/crates/proxy/src/connections/request_error.rs
@@ -36,7 +36,8 @@
     /// A required field is missing, repeated or malformed.
     #[error("field '{0}' is missing, repeated or malformed")]
     InvalidField(&'static str),
-    /// A request with this id is in flight. Another one would displace it, and it would get no response.
+    /// A request with this id is in flight. Another one would displace it, and it would get no
+    /// response.
     #[error("a request with this id is in flight")]
     DuplicateId,
 }
@@ -56,7 +57,8 @@
         }
     }
 
-    /// Why the connection closes after the response; none where the next request can be read from it.
+    /// Why the connection closes after the response; none where the next request can be read from
+    /// it.
     pub fn close_reason(self) -> Option<CloseReason> {
         match self {
             Self::MalformedMessage => Some(CloseReason::Malformed),
--- a/crates/proxy/src/connections/response.rs
+++ b/crates/proxy/src/connections/response.rs
@@ -65,7 +65,7 @@
             return self.probe_finished(received.endpoint, outcome == AttemptOutcome::Succeeded);
         }
         if let Some(finished) = finished {
-            let elapsed = now.saturating_sub(exchange.sent);
+            let elapsed = now.saturating_sub(exchange.started_at);
             let id = &finished.request_id;
             self.report_attempt(now, id, exchange.number, outcome, elapsed);
         }
@@ -121,8 +121,12 @@
             return None;
         }
         self.counters.count_outcome(outcome);
-        self.requests
-            .finish_attempt(exchange.request, exchange.number, outcome, exchange.sent)
+        self.requests.finish_attempt(
+            exchange.request,
+            exchange.number,
+            outcome,
+            exchange.started_at,
+        )
     }
 }
 
--- a/crates/proxy/src/connections/send_guard.rs
+++ b/crates/proxy/src/connections/send_guard.rs
@@ -79,7 +79,7 @@
             .and_then(|key| self.clients.get(key))
             .ok_or(SendRefusal::ClientDisconnected)?;
         let is_stale =
-            exchange.number > 0 || exchange.sent < now || now > self.loop_iteration.until;
+            exchange.number > 0 || exchange.started_at < now || now > self.loop_iteration.until;
         if is_stale && is_hung_up(&client.socket.stream) {
             return Err(SendRefusal::ClientDisconnected);
         }
--- a/crates/proxy/src/connections/send_guard/tests.rs
+++ b/crates/proxy/src/connections/send_guard/tests.rs
@@ -134,7 +134,7 @@
         .exchange
         .as_mut()
         .unwrap()
-        .sent -= 1;
+        .started_at -= 1;
     let now = state.now();
     assert_eq!(
         state.write_attempt(key, now),
@@ -169,7 +169,7 @@
         let mut state = harness.proxy.state.borrow_mut();
         let now = state.now();
         let connection = state.endpoint_connections.values_mut().next().unwrap();
-        assert!(!connection.connected && connection.write_buffer.is_empty());
+        assert!(!connection.is_connected && connection.write_buffer.is_empty());
         connection.exchange.as_mut().unwrap().expire_at = now + 300_000;
     }
     let connection = harness.accepted(&endpoint);
--- a/crates/proxy/src/lifecycle/shutdown/tests.rs
+++ b/crates/proxy/src/lifecycle/shutdown/tests.rs
@@ -9,7 +9,7 @@
     let endpoint = harness.endpoints();
     let (busy, _) = harness.client();
     let (idle, key) = harness.client();
-    harness.proxy.state.borrow_mut().clients[key].answered = 1;
+    harness.proxy.state.borrow_mut().clients[key].responses_sent = 1;
     say(&busy, &message("t1", "body"));
     let connection = harness.accepted(&endpoint);
     harness.heard(&connection, "body");
@@ -89,7 +89,7 @@
     let mut harness = TestHarness::new();
     let (mut client, key) = harness.client();
     say(&client, "GET /health/live HTTP/1.1\r\n\r\n");
-    harness.until(|proxy| (proxy.state.borrow().clients[key].answered == 1).then_some(()));
+    harness.until(|proxy| (proxy.state.borrow().clients[key].responses_sent == 1).then_some(()));
     {
         let mut state = harness.proxy.state.borrow_mut();
         (state.stopping, state.closing) = (Some(state.now() - SERVE_ON), true);
--- a/crates/proxy/src/state/client_connection.rs
+++ b/crates/proxy/src/state/client_connection.rs
@@ -29,12 +29,12 @@
     /// The client asked for the connection to be closed after this response.
     pub no_keep_alive: bool,
     /// Responses written so far.
-    pub answered: u64,
+    pub responses_sent: u64,
     /// When it was accepted, in microseconds.
-    pub opened: Micros,
+    pub accepted_at: Micros,
     /// How long it may have waited in the backlog while the process was busy or not scheduled, in
     /// microseconds.
-    pub waited: Micros,
+    pub backlog_wait: Micros,
     /// Requests received so far.
     pub requests_received: u64,
     /// An incomplete request at the front of the read buffer.
@@ -47,7 +47,7 @@
     /// would reset the connection and lose the end of the last response.
     pub is_lingering: bool,
     /// When the present wait began, in microseconds.
-    pub since: Micros,
+    pub waiting_since: Micros,
     /// `100 Continue` was sent for the request being received.
     pub sent_continue: bool,
     /// The connection's timer.
@@ -60,13 +60,18 @@
     /// Bytes received so far.
     pub length: usize,
     /// When its first bytes were seen, in microseconds.
-    pub began: Micros,
+    pub started_at: Micros,
 }
 
 impl ClientConnection {
-    /// A connection accepted at `opened` after it may have waited for `waited`, both in
+    /// A connection accepted at `accepted_at` after it may have waited for `backlog_wait`, both in
     /// microseconds.
-    pub fn new(socket: RegisteredSocket, peer: SocketAddr, opened: Micros, waited: Micros) -> Self {
+    pub fn new(
+        socket: RegisteredSocket,
+        peer: SocketAddr,
+        accepted_at: Micros,
+        backlog_wait: Micros,
+    ) -> Self {
         Self {
             socket,
             peer,
@@ -74,15 +79,15 @@
             write_buffer: WriteBuffer::default(),
             request: None,
             no_keep_alive: false,
-            answered: 0,
-            opened,
-            waited,
+            responses_sent: 0,
+            accepted_at,
+            backlog_wait,
             requests_received: 0,
             partial_request: None,
             discarded_bytes: 0,
             close_reason: None,
             is_lingering: false,
-            since: 0,
+            waiting_since: 0,
             sent_continue: false,
             timer: None,
         }
--- a/crates/proxy/src/state/endpoint_connection.rs
+++ b/crates/proxy/src/state/endpoint_connection.rs
@@ -18,7 +18,7 @@
     /// The attempt's index in its request.
     pub number: usize,
     /// When the policy started it, in microseconds.
-    pub sent: Micros,
+    pub started_at: Micros,
     /// When it times out, in microseconds.
     pub expire_at: Micros,
 }
@@ -39,7 +39,7 @@
     /// The address it leads to; the endpoint may have another one by now.
     pub address: SocketAddr,
     /// The connection is established.
-    pub connected: bool,
+    pub is_connected: bool,
     /// Bytes received and not parsed yet.
     pub read_buffer: ReadBuffer,
     /// Bytes to be sent.
@@ -49,7 +49,7 @@
     /// Exchanges completed so far.
     pub requests_carried: u64,
     /// When its last response was complete, in microseconds.
-    pub answered: Micros,
+    pub last_response_at: Micros,
     /// The connection's timer.
     pub timer: Option<TimerKey>,
 }
--- a/crates/proxy/src/state/request.rs
+++ b/crates/proxy/src/state/request.rs
@@ -112,21 +112,21 @@
         Some(client)
     }
 
-    /// Records that an attempt has ended, which was started at `sent`, in microseconds. Returns
-    /// none where the request is no longer in flight.
+    /// Records that an attempt has ended, which was started at `started_at`, in microseconds.
+    /// Returns none where the request is no longer in flight.
     pub fn finish_attempt(
         &mut self,
         key: RequestKey,
         number: usize,
         outcome: AttemptOutcome,
-        sent: Micros,
+        started_at: Micros,
     ) -> Option<FinishedAttempt> {
         let request = self.requests.get_mut(key)?;
         if let Some(connection) = request.attempts.get_mut(number) {
             *connection = None;
         }
         if !outcome.proves_not_run() {
-            request.may_have_run_since.get_or_insert(sent);
+            request.may_have_run_since.get_or_insert(started_at);
         }
         let finished = FinishedAttempt {
             request_id: Rc::clone(&request.id),
