--- a/crates/proxy/src/connections/client/tests.rs
+++ b/crates/proxy/src/connections/client/tests.rs
@@ -98,7 +98,7 @@
                 .event_loop
                 .dispatch(Some(std::time::Duration::ZERO), &mut harness.proxy)
                 .unwrap();
-            harness.proxy.timers();
+            harness.proxy.run_timers();
         }
     }
     let state = harness.proxy.state.borrow();
