--- a/crates/proxy/src/connections/endpoint_pool.rs
+++ b/crates/proxy/src/connections/endpoint_pool.rs
@@ -14,6 +14,9 @@
 use crate::state::socket::{RegisteredSocket, connect};
 use crate::state::timers::TimerEvent;
 
+#[cfg(test)]
+mod tests;
+
 /// Share of the idle time in the settings after which we close first: a request written to a
 /// connection that the endpoint is closing would be lost.
 const IDLE_SHARE: f64 = 0.8;
@@ -74,7 +77,7 @@
         let is_rested = |key: &EndpointConnectionKey| {
             self.endpoint_connections
                 .get(*key)
-                .is_none_or(|connection| connection.answered + REUSE_DELAY_US <= now)
+                .is_none_or(|connection| connection.last_response_at + REUSE_DELAY_US <= now)
         };
         let position = idle.iter().rposition(is_rested)?;
         Some(idle.remove(position))
@@ -109,12 +112,12 @@
                 socket,
                 endpoint,
                 address,
-                connected: false,
+                is_connected: false,
                 read_buffer: ReadBuffer::default(),
                 write_buffer: WriteBuffer::default(),
                 exchange: None,
                 requests_carried: 0,
-                answered: 0,
+                last_response_at: 0,
                 timer: None,
             })
         })?;
@@ -173,7 +176,7 @@
         let Some(connection) = self.endpoint_connections.get_mut(key) else {
             return;
         };
-        connection.answered = now;
+        connection.last_response_at = now;
         let reason = match self.endpoints.get_mut(connection.endpoint) {
             Some(endpoint) if now < endpoint.single_use_until => CloseReason::UnsolicitedResponse,
             Some(endpoint) if endpoint.draining_since.is_some() => CloseReason::Draining,
@@ -195,7 +198,7 @@
         let idle = self
             .endpoint_connections
             .iter()
-            .filter(|(_, connection)| connection.exchange.is_none() && connection.connected);
+            .filter(|(_, connection)| connection.exchange.is_none() && connection.is_connected);
         let first = idle.min_by_key(|(_, connection)| connection.timer);
         let Some((key, _)) = first else {
             return false;
@@ -240,7 +243,7 @@
         let waited = connection
             .exchange
             .as_ref()
-            .map_or(0, |exchange| self.now().saturating_sub(exchange.sent));
+            .map_or(0, |exchange| self.now().saturating_sub(exchange.started_at));
         waited > self.config.connect_timeout && connection.read_buffer.bytes().is_empty()
     }
 }
