--- a/crates/proxy/src/config/classes.rs
+++ b/crates/proxy/src/config/classes.rs
@@ -3,7 +3,10 @@
 
 use pinefront_policy::{Idempotency, IdempotencyScope, RequestClass};
 
-use super::{ConfigError, MAX_NAMES};
+use super::error::ConfigError;
+
+/// Classes since the start, at most.
+const MAX_CLASSES: usize = 64;
 
 /// A class of the present settings or of earlier ones.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -41,8 +44,8 @@
         for (name, class) in new_names.iter().zip(new) {
             table.add(name, class);
         }
-        if table.known.len() > MAX_NAMES {
-            return Err(ConfigError::TooManyClasses(MAX_NAMES));
+        if table.known.len() > MAX_CLASSES {
+            return Err(ConfigError::TooManyClasses(MAX_CLASSES));
         }
         Ok(table)
     }
--- a/crates/proxy/src/config/decode.rs
+++ b/crates/proxy/src/config/decode.rs
@@ -7,7 +7,10 @@
 use pinefront_settings::fields::{list, optional, part, text, whole};
 use serde_json::Value;
 
-use super::{Config, ConfigError, KnownClass, Variables};
+use super::classes::KnownClass;
+use super::error::ConfigError;
+use super::load::Variables;
+use super::proxy_config::Config;
 
 /// Descriptors kept for standard streams, the listener, discovery, the event loop and a spare few.
 pub(super) const RESERVED_SOCKETS: u64 = 24;
--- a/crates/proxy/src/config/load.rs
+++ b/crates/proxy/src/config/load.rs
@@ -6,7 +6,8 @@
 use rustix::process::{Resource, getrlimit};
 use serde_json::Value;
 
-use super::{Config, LoadError};
+use super::error::LoadError;
+use super::proxy_config::Config;
 
 const VARIABLE_PREFIX: &str = "BALANCER_";
 
--- a/crates/proxy/src/config/tests.rs
+++ b/crates/proxy/src/config/tests.rs
@@ -1,4 +1,4 @@
-use pinefront_policy::IdempotencyScope;
+use pinefront_policy::{Idempotency, IdempotencyScope, Micros};
 use rstest::rstest;
 use serde_json::{Value, json};
 
--- a/crates/proxy/src/discovery/handler.rs
+++ b/crates/proxy/src/discovery/handler.rs
@@ -6,12 +6,13 @@
 use slog::{info, warn};
 
 use crate::close_reason::CloseReason;
-use crate::discovery::connection::{LastResponse, PollProgress, close_reason};
+use crate::discovery::connection::{DiscoveryConnection, LastResponse, PollProgress};
 use crate::discovery::list_error::ListError;
 use crate::discovery::partial_list::PartialList;
 use crate::discovery::polling_schedule::{
     ConnectionId, ListSummary, PollAction, PollFailure, PollingSettings,
 };
+use crate::discovery::transport::close_reason;
 use crate::state::proxy::{Proxy, ProxyState};
 use crate::state::timers::TimerEvent;
 
@@ -114,9 +115,12 @@
 
     /// Applies what has come of a response that is not complete.
     fn apply_partial_response(&mut self, id: ConnectionId) {
-        let Some(partial) = self.state.borrow_mut().partial_response(id) else {
-            return;
+        let partial = {
+            let mut state = self.state.borrow_mut();
+            let connection = state.discovery.connection(id);
+            connection.and_then(|connection| connection.partial_response())
         };
+        let Some(partial) = partial else { return };
         let requested_changes = {
             let state = self.state.borrow();
             state.discovery.schedule.requested_changes(id)
@@ -168,7 +172,11 @@
     /// counts as delivered, so it is applied first.
     fn close_superseded(&mut self, id: ConnectionId, may_hold_response: bool) {
         if may_hold_response {
-            let last = self.state.borrow_mut().last_response(id);
+            let last = {
+                let mut state = self.state.borrow_mut();
+                let connection = state.discovery.connection(id);
+                connection.and_then(DiscoveryConnection::last_response)
+            };
             match last {
                 Some(LastResponse::Complete(list)) => self.apply_last_list(&list),
                 Some(LastResponse::Partial(partial)) => self.apply_last_part(&partial),
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -1,7 +1,7 @@
 //! Discovery: the endpoint list, followed by polls that discovery holds until there is a change
 //! (watches).
 //!
-//! [`polling_schedule`] decides when to poll, [`connection`] carries polls and responses,
+//! [`polling_schedule`] decides when to poll, [`transport`] carries polls and responses,
 //! [`handler`] reacts to their events, [`list_update`] applies lists to the endpoint table and the
 //! policy, [`partial_list`] reads incomplete ones.
 
@@ -15,6 +15,7 @@
 mod response;
 mod start_times;
 pub mod state;
+mod transport;
 
 #[cfg(test)]
 mod tests;
