--- /dev/null
+++ b/crates/cluster/src/leases/voter.rs
@@ -0,0 +1,146 @@
+//! A voter grants each lease to one bidder at a time. It stores nothing on disk: when it starts it grants nothing for
+//! the longest lease duration, so that every grant it may have forgotten has expired.
+
+use std::collections::BTreeMap;
+
+use super::config::{MAX_LEASE_US, with_clock_margin};
+use super::fault_injection::InjectedFault;
+use super::messages::GrantStatus;
+use super::term::{LeaseId, Term};
+use crate::Micros;
+
+/// The largest number of leases that a voter keeps grants for.
+const MAX_GRANTS: usize = 8_192;
+
+/// The last grant of a lease.
+///
+/// Invariant: `term` never decreases while the voter runs, and until `until` no other term is granted unless this one
+/// is released.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct Grant {
+    term: Term,
+    until: Micros,
+    /// Released by its holder: the lease is available at once, and the term is used up.
+    released: bool,
+}
+
+impl Grant {
+    fn is_open(&self, now: Micros) -> bool {
+        !self.released && self.until > now
+    }
+}
+
+/// A member's part as a voter.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct Voter {
+    silent_until: Micros,
+    grants: BTreeMap<LeaseId, Grant>,
+    injected_fault: Option<InjectedFault>,
+}
+
+impl Voter {
+    /// Starts a voter, silent for the longest lease duration.
+    pub fn new(now: Micros, injected_fault: Option<InjectedFault>) -> Self {
+        let silence = if injected_fault == Some(InjectedFault::NoStartupSilence) {
+            0
+        } else {
+            with_clock_margin(MAX_LEASE_US)
+        };
+        Self {
+            silent_until: now + silence,
+            grants: BTreeMap::new(),
+            injected_fault,
+        }
+    }
+
+    /// Whether it grants nothing yet because it has just started.
+    pub fn is_silent(&self, now: Micros) -> bool {
+        now < self.silent_until
+    }
+
+    /// The state of a lease.
+    pub fn status(&self, now: Micros, lease: LeaseId) -> GrantStatus {
+        let silent = self.silent_until.saturating_sub(now);
+        let grant = self.grants.get(&lease);
+        let granted = grant
+            .filter(|grant| !grant.released)
+            .map_or(0, |grant| grant.until.saturating_sub(now));
+        GrantStatus {
+            lease,
+            term: grant.map(|grant| grant.term),
+            available_in_us: u32::try_from(silent.max(granted)).unwrap_or(u32::MAX),
+        }
+    }
+
+    /// Grants a bid or renews its grant for `duration` by the bidder's clock.
+    ///
+    /// # Errors
+    ///
+    /// Returns the state of the lease if the bid is refused.
+    pub fn bid(
+        &mut self,
+        now: Micros,
+        lease: LeaseId,
+        term: Term,
+        duration: Micros,
+    ) -> Result<(), GrantStatus> {
+        let refused = Err(self.status(now, lease));
+        if duration > MAX_LEASE_US || self.is_silent(now) {
+            return refused;
+        }
+        let granted = Grant {
+            term,
+            until: now + self.counted(duration),
+            released: false,
+        };
+        let Some(grant) = self.grants.get(&lease).copied() else {
+            if self.grants.len() >= MAX_GRANTS {
+                return refused;
+            }
+            self.grants.insert(lease, granted);
+            return Ok(());
+        };
+        if self.is_same_term(grant.term, term) && !grant.released {
+            let until = grant.until.max(granted.until);
+            self.grants.insert(lease, Grant { until, ..grant });
+            return Ok(());
+        }
+        // Only a later term follows, and only after the one before has expired here or was released.
+        if term <= grant.term || grant.is_open(now) {
+            return refused;
+        }
+        self.grants.insert(lease, granted);
+        Ok(())
+    }
+
+    /// Releases a term. A release that overtakes its own bid uses the term up; one of an earlier term has no effect.
+    pub fn release(&mut self, now: Micros, lease: LeaseId, term: Term) {
+        let Some(grant) = self.grants.get_mut(&lease) else {
+            return;
+        };
+        if grant.term == term || self.injected_fault == Some(InjectedFault::ReleaseOfAnyTerm) {
+            grant.released = true;
+        } else if term > grant.term && !grant.is_open(now) {
+            *grant = Grant {
+                term,
+                until: now,
+                released: true,
+            };
+        }
+    }
+
+    /// How long a grant counts by this voter's clock.
+    fn counted(&self, duration: Micros) -> Micros {
+        match self.injected_fault {
+            Some(InjectedFault::NoClockMargin) => duration,
+            _ => with_clock_margin(duration),
+        }
+    }
+
+    fn is_same_term(&self, granted: Term, bid: Term) -> bool {
+        match self.injected_fault {
+            Some(InjectedFault::EqualTermNumbersGranted) => granted.number == bid.number,
+            _ => granted == bid,
+        }
+    }
+}
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -10,15 +10,15 @@
 pub mod checker;
 pub mod discovery;
 pub mod fleet;
+#[allow(missing_docs)]
+pub mod lease_history;
 pub mod network;
 #[allow(missing_docs)]
-pub mod presence;
+pub mod process_history;
 pub mod random;
 pub mod scenario;
 pub mod server;
 pub mod service;
-#[allow(missing_docs)]
-pub mod tenures;
 pub mod timeline;
 pub mod traffic;
 pub mod validation;
--- /dev/null
+++ b/crates/proxy/src/connections/client.rs
@@ -0,0 +1,182 @@
+//! Events of clients' connections: readable, writable, disconnected, timer expired.
+
+use std::rc::Rc;
+
+use slog::info;
+
+use crate::close_reason::CloseReason;
+use crate::connections::client_lifetime::{MAX_LINGER_BYTES, lingering_close_reason};
+use crate::connections::http_message::MAX_MESSAGE_BYTES;
+use crate::state::buffers::ReadOutcome;
+use crate::state::client_connection::{ClientConnection, READ_AHEAD_BYTES};
+use crate::state::keys::ClientKey;
+use crate::state::proxy::{Proxy, ProxyState};
+use crate::state::socket::is_hung_up;
+use crate::state::timers::TimerEvent;
+
+#[cfg(test)]
+mod tests;
+
+impl Proxy {
+    /// Handles a client's connection that became readable or writable.
+    pub fn client_ready(&mut self, key: ClientKey) {
+        let received = self.state.borrow_mut().receive_from_client(key);
+        match received {
+            ClientRead::Nothing => {}
+            ClientRead::Closing => self.state.borrow_mut().continue_after_response(key),
+            ClientRead::Closed(reason) => self.client_disconnected(key, reason),
+            // What lies behind the request waits for a later iteration, or one client could occupy the loop.
+            ClientRead::Request => self.read_request(key),
+        }
+    }
+
+    /// Closes the connection of a client that disconnected and cancels its request, if one is in flight.
+    pub fn client_disconnected(&mut self, key: ClientKey, reason: CloseReason) {
+        let mut state = self.state.borrow_mut();
+        let request = state.clients.get(key).and_then(|client| client.request);
+        let unanswered = request.and_then(|request| {
+            let id = Rc::clone(&state.requests.get(request)?.id);
+            state.detach_client(request).map(|_| id)
+        });
+        let reason = match unanswered {
+            Some(_) => CloseReason::ClientDisconnected,
+            None => reason,
+        };
+        state.close_client(key, reason);
+        if let Some(id) = unanswered {
+            state.counters.requests_disconnected += 1;
+            info!(state.log, "client disconnected"; "request" => &*id);
+            let now = state.now();
+            drop(state);
+            self.balancer.client_disconnected(now, &id);
+        }
+    }
+
+    /// Handles the expired timer of a client's connection. What it was set for follows from the connection's state.
+    pub fn client_timer_expired(&mut self, key: ClientKey) {
+        let mut state = self.state.borrow_mut();
+        let Some(client) = state.clients.get_mut(key) else {
+            return;
+        };
+        client.timer = None;
+        if client.is_lingering {
+            let reason = lingering_close_reason(client);
+            return state.close_client(key, reason);
+        }
+        if client.request.is_some() {
+            return;
+        }
+        if !client.write_buffer.is_empty() {
+            return state.close_client(key, CloseReason::SlowReader);
+        }
+        if !client.read_buffer.bytes().is_empty() {
+            return state.reject_and_close(key, 408, CloseReason::SlowSender);
+        }
+        state.close_or_keep_idle_client(key);
+    }
+}
+
+/// What was received on a client's connection.
+enum ClientRead {
+    /// Nothing to act on.
+    Nothing,
+    /// The read buffer may hold a complete request.
+    Request,
+    /// The connection closes once everything is written.
+    Closing,
+    /// The client closed or reset the connection.
+    Closed(CloseReason),
+}
+
+impl ProxyState {
+    /// Writes what waits for the client and reads what it sent.
+    fn receive_from_client(&mut self, key: ClientKey) -> ClientRead {
+        let Some(client) = self.clients.get_mut(key) else {
+            return ClientRead::Nothing;
+        };
+        if client.write_buffer.drain(&client.socket.stream).is_err() {
+            return ClientRead::Closed(CloseReason::ClientReset);
+        }
+        if client.is_lingering {
+            return self.discard_from_client(key);
+        }
+        let outcome = fill_read_buffer(client, self.closing);
+        classify_read(client, outcome)
+    }
+
+    /// Discards what a client still sends after our side was shut down.
+    fn discard_from_client(&mut self, key: ClientKey) -> ClientRead {
+        let Some(client) = self.clients.get_mut(key) else {
+            return ClientRead::Nothing;
+        };
+        client.discarded_bytes += client.read_buffer.bytes().len();
+        client.read_buffer.clear();
+        if client.discarded_bytes >= MAX_LINGER_BYTES {
+            return ClientRead::Closed(lingering_close_reason(client));
+        }
+        let limit = read_limit(client);
+        match client.read_buffer.fill(&client.socket.stream, limit) {
+            ReadOutcome::WouldBlock => ClientRead::Nothing,
+            ReadOutcome::Full => {
+                let now = self.clock.now();
+                self.timers.schedule(now, TimerEvent::NextRequest(key));
+                ClientRead::Nothing
+            }
+            ReadOutcome::Closed | ReadOutcome::Failed => {
+                ClientRead::Closed(lingering_close_reason(client))
+            }
+        }
+    }
+}
+
+/// The most bytes to hold in a client's read buffer.
+fn read_limit(client: &ClientConnection) -> usize {
+    if client.awaits_response() {
+        READ_AHEAD_BYTES
+    } else {
+        MAX_MESSAGE_BYTES
+    }
+}
+
+/// Reads what the client sent. While the shutdown closes connections, received requests are completed and answered but
+/// no further one is read: a client that always has a next one would never be done.
+fn fill_read_buffer(client: &mut ClientConnection, closing: bool) -> ReadOutcome {
+    if closing && (client.awaits_response() || client.has_unread_bytes()) {
+        return if client.request.is_some() && is_hung_up(&client.socket.stream) {
+            ReadOutcome::Closed
+        } else {
+            ReadOutcome::WouldBlock
+        };
+    }
+    let limit = read_limit(client);
+    client.read_buffer.fill(&client.socket.stream, limit)
+}
+
+/// What a read of a connection that does not linger means for it.
+fn classify_read(client: &ClientConnection, outcome: ReadOutcome) -> ClientRead {
+    let has_request = client.request.is_some();
+    match outcome {
+        // The client shut down its side but may still read the response; if not, writing will fail.
+        ReadOutcome::Closed if !client.write_buffer.is_empty() => ClientRead::Nothing,
+        ReadOutcome::Closed if !has_request && !client.read_buffer.bytes().is_empty() => {
+            ClientRead::Closed(CloseReason::ClientTruncated)
+        }
+        ReadOutcome::Closed => ClientRead::Closed(CloseReason::ClientClosed),
+        // The end lies behind bytes that are not read while the request is in flight.
+        ReadOutcome::Full if has_request && is_hung_up(&client.socket.stream) => {
+            ClientRead::Closed(CloseReason::ClientClosed)
+        }
+        ReadOutcome::Failed => ClientRead::Closed(CloseReason::ClientReset),
+        ReadOutcome::WouldBlock | ReadOutcome::Full if client.close_reason.is_some() => {
+            ClientRead::Closing
+        }
+        // Responses that the client does not read must not pile up.
+        ReadOutcome::WouldBlock | ReadOutcome::Full if client.awaits_response() => {
+            ClientRead::Nothing
+        }
+        ReadOutcome::WouldBlock | ReadOutcome::Full if client.read_buffer.bytes().is_empty() => {
+            ClientRead::Nothing
+        }
+        ReadOutcome::WouldBlock | ReadOutcome::Full => ClientRead::Request,
+    }
+}
--- a/crates/testbed/src/balancers/mod.rs
+++ b/crates/testbed/src/balancers/mod.rs
@@ -21,7 +21,7 @@
 pub use usage::Usage;
 
 use crate::error::Error;
-use crate::fleet::duties::DutyLines;
+use crate::fleet::leases::DutyLines;
 use crate::fleet::own_address;
 use crate::http;
 use crate::system_faults::{self, PreloadedLibrary};
--- a/crates/testbed/src/figures/mod.rs
+++ b/crates/testbed/src/figures/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::clients::{RequestCounts, Results};
 use crate::fleet::Known;
-use crate::fleet::duties::DutiesFound;
+use crate::fleet::leases::DutiesFound;
 
 /// Violations that are listed; of further ones only the number is given.
 const MAX_LISTED_VIOLATIONS: usize = 20;
@@ -141,7 +141,7 @@
         let is_cluster_sound = cluster.is_none_or(|cluster| {
             cluster.wrongly_gone == 0 && cluster.views_agree_after_ms.is_some()
         });
-        let duties = cluster.and_then(|cluster| cluster.duties.as_ref());
+        let duties = cluster.and_then(|cluster| cluster.leases.as_ref());
         self.rule_violation_count == 0
             && self.unexpected_ends.is_empty()
             && self.violations == 0
--- a/crates/testbed/src/figures/table.rs
+++ b/crates/testbed/src/figures/table.rs
@@ -3,9 +3,9 @@
 use std::fmt::Write as _;
 
 use super::{Figures, Times};
-use crate::accord::spread;
+use crate::cluster::spread;
 use crate::fleet::Known;
-use crate::fleet::duties::DutiesFound;
+use crate::fleet::leases::DutiesFound;
 
 /// Lines with a name and a text.
 struct Table(String);
@@ -111,23 +111,26 @@
     if cluster.flooded > 0 {
         table.line("strangers sent", cluster.flooded.to_string());
     }
-    let text = format!("{} suspicions, also of suspended members", cluster.refuted);
+    let text = format!(
+        "{} suspicions, also of suspended members",
+        cluster.refutations
+    );
     table.line("refuted", text);
     let text = format!(
         "{}; considered dead while running: {}",
         cluster.wrongly_gone, cluster.held_gone_while_running
     );
     table.line("wrongly dead", text);
-    if let Some(duties) = &cluster.duties {
+    if let Some(duties) = &cluster.leases {
         add_duties(table, duties);
     }
-    table.lines("", &cluster.why);
+    table.lines("", &cluster.details);
 }
 
 fn add_duties(table: &mut Table, duties: &DutiesFound) {
     let text = format!(
         "{}: {} OVERLAPS, {} old terms accepted, {} changes ({} of one in a minute at most), {} vacant",
-        duties.duties,
+        duties.leases,
         duties.overlaps,
         duties.old_terms_taken,
         duties.changes,
@@ -144,7 +147,7 @@
     for (cause, vacancies_ms) in &duties.without_holder_by {
         table.line("", format!("{cause}: {}", times(vacancies_ms)));
     }
-    table.lines("", &duties.why);
+    table.lines("", &duties.details);
 }
 
 /// Median, maximum and number of some durations in milliseconds.
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,11 +1,11 @@
 //! `pinefront-testbed`: runs balancers before stand-in servers on this machine, with faults, and measures them.
 
-mod accord;
 mod assumed_notifications;
 mod balancers;
 mod baseline;
 mod clients;
 mod clock;
+mod cluster;
 mod commands;
 mod discovery_stand_in;
 mod environment;
--- a/crates/testbed/src/overhead.rs
+++ b/crates/testbed/src/overhead.rs
@@ -15,7 +15,7 @@
 use crate::balancers::{Balancer, BalancerSetup, Usage, wait_until_ready};
 use crate::environment::{TemporaryFolder, stand_in_runtime};
 use crate::error::{Context, Error};
-use crate::fleet::company::Company;
+use crate::fleet::simulated_members::SimulatedMembers;
 use crate::load::{self, Found, Plan};
 use crate::world::{World, locked};
 use crate::{discovery_stand_in, http};
@@ -103,7 +103,7 @@
     balancer: Mutex<Vec<Balancer>>,
     balancer_address: SocketAddr,
     /// Other members of the cluster, which end with the value.
-    _members: Option<Company>,
+    _members: Option<SimulatedMembers>,
     _folder: TemporaryFolder,
 }
 
@@ -119,7 +119,7 @@
         })?;
         let members = options
             .members
-            .map(|members| Company::start(members.saturating_sub(1)))
+            .map(|members| SimulatedMembers::start(members.saturating_sub(1)))
             .transpose()
             .context("cannot start the fleet's other members")?;
         let operator_file = members
--- a/crates/testbed/src/runner/mod.rs
+++ b/crates/testbed/src/runner/mod.rs
@@ -26,7 +26,7 @@
 use crate::error::{Context, Error};
 use crate::figures::Figures;
 use crate::fleet::Known;
-use crate::fleet::duties::machine_now;
+use crate::fleet::leases::machine_now;
 use crate::fleet::views::{Views, watch};
 use crate::stalled_clients::run_stalled_clients;
 use crate::world::{World, locked};
@@ -238,7 +238,7 @@
         // The readers of the logs end with the processes.
         std::thread::sleep(SETTLE_DELAY);
         let terms_fallen = locked(&self.views).terms_fallen();
-        cluster.duties = Some(self.group.duty_lines.found(ended_at, terms_fallen));
+        cluster.leases = Some(self.group.duty_lines.found(ended_at, terms_fallen));
     }
 }
 
--- a/crates/testbed/src/runner/setup.rs
+++ b/crates/testbed/src/runner/setup.rs
@@ -9,7 +9,7 @@
 use crate::environment::TemporaryFolder;
 use crate::error::{Context, Error};
 use crate::fleet::Addresses;
-use crate::fleet::duties::DutyLines;
+use crate::fleet::leases::DutyLines;
 use crate::fleet::relays::{Relayed, flood, relay};
 use crate::system_faults::PreloadedLibrary;
 use crate::world::{World, locked};
