--- a/crates/proxy/src/lifecycle/shutdown/tests.rs
+++ b/crates/proxy/src/lifecycle/shutdown/tests.rs
@@ -39,7 +39,7 @@
 #[case::accepting(0, true, false)]
 #[case::no_longer(ACCEPT_PERIOD_US, false, false)]
 #[case::done(SERVE_PERIOD_US, false, true)]
-fn a_shutdown_is_completed_accepting_for_a_while(
+fn a_shutdown_keeps_accepting_for_a_while(
     #[case] since: Micros,
     #[case] listens: bool,
     #[case] over: bool,
