--- a/crates/proxy/src/discovery/handler.rs
+++ b/crates/proxy/src/discovery/handler.rs
@@ -246,7 +246,7 @@
     fn schedule_discovery_timer(&mut self) {
         let discovery = &mut self.discovery;
         match discovery.next_event_at() {
-            Some(at) if discovery.timer.is_some_and(|timer| timer.0 == at) => {}
+            Some(at) if discovery.timer.is_some_and(|timer| timer.at == at) => {}
             Some(at) => self
                 .timers
                 .move_to(&mut discovery.timer, at, TimerEvent::Discovery),
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -22,12 +22,12 @@
     /// Handles the timers that have expired. What these schedule for the same moment waits for the
     /// next iteration.
     pub fn run_timers(&mut self) {
-        let (now, mark) = {
+        let (now, last_serial) = {
             let state = self.state.borrow();
-            (state.now(), state.timers.mark())
+            (state.now(), state.timers.last_serial())
         };
         loop {
-            let expired = self.state.borrow_mut().timers.due(now, mark);
+            let expired = self.state.borrow_mut().timers.expired(now, last_serial);
             match expired {
                 Some(event) => self.timer_expired(event, now),
                 None => return,
--- a/crates/proxy/src/state/timers/tests.rs
+++ b/crates/proxy/src/state/timers/tests.rs
@@ -6,10 +6,10 @@
     let keys = [(20, 1), (10, 2), (10, 3), (10, 4)]
         .map(|(at, timer_id)| timers.schedule(at, TimerEvent::PolicyTimer(timer_id)));
     timers.cancel(keys[2]);
-    let mark = timers.mark();
-    let due: Vec<_> = std::iter::from_fn(|| timers.due(20, mark)).collect();
+    let last_serial = timers.last_serial();
+    let expired: Vec<_> = std::iter::from_fn(|| timers.expired(20, last_serial)).collect();
     assert_eq!(
-        due,
+        expired,
         [
             TimerEvent::PolicyTimer(2),
             TimerEvent::PolicyTimer(4),
@@ -21,9 +21,12 @@
 #[test]
 fn what_a_turn_hangs_waits_for_the_next() {
     let mut timers = Timers::default();
-    let mark = timers.mark();
+    let last_serial = timers.last_serial();
     timers.schedule(10, TimerEvent::ResumeAccepting);
-    assert_eq!((timers.due(10, mark), timers.next()), (None, Some(10)));
+    assert_eq!(
+        (timers.expired(10, last_serial), timers.next()),
+        (None, Some(10))
+    );
 }
 
 #[test]
