--- a/crates/proxy/src/connections/accept.rs
+++ b/crates/proxy/src/connections/accept.rs
@@ -1,4 +1,4 @@
-//! The listener: taking clients in, and making room for them.
+//! The listener: accepting clients' connections, and closing idle ones to make room for them.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
@@ -9,8 +9,8 @@
 use slog::warn;
 
 use crate::close_reason::CloseReason;
-use crate::state::buffers::{ReadBuffer, WriteBuffer};
 use crate::state::client_connection::ClientConnection;
+use crate::state::keys::ClientKey;
 use crate::state::proxy::{Proxy, ProxyState};
 use crate::state::socket::{RegisteredSocket, ready};
 use crate::state::timers::TimerEvent;
@@ -18,33 +18,36 @@
 #[cfg(test)]
 mod tests;
 
-/// How long accepting rests when no descriptor can be had.
-const ACCEPT_REST: Micros = 10_000;
-/// Connections taken at once: those already served must not wait for a storm of new ones.
-const ACCEPT_AT_ONCE: usize = 64;
-/// How long a client may take to go on with what it began before it is taken for one that keeps us waiting.
-const ABOUT_TO_SEND: Micros = 1_000_000;
+/// How long accepting pauses when no descriptor is available.
+const ACCEPT_PAUSE_US: Micros = 10_000;
+/// Connections to accept in one iteration: connected clients must not wait for a burst of new ones.
+const MAX_ACCEPTS_PER_ITERATION: usize = 64;
+/// How long after its last activity a client in the middle of something is not closed in favour of
+/// another.
+const ABOUT_TO_SEND_US: Micros = 1_000_000;
 
-/// What a failed accept says.
+/// Why accepting failed.
 #[derive(Debug, PartialEq, Eq)]
 enum AcceptFailure {
-    /// Nobody waits.
-    Nobody,
-    /// Of the one connection that was to be accepted, or of nothing: the next may do.
-    Passing,
-    /// This process may hold no further descriptor.
-    OwnLimit,
-    /// The system is short of something for the moment: ending connections of ours would not help.
-    System,
+    /// The backlog is empty.
+    WouldBlock,
+    /// The one connection that was to be accepted is lost, or the call was interrupted: the next
+    /// may succeed.
+    Transient,
+    /// This process may open no further descriptor.
+    ProcessLimit,
+    /// The system is short of a resource: closing connections of ours would not help.
+    SystemLimit,
 }
 
-/// As accept(2) lists them: what is wrong on the network is told of the connection that was to be accepted.
-fn accept_failure(problem: &std::io::Error) -> AcceptFailure {
-    let Some(code) = Errno::from_io_error(problem) else {
-        return AcceptFailure::System;
+/// Classifies a failure as accept(2) lists them: errors of the network belong to the connection
+/// that was to be accepted.
+fn accept_failure(error: &std::io::Error) -> AcceptFailure {
+    let Some(code) = Errno::from_io_error(error) else {
+        return AcceptFailure::SystemLimit;
     };
     match code {
-        Errno::AGAIN => AcceptFailure::Nobody,
+        Errno::AGAIN => AcceptFailure::WouldBlock,
         Errno::INTR
         | Errno::CONNABORTED
         | Errno::PROTO
@@ -56,178 +59,168 @@
         | Errno::NONET
         | Errno::OPNOTSUPP
         | Errno::TIMEDOUT
-        | Errno::PERM => AcceptFailure::Passing,
-        Errno::MFILE => AcceptFailure::OwnLimit,
-        _ => AcceptFailure::System,
+        | Errno::PERM => AcceptFailure::Transient,
+        Errno::MFILE => AcceptFailure::ProcessLimit,
+        _ => AcceptFailure::SystemLimit,
     }
 }
 
 impl Proxy {
-    /// Takes in what the listener has; true where more may be waiting and can be had.
+    /// Accepts connections from the backlog. Returns whether more may wait there that can be
+    /// accepted now.
     pub fn accept(&mut self) -> bool {
-        let (mut freed, mut accepted) = (false, false);
-        for _ in 0..ACCEPT_AT_ONCE {
+        let mut has_freed_descriptor = false;
+        let mut has_accepted = false;
+        for _ in 0..MAX_ACCEPTS_PER_ITERATION {
             let mut state = self.state.borrow_mut();
-            let Some(listener) = state
-                .listener
-                .as_ref()
-                .map(|(listener, _)| Rc::clone(listener))
-            else {
+            let Some((listener, _)) = &state.listener else {
                 return false;
             };
-            if state.clients.len() >= state.config.max_client_connections {
-                // Nobody has to go for one that is not there.
-                if !has_pending_connection(&listener) {
-                    return false;
-                }
-                if !state.close_idle_client() {
-                    state.pause_accepting();
-                    return false;
-                }
+            let listener = Rc::clone(listener);
+            if !state.has_capacity_for_client(&listener) {
+                return false;
             }
-            let problem = match listener.accept() {
+            let error = match listener.accept() {
                 Ok((stream, peer)) => {
                     state.register_client(stream, peer);
-                    accepted = true;
+                    has_accepted = true;
                     continue;
                 }
-                Err(problem) => problem,
+                Err(error) => error,
             };
-            match accept_failure(&problem) {
-                AcceptFailure::Nobody => return false,
-                AcceptFailure::Passing => state.counters.accepts_failed += 1,
-                failure => {
-                    state.counters.accepts_failed += 1;
-                    warn!(state.log, "accept failed"; "error" => %problem);
-                    // What lies in the backlog counts as taken, so an idle connection gives way for it. If that did
-                    // not help, ending more of them would not either.
-                    if freed || failure == AcceptFailure::System || !state.free_descriptor() {
-                        state.pause_accepting();
-                        return false;
-                    }
-                    freed = true;
-                }
+            let failure = accept_failure(&error);
+            if failure == AcceptFailure::WouldBlock {
+                return false;
+            }
+            state.counters.accepts_failed += 1;
+            if failure == AcceptFailure::Transient {
+                continue;
             }
+            warn!(state.log, "accept failed"; "error" => %error);
+            // A connection in the backlog counts as accepted, so an idle one is closed for it.
+            // Where that did not help, closing more of them would not either.
+            let can_help = failure == AcceptFailure::ProcessLimit && !has_freed_descriptor;
+            if !can_help || !state.free_descriptor() {
+                state.pause_accepting();
+                return false;
+            }
+            has_freed_descriptor = true;
         }
-        accepted
+        has_accepted
     }
 }
 
 impl ProxyState {
+    /// Whether another client may connect. At the limit, closes an idle connection if one waits in
+    /// the backlog.
+    fn has_capacity_for_client(&mut self, listener: &TcpListener) -> bool {
+        if self.clients.len() < self.config.max_client_connections {
+            return true;
+        }
+        if !has_pending_connection(listener) {
+            return false;
+        }
+        let has_closed = self.close_idle_client();
+        if !has_closed {
+            self.pause_accepting();
+        }
+        has_closed
+    }
+
     fn register_client(&mut self, stream: TcpStream, peer: SocketAddr) {
         let now = self.clock.now();
-        let ready = stream.set_nonblocking(true);
-        // Answers go out in one write mostly; without it a further one may only be later.
+        let waited = self.loop_iteration.late(now);
+        let made_nonblocking = stream.set_nonblocking(true);
+        // Most responses go out in one write; without it, the rest of one may only be later.
         let _ = stream.set_nodelay(true);
-        let made = ready.and_then(|()| {
+        let registered = made_nonblocking.and_then(|()| {
             self.clients.try_insert_with_key(|key| {
-                Ok(ClientConnection {
-                    socket: RegisteredSocket::new(&self.handle, stream, move |proxy| {
-                        proxy.client_ready(key)
-                    })?,
-                    peer,
-                    read_buffer: ReadBuffer::default(),
-                    write_buffer: WriteBuffer::default(),
-                    request: None,
-                    no_keep_alive: false,
-                    answered: 0,
-                    opened: now,
-                    waited: self.loop_iteration.late(now),
-                    requests_received: 0,
-                    partial_request: None,
-                    discarded_bytes: 0,
-                    close_reason: None,
-                    is_lingering: false,
-                    sent_continue: false,
-                    timer: None,
-                    since: 0,
-                })
+                let ready = move |proxy: &mut Proxy| proxy.client_ready(key);
+                let socket = RegisteredSocket::new(&self.handle, stream, ready)?;
+                Ok(ClientConnection::new(socket, peer, now, waited))
             })
         });
-        match made {
+        match registered {
             Ok(key) => {
                 self.counters.client_connections_accepted += 1;
                 self.client_idle(key);
             }
-            Err(problem) => {
+            Err(error) => {
                 self.counters.accepts_failed += 1;
-                warn!(self.log, "client connection not registered"; "reason" => CloseReason::NotRegistered.code(), "peer" => %peer,
-                    "error" => %problem);
+                let reason = CloseReason::NotRegistered.code();
+                warn!(self.log, "client connection not registered"; "reason" => reason,
+                    "peer" => %peer, "error" => %error);
             }
         }
     }
 
-    /// Frees a descriptor: a client's connection that keeps us waiting, or else an idle one to an endpoint.
+    /// Closes an idle connection of a client, or else one to an endpoint. Returns whether there was
+    /// one.
     fn free_descriptor(&mut self) -> bool {
         self.close_idle_client() || self.evict_idle_endpoint_connection()
     }
 
-    /// Closes the client's connection that has kept us waiting for longest, between requests or with part of a request.
+    /// Closes the client's connection that has been idle or stalled for longest. Returns whether
+    /// there was one.
     fn close_idle_client(&mut self) -> bool {
-        // What lies unread in the socket may be a whole request, and then it is taken.
-        let unread = |client: &ClientConnection| {
-            client
-                .socket
-                .stream
-                .peek(&mut [0])
-                .is_ok_and(|count| count > 0)
+        let Some(key) = self.longest_idle_client() else {
+            return false;
         };
+        self.close_client(key, CloseReason::Evicted);
+        true
+    }
+
+    fn longest_idle_client(&self) -> Option<ClientKey> {
         let now = self.clock.now();
-        // Whoever opened a connection or began a request just now is about to go on with it.
-        let begun = |client: &ClientConnection| {
-            client.answered == 0 || !client.read_buffer.bytes().is_empty()
-        };
-        let last = |client: &ClientConnection| {
-            (
-                begun(client) && now < client.since + ABOUT_TO_SEND,
-                client.since,
-            )
-        };
-        let rests =
-            |client: &ClientConnection| !client.awaits_response() && !client.has_unread_bytes();
-        let mut waiting: Vec<_> = self
+        let mut idle: Vec<_> = self
             .clients
             .iter()
-            .filter(|(_, client)| rests(client))
+            .filter(|(_, client)| !client.awaits_response() && !client.has_unread_bytes())
             .collect();
-        waiting.sort_by_key(|(_, client)| last(client));
-        let first = waiting
-            .into_iter()
-            .find(|(_, client)| !unread(client))
-            .map(|(key, _)| key);
-        first
-            .inspect(|key| self.close_client(*key, CloseReason::Evicted))
-            .is_some()
+        // A client that connected or began a request a moment ago is about to go on with it.
+        let is_about_to_send = |client: &ClientConnection| {
+            let has_begun = client.answered == 0 || !client.read_buffer.bytes().is_empty();
+            has_begun && now < client.since + ABOUT_TO_SEND_US
+        };
+        idle.sort_by_key(|(_, client)| (is_about_to_send(client), client.since));
+        idle.into_iter()
+            .find(|(_, client)| !has_bytes_in_socket(client))
+            .map(|(key, _)| key)
     }
 
     fn pause_accepting(&mut self) {
-        let Some((_, token)) = self.listener.as_ref().filter(|_| !self.accept_paused) else {
+        if self.accept_paused {
+            return;
+        }
+        let Some((_, token)) = &self.listener else {
             return;
         };
-        if let Err(problem) = self.handle.disable(token) {
-            warn!(self.log, "cannot pause accepting"; "error" => %problem);
+        if let Err(error) = self.handle.disable(token) {
+            warn!(self.log, "cannot pause accepting"; "error" => %error);
         }
         self.accept_paused = true;
-        self.timers
-            .schedule(self.clock.now() + ACCEPT_REST, TimerEvent::ResumeAccepting);
+        let at = self.clock.now() + ACCEPT_PAUSE_US;
+        self.timers.schedule(at, TimerEvent::ResumeAccepting);
     }
 
+    /// Accepts connections again after a pause.
     pub fn resume_accepting(&mut self) {
-        let rested = std::mem::take(&mut self.accept_paused);
-        if let Some((_, token)) = self.listener.as_ref().filter(|_| rested)
-            && let Err(problem) = self.handle.enable(token)
+        let was_paused = std::mem::take(&mut self.accept_paused);
+        if let Some((_, token)) = self.listener.as_ref().filter(|_| was_paused)
+            && let Err(error) = self.handle.enable(token)
         {
-            warn!(self.log, "cannot resume accepting"; "error" => %problem);
+            warn!(self.log, "cannot resume accepting"; "error" => %error);
         }
     }
 
-    /// Whether somebody waits to be accepted.
+    /// Whether a connection waits in the backlog.
     pub fn backlog_has_connections(&self) -> bool {
         self.listener
             .as_ref()
             .is_some_and(|(listener, _)| has_pending_connection(listener))
     }
 
+    /// Closes the listener.
     pub fn close_listener(&mut self) {
         if let Some((_, token)) = self.listener.take() {
             self.handle.remove(token);
@@ -235,7 +228,13 @@
     }
 }
 
-/// Whether a connection waits to be accepted.
+/// Whether a connection waits in the backlog.
 fn has_pending_connection(listener: &TcpListener) -> bool {
     !ready(listener, PollFlags::IN).is_empty()
 }
+
+/// Whether the socket holds bytes that were not read yet; they may be a complete request.
+fn has_bytes_in_socket(client: &ClientConnection) -> bool {
+    let peeked = client.socket.stream.peek(&mut [0]);
+    peeked.is_ok_and(|count| count > 0)
+}
