--- a/crates/proxy/src/config/decode.rs
+++ b/crates/proxy/src/config/decode.rs
@@ -4,7 +4,7 @@
 
 use pinefront_policy::{Idempotency, Settings};
 use pinefront_settings::decode_settings;
-use pinefront_settings::fields::{list, optional, part, text, whole};
+use pinefront_settings::fields::{list, object, optional, text, unsigned};
 use serde_json::Value;
 
 use super::{Config, ConfigError, KnownClass, Variables};
@@ -68,15 +68,15 @@
         variables: &Variables,
         open_file_limit: u64,
     ) -> Result<(Self, Settings), ConfigError> {
-        let settings_json = part(document, "settings")?;
+        let settings_json = object(document, "settings")?;
         let settings = decode_settings(settings_json)?;
-        let caps = part(settings_json, "caps")?;
+        let caps = object(settings_json, "caps")?;
         let limits = Limits::decode(document, open_file_limit)?;
         let seed = text(document, "seed")?;
         let reports_load = decode_reports_load(settings_json, &settings)?;
         let zones = decode_zones(settings_json, &settings)?;
         // The whole drain grace period is left to delays of the process, so its value is not used.
-        whole(part(settings_json, "rules")?, "drainGraceUs")?;
+        unsigned(object(settings_json, "rules")?, "drainGraceUs")?;
         let name = variable_or_field(document, variables, "name")?;
         let listen = address(document, variables, "listen")?;
         let discovery = address(document, variables, "discovery")?;
@@ -95,8 +95,8 @@
             tenants: tenants(settings_json)?,
             zones,
             machine_types: texts(settings_json, "kinds")?,
-            idle: whole(caps, "connIdleUs")?,
-            connect_timeout: whole(caps, "connectTimeoutUs")?,
+            idle: unsigned(caps, "connIdleUs")?,
+            connect_timeout: unsigned(caps, "connectTimeoutUs")?,
             max_poll_interval: settings.max_poll_interval,
             reports_load,
             probe_path: probe_path(document, &settings)?,
@@ -110,7 +110,7 @@
 
 /// Whether responses carry load reports.
 fn decode_reports_load(settings_json: &Value, settings: &Settings) -> Result<bool, ConfigError> {
-    let source = text(part(settings_json, "report")?, "source")?;
+    let source = text(object(settings_json, "report")?, "source")?;
     if source == "on_probe" && !settings.load_from_probes {
         return Err(ConfigError::ProbesNotAllowed);
     }
--- a/crates/proxy/src/discovery/handler.rs
+++ b/crates/proxy/src/discovery/handler.rs
@@ -1,7 +1,7 @@
 //! Events of discovery: its timer, its connections, and what is done with each response.
 
 use pinefront_policy::Micros;
-use pinefront_settings::fields::{flag, whole};
+use pinefront_settings::fields::{flag, unsigned};
 use serde_json::Value;
 use slog::{info, warn};
 
@@ -90,7 +90,7 @@
     /// Applies the list that a poll was answered with, unless the known one is newer.
     fn apply_response(&mut self, id: ConnectionId, body: &[u8]) -> Result<ListSummary, ListError> {
         let list: Value = serde_json::from_slice(body)?;
-        let (version, is_complete) = (whole(&list, "rev")?, flag(&list, "all")?);
+        let (version, is_complete) = (unsigned(&list, "rev")?, flag(&list, "all")?);
         if !self.accepts(id, Some(version), is_complete) {
             info!(self.state.borrow().log, "endpoint list ignored"; "version" => version,
                 "connection" => id.0);
@@ -180,7 +180,7 @@
     }
 
     fn apply_last_list(&mut self, list: &Value) {
-        let (Ok(version), Ok(is_complete)) = (whole(list, "rev"), flag(list, "all")) else {
+        let (Ok(version), Ok(is_complete)) = (unsigned(list, "rev"), flag(list, "all")) else {
             return;
         };
         if self.is_newer(version, is_complete)
--- a/crates/proxy/src/discovery/list_update.rs
+++ b/crates/proxy/src/discovery/list_update.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use pinefront_policy::{ListedEndpoint, Micros};
-use pinefront_settings::fields::{flag, list, number, optional, text, whole};
+use pinefront_settings::fields::{flag, list, number, optional, text, unsigned};
 use serde_json::Value;
 use slog::{info, warn};
 
@@ -52,7 +52,7 @@
     }
 
     fn apply_entries(&mut self, document: &Value) -> Result<ListSummary, ListError> {
-        let version = whole(document, "rev")?;
+        let version = unsigned(document, "rev")?;
         let now = self.state.borrow().now();
         let entries = list(document, "targets")?;
         let is_complete = flag(document, "all")?;
@@ -107,7 +107,10 @@
         let address = text(entry, "endpoint")?.parse();
         let address: SocketAddr = address.map_err(|_| ListError::Address)?;
         let stated = stated_start(entry)?;
-        let (cell, weight) = (whole(entry, "pod_group")?, number(entry, "capacity_hint")?);
+        let (cell, weight) = (
+            unsigned(entry, "pod_group")?,
+            number(entry, "capacity_hint")?,
+        );
         let (zone, machine_type) = (text(entry, "az")?, text(entry, "model")?);
         let mut state = self.state.borrow_mut();
         let zone = state.config.zone(zone);
--- a/crates/proxy/src/discovery/state.rs
+++ b/crates/proxy/src/discovery/state.rs
@@ -2,7 +2,7 @@
 //! endpoint list stands.
 
 use pinefront_policy::Micros;
-use pinefront_settings::fields::whole;
+use pinefront_settings::fields::unsigned;
 use serde_json::Value;
 
 use crate::discovery::connection::DiscoveryConnection;
@@ -52,7 +52,7 @@
     ///
     /// Fails when the list has no version.
     pub fn set_cached_list(&mut self, list: &Value) -> Result<(), ListError> {
-        self.schedule.set_cached_version(whole(list, "rev")?);
+        self.schedule.set_cached_version(unsigned(list, "rev")?);
         self.cached_list = Some(list.clone());
         Ok(())
     }
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -52,18 +52,6 @@
     }
 }
 
-impl From<FieldError> for String {
-    fn from(error: FieldError) -> Self {
-        error.to_string()
-    }
-}
-
-/// The names that the proxy still uses.
-pub use {object as part, unsigned as whole};
-
-/// Result of decoding a document in the proxy, whose errors are texts.
-pub type Decoded<T> = Result<T, String>;
-
 /// Reads a required field.
 ///
 /// # Errors
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -49,12 +49,6 @@
     },
 }
 
-impl From<SettingsError> for String {
-    fn from(error: SettingsError) -> Self {
-        error.to_string()
-    }
-}
-
 /// How the endpoints report their load.
 #[derive(Clone, Copy, PartialEq)]
 enum LoadReports {
