--- a/crates/proxy/src/connections/accept.rs
+++ b/crates/proxy/src/connections/accept.rs
@@ -73,10 +73,10 @@
         let mut has_accepted = false;
         for _ in 0..MAX_ACCEPTS_PER_ITERATION {
             let mut state = self.state.borrow_mut();
-            let Some((listener, _)) = &state.listener else {
+            let Some(registered) = &state.listener else {
                 return false;
             };
-            let listener = Rc::clone(listener);
+            let listener = Rc::clone(&registered.listener);
             if !state.has_capacity_for_client(&listener) {
                 return false;
             }
@@ -192,10 +192,10 @@
         if self.accept_paused {
             return;
         }
-        let Some((_, token)) = &self.listener else {
+        let Some(registered) = &self.listener else {
             return;
         };
-        if let Err(error) = self.handle.disable(token) {
+        if let Err(error) = self.handle.disable(&registered.token) {
             warn!(self.log, "cannot pause accepting"; "error" => %error);
         }
         self.accept_paused = true;
@@ -206,8 +206,8 @@
     /// Accepts connections again after a pause.
     pub fn resume_accepting(&mut self) {
         let was_paused = std::mem::take(&mut self.accept_paused);
-        if let Some((_, token)) = self.listener.as_ref().filter(|_| was_paused)
-            && let Err(error) = self.handle.enable(token)
+        if let Some(registered) = self.listener.as_ref().filter(|_| was_paused)
+            && let Err(error) = self.handle.enable(&registered.token)
         {
             warn!(self.log, "cannot resume accepting"; "error" => %error);
         }
@@ -217,13 +217,13 @@
     pub fn backlog_has_connections(&self) -> bool {
         self.listener
             .as_ref()
-            .is_some_and(|(listener, _)| has_pending_connection(listener))
+            .is_some_and(|registered| has_pending_connection(&registered.listener))
     }
 
     /// Closes the listener.
     pub fn close_listener(&mut self) {
-        if let Some((_, token)) = self.listener.take() {
-            self.handle.remove(token);
+        if let Some(registered) = self.listener.take() {
+            self.handle.remove(registered.token);
         }
     }
 }
--- a/crates/proxy/src/connections/accept/tests.rs
+++ b/crates/proxy/src/connections/accept/tests.rs
@@ -162,7 +162,16 @@
     let waiting = TcpStream::connect(harness.address).unwrap();
     let endpoint_connections = harness.proxy.state.borrow().endpoint_connections.len();
     // The first client's request is in flight too: nobody is idle.
-    while !has_pending_connection(&harness.proxy.state.borrow().listener.as_ref().unwrap().0) {}
+    while !has_pending_connection(
+        &harness
+            .proxy
+            .state
+            .borrow()
+            .listener
+            .as_ref()
+            .unwrap()
+            .listener,
+    ) {}
     assert!(!harness.proxy.accept());
     let state = harness.proxy.state.borrow();
     assert_eq!(
--- a/crates/proxy/src/lifecycle/startup.rs
+++ b/crates/proxy/src/lifecycle/startup.rs
@@ -5,9 +5,8 @@
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
 
-use calloop::generic::Generic;
 use calloop::signals::{Signal, Signals};
-use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction, RegistrationToken};
+use calloop::{EventLoop, LoopHandle};
 use pinefront_policy::{Balancer, Settings};
 use serde_json::Value;
 use slog::{Logger, info, warn};
@@ -28,14 +27,12 @@
 use crate::state::gossip_socket::GossipSocket;
 use crate::state::proxy::{Proxy, ProxyHost, ProxyState};
 use crate::state::request::RequestTable;
+use crate::state::socket::RegisteredListener;
 use crate::state::timers::Timers;
 
 /// Connections that the system may keep until the event loop accepts them.
 const LISTEN_BACKLOG: i32 = 1024;
 
-/// A listener in the event loop.
-type Listener = (Rc<TcpListener>, RegistrationToken);
-
 /// Runs the balancer until it is told to stop.
 ///
 /// # Errors
@@ -159,7 +156,7 @@
     config: Config,
     log: Logger,
     handle: LoopHandle<'static, Proxy>,
-    listener: Listener,
+    listener: RegisteredListener,
     gossip_socket: Option<GossipSocket>,
 ) -> ProxyState {
     let discovery = Discovery::new(config.seed);
@@ -190,22 +187,16 @@
 fn open_listener(
     handle: &LoopHandle<'static, Proxy>,
     address: SocketAddr,
-) -> Result<Listener, StartupError> {
+) -> Result<RegisteredListener, StartupError> {
     let listener = retry_transient(is_transient, || listen(address))
         .map_err(|source| StartupError::Listen { address, source })?;
-    let listener = Rc::new(listener);
-    let source = Generic::new(Rc::clone(&listener), Interest::READ, Mode::Level);
-    let inserted = handle.insert_source(source, |_, _, proxy: &mut Proxy| {
+    RegisteredListener::new(handle, listener, |proxy: &mut Proxy| {
         proxy.accept();
-        Ok(PostAction::Continue)
-    });
-    match inserted {
-        Ok(token) => Ok((listener, token)),
-        Err(failed) => Err(StartupError::Watch {
-            what: "the listener",
-            source: failed.error,
-        }),
-    }
+    })
+    .map_err(|source| StartupError::Watch {
+        what: "the listener",
+        source,
+    })
 }
 
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
--- a/crates/proxy/src/state/gossip_socket.rs
+++ b/crates/proxy/src/state/gossip_socket.rs
@@ -4,8 +4,9 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
 
-use calloop::generic::Generic;
-use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
+use calloop::{Interest, LoopHandle, Mode, RegistrationToken};
+
+use crate::state::socket::register;
 
 /// This balancer's gossip socket in the event loop.
 pub struct GossipSocket {
@@ -26,15 +27,11 @@
         let socket = UdpSocket::bind(address)?;
         socket.set_nonblocking(true)?;
         let socket = Rc::new(socket);
-        let source = Generic::new(Rc::clone(&socket), Interest::READ, Mode::Level);
-        let token = handle.insert_source(source, move |_, _, data: &mut D| {
-            ready(data);
-            Ok(PostAction::Continue)
-        });
+        let token = register(handle, &socket, Interest::READ, Mode::Level, ready);
         Ok(Self {
             socket,
             address,
-            token: token.map_err(|problem| io::Error::other(problem.error))?,
+            token: token.map_err(io::Error::other)?,
         })
     }
 
--- a/crates/proxy/src/state/proxy.rs
+++ b/crates/proxy/src/state/proxy.rs
@@ -2,10 +2,9 @@
 //! `impl` blocks in the modules named after what they handle.
 
 use std::cell::RefCell;
-use std::net::TcpListener;
 use std::rc::Rc;
 
-use calloop::{LoopHandle, RegistrationToken};
+use calloop::LoopHandle;
 use pinefront_policy::{Balancer, Micros};
 use slog::Logger;
 use slotmap::SlotMap;
@@ -21,6 +20,7 @@
 use crate::state::gossip_socket::GossipSocket;
 use crate::state::keys::{ClientKey, EndpointConnectionKey, RequestKey};
 use crate::state::request::RequestTable;
+use crate::state::socket::RegisteredListener;
 use crate::state::timers::Timers;
 
 /// The data of the event loop. The borrow of the state ends before the policy is called, as the
@@ -57,7 +57,7 @@
     /// Registers sockets with the event loop.
     pub handle: LoopHandle<'static, Proxy>,
     /// Where clients connect; none once the shutdown has closed it.
-    pub listener: Option<(Rc<TcpListener>, RegistrationToken)>,
+    pub listener: Option<RegisteredListener>,
     /// Clients' connections.
     pub clients: SlotMap<ClientKey, ClientConnection>,
     /// Connections to endpoints.
--- a/crates/proxy/src/state/socket.rs
+++ b/crates/proxy/src/state/socket.rs
@@ -1,7 +1,7 @@
 //! Sockets of the event loop: registration, connecting without waiting, and readiness checks.
 
 use std::io;
-use std::net::{SocketAddr, TcpStream};
+use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::fd::AsFd;
 use std::rc::Rc;
 
@@ -11,6 +11,26 @@
 use rustix::io::Errno;
 use socket2::{Domain, Protocol, Socket, Type};
 
+/// Registers a socket with the event loop: `ready` is called with the loop's data on its events.
+///
+/// # Errors
+///
+/// Fails when the loop cannot watch the socket.
+pub fn register<S: AsFd + 'static, D: 'static>(
+    handle: &LoopHandle<'static, D>,
+    socket: &Rc<S>,
+    interest: Interest,
+    mode: Mode,
+    ready: impl Fn(&mut D) + 'static,
+) -> Result<RegistrationToken, calloop::Error> {
+    let source = Generic::new(Rc::clone(socket), interest, mode);
+    let inserted = handle.insert_source(source, move |_, _, data: &mut D| {
+        ready(data);
+        Ok(PostAction::Continue)
+    });
+    inserted.map_err(|failed| failed.error)
+}
+
 /// A stream and its registration in the event loop.
 pub struct RegisteredSocket {
     /// The stream, shared with the event source that watches it.
@@ -20,8 +40,8 @@
 }
 
 impl RegisteredSocket {
-    /// Registers a stream, edge-triggered: `ready` is called with the loop's data whenever the
-    /// stream becomes readable or writable.
+    /// Registers a stream, edge-triggered: `ready` is called whenever it becomes readable or
+    /// writable.
     ///
     /// # Errors
     ///
@@ -32,18 +52,40 @@
         ready: impl Fn(&mut D) + 'static,
     ) -> io::Result<Self> {
         let stream = Rc::new(stream);
-        let source = Generic::new(Rc::clone(&stream), Interest::BOTH, Mode::Edge);
-        let token = handle.insert_source(source, move |_, _, data: &mut D| {
-            ready(data);
-            Ok(PostAction::Continue)
-        });
+        let token = register(handle, &stream, Interest::BOTH, Mode::Edge, ready);
         Ok(Self {
             stream,
-            token: token.map_err(|problem| io::Error::other(problem.error))?,
+            token: token.map_err(io::Error::other)?,
         })
     }
 }
 
+/// A listener and its registration in the event loop.
+pub struct RegisteredListener {
+    /// The listener, shared with the event source that watches it.
+    pub listener: Rc<TcpListener>,
+    /// Pauses, resumes and removes the source.
+    pub token: RegistrationToken,
+}
+
+impl RegisteredListener {
+    /// Registers a listener, level-triggered: `ready` is called while connections wait in its
+    /// backlog.
+    ///
+    /// # Errors
+    ///
+    /// Fails when the loop cannot watch the listener.
+    pub fn new<D: 'static>(
+        handle: &LoopHandle<'static, D>,
+        listener: TcpListener,
+        ready: impl Fn(&mut D) + 'static,
+    ) -> Result<Self, calloop::Error> {
+        let listener = Rc::new(listener);
+        let token = register(handle, &listener, Interest::READ, Mode::Level, ready)?;
+        Ok(Self { listener, token })
+    }
+}
+
 /// Returns the events among `wanted` (and errors) that a descriptor is ready for now, without
 /// waiting.
 pub fn ready(of: &impl AsFd, wanted: PollFlags) -> PollFlags {
@@ -78,9 +120,9 @@
     socket.set_tcp_nodelay(true)?;
     match socket.connect(&address.into()) {
         Ok(()) => {}
-        Err(problem) if Errno::from_io_error(&problem) == Some(Errno::INPROGRESS) => {}
+        Err(error) if Errno::from_io_error(&error) == Some(Errno::INPROGRESS) => {}
         // Anything else, EAGAIN too, has started nothing.
-        Err(problem) => return Err(problem),
+        Err(error) => return Err(error),
     }
     Ok(socket.into())
 }
--- a/crates/proxy/src/test_harness.rs
+++ b/crates/proxy/src/test_harness.rs
@@ -100,7 +100,7 @@
             .listener
             .as_ref()
             .unwrap()
-            .0
+            .listener
             .local_addr()
             .unwrap();
         Self {
