--- a/crates/proxy/src/discovery/peer_list.rs
+++ b/crates/proxy/src/discovery/peer_list.rs
@@ -10,11 +10,11 @@
     /// Applies lists that another balancer passed on, and polls the complete list where this
     /// balancer has just begun to pass it on to others.
     pub fn receive_shared_list(&mut self) {
-        let Some(fleet) = self.state.borrow().fleet.clone() else {
+        let Some(cluster) = self.state.borrow().cluster.clone() else {
             return;
         };
         let (pages, needs_complete_list) = {
-            let shared_lists = &mut fleet.borrow_mut().shared_lists;
+            let shared_lists = &mut cluster.borrow_mut().shared_lists;
             let pages = shared_lists.take_pages();
             (pages, shared_lists.take_full_list_request())
         };
--- a/crates/proxy/src/lifecycle/reload.rs
+++ b/crates/proxy/src/lifecycle/reload.rs
@@ -25,12 +25,12 @@
     /// Reloads the operator file, where there is one. A file that cannot be used changes nothing.
     pub fn reload_operator_file(&mut self, path: Option<&str>) {
         let state = self.state.borrow();
-        let Some((path, fleet)) = path.zip(state.fleet.as_ref()) else {
+        let Some((path, cluster)) = path.zip(state.cluster.as_ref()) else {
             return;
         };
         match read_operator_file(path, &state.config, self.balancer.settings()) {
-            Ok(terms) => {
-                let unchangeable = fleet.borrow_mut().renew(terms);
+            Ok(fleet_settings) => {
+                let unchangeable = cluster.borrow_mut().reload(fleet_settings);
                 info!(state.log, "operator file reloaded"; "file" => path);
                 state.log_unchangeable(&unchangeable);
             }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,11 +1,11 @@
 //! `pinefront`: the balancer's command line.
 
 mod close_reason;
+mod cluster;
 mod config;
 mod connections;
 mod discovery;
 mod event_loop;
-mod fleet;
 mod gossip;
 mod lifecycle;
 mod logging;
@@ -19,6 +19,7 @@
 use lexopt::{Arg, Parser};
 use thiserror::Error;
 
+use crate::cluster::view_command::{self, ViewError};
 use crate::config::LoadError;
 use crate::lifecycle::error::StartupError;
 use crate::lifecycle::startup;
@@ -59,8 +60,8 @@
     Load(#[from] LoadError),
     #[error(transparent)]
     Startup(#[from] StartupError),
-    #[error("{0}")]
-    Fleet(String),
+    #[error(transparent)]
+    View(#[from] ViewError),
 }
 
 /// The arguments of the command line.
@@ -108,7 +109,7 @@
             }
             Some("fleet") => {
                 let at = self.at.as_deref().ok_or(CommandError::NoBalancer)?;
-                fleet::show::show(at, self.watch, self.json).map_err(CommandError::Fleet)?;
+                view_command::run(at, self.watch, self.json)?;
             }
             Some("check") => self.check()?,
             Some("version") => println!("pinefront {}", env!("CARGO_PKG_VERSION")),
