--- a/crates/testbed/src/overhead.rs
+++ b/crates/testbed/src/overhead.rs
@@ -186,21 +186,21 @@
     Ok(addresses)
 }
 
+/// The loads of one measurement, and the resources that the balancer used.
+struct Measured {
+    direct: Found,
+    through: Found,
+    closed_loop: Found,
+    idle_cpu_us: u64,
+    loaded_cpu_us: u64,
+    memory_mb: f64,
+}
+
 /// Measures a balancer before that many servers, under load from that many client connections.
 pub fn measure(servers: usize, clients: usize, options: &Options) -> Result<Point, Error> {
     let setup = Setup::start(servers, options)?;
     let run = |addresses: &[SocketAddr], rate: Option<f64>, duration: Duration| {
-        let plan = Plan {
-            addresses: addresses.to_vec(),
-            path: "/look/1".into(),
-            headers: "X-Lane: look\r\n".into(),
-            rate,
-            duration,
-            clients: Some(clients),
-            threads: options.threads,
-            timeout: CLIENT_TIMEOUT,
-            seed: SEED,
-        };
+        let plan = plan(addresses, rate, duration, clients, options.threads);
         load::run(plan, &options.stop)
     };
     let (rate, duration) = (Some(options.rate), options.duration);
@@ -219,27 +219,35 @@
     let closed_loop = run(&balancer, None, duration)?;
     let memory_mb = setup.usage().memory_mb();
     setup.stop();
-    let (direct_ms, through_ms) = (&direct.latency_ms, &through.latency_ms);
-    Ok(Point {
-        servers,
-        clients,
-        rate: options.rate,
-        direct_p50_ms: direct_ms.p50,
-        direct_p99_ms: direct_ms.p99,
-        through_p50_ms: through_ms.p50,
-        through_p99_ms: through_ms.p99,
-        p50_ratio: through_ms.p50 / direct_ms.p50,
-        p99_ratio: through_ms.p99 / direct_ms.p99,
-        added_p50_ms: through_ms.p50 - direct_ms.p50,
-        added_p99_ms: through_ms.p99 - direct_ms.p99,
-        cpu_us_per_request: loaded_cpu_us as f64 / through.sent.max(1) as f64,
-        highest_rate: closed_loop.rate_succeeded,
-        memory_mb,
-        members: options.members,
-        idle_cpu_fraction: idle_cpu_us as f64 / duration.as_micros().max(1) as f64,
-        valid: direct.valid && through.valid,
+    let measured = Measured {
+        direct,
         through,
-    })
+        closed_loop,
+        idle_cpu_us,
+        loaded_cpu_us,
+        memory_mb,
+    };
+    Ok(Point::new(servers, clients, options, measured))
+}
+
+fn plan(
+    addresses: &[SocketAddr],
+    rate: Option<f64>,
+    duration: Duration,
+    clients: usize,
+    threads: usize,
+) -> Plan {
+    Plan {
+        addresses: addresses.to_vec(),
+        path: "/look/1".into(),
+        headers: "X-Lane: look\r\n".into(),
+        rate,
+        duration,
+        clients: Some(clients),
+        threads,
+        timeout: CLIENT_TIMEOUT,
+        seed: SEED,
+    }
 }
 
 /// Head of the table of [`Point::row`], in Markdown.
@@ -250,6 +258,32 @@
                                       | --- | --- | --- | --- | --- | --- | --- |";
 
 impl Point {
+    fn new(servers: usize, clients: usize, options: &Options, measured: Measured) -> Self {
+        let through = measured.through;
+        let (direct_ms, through_ms) = (&measured.direct.latency_ms, &through.latency_ms);
+        let duration_us = options.duration.as_micros().max(1) as f64;
+        Self {
+            servers,
+            clients,
+            rate: options.rate,
+            direct_p50_ms: direct_ms.p50,
+            direct_p99_ms: direct_ms.p99,
+            through_p50_ms: through_ms.p50,
+            through_p99_ms: through_ms.p99,
+            p50_ratio: through_ms.p50 / direct_ms.p50,
+            p99_ratio: through_ms.p99 / direct_ms.p99,
+            added_p50_ms: through_ms.p50 - direct_ms.p50,
+            added_p99_ms: through_ms.p99 - direct_ms.p99,
+            cpu_us_per_request: measured.loaded_cpu_us as f64 / through.sent.max(1) as f64,
+            highest_rate: measured.closed_loop.rate_succeeded,
+            memory_mb: measured.memory_mb,
+            members: options.members,
+            idle_cpu_fraction: measured.idle_cpu_us as f64 / duration_us,
+            valid: measured.direct.valid && through.valid,
+            through,
+        }
+    }
+
     fn validity(&self) -> &'static str {
         if self.valid {
             ""
