--- a/crates/policy/src/decisions/attempt_end.rs
+++ b/crates/policy/src/decisions/attempt_end.rs
@@ -32,6 +32,8 @@
     elapsed: Micros,
     /// Latency scaled to a request of average work.
     latency: f64,
+    /// How long the endpoint had been idle when it was sent.
+    idle_for: Option<Micros>,
     latency_objective: Micros,
     /// Horizon of the endpoint's recent latency.
     latency_horizon: f64,
@@ -47,6 +49,14 @@
         self.outcome == AttemptOutcome::TimedOut
     }
 
+    /// Whether this side ended it, so that it says nothing of the endpoint.
+    fn by_this_side(&self) -> bool {
+        matches!(
+            self.outcome,
+            AttemptOutcome::Cancelled | AttemptOutcome::NotSent
+        )
+    }
+
     fn is_late(&self) -> bool {
         self.elapsed >= self.latency_objective
     }
@@ -77,53 +87,61 @@
         request: &mut Request,
         end: AttemptEnd,
     ) {
-        let AttemptEnd {
-            number,
-            outcome,
-            elapsed,
-            ..
-        } = end;
-        let attempt = request.attempts.get_mut(number);
-        let Some(attempt) = attempt.filter(|attempt| attempt.in_flight) else {
+        let Some(ended) = self.release_attempt(now, request, end) else {
             return;
         };
-        let ended = EndedAttempt {
-            number,
-            endpoint: attempt.endpoint,
-            outcome,
-            elapsed,
-            latency: elapsed.max(1) as f64 / request.work,
-            latency_objective: self.settings.classes[request.class].latency_objective,
-            latency_horizon: self.latency_horizon(now),
-            in_slow_start: self.in_slow_start(now, attempt.endpoint),
-        };
-        attempt.end(now, outcome);
-        let (sent_at, idle_for) = (attempt.sent_at, attempt.idle_for);
-        let endpoint = &mut self.endpoints[ended.endpoint];
-        endpoint.release(request.in_flight_attempt(sent_at));
-        endpoint.last_used = Some(now);
-        self.report_attempt_ended(now, ended.endpoint, request.class, outcome);
-        self.detect_idle_drop(now, &ended, idle_for);
+        self.report_attempt_ended(now, ended.endpoint, request.class, ended.outcome);
+        self.detect_idle_drop(now, &ended);
         self.record_overdue(now, request.class, &ended);
         if ended.is_late() || ended.succeeded() {
-            self.record_outcome(now, request, elapsed);
+            self.record_outcome(now, request, ended.elapsed);
         }
         let of_outlier = ended.is_late() && self.outlier_group(now, request).is_some();
         // Neither an outlier nor a client that disconnected early says anything of the endpoint.
-        if of_outlier || matches!(outcome, AttemptOutcome::Cancelled | AttemptOutcome::NotSent) {
+        if of_outlier || ended.by_this_side() {
             return self.endpoints[ended.endpoint].forget_unanswered_if_idle();
         }
         self.record_pressure(now, request, &ended);
         let reward = self.record_latency(now, request, &ended);
-        let sample = request.attempts[number].sample.take();
+        let sample = request.attempts[ended.number].sample.take();
         self.learning.record(now, sample, reward);
     }
 
+    /// Ends an attempt in its request and at its endpoint; `None` if it is not in flight.
+    fn release_attempt(
+        &mut self,
+        now: Micros,
+        request: &mut Request,
+        end: AttemptEnd,
+    ) -> Option<EndedAttempt> {
+        let attempt = request.attempts.get_mut(end.number)?;
+        if !attempt.in_flight {
+            return None;
+        }
+        attempt.end(now, end.outcome);
+        let ended = EndedAttempt {
+            number: end.number,
+            endpoint: attempt.endpoint,
+            outcome: end.outcome,
+            elapsed: end.elapsed,
+            latency: end.elapsed.max(1) as f64 / request.work,
+            idle_for: attempt.idle_for,
+            latency_objective: self.settings.classes[request.class].latency_objective,
+            latency_horizon: self.latency_horizon(now),
+            in_slow_start: self.in_slow_start(now, attempt.endpoint),
+        };
+        let sent_at = attempt.sent_at;
+        let endpoint = &mut self.endpoints[ended.endpoint];
+        endpoint.release(request.in_flight_attempt(sent_at));
+        endpoint.last_used = Some(now);
+        Some(ended)
+    }
+
     /// A connection lost at once after a time without use shows that the network drops idle
     /// connections.
-    fn detect_idle_drop(&mut self, now: Micros, ended: &EndedAttempt, idle_for: Option<Micros>) {
+    fn detect_idle_drop(&mut self, now: Micros, ended: &EndedAttempt) {
         let lost = ended.outcome == AttemptOutcome::ConnectionLost;
-        let Some(idle_for) = idle_for.filter(|_| lost) else {
+        let Some(idle_for) = ended.idle_for.filter(|_| lost) else {
             return;
         };
         let (elapsed, objective) = (ended.elapsed, ended.latency_objective);
