--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -60,8 +60,8 @@
 
     /// Handles the timers of the cluster, and endpoint lists that other balancers passed on.
     fn run_cluster(&mut self) {
-        if let Some(fleet) = &self.state.borrow().fleet {
-            fleet.borrow_mut().turn();
+        if let Some(cluster) = &self.state.borrow().cluster {
+            cluster.borrow_mut().run_timers();
         }
         self.receive_shared_list();
     }
@@ -73,8 +73,8 @@
         let now = self.now();
         let next_timer = self.timers.next();
         let mut wait = next_timer.map_or(MAX_WAIT_US, |at| at.saturating_sub(now));
-        if let Some(fleet) = &self.fleet {
-            wait = wait.min(fleet.borrow().wait());
+        if let Some(cluster) = &self.cluster {
+            wait = wait.min(cluster.borrow().time_to_next_timer());
         }
         let wait = wait.min(MAX_WAIT_US);
         self.loop_iteration.begin(now, now + wait);
--- a/crates/proxy/src/lifecycle/shutdown.rs
+++ b/crates/proxy/src/lifecycle/shutdown.rs
@@ -97,8 +97,8 @@
         let mut state = self.state.borrow_mut();
         state.close_all_connections();
         // Nothing is sent to endpoints from here on, so other balancers may stop counting this one.
-        if let Some(fleet) = &state.fleet {
-            fleet.borrow_mut().leave();
+        if let Some(cluster) = &state.cluster {
+            cluster.borrow_mut().leave();
         }
         state.log_counters();
     }
