--- a/crates/proxy/src/config/tests.rs
+++ b/crates/proxy/src/config/tests.rs
@@ -5,7 +5,7 @@
 use super::classes::stricter;
 use super::decode::RESERVED_SOCKETS;
 use super::*;
-use crate::test_harness::{document, moved};
+use crate::test_harness::{change_deployment, configuration};
 
 fn decoded(
     document: &Value,
@@ -28,7 +28,7 @@
 #[case("/settings/caps/connIdleUs", json!(-1), "field 'connIdleUs' has the wrong type")]
 #[case("/settings/useCases/0/effect", json!("odd"), "in 'settings': field 'effect' holds unknown 'odd'")]
 fn a_bad_field_is_named(#[case] config: &str, #[case] value: Value, #[case] expected: &str) {
-    let mut document = document("127.0.0.1:1", "127.0.0.1:2");
+    let mut document = configuration("127.0.0.1:1", "127.0.0.1:2");
     *document.pointer_mut(config).unwrap() = value;
     assert_eq!(
         decoded(&document, &Variables::new(), 1024).err().as_deref(),
@@ -53,8 +53,8 @@
     #[case] value: Value,
     #[case] expected: &str,
 ) {
-    let mut document = document("127.0.0.1:1", "127.0.0.1:2");
-    moved(
+    let mut document = configuration("127.0.0.1:1", "127.0.0.1:2");
+    change_deployment(
         &mut document,
         &[
             "127.0.0.1:7".parse().unwrap(),
@@ -72,7 +72,7 @@
 #[test]
 fn what_a_configuration_does_not_mention_is_off() {
     let (config, settings) = Config::decode(
-        &document("127.0.0.1:1", "127.0.0.1:2"),
+        &configuration("127.0.0.1:1", "127.0.0.1:2"),
         &Variables::new(),
         1024,
     )
@@ -93,7 +93,12 @@
         ("LISTEN".into(), "127.0.0.1:9".into()),
         ("NAME".into(), "n9".into()),
     ]);
-    let config = decoded(&document("127.0.0.1:1", "127.0.0.1:2"), &variables, 1024).unwrap();
+    let config = decoded(
+        &configuration("127.0.0.1:1", "127.0.0.1:2"),
+        &variables,
+        1024,
+    )
+    .unwrap();
     assert_eq!(
         (
             config.name.as_str(),
@@ -109,7 +114,7 @@
 #[case::by_the_system(256, 256)]
 fn descriptors_are_divided_below_the_lower_limit(#[case] system: u64, #[case] least: usize) {
     let config = decoded(
-        &document("127.0.0.1:1", "127.0.0.1:2"),
+        &configuration("127.0.0.1:1", "127.0.0.1:2"),
         &Variables::new(),
         system,
     )
@@ -125,7 +130,7 @@
 #[case::document(json!(32), 8 * 1024 * 1024)]
 #[case::not_limited(json!(null), usize::MAX)]
 fn messages_may_fill_a_part_of_the_memory(#[case] memory: Value, #[case] max: usize) {
-    let mut document = document("127.0.0.1:1", "127.0.0.1:2");
+    let mut document = configuration("127.0.0.1:1", "127.0.0.1:2");
     document["limits"]["memory_mb"] = memory;
     assert_eq!(
         decoded(&document, &Variables::new(), 1024)
@@ -177,7 +182,7 @@
 /// them as before.
 #[test]
 fn a_class_with_another_idempotency_is_a_new_one_and_open_requests_satisfy_both() {
-    let document = document("127.0.0.1:1", "127.0.0.1:2");
+    let document = configuration("127.0.0.1:1", "127.0.0.1:2");
     let decode = |document: &Value| Config::decode(document, &Variables::new(), 1024).unwrap();
     let (mut config, settings) = decode(&document);
     let mut changed = document.clone();
--- a/crates/proxy/src/connections/accept/tests.rs
+++ b/crates/proxy/src/connections/accept/tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 use crate::state::keys::ClientKey;
-use crate::test_harness::{TestHarness, say};
+use crate::test_harness::{TestHarness, send_text};
 
 const SECOND: Micros = 1_000_000;
 
@@ -12,9 +12,9 @@
 type Standing = (u64, &'static str, Micros);
 
 fn stands(harness: &mut TestHarness, (answered, sent, waited): Standing) -> (TcpStream, ClientKey) {
-    let (stream, key) = harness.client();
-    say(&stream, sent);
-    harness.until(|proxy| {
+    let (stream, key) = harness.connect_client();
+    send_text(&stream, sent);
+    harness.run_until(|proxy| {
         (proxy.state.borrow().clients[key].read_buffer.bytes().len() == sent.len()).then_some(())
     });
     let mut state = harness.proxy.state.borrow_mut();
@@ -36,7 +36,7 @@
     let (kept, key) = stands(&mut harness, stays);
     let (ended, _) = stands(&mut harness, gives_way);
     assert!(harness.proxy.state.borrow_mut().free_descriptor());
-    harness.ends(&ended);
+    harness.expect_close(&ended);
     assert!(harness.proxy.state.borrow().clients.contains_key(key));
     drop(kept);
 }
@@ -44,8 +44,8 @@
 #[test]
 fn a_client_with_unread_bytes_is_not_evicted() {
     let mut harness = TestHarness::new();
-    let (client, key) = harness.client();
-    say(&client, "POST /p");
+    let (client, key) = harness.connect_client();
+    send_text(&client, "POST /p");
     let unread = |proxy: &Proxy| {
         proxy.state.borrow().clients[key]
             .socket
@@ -81,7 +81,7 @@
         .config
         .max_client_connections = 0;
     let waiting = TcpStream::connect(harness.address).unwrap();
-    harness.until(|proxy| {
+    harness.run_until(|proxy| {
         let next = proxy.state.borrow().timers.next();
         let soon = proxy.state.borrow().now() + 2 * ACCEPT_PAUSE_US;
         next.filter(|at| *at < soon).map(|_| ())
@@ -93,7 +93,7 @@
         .borrow_mut()
         .config
         .max_client_connections = 1;
-    harness.until(|proxy| (proxy.state.borrow().clients.len() == 1).then_some(()));
+    harness.run_until(|proxy| (proxy.state.borrow().clients.len() == 1).then_some(()));
     harness
         .event_loop
         .dispatch(Some(Duration::ZERO), &mut harness.proxy)
@@ -110,12 +110,16 @@
         .borrow_mut()
         .config
         .max_client_connections = 2;
-    let (first, _) = harness.client();
-    let (_second, _) = harness.client();
-    let (third, _) = harness.client();
-    harness.ends(&first);
-    say(&third, "GET /health/live HTTP/1.1\r\n\r\n");
-    assert!(harness.heard(&third, "live\n").starts_with("HTTP/1.1 200 "));
+    let (first, _) = harness.connect_client();
+    let (_second, _) = harness.connect_client();
+    let (third, _) = harness.connect_client();
+    harness.expect_close(&first);
+    send_text(&third, "GET /health/live HTTP/1.1\r\n\r\n");
+    assert!(
+        harness
+            .read_until(&third, "live\n")
+            .starts_with("HTTP/1.1 200 ")
+    );
 }
 
 /// A request that was received and not parsed yet is owed a response.
@@ -123,7 +127,7 @@
 fn a_client_with_unparsed_bytes_is_not_evicted() {
     let mut harness = TestHarness::new();
     let (client, key) = stands(&mut harness, (1, "", 3 * SECOND));
-    say(&client, "GET /health/live HTTP/1.1\r\n\r\n");
+    send_text(&client, "GET /health/live HTTP/1.1\r\n\r\n");
     let mut state = harness.proxy.state.borrow_mut();
     while state.clients[key].read_buffer.bytes().is_empty() {
         let client = &mut state.clients[key];
@@ -134,7 +138,7 @@
     harness.proxy.client_ready(key);
     assert!(
         harness
-            .heard(&client, "live\n")
+            .read_until(&client, "live\n")
             .starts_with("HTTP/1.1 200 ")
     );
 }
@@ -148,8 +152,8 @@
     let endpoint = harness.endpoint("s1");
     let (_client, _) = harness.start_attempt("t0", "s1", 60 * SECOND);
     let connection = harness.accept_request(&endpoint);
-    say(&connection, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
-    harness.until_counters(|counters| counters.attempts_failed == 1);
+    send_text(&connection, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
+    harness.run_until_counters(|counters| counters.attempts_failed == 1);
     let (_busy, _) = harness.start_attempt("t1", "s1", 60 * SECOND);
     let (busy, _) = harness.start_attempt("t2", "s1", 60 * SECOND);
     let most = harness.proxy.state.borrow().clients.len();
--- a/crates/proxy/src/connections/attempt/tests.rs
+++ b/crates/proxy/src/connections/attempt/tests.rs
@@ -6,7 +6,7 @@
 
 use super::*;
 use crate::state::proxy::ProxyHost;
-use crate::test_harness::{TestHarness, message, say};
+use crate::test_harness::{TestHarness, request_message, send_text};
 
 const LONG: Micros = 60_000_000;
 
@@ -27,7 +27,7 @@
     let (_client, request) = harness.start_attempt("t1", "s1", LONG);
     let connection = harness.accept_request(&endpoint);
     ProxyHost(harness.proxy.state.clone()).cancel_attempt("t1", 0);
-    harness.ends(&connection);
+    harness.expect_close(&connection);
     let state = harness.proxy.state.borrow();
     assert_eq!(
         (
@@ -79,12 +79,12 @@
     endpoint_connections: &mut Vec<TcpStream>,
     id: &str,
 ) -> Option<usize> {
-    let (client, _) = harness.client();
-    say(
+    let (client, _) = harness.connect_client();
+    send_text(
         &client,
-        &message(id, "body").replace("Remaining-Ms: 900", "Remaining-Ms: 60000"),
+        &request_message(id, "body").replace("Remaining-Ms: 900", "Remaining-Ms: 60000"),
     );
-    let took = harness.until(|_| {
+    let took = harness.run_until(|_| {
         if let Ok((connection, _)) = endpoint.accept() {
             connection.set_nonblocking(true).unwrap();
             endpoint_connections.push(connection);
@@ -119,7 +119,7 @@
             .unwrap()
     };
     let answered = next(&mut harness, &mut endpoint_connections);
-    say(
+    send_text(
         &endpoint_connections[answered],
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
     );
--- a/crates/proxy/src/connections/client/tests.rs
+++ b/crates/proxy/src/connections/client/tests.rs
@@ -7,27 +7,27 @@
 use super::*;
 use crate::connections::client_response::ClientResponse;
 use crate::connections::status_code::StatusCode;
-use crate::test_harness::{TestHarness, message, say};
+use crate::test_harness::{TestHarness, request_message, send_text};
 
 #[test]
 fn a_request_received_in_pieces_is_forwarded_unchanged_and_answered() {
     let mut harness = TestHarness::new();
     let endpoint = harness.endpoints();
-    let (client, _) = harness.client();
-    let text = message("t1", "some body");
+    let (client, _) = harness.connect_client();
+    let text = request_message("t1", "some body");
     for piece in [
         &text[..30],
         &text[30..text.len() - 4],
         &text[text.len() - 4..],
     ] {
-        say(&client, piece);
+        send_text(&client, piece);
         harness
             .event_loop
             .dispatch(Some(std::time::Duration::ZERO), &mut harness.proxy)
             .unwrap();
     }
-    let connection = harness.accepted(&endpoint);
-    let sent = harness.heard(&connection, "some body");
+    let connection = harness.accept_connection(&endpoint);
+    let sent = harness.read_until(&connection, "some body");
     assert!(
         sent.starts_with("POST /pay/1?x=2 HTTP/1.1\r\nHost: app\r\nX-Txn: t1\r\n"),
         "{sent}"
@@ -42,11 +42,11 @@
         .and_then(|rest| rest.split('\r').next())
         .unwrap();
     assert!((1..900).contains(&wait.parse::<u64>().unwrap()), "{sent}");
-    say(
+    send_text(
         &connection,
         "HTTP/1.1 200 OK\r\nX-Pressure: TEXT util=0.5\r\nContent-Type: a/b\r\nContent-Length: 4\r\n\r\ndone",
     );
-    let heard = harness.heard(&client, "done");
+    let heard = harness.read_until(&client, "done");
     assert_eq!(
         heard,
         "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Type: a/b\r\n\r\ndone"
@@ -67,23 +67,26 @@
 fn pipelined_requests_are_answered_in_order() {
     let mut harness = TestHarness::new();
     let endpoint = harness.endpoints();
-    let (client, _) = harness.client();
-    say(&client, &(message("t1", "one") + &message("t2", "two")));
+    let (client, _) = harness.connect_client();
+    send_text(
+        &client,
+        &(request_message("t1", "one") + &request_message("t2", "two")),
+    );
     for (body, answer) in [("one", "eins"), ("two", "zwei")] {
-        let connection = harness.accepted(&endpoint);
-        harness.heard(&connection, body);
-        say(
+        let connection = harness.accept_connection(&endpoint);
+        harness.read_until(&connection, body);
+        send_text(
             &connection,
             &format!("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\n{answer}"),
         );
-        harness.heard(&client, answer);
+        harness.read_until(&client, answer);
     }
 }
 
 #[test]
 fn responses_that_the_client_does_not_read_do_not_pile_up() {
     let mut harness = TestHarness::new();
-    let (client, key) = harness.client();
+    let (client, key) = harness.connect_client();
     let text = "GET /stats HTTP/1.1\r\n\r\n".repeat(1000);
     // Until neither side takes more: responses fill one direction, then requests the other.
     let mut sender = client.try_clone().unwrap();
@@ -116,7 +119,7 @@
 #[test]
 fn a_response_is_completed_after_the_client_shut_down_its_side() {
     let mut harness = TestHarness::new();
-    let (client, key) = harness.client();
+    let (client, key) = harness.connect_client();
     // More than the sockets' buffers hold.
     let body: Vec<Bytes> = (0..100).map(|_| Bytes::from(vec![b'x'; 100_000])).collect();
     harness.proxy.state.borrow_mut().write_response(
@@ -129,7 +132,7 @@
     client.shutdown(Shutdown::Write).unwrap();
     let mut taken = 0;
     let mut reader = client.try_clone().unwrap();
-    harness.until(|_| {
+    harness.run_until(|_| {
         let mut part = vec![0; 1_000_000];
         match std::io::Read::read(&mut reader, &mut part) {
             Ok(0) => Some(()),
@@ -147,11 +150,11 @@
 fn a_disconnect_cancels_the_attempt() {
     let mut harness = TestHarness::new();
     let endpoint = harness.endpoints();
-    let (client, _) = harness.client();
-    say(&client, &message("t1", "body"));
-    let connection = harness.accepted(&endpoint);
+    let (client, _) = harness.connect_client();
+    send_text(&client, &request_message("t1", "body"));
+    let connection = harness.accept_connection(&endpoint);
     drop(client);
-    harness.ends(&connection);
+    harness.expect_close(&connection);
     let state = harness.proxy.state.borrow();
     assert_eq!(
         (
@@ -166,11 +169,11 @@
 #[test]
 fn without_endpoints_the_policy_rejects_the_request() {
     let mut harness = TestHarness::new();
-    let (client, _) = harness.client();
-    say(&client, &message("t1", "body").replace("900", "1"));
+    let (client, _) = harness.connect_client();
+    send_text(&client, &request_message("t1", "body").replace("900", "1"));
     assert!(
         harness
-            .heard(&client, "\r\n\r\n")
+            .read_until(&client, "\r\n\r\n")
             .starts_with("HTTP/1.1 503 ")
     );
     assert_eq!(harness.proxy.state.borrow().counters.requests_rejected, 1);
@@ -184,8 +187,8 @@
     let mut harness = TestHarness::new();
     let _endpoint = harness.endpoint("s1");
     let (client, _) = harness.start_attempt("t1", "s1", 60_000_000);
-    say(&client, &"x".repeat(behind));
-    harness.until(|proxy| {
+    send_text(&client, &"x".repeat(behind));
+    harness.run_until(|proxy| {
         let state = proxy.state.borrow();
         state
             .clients
@@ -198,7 +201,7 @@
         0
     );
     client.shutdown(Shutdown::Write).unwrap();
-    harness.until_counters(|counters| counters.requests_disconnected == 1);
+    harness.run_until_counters(|counters| counters.requests_disconnected == 1);
 }
 
 /// The end of an attempt releases its ordering key, also where its client has disconnected.
@@ -209,18 +212,18 @@
         told["settings"]["rules"]["turnGapUs"] = 1_000.into();
     });
     let endpoint = harness.endpoints();
-    let keyed = |id| message(id, "body").replace("X-Lane", "X-Entity: k\r\nX-Lane");
-    let (first, _) = harness.client();
-    say(&first, &keyed("t1"));
+    let keyed = |id| request_message(id, "body").replace("X-Lane", "X-Entity: k\r\nX-Lane");
+    let (first, _) = harness.connect_client();
+    send_text(&first, &keyed("t1"));
     let connection = harness.accept_request(&endpoint);
     drop(first);
-    harness.ends(&connection);
-    let (second, _) = harness.client();
-    say(&second, &keyed("t2"));
+    harness.expect_close(&connection);
+    let (second, _) = harness.connect_client();
+    send_text(&second, &keyed("t2"));
     let counters = |proxy: &Proxy| {
         let state = proxy.state.borrow();
         (state.counters.attempts, state.counters.requests_rejected)
     };
-    let came = harness.until(|proxy| Some(counters(proxy)).filter(|came| *came != (1, 0)));
+    let came = harness.run_until(|proxy| Some(counters(proxy)).filter(|came| *came != (1, 0)));
     assert_eq!(came, (2, 0));
 }
--- a/crates/proxy/src/connections/client_lifetime/tests.rs
+++ b/crates/proxy/src/connections/client_lifetime/tests.rs
@@ -6,25 +6,25 @@
 use crate::connections::client_lifetime::{
     MAX_IDLE_US, MIN_IDLE_US, STALL_TIMEOUT_US, TRANSFER_TIMEOUT_US,
 };
-use crate::test_harness::{TestHarness, message, say};
+use crate::test_harness::{TestHarness, request_message, send_text};
 
 #[test]
 fn an_oversized_body_is_discarded_so_that_the_response_arrives() {
     let mut harness = TestHarness::new();
-    let (client, _) = harness.client();
-    say(
+    let (client, _) = harness.connect_client();
+    send_text(
         &client,
-        &message("t1", "").replace("Length: 0", "Length: 700000"),
+        &request_message("t1", "").replace("Length: 0", "Length: 700000"),
     );
     let mut sender = client.try_clone().unwrap();
     let (part, mut sent) = (vec![b'x'; 100_000], 0);
-    harness.until(|_| {
+    harness.run_until(|_| {
         sent += std::io::Write::write(&mut sender, &part).unwrap_or(0);
         (sent >= 700_000).then_some(())
     });
     assert!(
         harness
-            .heard(&client, "\r\n\r\n")
+            .read_until(&client, "\r\n\r\n")
             .starts_with("HTTP/1.1 413 ")
     );
     drop((client, sender));
@@ -33,13 +33,13 @@
 #[test]
 fn discarding_an_endless_body_is_bounded() {
     let mut harness = TestHarness::new();
-    let (client, key) = harness.client();
-    say(
+    let (client, key) = harness.connect_client();
+    send_text(
         &client,
-        &message("t1", "").replace("Length: 0", "Length: 60000000"),
+        &request_message("t1", "").replace("Length: 0", "Length: 60000000"),
     );
     let part = vec![b'x'; 100_000];
-    harness.until(|proxy| {
+    harness.run_until(|proxy| {
         _ = std::io::Write::write(&mut &client, &part);
         proxy
             .state
@@ -60,12 +60,12 @@
     #[case] hung: usize,
 ) {
     let mut harness = TestHarness::new();
-    let (client, key) = harness.client();
-    say(&client, sent);
+    let (client, key) = harness.connect_client();
+    send_text(&client, sent);
     let seen = |client: &ClientConnection| {
         client.partial_request.is_some() || client.responses_sent > 0 || sent.is_empty()
     };
-    harness.until(|proxy| seen(&proxy.state.borrow().clients[key]).then_some(()));
+    harness.run_until(|proxy| seen(&proxy.state.borrow().clients[key]).then_some(()));
     let state = harness.proxy.state.borrow();
     let (due, opened) = (
         state.clients[key].timer.unwrap().at,
@@ -90,7 +90,7 @@
     #[case] stays: bool,
 ) {
     let mut harness = TestHarness::new();
-    let (_client, key) = harness.client();
+    let (_client, key) = harness.connect_client();
     {
         let mut state = harness.proxy.state.borrow_mut();
         state.config.max_client_connections = most;
@@ -118,28 +118,28 @@
 #[case::nothing("", "")]
 fn a_stalled_client_is_closed(#[case] sent: &str, #[case] heard: &str) {
     let mut harness = TestHarness::new();
-    let (client, key) = harness.client();
-    say(&client, sent);
-    harness.until(|proxy| {
+    let (client, key) = harness.connect_client();
+    send_text(&client, sent);
+    harness.run_until(|proxy| {
         (proxy.state.borrow().clients[key].read_buffer.bytes().len() == sent.len()).then_some(())
     });
     harness.proxy.client_timer_expired(key);
     if !heard.is_empty() {
-        assert!(harness.heard(&client, "\r\n\r\n").starts_with(heard));
+        assert!(harness.read_until(&client, "\r\n\r\n").starts_with(heard));
     }
-    harness.ends(&client);
+    harness.expect_close(&client);
 }
 
 #[test]
 fn a_trickling_first_request_gains_no_time() {
     let mut harness = TestHarness::new();
-    let (client, key) = harness.client();
-    say(&client, "POST /pay");
+    let (client, key) = harness.connect_client();
+    send_text(&client, "POST /pay");
     let part =
         |client: &ClientConnection| client.timer.filter(|_| client.partial_request.is_some());
-    let first = harness.until(|proxy| part(&proxy.state.borrow().clients[key]));
-    say(&client, "/1 HTTP/1.1\r\n");
-    harness.until(|proxy| {
+    let first = harness.run_until(|proxy| part(&proxy.state.borrow().clients[key]));
+    send_text(&client, "/1 HTTP/1.1\r\n");
+    harness.run_until(|proxy| {
         (proxy.state.borrow().clients[key].read_buffer.bytes().len() > 9).then_some(())
     });
     assert_eq!(harness.proxy.state.borrow().clients[key].timer, Some(first));
@@ -151,18 +151,18 @@
 #[test]
 fn a_client_that_stalls_in_a_later_request_gets_an_error_within_three_seconds() {
     let mut harness = TestHarness::new();
-    let (client, key) = harness.client();
+    let (client, key) = harness.connect_client();
     harness.proxy.state.borrow_mut().clients[key].requests_received = 1;
-    let text = message("t1", "body");
+    let text = request_message("t1", "body");
     let mut due = 0;
     for length in [10, 20] {
-        say(&client, &text[length - 10..length]);
+        send_text(&client, &text[length - 10..length]);
         let seen = |client: &ClientConnection| {
             client
                 .partial_request
                 .is_some_and(|partial| partial.length == length)
         };
-        harness.until(|proxy| seen(&proxy.state.borrow().clients[key]).then_some(()));
+        harness.run_until(|proxy| seen(&proxy.state.borrow().clients[key]).then_some(()));
         let state = harness.proxy.state.borrow();
         let at = state.clients[key].timer.unwrap().at;
         assert!(
@@ -175,10 +175,10 @@
     if let Some(partial) = &mut harness.proxy.state.borrow_mut().clients[key].partial_request {
         partial.started_at -= TRANSFER_TIMEOUT_US;
     }
-    say(&client, &text[20..30]);
+    send_text(&client, &text[20..30]);
     assert!(
         harness
-            .heard(&client, "\r\n\r\n")
+            .read_until(&client, "\r\n\r\n")
             .starts_with("HTTP/1.1 408 ")
     );
 }
--- a/crates/proxy/src/connections/client_response/tests.rs
+++ b/crates/proxy/src/connections/client_response/tests.rs
@@ -1,21 +1,21 @@
 use rstest::rstest;
 
-use crate::test_harness::{TestHarness, message, say};
+use crate::test_harness::{TestHarness, request_message, send_text};
 
 #[rstest]
 #[case::stated("1.1\r\nConnection: Close")]
 #[case::http_1_0("1.0")]
 fn a_connection_without_keep_alive_is_closed_after_the_response(#[case] version: &str) {
     let mut harness = TestHarness::new();
-    let (client, _) = harness.client();
-    say(&client, &format!("GET /stats HTTP/{version}\r\n\r\n"));
-    let heard = harness.heard(&client, "longest_loop_iteration_us 0\n");
+    let (client, _) = harness.connect_client();
+    send_text(&client, &format!("GET /stats HTTP/{version}\r\n\r\n"));
+    let heard = harness.read_until(&client, "longest_loop_iteration_us 0\n");
     assert!(
         heard.contains("\r\nConnection: close\r\n")
             && heard.contains("\nclient_connections_accepted 1\n"),
         "{heard}"
     );
-    harness.ends(&client);
+    harness.expect_close(&client);
 }
 
 #[rstest]
@@ -28,16 +28,16 @@
     let mut harness = TestHarness::new();
     harness.proxy.state.borrow_mut().config.crowd_threshold = crowd;
     let endpoint = harness.endpoints();
-    let (client, key) = harness.client();
-    say(&client, &message("t1", "body"));
+    let (client, key) = harness.connect_client();
+    send_text(&client, &request_message("t1", "body"));
     let connection = harness.accept_request(&endpoint);
-    say(
+    send_text(
         &connection,
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
     );
     assert_eq!(
         harness
-            .heard(&client, "ok")
+            .read_until(&client, "ok")
             .contains("Connection: close\r\n"),
         closes
     );
@@ -48,11 +48,11 @@
     if closes {
         // Our side is shut down immediately, the connection closed when the client notices; what it
         // sent meanwhile causes no reset.
-        say(&client, &message("t2", "body"));
-        harness.ends(&client);
+        send_text(&client, &request_message("t2", "body"));
+        harness.expect_close(&client);
         assert_eq!(harness.proxy.state.borrow().counters.requests_received, 1);
         drop(client);
-        harness.until(|proxy| (!proxy.state.borrow().clients.contains_key(key)).then_some(()));
+        harness.run_until(|proxy| (!proxy.state.borrow().clients.contains_key(key)).then_some(()));
     }
 }
 
@@ -63,10 +63,13 @@
     for (crowd, closing) in [(0, false), (usize::MAX, true)] {
         let mut harness = TestHarness::new();
         let endpoint = harness.endpoints();
-        let (client, key) = harness.client();
-        say(&client, &(message("t1", "one") + &message("t2", "two")));
-        let first = harness.accepted(&endpoint);
-        harness.heard(&first, "one");
+        let (client, key) = harness.connect_client();
+        send_text(
+            &client,
+            &(request_message("t1", "one") + &request_message("t2", "two")),
+        );
+        let first = harness.accept_connection(&endpoint);
+        harness.read_until(&first, "one");
         {
             let mut state = harness.proxy.state.borrow_mut();
             (state.config.crowd_threshold, state.closing) = (crowd, closing);
@@ -75,18 +78,26 @@
                 "the second is read ahead"
             );
         }
-        say(
+        send_text(
             &first,
             "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\neins",
         );
-        assert!(!harness.heard(&client, "eins").contains("Connection: close"));
-        let second = harness.accepted(&endpoint);
-        harness.heard(&second, "two");
-        say(
+        assert!(
+            !harness
+                .read_until(&client, "eins")
+                .contains("Connection: close")
+        );
+        let second = harness.accept_connection(&endpoint);
+        harness.read_until(&second, "two");
+        send_text(
             &second,
             "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\nzwei",
         );
-        assert!(harness.heard(&client, "zwei").contains("Connection: close"));
-        harness.ends(&client);
+        assert!(
+            harness
+                .read_until(&client, "zwei")
+                .contains("Connection: close")
+        );
+        harness.expect_close(&client);
     }
 }
--- a/crates/proxy/src/connections/endpoint/tests.rs
+++ b/crates/proxy/src/connections/endpoint/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::state::buffers::WriteBuffer;
-use crate::test_harness::{TestHarness, say};
+use crate::test_harness::{TestHarness, send_text};
 
 const LONG: Micros = 60_000_000;
 
@@ -56,7 +56,7 @@
     let endpoint = harness.endpoint("s1");
     let _client = harness.start_attempt("t1", "s1", LONG);
     let connection = harness.accept_request(&endpoint);
-    say(&connection, &format!("HTTP/1.1 {answer}"));
+    send_text(&connection, &format!("HTTP/1.1 {answer}"));
     assert_eq!(harness.first_outcome(), ending);
     let state = harness.proxy.state.borrow();
     assert_eq!(
@@ -85,7 +85,7 @@
     let endpoint = harness.endpoint("s1");
     let _client = harness.start_attempt("t1", "s1", LONG);
     let connection = harness.accept_request(&endpoint);
-    say(&connection, answer);
+    send_text(&connection, answer);
     drop(connection);
     assert_eq!(harness.first_outcome(), ending);
 }
@@ -132,8 +132,8 @@
     let endpoint = harness.endpoint("s1");
     let _client = harness.start_attempt("t1", "s1", LONG);
     let connection = harness.accept_request(&endpoint);
-    say(&connection, "HTTP/1.1 200 OK\r\n\r\nserv");
-    harness.until(|proxy| {
+    send_text(&connection, "HTTP/1.1 200 OK\r\n\r\nserv");
+    harness.run_until(|proxy| {
         proxy
             .state
             .borrow()
@@ -156,12 +156,12 @@
     let endpoint = harness.endpoint("s1");
     let (client, _) = harness.start_attempt("t1", "s1", LONG);
     let connection = harness.accept_request(&endpoint);
-    say(&connection, "HTTP/1.1 200 OK\r\n\r\nserved");
+    send_text(&connection, "HTTP/1.1 200 OK\r\n\r\nserved");
     drop(connection);
     assert_eq!(harness.first_outcome(), "succeeded 1");
     assert!(
         harness
-            .heard(&client, "served")
+            .read_until(&client, "served")
             .starts_with("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n")
     );
 }
--- a/crates/proxy/src/connections/endpoint_pool/tests.rs
+++ b/crates/proxy/src/connections/endpoint_pool/tests.rs
@@ -6,7 +6,7 @@
 use super::*;
 use crate::connections::endpoint_pool::{REUSE_DELAY_US, is_remote_failure};
 use crate::state::proxy::ProxyHost;
-use crate::test_harness::{TestHarness, entry, listener, say};
+use crate::test_harness::{TestHarness, list_entry, local_listener, send_text};
 
 const LONG: Micros = 60_000_000;
 
@@ -18,12 +18,15 @@
         harness.start_attempt("t1", "s1", LONG),
         harness.start_attempt("t2", "s1", LONG),
     ];
-    let (first, second) = (harness.accepted(&endpoint), harness.accepted(&endpoint));
+    let (first, second) = (
+        harness.accept_connection(&endpoint),
+        harness.accept_connection(&endpoint),
+    );
     for connection in [&second, &first] {
-        harness.heard(connection, "body");
-        say(connection, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
+        harness.read_until(connection, "body");
+        send_text(connection, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
         let before = harness.proxy.state.borrow().counters.attempts_failed;
-        harness.until_counters(|counters| counters.attempts_failed > before);
+        harness.run_until_counters(|counters| counters.attempts_failed > before);
     }
     // The reuse delay of both has passed.
     harness
@@ -34,7 +37,7 @@
         .values_mut()
         .for_each(|connection| connection.last_response_at = 0);
     let _third = harness.start_attempt("t3", "s1", LONG);
-    harness.heard(&first, "body");
+    harness.read_until(&first, "body");
     assert_eq!(
         harness
             .proxy
@@ -87,7 +90,7 @@
         due - now
     );
     harness.proxy.endpoint_connection_timer_expired(key);
-    harness.ends(&connection);
+    harness.expect_close(&connection);
 }
 
 #[rstest]
@@ -114,9 +117,12 @@
         harness.start_attempt("t1", "s1", LONG),
         harness.start_attempt("t2", "s1", LONG),
     );
-    let endpoint_connections = [harness.accepted(&endpoint), harness.accepted(&endpoint)];
+    let endpoint_connections = [
+        harness.accept_connection(&endpoint),
+        harness.accept_connection(&endpoint),
+    ];
     for connection in &endpoint_connections {
-        harness.heard(connection, "body");
+        harness.read_until(connection, "body");
     }
     let find = |harness: &TestHarness, id: &str| {
         let state = harness.proxy.state.borrow();
@@ -160,17 +166,17 @@
     let mut harness = TestHarness::new();
     let endpoint = harness.endpoint("s1");
     let connection = harness.idle_connection(&endpoint);
-    harness.list(&[entry("s1", endpoint.local_addr().unwrap(), state)]);
-    harness.ends(&connection);
+    harness.receive_list(&[list_entry("s1", endpoint.local_addr().unwrap(), state)]);
+    harness.expect_close(&connection);
 }
 
 #[test]
 fn an_endpoint_that_moved_is_reached_at_its_new_address() {
     let mut harness = TestHarness::new();
-    let (endpoint, moved) = (harness.endpoint("s1"), listener());
+    let (endpoint, moved) = (harness.endpoint("s1"), local_listener());
     let connection = harness.idle_connection(&endpoint);
-    harness.list(&[entry("s1", moved.local_addr().unwrap(), "active")]);
-    harness.ends(&connection);
+    harness.receive_list(&[list_entry("s1", moved.local_addr().unwrap(), "active")]);
+    harness.expect_close(&connection);
     let _client = harness.start_attempt("t1", "s1", LONG);
     let _fresh = harness.accept_request(&moved);
 }
@@ -191,11 +197,11 @@
         harness.start_attempt("t1", "s2", LONG),
         harness.start_attempt("t2", "s1", LONG),
     ];
-    harness.ends(&connection);
+    harness.expect_close(&connection);
     let _fresh = harness.accept_request(&other);
-    harness.until_counters(|counters| counters.attempts_not_sent == 1);
+    harness.run_until_counters(|counters| counters.attempts_not_sent == 1);
     let told = harness.proxy.state.borrow().shortage_logged_at;
-    harness.again("t2", "s1", LONG);
+    harness.start_another_attempt("t2", "s1", LONG);
     let state = harness.proxy.state.borrow();
     assert_eq!(
         (
@@ -217,7 +223,7 @@
     let endpoint = harness.endpoint("s1");
     let _client = harness.start_attempt("t1", "s1", LONG);
     let connection = harness.accept_request(&endpoint);
-    say(
+    send_text(
         &connection,
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
     );
@@ -248,7 +254,7 @@
     let (_client, _) = harness.start_attempt("t1", "s1", LONG);
     let connection = harness.accept_request(&before);
     let after = harness.endpoint("s1");
-    say(&connection, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
+    send_text(&connection, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
     assert_eq!(harness.first_outcome(), "failed 1");
     harness
         .proxy
@@ -276,11 +282,11 @@
     let mut harness = TestHarness::new();
     let endpoint = harness.endpoint("s1");
     let connection = harness.idle_connection(&endpoint);
-    say(
+    send_text(
         &connection,
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno",
     );
-    harness.until(|proxy| {
+    harness.run_until(|proxy| {
         proxy
             .state
             .borrow()
@@ -290,8 +296,8 @@
     });
     let _client = harness.start_attempt("t1", "s1", LONG);
     let connection = harness.accept_request(&endpoint);
-    say(&connection, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
-    harness.until_counters(|counters| counters.attempts_failed == 2);
+    send_text(&connection, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
+    harness.run_until_counters(|counters| counters.attempts_failed == 2);
     assert!(harness.proxy.state.borrow().endpoint_connections.is_empty());
     // After a while its connections are reused again.
     let key = harness.proxy.state.borrow().endpoints.key_of("s1").unwrap();
@@ -305,7 +311,7 @@
         .single_use_until = 0;
     let _client = harness.start_attempt("t2", "s1", LONG);
     let connection = harness.accept_request(&endpoint);
-    say(&connection, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
-    harness.until_counters(|counters| counters.attempts_failed == 3);
+    send_text(&connection, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
+    harness.run_until_counters(|counters| counters.attempts_failed == 3);
     assert_eq!(harness.proxy.state.borrow().endpoint_connections.len(), 1);
 }
--- a/crates/proxy/src/connections/request/tests.rs
+++ b/crates/proxy/src/connections/request/tests.rs
@@ -2,11 +2,11 @@
 
 use super::*;
 use crate::connections::http_message::MAX_HEAD_BYTES;
-use crate::test_harness::{TestHarness, message, say};
+use crate::test_harness::{TestHarness, request_message, send_text};
 
 /// A request with one line in place of another.
 fn with(line: &str, other: &str) -> String {
-    message("t1", "body").replace(line, other)
+    request_message("t1", "body").replace(line, other)
 }
 
 #[rstest]
@@ -44,9 +44,9 @@
 #[case::wrong_method_of_idempotent_class(with("/pay/", "/look/").replace("Lane: pay", "Lane: look"), 405)]
 fn an_invalid_request_gets_its_status(#[case] text: String, #[case] status: u16) {
     let mut harness = TestHarness::new();
-    let (stream, _) = harness.client();
-    say(&stream, &text);
-    let heard = harness.heard(&stream, "\r\n\r\n");
+    let (stream, _) = harness.connect_client();
+    send_text(&stream, &text);
+    let heard = harness.read_until(&stream, "\r\n\r\n");
     assert!(heard.starts_with(&format!("HTTP/1.1 {status} ")), "{heard}");
     assert_eq!(harness.proxy.state.borrow().counters.requests_received, 0);
 }
@@ -64,7 +64,7 @@
 }
 
 fn of_key(id: &str, key: &str) -> String {
-    message(id, "body").replace(
+    request_message(id, "body").replace(
         "X-Remaining-Ms: 900",
         &format!("X-Remaining-Ms: 60000\r\nX-Entity: {key}"),
     )
@@ -83,9 +83,9 @@
     let mut harness = ordered_by_key();
     let endpoint = harness.endpoints();
     let clients = [("t1", "k"), ("t2", "k"), ("t3", "other")].map(|(id, key)| {
-        let (client, _) = harness.client();
-        say(&client, &of_key(id, key));
-        harness.until(|proxy| {
+        let (client, _) = harness.connect_client();
+        send_text(&client, &of_key(id, key));
+        harness.run_until(|proxy| {
             proxy
                 .state
                 .borrow()
@@ -96,36 +96,36 @@
         });
         client
     });
-    let first = harness.accepted(&endpoint);
-    assert!(harness.heard(&first, "body").contains("X-Txn: t1\r\n"));
-    let other = harness.accepted(&endpoint);
-    assert!(harness.heard(&other, "body").contains("X-Txn: t3\r\n"));
+    let first = harness.accept_connection(&endpoint);
+    assert!(harness.read_until(&first, "body").contains("X-Txn: t1\r\n"));
+    let other = harness.accept_connection(&endpoint);
+    assert!(harness.read_until(&other, "body").contains("X-Txn: t3\r\n"));
     assert_eq!(harness.proxy.state.borrow().counters.attempts, 2);
     match end {
-        Some(end) => say(&first, end),
+        Some(end) => send_text(&first, end),
         None => drop(first),
     }
     // A request that failed or was reset is retried; until it has finished, t2 must not be sent.
-    let mut connection = harness.accepted(&endpoint);
-    let mut heard = harness.heard(&connection, "body");
+    let mut connection = harness.accept_connection(&endpoint);
+    let mut heard = harness.read_until(&connection, "body");
     let mut again = 0;
     while heard.contains("X-Txn: t1\r\n") {
         again += 1;
-        say(&connection, DONE);
-        connection = harness.accepted(&endpoint);
-        heard = harness.heard(&connection, "body");
+        send_text(&connection, DONE);
+        connection = harness.accept_connection(&endpoint);
+        heard = harness.read_until(&connection, "body");
     }
     assert!(heard.contains("X-Txn: t2\r\n"), "{heard}");
     assert_eq!(again, usize::from(end != Some(DONE)));
-    say(&connection, DONE);
+    send_text(&connection, DONE);
     assert!(
         harness
-            .heard(&clients[0], "\r\n\r\n")
+            .read_until(&clients[0], "\r\n\r\n")
             .starts_with("HTTP/1.1 200 ")
     );
     assert!(
         harness
-            .heard(&clients[1], "\r\n\r\n")
+            .read_until(&clients[1], "\r\n\r\n")
             .starts_with("HTTP/1.1 200 ")
     );
 }
@@ -137,9 +137,9 @@
     let mut harness = ordered_by_key();
     let draining = harness.endpoint("s1");
     let clients = ["t1", "t2"].map(|id| {
-        let (client, _) = harness.client();
-        say(&client, &of_key(id, "k"));
-        harness.until(|proxy| {
+        let (client, _) = harness.connect_client();
+        send_text(&client, &of_key(id, "k"));
+        harness.run_until(|proxy| {
             proxy
                 .state
                 .borrow()
@@ -150,22 +150,26 @@
         });
         client
     });
-    let first = harness.accepted(&draining);
-    assert!(harness.heard(&first, "body").contains("X-Txn: t1\r\n"));
-    let fresh = crate::test_harness::listener();
-    harness.list(&[
-        crate::test_harness::entry("s1", draining.local_addr().unwrap(), "draining"),
-        crate::test_harness::entry("s2", fresh.local_addr().unwrap(), "active"),
+    let first = harness.accept_connection(&draining);
+    assert!(harness.read_until(&first, "body").contains("X-Txn: t1\r\n"));
+    let fresh = crate::test_harness::local_listener();
+    harness.receive_list(&[
+        crate::test_harness::list_entry("s1", draining.local_addr().unwrap(), "draining"),
+        crate::test_harness::list_entry("s2", fresh.local_addr().unwrap(), "active"),
     ]);
     assert_eq!(harness.proxy.state.borrow().counters.attempts, 1);
-    say(&first, DONE);
-    let second = harness.accepted(&fresh);
-    assert!(harness.heard(&second, "body").contains("X-Txn: t2\r\n"));
-    say(&second, DONE);
+    send_text(&first, DONE);
+    let second = harness.accept_connection(&fresh);
+    assert!(
+        harness
+            .read_until(&second, "body")
+            .contains("X-Txn: t2\r\n")
+    );
+    send_text(&second, DONE);
     clients.iter().for_each(|client| {
         assert!(
             harness
-                .heard(client, "\r\n\r\n")
+                .read_until(client, "\r\n\r\n")
                 .starts_with("HTTP/1.1 200 ")
         )
     });
@@ -181,28 +185,36 @@
     let mut harness =
         TestHarness::with(|told| told["settings"]["useCases"][1]["name"] = class.into());
     let endpoint = harness.endpoints();
-    let (client, _) = harness.client();
-    say(
+    let (client, _) = harness.connect_client();
+    send_text(
         &client,
         &format!(
             "GET {path} HTTP/1.1\r\nHost: app\r\nX-Txn: t1\r\nX-Lane: {class}\r\nX-Remaining-Ms: 900\r\n\r\n"
         ),
     );
-    let connection = harness.accepted(&endpoint);
+    let connection = harness.accept_connection(&endpoint);
     assert!(
         harness
-            .heard(&connection, "\r\n\r\n")
+            .read_until(&connection, "\r\n\r\n")
             .starts_with(&format!("GET {path} HTTP/1.1\r\n"))
     );
-    say(
+    send_text(
         &connection,
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
     );
-    assert!(harness.heard(&client, "ok").starts_with("HTTP/1.1 200 "));
+    assert!(
+        harness
+            .read_until(&client, "ok")
+            .starts_with("HTTP/1.1 200 ")
+    );
     // Without an id it is a request for the page.
-    let (operator, _) = harness.client();
-    say(&operator, "GET /stats HTTP/1.1\r\nHost: app\r\n\r\n");
-    assert!(harness.heard(&operator, "\n").starts_with("HTTP/1.1 200 "));
+    let (operator, _) = harness.connect_client();
+    send_text(&operator, "GET /stats HTTP/1.1\r\nHost: app\r\n\r\n");
+    assert!(
+        harness
+            .read_until(&operator, "\n")
+            .starts_with("HTTP/1.1 200 ")
+    );
 }
 
 /// While a balancer is not scheduled, requests wait on connections in its backlog.
@@ -212,7 +224,7 @@
     let endpoint = harness.endpoints();
     let client = std::net::TcpStream::connect(harness.address).unwrap();
     client.set_nonblocking(true).unwrap();
-    say(&client, &message("t1", "body"));
+    send_text(&client, &request_message("t1", "body"));
     {
         let mut state = harness.proxy.state.borrow_mut();
         // This iteration should have begun 0.4 s ago.
@@ -222,8 +234,8 @@
         harness.proxy.accept();
     }
     harness.proxy.state.borrow_mut().loop_iteration.until = Micros::MAX;
-    let connection = harness.accepted(&endpoint);
-    let sent = harness.heard(&connection, "body");
+    let connection = harness.accept_connection(&endpoint);
+    let sent = harness.read_until(&connection, "body");
     let told = sent
         .split("X-Remaining-Ms: ")
         .nth(1)
@@ -236,40 +248,40 @@
 fn a_request_with_an_id_in_flight_is_rejected() {
     let mut harness = TestHarness::new();
     let endpoint = harness.endpoints();
-    let (first, _) = harness.client();
-    say(&first, &message("t1", "body"));
-    let connection = harness.accepted(&endpoint);
-    let (second, _) = harness.client();
-    say(&second, &message("t1", "body"));
+    let (first, _) = harness.connect_client();
+    send_text(&first, &request_message("t1", "body"));
+    let connection = harness.accept_connection(&endpoint);
+    let (second, _) = harness.connect_client();
+    send_text(&second, &request_message("t1", "body"));
     assert!(
         harness
-            .heard(&second, "\r\n\r\n")
+            .read_until(&second, "\r\n\r\n")
             .starts_with("HTTP/1.1 409 ")
     );
-    harness.heard(&connection, "body");
-    say(
+    harness.read_until(&connection, "body");
+    send_text(
         &connection,
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
     );
-    harness.heard(&first, "ok");
+    harness.read_until(&first, "ok");
 }
 
 #[test]
 fn a_client_that_expects_it_gets_one_100_continue() {
     let mut harness = TestHarness::new();
-    let (client, _) = harness.client();
-    say(
+    let (client, _) = harness.connect_client();
+    send_text(
         &client,
-        &message("t1", "").replace("Length: 0", "Length: 4\r\nExpect: 100-continue"),
+        &request_message("t1", "").replace("Length: 0", "Length: 4\r\nExpect: 100-continue"),
     );
     assert_eq!(
-        harness.heard(&client, "\r\n\r\n"),
+        harness.read_until(&client, "\r\n\r\n"),
         "HTTP/1.1 100 Continue\r\n\r\n"
     );
-    say(&client, "body");
+    send_text(&client, "body");
     assert!(
         harness
-            .heard(&client, "\r\n\r\n")
+            .read_until(&client, "\r\n\r\n")
             .starts_with("HTTP/1.1 503 ")
     );
 }
@@ -278,25 +290,27 @@
 fn buffered_requests_stay_within_the_memory_limit() {
     let mut harness = TestHarness::new();
     harness.proxy.state.borrow_mut().config.max_message_bytes = 50_000;
-    let (first, one) = harness.client();
-    let text = message("t1", &"x".repeat(40_000));
-    say(&first, &text[..30_000]);
-    harness.until(|proxy| (proxy.state.borrow().buffered_bytes() == 30_000).then_some(()));
-    let (second, _) = harness.client();
-    say(&second, &text[..30_000]);
+    let (first, one) = harness.connect_client();
+    let text = request_message("t1", &"x".repeat(40_000));
+    send_text(&first, &text[..30_000]);
+    harness.run_until(|proxy| (proxy.state.borrow().buffered_bytes() == 30_000).then_some(()));
+    let (second, _) = harness.connect_client();
+    send_text(&second, &text[..30_000]);
     assert!(
         harness
-            .heard(&second, "\r\n\r\n")
+            .read_until(&second, "\r\n\r\n")
             .starts_with("HTTP/1.1 503 ")
     );
-    let (third, _) = harness.client();
-    say(&third, "GET /health/live HTTP/1.1\r\n\r\n");
+    let (third, _) = harness.connect_client();
+    send_text(&third, "GET /health/live HTTP/1.1\r\n\r\n");
     assert!(
-        harness.heard(&third, "live\n").starts_with("HTTP/1.1 200 "),
+        harness
+            .read_until(&third, "live\n")
+            .starts_with("HTTP/1.1 200 "),
         "small ones are taken"
     );
     drop((first, second, third));
-    harness.until(|proxy| proxy.state.borrow().clients.is_empty().then_some(()));
+    harness.run_until(|proxy| proxy.state.borrow().clients.is_empty().then_some(()));
     assert_eq!(
         (
             harness.proxy.state.borrow().buffered_bytes(),
@@ -310,15 +324,15 @@
 fn a_request_counts_as_buffered_until_it_is_answered() {
     let mut harness = TestHarness::new();
     let endpoint = harness.endpoints();
-    let (client, _) = harness.client();
-    let text = message("t1", "body");
-    say(&client, &text);
+    let (client, _) = harness.connect_client();
+    let text = request_message("t1", "body");
+    send_text(&client, &text);
     let connection = harness.accept_request(&endpoint);
     assert_eq!(harness.proxy.state.borrow().buffered_bytes(), text.len());
-    say(
+    send_text(
         &connection,
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
     );
-    harness.heard(&client, "ok");
+    harness.read_until(&client, "ok");
     assert_eq!(harness.proxy.state.borrow().buffered_bytes(), 0);
 }
--- a/crates/proxy/src/connections/send_guard/tests.rs
+++ b/crates/proxy/src/connections/send_guard/tests.rs
@@ -5,7 +5,7 @@
 use crate::close_reason::CloseReason;
 use crate::state::keys::RequestKey;
 use crate::state::proxy::ProxyHost;
-use crate::test_harness::{TestHarness, entry};
+use crate::test_harness::{TestHarness, list_entry};
 
 const LONG: Micros = 60_000_000;
 
@@ -117,7 +117,7 @@
 fn nothing_is_sent_for_a_client_whose_close_is_not_read_yet() {
     let mut harness = TestHarness::new();
     let endpoint = harness.endpoint("s1");
-    harness.list(&[entry("s1", endpoint.local_addr().unwrap(), "active")]);
+    harness.receive_list(&[list_entry("s1", endpoint.local_addr().unwrap(), "active")]);
     let (client, _) = harness.start_attempt("t1", "s1", LONG);
     drop(client);
     let mut state = harness.proxy.state.borrow_mut();
@@ -154,9 +154,9 @@
         state.endpoints.get_mut(key).unwrap().draining_since = Some(told);
     }
     assert_eq!(harness.first_outcome(), "unreachable 1");
-    let connection = harness.accepted(&endpoint);
+    let connection = harness.accept_connection(&endpoint);
     let mut heard = [0];
-    assert_eq!(harness.until(|_| connection.peek(&mut heard).ok()), 0);
+    assert_eq!(harness.run_until(|_| connection.peek(&mut heard).ok()), 0);
 }
 
 /// Time passes between the decision and the connection being established.
@@ -172,8 +172,8 @@
         assert!(!connection.is_connected && connection.write_buffer.is_empty());
         connection.exchange.as_mut().unwrap().expire_at = now + 300_000;
     }
-    let connection = harness.accepted(&endpoint);
-    let heard = harness.heard(&connection, "body");
+    let connection = harness.accept_connection(&endpoint);
+    let heard = harness.read_until(&connection, "body");
     let told = heard
         .split("X-Remaining-Ms: ")
         .nth(1)
@@ -202,10 +202,10 @@
     let endpoint = harness.endpoint("s1");
     let (_client, _) = harness.start_attempt("t1", "s1", LONG);
     meanwhile(&mut harness);
-    let connection = harness.accepted(&endpoint);
+    let connection = harness.accept_connection(&endpoint);
     let mut heard = [0];
-    assert_eq!(harness.until(|_| connection.peek(&mut heard).ok()), 0);
-    harness.until(|proxy| {
+    assert_eq!(harness.run_until(|_| connection.peek(&mut heard).ok()), 0);
+    harness.run_until(|proxy| {
         proxy
             .state
             .borrow()
@@ -228,12 +228,12 @@
     assert_eq!(harness.first_outcome(), "connection_lost 1");
     let other = harness.endpoint("s2");
     std::thread::sleep(std::time::Duration::from_millis(250));
-    harness.again("t1", "s2", LONG);
-    harness.until(|proxy| {
+    harness.start_another_attempt("t1", "s2", LONG);
+    harness.run_until(|proxy| {
         let counters = &proxy.state.borrow().counters;
         (counters.attempts_not_sent > 0 || counters.endpoint_connections_opened > 2).then_some(())
     });
-    let connection = harness.accepted(&other);
-    harness.until_counters(|counters| counters.attempts_not_sent == 1);
-    harness.ends(&connection);
+    let connection = harness.accept_connection(&other);
+    harness.run_until_counters(|counters| counters.attempts_not_sent == 1);
+    harness.expect_close(&connection);
 }
--- a/crates/proxy/src/discovery/tests.rs
+++ b/crates/proxy/src/discovery/tests.rs
@@ -3,13 +3,15 @@
 
 use crate::discovery::polling_schedule::{PollAction, PollFailure, PollingSettings};
 use crate::discovery::state::Discovery;
-use crate::test_harness::{TestHarness, answer, entry, listener, message, say};
+use crate::test_harness::{
+    TestHarness, list_entry, list_response, local_listener, request_message, send_text,
+};
 
 /// Accepts the first connection to discovery and reads its poll.
 fn first_poll(harness: &mut TestHarness) -> std::net::TcpStream {
     let discovery = harness.discovery.try_clone().unwrap();
-    let poll = harness.accepted(&discovery);
-    harness.heard(&poll, "\r\n\r\n");
+    let poll = harness.accept_connection(&discovery);
+    harness.read_until(&poll, "\r\n\r\n");
     poll
 }
 
@@ -17,12 +19,14 @@
 fn a_list_is_followed_by_a_watch_from_its_version() {
     let mut harness = TestHarness::new();
     let poll = first_poll(&mut harness);
-    let address = listener().local_addr().unwrap();
-    say(
+    let address = local_listener().local_addr().unwrap();
+    send_text(
         &poll,
-        &answer(&json!({"rev": 41, "all": true, "targets": [entry("s1", address, "active")]})),
+        &list_response(
+            &json!({"rev": 41, "all": true, "targets": [list_entry("s1", address, "active")]}),
+        ),
     );
-    let watch = harness.heard(&poll, "\r\n\r\n");
+    let watch = harness.read_until(&poll, "\r\n\r\n");
     let wait = watch.strip_prefix("GET /registry/instances?since=41&timeout_ms=");
     let wait: u64 = wait
         .and_then(|rest| rest.split(' ').next()?.parse().ok())
@@ -45,14 +49,14 @@
 #[case::rejected("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".into())]
 #[case::malformed("nonsense\r\n\r\n".into())]
 #[case::no_json("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{]".into())]
-#[case::no_version(answer(&json!({"all": true, "targets": []})))]
-#[case::no_entries(answer(&json!({"rev": 1, "all": true})))]
+#[case::no_version(list_response(&json!({"all": true, "targets": []})))]
+#[case::no_entries(list_response(&json!({"rev": 1, "all": true})))]
 #[case::truncated("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{".into())]
 fn a_failed_poll_keeps_the_list_and_is_repeated(#[case] response: String) {
     let mut harness = TestHarness::new();
     let _endpoint = harness.endpoint("s1");
     let first = first_poll(&mut harness);
-    say(&first, &response);
+    send_text(&first, &response);
     drop(first);
     first_poll(&mut harness);
     let state = harness.proxy.state.borrow();
@@ -73,12 +77,12 @@
 fn a_discovery_that_closes_between_polls_is_polled_on() {
     let mut harness = TestHarness::new();
     let first = first_poll(&mut harness);
-    say(
+    send_text(
         &first,
-        &answer(&json!({"rev": 41, "all": true, "targets": []})),
+        &list_response(&json!({"rev": 41, "all": true, "targets": []})),
     );
     // The next poll is not sent at once: the close comes before it.
-    harness.until(|proxy| {
+    harness.run_until(|proxy| {
         proxy
             .state
             .borrow()
@@ -87,7 +91,7 @@
             .then_some(())
     });
     drop(first);
-    harness.until(|proxy| {
+    harness.run_until(|proxy| {
         proxy
             .state
             .borrow()
@@ -97,8 +101,8 @@
             .then_some(())
     });
     let discovery = harness.discovery.try_clone().unwrap();
-    let next = harness.accepted(&discovery);
-    assert!(harness.heard(&next, "\r\n\r\n").contains("since=41"));
+    let next = harness.accept_connection(&discovery);
+    assert!(harness.read_until(&next, "\r\n\r\n").contains("since=41"));
     assert_eq!(harness.proxy.state.borrow().counters.list_polls_failed, 0);
 }
 
@@ -114,7 +118,7 @@
         .schedule
         .backdate_current_poll(60_000_000);
     harness.proxy.discovery_timer_expired();
-    harness.ends(&unanswered);
+    harness.expect_close(&unanswered);
     first_poll(&mut harness);
 }
 
@@ -123,11 +127,11 @@
 fn a_watch_that_timed_out_is_opened_anew_at_once() {
     let mut harness = TestHarness::new();
     let first = first_poll(&mut harness);
-    say(
+    send_text(
         &first,
-        &answer(&json!({"rev": 41, "all": true, "targets": []})),
+        &list_response(&json!({"rev": 41, "all": true, "targets": []})),
     );
-    assert!(harness.heard(&first, "\r\n\r\n").contains("since=41&"));
+    assert!(harness.read_until(&first, "\r\n\r\n").contains("since=41&"));
     let began = harness.proxy.state.borrow().now();
     harness
         .proxy
@@ -137,10 +141,10 @@
         .schedule
         .backdate_current_poll(60_000_000);
     harness.proxy.discovery_timer_expired();
-    harness.ends(&first);
+    harness.expect_close(&first);
     let discovery = harness.discovery.try_clone().unwrap();
-    let next = harness.accepted(&discovery);
-    assert!(harness.heard(&next, "\r\n\r\n").contains("since=41&"));
+    let next = harness.accept_connection(&discovery);
+    assert!(harness.read_until(&next, "\r\n\r\n").contains("since=41&"));
     let state = harness.proxy.state.borrow();
     // Far less than the backoff after a failed poll.
     assert_eq!(
@@ -156,7 +160,7 @@
 fn an_endpoint_that_a_complete_list_does_not_name_is_removed() {
     let mut harness = TestHarness::new();
     let (_first, second) = (harness.endpoint("s1"), harness.endpoint("s2"));
-    let entries = [entry("s2", second.local_addr().unwrap(), "active")];
+    let entries = [list_entry("s2", second.local_addr().unwrap(), "active")];
     harness
         .proxy
         .apply_list(&json!({"rev": 2, "all": true, "targets": entries}))
@@ -177,9 +181,9 @@
     let mut harness = TestHarness::new();
     let endpoint = harness.endpoint("s1");
     let address = endpoint.local_addr().unwrap();
-    let mut bad = entry("s1", address, "active");
+    let mut bad = list_entry("s1", address, "active");
     bad[field] = value;
-    harness.list(&[bad, entry("s2", address, "active")]);
+    harness.receive_list(&[bad, list_entry("s2", address, "active")]);
     let state = harness.proxy.state.borrow();
     let drains = |id: &str| state.endpoints.key_of(id).is_none();
     assert_eq!((drains("s1"), drains("s2")), (true, false));
@@ -224,13 +228,13 @@
     let mut harness = TestHarness::new();
     let endpoint = harness.endpoint("s1");
     let (_client, _) = harness.start_attempt("t1", "s1", 60_000_000);
-    let connection = harness.accepted(&endpoint);
-    harness.heard(&connection, "body");
-    let left = [entry("s1", endpoint.local_addr().unwrap(), "left")];
-    harness.list(&left);
+    let connection = harness.accept_connection(&endpoint);
+    harness.read_until(&connection, "body");
+    let left = [list_entry("s1", endpoint.local_addr().unwrap(), "left")];
+    harness.receive_list(&left);
     assert_eq!(harness.proxy.state.borrow().endpoints.counts(), (1, 1));
-    say(&connection, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
-    harness.until(|proxy| {
+    send_text(&connection, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
+    harness.run_until(|proxy| {
         proxy
             .state
             .borrow()
@@ -238,7 +242,7 @@
             .is_empty()
             .then_some(())
     });
-    harness.list(&left);
+    harness.receive_list(&left);
     let state = harness.proxy.state.borrow();
     assert_eq!(state.endpoints.counts(), (0, 0));
 }
@@ -250,12 +254,14 @@
 fn a_refused_connection_leaves_a_working_watch_open() {
     let mut harness = TestHarness::new();
     let first = first_poll(&mut harness);
-    let gone = listener().local_addr().unwrap();
-    say(
+    let gone = local_listener().local_addr().unwrap();
+    send_text(
         &first,
-        &answer(&json!({"rev": 41, "all": true, "targets": [entry("s1", gone, "active")]})),
+        &list_response(
+            &json!({"rev": 41, "all": true, "targets": [list_entry("s1", gone, "active")]}),
+        ),
     );
-    assert!(harness.heard(&first, "\r\n\r\n").contains("since=41&"));
+    assert!(harness.read_until(&first, "\r\n\r\n").contains("since=41&"));
     harness
         .proxy
         .state
@@ -264,13 +270,16 @@
         .schedule
         .backdate_current_poll(3_000_000);
     let _client = harness.start_attempt("t1", "s1", 60_000_000);
-    harness.until(|proxy| (proxy.state.borrow().counters.attempts_unreachable > 0).then_some(()));
+    harness
+        .run_until(|proxy| (proxy.state.borrow().counters.attempts_unreachable > 0).then_some(()));
     let polls = harness.proxy.state.borrow().counters.list_polls;
-    say(
+    send_text(
         &first,
-        &answer(&json!({"rev": 42, "all": false, "targets": [entry("s1", gone, "leaving")]})),
+        &list_response(
+            &json!({"rev": 42, "all": false, "targets": [list_entry("s1", gone, "leaving")]}),
+        ),
     );
-    harness.until(|proxy| {
+    harness.run_until(|proxy| {
         proxy
             .state
             .borrow()
@@ -280,7 +289,7 @@
             .then_some(())
     });
     // The watch continues on its connection, and no other poll was sent.
-    assert!(harness.heard(&first, "\r\n\r\n").contains("since=42&"));
+    assert!(harness.read_until(&first, "\r\n\r\n").contains("since=42&"));
     assert_eq!(harness.proxy.state.borrow().counters.list_polls, polls + 1);
 }
 
@@ -289,15 +298,15 @@
 #[test]
 fn a_process_with_a_cached_list_polls_before_it_serves() {
     let mut harness = TestHarness::with(|document| {
-        let old = entry("old", listener().local_addr().unwrap(), "active");
+        let old = list_entry("old", local_listener().local_addr().unwrap(), "active");
         document["settings"]["fleetSize"] = 300.into();
         document["known"] = json!({"rev": 1, "all": true, "targets": [old]});
     });
     let began = std::time::Instant::now();
     let status = |harness: &mut TestHarness| {
-        let (client, _) = harness.client();
-        say(&client, "GET /health/ready HTTP/1.1\r\n\r\n");
-        harness.heard(&client, "ready\n")[..12].to_owned()
+        let (client, _) = harness.connect_client();
+        send_text(&client, "GET /health/ready HTTP/1.1\r\n\r\n");
+        harness.read_until(&client, "ready\n")[..12].to_owned()
     };
     let poll = first_poll(&mut harness);
     assert!(
@@ -308,11 +317,11 @@
     // Discovery may take a while to answer, as many balancers poll it.
     std::thread::sleep(std::time::Duration::from_millis(300));
     assert_eq!(status(&mut harness), "HTTP/1.1 503");
-    say(
+    send_text(
         &poll,
-        &answer(&json!({"rev": 2, "all": false, "targets": []})),
+        &list_response(&json!({"rev": 2, "all": false, "targets": []})),
     );
-    harness.until(|proxy| {
+    harness.run_until(|proxy| {
         proxy
             .state
             .borrow()
@@ -329,32 +338,33 @@
 #[case::answered(true)]
 #[case::unreachable(false)]
 fn nothing_is_sent_by_a_cached_list_before_discovery_was_polled(#[case] is_answered: bool) {
-    let endpoint = listener();
+    let endpoint = local_listener();
     let address = endpoint.local_addr().unwrap();
     let mut harness = TestHarness::with(|document| {
-        let entries = ["s1", "s2", "s3", "s4", "s5", "s6"].map(|id| entry(id, address, "active"));
+        let entries =
+            ["s1", "s2", "s3", "s4", "s5", "s6"].map(|id| list_entry(id, address, "active"));
         document["known"] = json!({"rev": 7, "all": true, "targets": entries});
     });
     let ask = |harness: &mut TestHarness, id| {
-        let (asks, _) = harness.client();
-        say(&asks, &message(id, "body"));
+        let (asks, _) = harness.connect_client();
+        send_text(&asks, &request_message(id, "body"));
         asks
     };
     let early = ask(&mut harness, "t1");
     assert!(
         harness
-            .heard(&early, "\r\n\r\n")
+            .read_until(&early, "\r\n\r\n")
             .starts_with("HTTP/1.1 503 ")
     );
     let poll = first_poll(&mut harness);
     if is_answered {
-        say(
+        send_text(
             &poll,
-            &answer(&json!({"rev": 8, "all": false, "targets": []})),
+            &list_response(&json!({"rev": 8, "all": false, "targets": []})),
         );
     }
     drop(poll);
-    harness.until(|proxy| {
+    harness.run_until(|proxy| {
         proxy
             .state
             .borrow()
@@ -363,8 +373,8 @@
             .then_some(())
     });
     let _served = ask(&mut harness, "t2");
-    let connection = harness.accepted(&endpoint);
-    harness.heard(&connection, "body");
+    let connection = harness.accept_connection(&endpoint);
+    harness.read_until(&connection, "body");
 }
 
 /// Incident "lost list changes": discovery wrote that an endpoint drains, and the connection ended
@@ -373,13 +383,13 @@
 fn a_drain_in_a_truncated_response_holds() {
     let mut harness = TestHarness::new();
     let watch = watch_of(&mut harness, &["s1", "s2"]);
-    let gone = listener().local_addr().unwrap();
-    let complete = answer(&json!({"rev": 42, "all": false,
-        "targets": [entry("s1", gone, "leaving"), entry("s2", gone, "leaving")]}));
+    let gone = local_listener().local_addr().unwrap();
+    let complete = list_response(&json!({"rev": 42, "all": false,
+        "targets": [list_entry("s1", gone, "leaving"), list_entry("s2", gone, "leaving")]}));
     let second = complete.find("s2").unwrap();
-    say(&watch, &complete[..second - 10]);
+    send_text(&watch, &complete[..second - 10]);
     drop(watch);
-    harness.until(|proxy| {
+    harness.run_until(|proxy| {
         proxy
             .state
             .borrow()
@@ -396,10 +406,12 @@
 fn a_response_in_the_socket_of_a_superseded_poll_is_applied() {
     let mut harness = TestHarness::new();
     let watch = watch_of(&mut harness, &["s1"]);
-    let gone = listener().local_addr().unwrap();
-    say(
+    let gone = local_listener().local_addr().unwrap();
+    send_text(
         &watch,
-        &answer(&json!({"rev": 42, "all": false, "targets": [entry("s1", gone, "leaving")]})),
+        &list_response(
+            &json!({"rev": 42, "all": false, "targets": [list_entry("s1", gone, "leaving")]}),
+        ),
     );
     harness
         .proxy
@@ -409,8 +421,8 @@
         .schedule
         .backdate_current_poll(60_000_000);
     harness.proxy.discovery_timer_expired();
-    let _unanswered = harness.accepted_discovery();
-    harness.until(|proxy| {
+    let _unanswered = harness.accept_discovery_connection();
+    harness.run_until(|proxy| {
         proxy
             .state
             .borrow()
@@ -424,15 +436,15 @@
 /// Opens a watch after a list of these endpoints.
 fn watch_of(harness: &mut TestHarness, endpoints: &[&str]) -> std::net::TcpStream {
     let first = first_poll(harness);
-    let address = listener().local_addr().unwrap();
+    let address = local_listener().local_addr().unwrap();
     let entries: Vec<Value> = endpoints
         .iter()
-        .map(|id| entry(id, address, "active"))
+        .map(|id| list_entry(id, address, "active"))
         .collect();
-    say(
+    send_text(
         &first,
-        &answer(&json!({"rev": 41, "all": true, "targets": entries})),
+        &list_response(&json!({"rev": 41, "all": true, "targets": entries})),
     );
-    assert!(harness.heard(&first, "\r\n\r\n").contains("since=41&"));
+    assert!(harness.read_until(&first, "\r\n\r\n").contains("since=41&"));
     first
 }
--- a/crates/proxy/src/gossip/tests.rs
+++ b/crates/proxy/src/gossip/tests.rs
@@ -4,7 +4,7 @@
 use rstest::rstest;
 
 use crate::state::proxy::ProxyHost;
-use crate::test_harness::{TestHarness, moved, say};
+use crate::test_harness::{TestHarness, change_deployment, send_text};
 use std::net::SocketAddr;
 
 /// A balancer, and the socket of another.
@@ -16,14 +16,15 @@
         .unwrap()
         .local_addr()
         .unwrap();
-    let harness =
-        TestHarness::with(|document| moved(document, &[own, other.local_addr().unwrap()]));
+    let harness = TestHarness::with(|document| {
+        change_deployment(document, &[own, other.local_addr().unwrap()])
+    });
     (harness, other, own)
 }
 
 fn receive(harness: &mut TestHarness, other: &UdpSocket) -> String {
     let mut word = [0; 512];
-    let length = harness.until(|_| other.recv(&mut word).ok());
+    let length = harness.run_until(|_| other.recv(&mut word).ok());
     String::from_utf8(word[..length].to_vec()).unwrap()
 }
 
@@ -56,7 +57,7 @@
     if known { &other } else { &stranger }
         .send_to(word.as_bytes(), own)
         .unwrap();
-    let counted = harness.until(|proxy| {
+    let counted = harness.run_until(|proxy| {
         let counters = &proxy.state.borrow().counters;
         let counted = (counters.gossip_received, counters.gossip_ignored);
         (counted != (0, 0)).then_some(counted)
@@ -74,28 +75,31 @@
 fn a_request_waits_for_the_probe(#[case] answer: &str, #[case] answered: u64) {
     let (mut harness, _other, _) = balancer_and_peer();
     let endpoint = harness.endpoint("s1");
-    let (client, _) = harness.client();
-    say(
+    let (client, _) = harness.connect_client();
+    send_text(
         &client,
         "GET /status/1 HTTP/1.1\r\nHost: app\r\nX-Txn: t1\r\nX-Remaining-Ms: 20000\r\n\r\n",
     );
-    let connection = harness.accepted(&endpoint);
-    let asked = harness.heard(&connection, "\r\n\r\n");
+    let connection = harness.accept_connection(&endpoint);
+    let asked = harness.read_until(&connection, "\r\n\r\n");
     assert!(asked.starts_with("GET /load HTTP/1.1\r\n") && !asked.contains("X-Txn"));
-    say(&connection, answer);
+    send_text(&connection, answer);
     if answered == 1 {
-        harness.until(|proxy| (proxy.state.borrow().counters.probes_answered == 1).then_some(()));
+        harness
+            .run_until(|proxy| (proxy.state.borrow().counters.probes_answered == 1).then_some(()));
         assert_eq!(harness.proxy.state.borrow().counters.load_reports, 1);
         // The connection is not reused at once after a response, so the request comes on another.
-        let connection = harness.accepted(&endpoint);
+        let connection = harness.accept_connection(&endpoint);
         assert!(
             harness
-                .heard(&connection, "\r\n\r\n")
+                .read_until(&connection, "\r\n\r\n")
                 .starts_with("GET /status/1 HTTP/1.1\r\n")
         );
     } else {
         // A request probes once: without any endpoint left it is rejected, and does not wait.
-        harness.until(|proxy| (proxy.state.borrow().counters.requests_rejected == 1).then_some(()));
+        harness.run_until(|proxy| {
+            (proxy.state.borrow().counters.requests_rejected == 1).then_some(())
+        });
         let state = harness.proxy.state.borrow();
         assert_eq!(
             (
@@ -112,10 +116,10 @@
 #[test]
 fn a_probe_that_cannot_be_sent_is_reported() {
     let (mut harness, _other, _) = balancer_and_peer();
-    let gone = crate::test_harness::listener().local_addr().unwrap();
-    harness.list(&[crate::test_harness::entry("s1", gone, "active")]);
+    let gone = crate::test_harness::local_listener().local_addr().unwrap();
+    harness.receive_list(&[crate::test_harness::list_entry("s1", gone, "active")]);
     ProxyHost(harness.proxy.state.clone()).probe("s1");
-    harness.until(|proxy| {
+    harness.run_until(|proxy| {
         proxy
             .state
             .borrow()
--- a/crates/proxy/src/lifecycle/reload/tests.rs
+++ b/crates/proxy/src/lifecycle/reload/tests.rs
@@ -12,7 +12,10 @@
 use super::*;
 use crate::cluster::node::ClusterNode;
 use crate::state::proxy::ProxyState;
-use crate::test_harness::{TestHarness, answer, document, entry, listener, message, moved, say};
+use crate::test_harness::{
+    TestHarness, change_deployment, configuration, list_entry, list_response, local_listener,
+    request_message, send_text,
+};
 
 /// The `BALANCER_*` variables at the start.
 fn variables() -> Variables {
@@ -31,32 +34,32 @@
     let mut harness = TestHarness::new();
     let endpoint = harness.endpoint("s1");
     let (client, request) = harness.start_attempt("t1", "s1", 5_000_000);
-    let connection = harness.accepted(&endpoint);
-    harness.heard(&connection, "body");
+    let connection = harness.accept_connection(&endpoint);
+    harness.read_until(&connection, "body");
     for round in 0..3 {
         let old = harness.discovery.try_clone().unwrap();
-        let old = harness.accepted(&old);
-        harness.heard(&old, "\r\n\r\n");
-        let new = listener();
+        let old = harness.accept_connection(&old);
+        harness.read_until(&old, "\r\n\r\n");
+        let new = local_listener();
         let address = new.local_addr().unwrap().to_string();
         let path = file(
             &format!("round-{round}"),
-            &document("127.0.0.1:0", &address).to_string(),
+            &configuration("127.0.0.1:0", &address).to_string(),
         );
         harness.proxy.reload(Some(&path), &variables());
         std::fs::remove_file(path).unwrap();
-        let call = harness.accepted(&new);
+        let call = harness.accept_connection(&new);
         assert!(
             harness
-                .heard(&call, "\r\n\r\n")
+                .read_until(&call, "\r\n\r\n")
                 .starts_with("GET /registry/instances HTTP/1.1\r\n")
         );
         let list = json!({"rev": 1, "all": true,
-            "targets": [entry("s1", endpoint.local_addr().unwrap(), "active")]});
-        say(&call, &answer(&list));
+            "targets": [list_entry("s1", endpoint.local_addr().unwrap(), "active")]});
+        send_text(&call, &list_response(&list));
         // Responses of the former discovery count until then, so its connection stays open as long.
-        harness.ends(&old);
-        assert!(harness.heard(&call, "\r\n\r\n").contains("since=1&"));
+        harness.expect_close(&old);
+        assert!(harness.read_until(&call, "\r\n\r\n").contains("since=1&"));
         // The next round starts with a watch at this one.
         harness.discovery = new;
         drop(call);
@@ -65,28 +68,28 @@
         harness.proxy.state.borrow().requests.get(request).is_some(),
         "a request in flight is untouched"
     );
-    say(
+    send_text(
         &connection,
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
     );
-    harness.heard(&client, "ok");
+    harness.read_until(&client, "ok");
 }
 
 #[rstest]
 #[case::missing(None)]
 #[case::no_json(Some("{".to_owned()))]
-#[case::no_address(Some(document("127.0.0.1:0", "nowhere").to_string()))]
+#[case::no_address(Some(configuration("127.0.0.1:0", "nowhere").to_string()))]
 fn a_file_that_cannot_be_read_changes_nothing(#[case] text: Option<String>) {
     let mut harness = TestHarness::new();
     let asked = harness.discovery.try_clone().unwrap();
-    let call = harness.accepted(&asked);
+    let call = harness.accept_connection(&asked);
     let path = text.map_or("/nowhere/at/all".to_owned(), |text| {
         file(&format!("bad-{}", text.len()), &text)
     });
     let before = harness.proxy.state.borrow().config.discovery;
     harness.proxy.reload(Some(&path), &variables());
     _ = std::fs::remove_file(path);
-    harness.heard(&call, "\r\n\r\n");
+    harness.read_until(&call, "\r\n\r\n");
     let state = harness.proxy.state.borrow();
     assert_eq!(
         (state.config.discovery, state.counters.reloads_failed),
@@ -96,16 +99,16 @@
 
 /// A request for a class of another configuration.
 fn swap(id: &str) -> String {
-    message(id, "body")
+    request_message(id, "body")
         .replace("/pay/", "/swap/")
         .replace("X-Lane: pay", "X-Lane: swap")
 }
 
 /// Sends a request on a connection of its own and returns the status.
 fn status(harness: &mut TestHarness, request: &str) -> String {
-    let (client, _) = harness.client();
-    say(&client, request);
-    let head = harness.heard(&client, "\r\n\r\n");
+    let (client, _) = harness.connect_client();
+    send_text(&client, request);
+    let head = harness.read_until(&client, "\r\n\r\n");
     head.split(' ').nth(1).unwrap().to_owned()
 }
 
@@ -121,26 +124,26 @@
         .unwrap();
     let peers = [own, other.local_addr().unwrap()];
     let address = harness.discovery.local_addr().unwrap().to_string();
-    let [old, mut new] = [0, 1].map(|_| document("127.0.0.1:0", &address));
-    moved(&mut new, &peers);
+    let [old, mut new] = [0, 1].map(|_| configuration("127.0.0.1:0", &address));
+    change_deployment(&mut new, &peers);
     let endpoint = harness.endpoint("s1");
     let (client, request) = harness.start_attempt("t1", "s1", 5_000_000);
-    let connection = harness.accepted(&endpoint);
-    harness.heard(&connection, "body");
+    let connection = harness.accept_connection(&endpoint);
+    harness.read_until(&connection, "body");
     for round in 0..3 {
         for (document, taken, gone) in [
-            (&new, swap("n"), message("o", "b")),
-            (&old, message("o", "b"), swap("n")),
+            (&new, swap("n"), request_message("o", "b")),
+            (&old, request_message("o", "b"), swap("n")),
         ] {
             let path = file(&format!("switch-{round}"), &document.to_string());
             harness.proxy.reload(Some(&path), &variables());
             std::fs::remove_file(path).unwrap();
             assert_eq!(status(&mut harness, &gone), "404");
-            let (asking, _) = harness.client();
-            say(&asking, &taken);
+            let (asking, _) = harness.connect_client();
+            send_text(&asking, &taken);
             let taken = |state: &ProxyState| state.counters.requests_received;
             let before = 2 * round + u64::from(std::ptr::eq(document, &old));
-            harness.until(|proxy| (taken(&proxy.state.borrow()) > before).then_some(()));
+            harness.run_until(|proxy| (taken(&proxy.state.borrow()) > before).then_some(()));
         }
     }
     let state = harness.proxy.state.borrow();
@@ -163,11 +166,11 @@
         "a request in flight is untouched"
     );
     drop(state);
-    say(
+    send_text(
         &connection,
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
     );
-    harness.heard(&client, "ok");
+    harness.read_until(&client, "ok");
     let mut again = [0; 64];
     let more = std::io::Read::read(&mut &connection, &mut again);
     assert!(more.is_err(), "nothing of it was sent a second time");
@@ -180,8 +183,8 @@
 fn settings_that_cannot_be_used_change_nothing(#[case] break_document: fn(&mut Value)) {
     let mut harness = TestHarness::new();
     let address = harness.discovery.local_addr().unwrap().to_string();
-    let mut new = document("127.0.0.1:0", &address);
-    moved(
+    let mut new = configuration("127.0.0.1:0", &address);
+    change_deployment(
         &mut new,
         &[
             "127.0.0.1:0".parse().unwrap(),
@@ -249,7 +252,7 @@
                             std::thread::sleep(Duration::from_millis(20));
                         }
                     }
-                    say(
+                    send_text(
                         &stream,
                         "HTTP/1.1 200 OK\r\nX-Pressure: inflight=0, queue=0\r\nContent-Length: 2\r\n\r\nok",
                     );
@@ -303,24 +306,25 @@
 /// not idempotent is executed twice, and a rejected one never was.
 #[rstest]
 #[case::there_and_back(|_: &mut TestHarness, _: SocketAddr| {})]
-#[case::during_a_drain(|harness: &mut TestHarness, at: SocketAddr| harness.list(&[entry("s1", at, "leaving")]))]
+#[case::during_a_drain(|harness: &mut TestHarness, at: SocketAddr| harness.receive_list(&[list_entry("s1", at, "leaving")]))]
 fn settings_change_under_load(#[case] disturb: fn(&mut TestHarness, SocketAddr)) {
     let mut harness = TestHarness::new();
     let (runs, answered) = (Runs::default(), Arc::new(Mutex::new(Vec::new())));
     let at = endpoints(&runs);
-    harness.list(&["s1", "s2", "s3", "s4", "s5", "s6"].map(|id| entry(id, at, "active")));
+    harness
+        .receive_list(&["s1", "s2", "s3", "s4", "s5", "s6"].map(|id| list_entry(id, at, "active")));
     let other = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
     let own = std::net::UdpSocket::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
     let address = harness.discovery.local_addr().unwrap().to_string();
-    let [old, mut new] = [0, 1].map(|_| document("127.0.0.1:0", &address));
-    moved(&mut new, &[own, other.local_addr().unwrap()]);
+    let [old, mut new] = [0, 1].map(|_| configuration("127.0.0.1:0", &address));
+    change_deployment(&mut new, &[own, other.local_addr().unwrap()]);
     (0..CLIENTS).for_each(|name| client(harness.address, name, &answered));
     for (round, document) in [&new, &old, &new, &old, &new].into_iter().enumerate() {
         let enough = (round + 1) * CLIENTS * REQUESTS / 6;
-        harness.until(|_| (answered.lock().unwrap().len() >= enough).then_some(()));
+        harness.run_until(|_| (answered.lock().unwrap().len() >= enough).then_some(()));
         if round == 2 {
             disturb(&mut harness, at);
         }
@@ -331,7 +335,7 @@
         harness.proxy.reload(Some(&path), &variables());
         std::fs::remove_file(path).unwrap();
     }
-    harness.until(|_| (answered.lock().unwrap().len() == CLIENTS * REQUESTS).then_some(()));
+    harness.run_until(|_| (answered.lock().unwrap().len() == CLIENTS * REQUESTS).then_some(()));
     let (answered, runs) = (answered.lock().unwrap(), runs.lock().unwrap());
     for (id, answer) in answered.iter() {
         let ran = runs.get(id).copied().unwrap_or(0);
@@ -366,30 +370,30 @@
     let mut harness = TestHarness::new();
     let endpoint = harness.endpoint("s1");
     let (client, _) = harness.start_attempt("t1", "s1", 5_000_000);
-    let connection = harness.accepted(&endpoint);
-    harness.heard(&connection, "body");
+    let connection = harness.accept_connection(&endpoint);
+    harness.read_until(&connection, "body");
     harness.proxy.signalled(Signal::SIGTERM);
     let other = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
     let own = std::net::UdpSocket::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
-    let mut new = document(
+    let mut new = configuration(
         "127.0.0.1:0",
         &harness.discovery.local_addr().unwrap().to_string(),
     );
-    moved(&mut new, &[own, other.local_addr().unwrap()]);
+    change_deployment(&mut new, &[own, other.local_addr().unwrap()]);
     let path = file(&format!("stop-{}", own.port()), &new.to_string());
     harness.proxy.reload(Some(&path), &variables());
     std::fs::remove_file(path).unwrap();
     assert!(!harness.proxy.is_finished);
-    say(
+    send_text(
         &connection,
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
     );
-    harness.heard(&client, "ok");
+    harness.read_until(&client, "ok");
     drop(client);
-    harness.until(|proxy| proxy.is_finished.then_some(()));
+    harness.run_until(|proxy| proxy.is_finished.then_some(()));
 }
 
 /// The operator file is reloaded too: one that can be used takes effect at once, another changes
@@ -445,16 +449,16 @@
 #[test]
 fn a_file_that_cannot_be_read_for_the_moment_is_read_again() {
     let mut harness = TestHarness::new();
-    let elsewhere = listener();
-    let new = document("127.0.0.1:0", &elsewhere.local_addr().unwrap().to_string());
+    let elsewhere = local_listener();
+    let new = configuration("127.0.0.1:0", &elsewhere.local_addr().unwrap().to_string());
     let path = file("again", &new.to_string());
     harness
         .proxy
         .state
         .borrow_mut()
         .schedule_retry(Some(&path), true);
-    let call = harness.accepted(&elsewhere);
-    harness.heard(&call, "\r\n\r\n");
+    let call = harness.accept_connection(&elsewhere);
+    harness.read_until(&call, "\r\n\r\n");
     std::fs::remove_file(&path).unwrap();
     assert!(harness.proxy.state.borrow().pending_reload.is_none());
     // A file that is wrong itself is not read again, and no file is read again for ever.
--- a/crates/proxy/src/lifecycle/shutdown/tests.rs
+++ b/crates/proxy/src/lifecycle/shutdown/tests.rs
@@ -1,37 +1,45 @@
 use rstest::rstest;
 
 use super::*;
-use crate::test_harness::{TestHarness, message, say};
+use crate::test_harness::{TestHarness, request_message, send_text};
 
 #[test]
 fn a_shutdown_answers_requests_then_closes_idle_connections() {
     let mut harness = TestHarness::new();
     let endpoint = harness.endpoints();
-    let (busy, _) = harness.client();
-    let (idle, key) = harness.client();
+    let (busy, _) = harness.connect_client();
+    let (idle, key) = harness.connect_client();
     harness.proxy.state.borrow_mut().clients[key].responses_sent = 1;
-    say(&busy, &message("t1", "body"));
-    let connection = harness.accepted(&endpoint);
-    harness.heard(&connection, "body");
+    send_text(&busy, &request_message("t1", "body"));
+    let connection = harness.accept_connection(&endpoint);
+    harness.read_until(&connection, "body");
     harness.proxy.signalled(Signal::SIGTERM);
     // The clients of the only balancer have no other (re6c252), so it goes on serving.
-    let (late, _) = harness.client();
-    say(&late, "GET /health/ready HTTP/1.1\r\n\r\n");
-    let response = harness.heard(&late, "not ready\n");
+    let (late, _) = harness.connect_client();
+    send_text(&late, "GET /health/ready HTTP/1.1\r\n\r\n");
+    let response = harness.read_until(&late, "not ready\n");
     assert!(response.starts_with("HTTP/1.1 503 ") && !response.contains("Connection: close"));
-    say(&idle, "GET /health/live HTTP/1.1\r\n\r\n");
-    assert!(!harness.heard(&idle, "live\n").contains("Connection: close"));
+    send_text(&idle, "GET /health/live HTTP/1.1\r\n\r\n");
+    assert!(
+        !harness
+            .read_until(&idle, "live\n")
+            .contains("Connection: close")
+    );
     let began = harness.proxy.state.borrow().now() - SERVE_PERIOD_US;
     harness.proxy.state.borrow_mut().stopping = Some(began);
-    harness.ends(&idle);
+    harness.expect_close(&idle);
     assert!(!harness.proxy.is_finished);
-    say(
+    send_text(
         &connection,
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
     );
-    assert!(harness.heard(&busy, "ok").contains("Connection: close\r\n"));
+    assert!(
+        harness
+            .read_until(&busy, "ok")
+            .contains("Connection: close\r\n")
+    );
     drop((busy, late));
-    harness.until(|proxy| proxy.is_finished.then_some(()));
+    harness.run_until(|proxy| proxy.is_finished.then_some(()));
     assert!(harness.proxy.state.borrow().listener.is_none());
 }
 
@@ -87,18 +95,19 @@
 #[test]
 fn a_request_that_crosses_the_close_is_discarded_and_resets_nothing() {
     let mut harness = TestHarness::new();
-    let (mut client, key) = harness.client();
-    say(&client, "GET /health/live HTTP/1.1\r\n\r\n");
-    harness.until(|proxy| (proxy.state.borrow().clients[key].responses_sent == 1).then_some(()));
+    let (mut client, key) = harness.connect_client();
+    send_text(&client, "GET /health/live HTTP/1.1\r\n\r\n");
+    harness
+        .run_until(|proxy| (proxy.state.borrow().clients[key].responses_sent == 1).then_some(()));
     {
         let mut state = harness.proxy.state.borrow_mut();
         (state.stopping, state.closing) = (Some(state.now() - SERVE_PERIOD_US), true);
         state.close_idle_clients();
     }
-    say(&client, &message("t1", "body"));
+    send_text(&client, &request_message("t1", "body"));
     harness.proxy.continue_shutdown();
     assert!(!harness.proxy.is_finished, "its end is under way");
-    harness.until(|proxy| proxy.is_finished.then_some(()));
+    harness.run_until(|proxy| proxy.is_finished.then_some(()));
     let mut heard = String::new();
     std::io::Read::read_to_string(&mut client, &mut heard).unwrap();
     assert!(heard.ends_with("live\n"), "{heard}");
@@ -113,10 +122,10 @@
 fn a_shutdown_waits_for_incomplete_requests(#[case] is_completed: bool) {
     let mut harness = TestHarness::new();
     let endpoint = harness.endpoints();
-    let (client, key) = harness.client();
-    let text = message("t1", "body");
-    say(&client, &text[..40]);
-    harness.until(|proxy| {
+    let (client, key) = harness.connect_client();
+    let text = request_message("t1", "body");
+    send_text(&client, &text[..40]);
+    harness.run_until(|proxy| {
         proxy.state.borrow().clients[key]
             .partial_request
             .map(|_| ())
@@ -124,28 +133,32 @@
     harness.proxy.signalled(Signal::SIGTERM);
     let began = harness.proxy.state.borrow().now() - SERVE_PERIOD_US;
     harness.proxy.state.borrow_mut().stopping = Some(began);
-    harness.until(|proxy| proxy.state.borrow().closing.then_some(()));
+    harness.run_until(|proxy| proxy.state.borrow().closing.then_some(()));
     assert!(!harness.proxy.is_finished);
     if is_completed {
-        say(&client, &text[40..]);
-        let connection = harness.accepted(&endpoint);
-        harness.heard(&connection, "body");
-        say(
+        send_text(&client, &text[40..]);
+        let connection = harness.accept_connection(&endpoint);
+        harness.read_until(&connection, "body");
+        send_text(
             &connection,
             "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
         );
-        assert!(harness.heard(&client, "ok").contains("Connection: close"));
+        assert!(
+            harness
+                .read_until(&client, "ok")
+                .contains("Connection: close")
+        );
     } else {
         harness.proxy.state.borrow_mut().stopping = Some(began - PARTIAL_REQUEST_PERIOD_US);
-        let heard = harness.heard(&client, "\r\n\r\n");
+        let heard = harness.read_until(&client, "\r\n\r\n");
         assert!(
             heard.starts_with("HTTP/1.1 503 ") && heard.contains("Connection: close"),
             "{heard}"
         );
     }
-    harness.ends(&client);
+    harness.expect_close(&client);
     drop(client);
-    harness.until(|proxy| proxy.is_finished.then_some(()));
+    harness.run_until(|proxy| proxy.is_finished.then_some(()));
 }
 
 /// Requests may take longer than any shutdown: they have their own deadlines.
@@ -154,18 +167,18 @@
     let mut harness = TestHarness::new();
     let endpoint = harness.endpoint("s1");
     let (client, _) = harness.start_attempt("t1", "s1", 30_000_000);
-    let connection = harness.accepted(&endpoint);
-    harness.heard(&connection, "body");
+    let connection = harness.accept_connection(&endpoint);
+    harness.read_until(&connection, "body");
     harness.proxy.signalled(Signal::SIGTERM);
     let began = harness.proxy.state.borrow().now() - MAX_SHUTDOWN_US;
     harness.proxy.state.borrow_mut().stopping = Some(began);
     harness.proxy.continue_shutdown();
     assert!(!harness.proxy.is_finished);
-    say(
+    send_text(
         &connection,
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
     );
-    harness.heard(&client, "ok");
+    harness.read_until(&client, "ok");
     drop(client);
-    harness.until(|proxy| proxy.is_finished.then_some(()));
+    harness.run_until(|proxy| proxy.is_finished.then_some(()));
 }
--- a/crates/proxy/src/state/buffers/tests.rs
+++ b/crates/proxy/src/state/buffers/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
-use crate::test_harness::listener;
+use crate::test_harness::local_listener;
 
 fn pair() -> (TcpStream, TcpStream) {
-    let listener = listener();
+    let listener = local_listener();
     let ours = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     listener.set_nonblocking(false).unwrap();
     let theirs = listener.accept().unwrap().0;
--- a/crates/proxy/src/test_harness.rs
+++ b/crates/proxy/src/test_harness.rs
@@ -20,7 +20,7 @@
 const LONG: Duration = Duration::from_secs(20);
 
 /// A configuration with one class that has an idempotency key and one that is idempotent.
-pub fn document(listen: &str, discovery: &str) -> Value {
+pub fn configuration(listen: &str, discovery: &str) -> Value {
     json!({
         "name": "n0", "listen": listen, "discovery": discovery, "seed": "8c1f30d27a5be964",
         "limits": {"sockets": 1024},
@@ -40,13 +40,13 @@
 }
 
 /// An entry of the endpoint list.
-pub fn entry(id: &str, address: SocketAddr, state: &str) -> Value {
+pub fn list_entry(id: &str, address: SocketAddr, state: &str) -> Value {
     json!({"uid": id, "endpoint": address.to_string(), "az": "a", "model": "m1", "pod_group": 0,
         "state": state, "capacity_hint": 1.0, "boot_ms": 0})
 }
 
 /// Discovery's response with a list.
-pub fn answer(list: &Value) -> String {
+pub fn list_response(list: &Value) -> String {
     let text = list.to_string();
     format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
@@ -55,7 +55,7 @@
 }
 
 /// A complete request of the class with an idempotency key.
-pub fn message(id: &str, body: &str) -> String {
+pub fn request_message(id: &str, body: &str) -> String {
     format!(
         "POST /pay/1?x=2 HTTP/1.1\r\nHost: app\r\nX-Txn: {id}\r\nX-Lane: pay\r\nX-Org: acme\r\n\
          X-Remaining-Ms: 900\r\nIdempotency-Key: k\r\nContent-Length: {}\r\n\r\n{body}",
@@ -79,8 +79,9 @@
 
     /// A proxy whose configuration is changed before it starts.
     pub fn with(change: impl FnOnce(&mut Value)) -> Self {
-        let discovery = listener();
-        let mut document = document("127.0.0.1:0", &discovery.local_addr().unwrap().to_string());
+        let discovery = local_listener();
+        let mut document =
+            configuration("127.0.0.1:0", &discovery.local_addr().unwrap().to_string());
         change(&mut document);
         let (config, settings) = Config::decode(&document, &Variables::new(), 1024).unwrap();
         let event_loop = EventLoop::try_new().unwrap();
@@ -113,29 +114,31 @@
 
     /// Adds an endpoint to the list.
     pub fn endpoint(&mut self, id: &str) -> TcpListener {
-        let listener = listener();
-        self.list(&[entry(id, listener.local_addr().unwrap(), "active")]);
+        let listener = local_listener();
+        self.receive_list(&[list_entry(id, listener.local_addr().unwrap(), "active")]);
         listener
     }
 
     /// Adds several endpoints at one address: with so many to itself, a balancer without samples
     /// admits every request.
     pub fn endpoints(&mut self) -> TcpListener {
-        let listener = listener();
+        let listener = local_listener();
         let address = listener.local_addr().unwrap();
-        self.list(&["s1", "s2", "s3", "s4", "s5", "s6"].map(|id| entry(id, address, "active")));
+        self.receive_list(
+            &["s1", "s2", "s3", "s4", "s5", "s6"].map(|id| list_entry(id, address, "active")),
+        );
         listener
     }
 
     /// Receives a list of changes from discovery.
-    pub fn list(&mut self, entries: &[Value]) {
+    pub fn receive_list(&mut self, entries: &[Value]) {
         self.proxy
             .apply_list(&json!({"rev": 1, "all": false, "targets": entries}))
             .unwrap();
     }
 
     /// Runs the event loop until `look` finds something.
-    pub fn until<T>(&mut self, mut look: impl FnMut(&mut Proxy) -> Option<T>) -> T {
+    pub fn run_until<T>(&mut self, mut look: impl FnMut(&mut Proxy) -> Option<T>) -> T {
         let began = Instant::now();
         loop {
             if let Some(found) = look(&mut self.proxy) {
@@ -154,11 +157,11 @@
     }
 
     /// Connects a client.
-    pub fn client(&mut self) -> (TcpStream, ClientKey) {
+    pub fn connect_client(&mut self) -> (TcpStream, ClientKey) {
         let known: Vec<_> = self.proxy.state.borrow().clients.keys().collect();
         let stream = TcpStream::connect(self.address).unwrap();
         stream.set_nonblocking(true).unwrap();
-        let key = self.until(|proxy| {
+        let key = self.run_until(|proxy| {
             proxy
                 .state
                 .borrow()
@@ -170,22 +173,22 @@
     }
 
     /// Accepts the next connection of the proxy to a listener.
-    pub fn accepted(&mut self, listener: &TcpListener) -> TcpStream {
-        let stream = self.until(|_| listener.accept().ok()).0;
+    pub fn accept_connection(&mut self, listener: &TcpListener) -> TcpStream {
+        let stream = self.run_until(|_| listener.accept().ok()).0;
         stream.set_nonblocking(true).unwrap();
         stream
     }
 
     /// Accepts the next connection to discovery.
-    pub fn accepted_discovery(&mut self) -> TcpStream {
+    pub fn accept_discovery_connection(&mut self) -> TcpStream {
         let discovery = self.discovery.try_clone().unwrap();
-        self.accepted(&discovery)
+        self.accept_connection(&discovery)
     }
 
     /// Reads until the received text ends with `end`.
-    pub fn heard(&mut self, mut stream: &TcpStream, end: &str) -> String {
+    pub fn read_until(&mut self, mut stream: &TcpStream, end: &str) -> String {
         let mut heard = Vec::new();
-        self.until(|_| {
+        self.run_until(|_| {
             let mut part = [0; 4096];
             match stream.read(&mut part) {
                 Ok(count) => heard.extend_from_slice(&part[..count]),
@@ -197,8 +200,8 @@
     }
 
     /// Waits until the proxy has closed the connection.
-    pub fn ends(&mut self, mut stream: &TcpStream) {
-        self.until(|_| match stream.read(&mut [0; 4096]) {
+    pub fn expect_close(&mut self, mut stream: &TcpStream) {
+        self.run_until(|_| match stream.read(&mut [0; 4096]) {
             Ok(0) => Some(()),
             Ok(_) => None,
             Err(problem) => (problem.kind() != ErrorKind::WouldBlock).then_some(()),
@@ -213,8 +216,8 @@
         endpoint: &str,
         wait: Micros,
     ) -> (TcpStream, RequestKey) {
-        let (stream, key) = self.client();
-        let text = bytes::Bytes::from(message(id, "body"));
+        let (stream, key) = self.connect_client();
+        let text = bytes::Bytes::from(request_message(id, "body"));
         let mut fields = [httparse::EMPTY_HEADER; 16];
         let mut head = httparse::Request::new(&mut fields);
         let length = head.parse(&text).unwrap().unwrap();
@@ -229,14 +232,14 @@
             .borrow_mut()
             .add_request(key, id, idempotency, &message, &head);
         let request = self.proxy.state.borrow().requests.key_of(id).unwrap();
-        self.again(id, endpoint, wait);
+        self.start_another_attempt(id, endpoint, wait);
         (stream, request)
     }
 
     /// Accepts a connection to an endpoint and reads the request on it, whose body is `body`.
     pub fn accept_request(&mut self, listener: &TcpListener) -> TcpStream {
-        let connection = self.accepted(listener);
-        self.heard(&connection, "body");
+        let connection = self.accept_connection(listener);
+        self.read_until(&connection, "body");
         connection
     }
 
@@ -245,7 +248,7 @@
         const MINUTE_US: Micros = 60_000_000;
         let _client = self.start_attempt("t0", "s1", MINUTE_US);
         let connection = self.accept_request(listener);
-        say(&connection, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
+        send_text(&connection, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
         self.first_outcome();
         connection
     }
@@ -265,7 +268,7 @@
 
     /// Waits until an attempt has ended, and returns the counts by outcome.
     pub fn first_outcome(&mut self) -> String {
-        self.until(|proxy| {
+        self.run_until(|proxy| {
             let text = proxy.state.borrow().counters.to_string();
             text.lines()
                 .any(|line| counted_outcome(line).is_some())
@@ -275,12 +278,12 @@
     }
 
     /// Waits until the counters are as expected.
-    pub fn until_counters(&mut self, is_expected: impl Fn(&Counters) -> bool) {
-        self.until(|proxy| is_expected(&proxy.state.borrow().counters).then_some(()));
+    pub fn run_until_counters(&mut self, is_expected: impl Fn(&Counters) -> bool) {
+        self.run_until(|proxy| is_expected(&proxy.state.borrow().counters).then_some(()));
     }
 
     /// Starts another attempt of a request, which times out after `wait`, in microseconds.
-    pub fn again(&mut self, id: &str, endpoint: &str, wait: Micros) {
+    pub fn start_another_attempt(&mut self, id: &str, endpoint: &str, wait: Micros) {
         let expire_at = self.proxy.state.borrow().now() + wait;
         ProxyHost(self.proxy.state.clone()).start_attempt(id, endpoint, expire_at);
     }
@@ -288,7 +291,7 @@
 
 /// Changes a configuration to that of another deployment: other classes, loads reported on health
 /// checks only, no hedged requests, and two balancers that exchange gossip at these addresses.
-pub fn moved(document: &mut Value, peers: &[SocketAddr]) {
+pub fn change_deployment(document: &mut Value, peers: &[SocketAddr]) {
     let settings = &mut document["settings"];
     settings["useCases"] = json!([
         {"name": "swap", "effect": "unsafe", "promisedTimeUs": 280_000, "earnings": 5.0},
@@ -304,14 +307,14 @@
 }
 
 /// A listener on a free port.
-pub fn listener() -> TcpListener {
+pub fn local_listener() -> TcpListener {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     listener.set_nonblocking(true).unwrap();
     listener
 }
 
 /// Sends a text.
-pub fn say(mut stream: &TcpStream, text: &str) {
+pub fn send_text(mut stream: &TcpStream, text: &str) {
     stream.write_all(text.as_bytes()).unwrap();
 }
 
