--- a/crates/proxy/src/discovery/endpoint_update.rs
+++ b/crates/proxy/src/discovery/endpoint_update.rs
@@ -10,7 +10,7 @@
 use crate::close_reason::CloseReason;
 use crate::discovery::list_error::ListError;
 use crate::discovery::start_times::{Source, StartTimes};
-use crate::state::endpoint::Endpoint;
+use crate::state::endpoint::{Endpoint, StartTime};
 use crate::state::keys::EndpointKey;
 use crate::state::proxy::ProxyState;
 
@@ -47,9 +47,9 @@
     fn new_start(&self, entry: &Value) -> Option<Micros> {
         let (id, stated) = (text(entry, "uid").ok()?, stated_start(entry).ok()?);
         let key = self.endpoints.key_of(id);
-        let known = key.and_then(|key| self.endpoints.get(key)?.started);
+        let known = key.and_then(|key| self.endpoints.get(key)?.start_time);
         known
-            .is_none_or(|known| known.0 != stated)
+            .is_none_or(|known| known.stated != stated)
             .then_some(stated)
     }
 
@@ -60,12 +60,12 @@
         let Some(endpoint) = self.endpoints.get_mut(key) else {
             return 0;
         };
-        match endpoint.started {
-            Some((known, at)) if known == stated => at,
+        match endpoint.start_time {
+            Some(known) if known.stated == stated => known.corrected,
             _ => {
-                let at = starts.started_at(stated);
-                endpoint.started = Some((stated, at));
-                at
+                let corrected = starts.started_at(stated);
+                endpoint.start_time = Some(StartTime { stated, corrected });
+                corrected
             }
         }
     }
--- a/crates/proxy/src/state/endpoint.rs
+++ b/crates/proxy/src/state/endpoint.rs
@@ -17,8 +17,8 @@
     pub address: Option<SocketAddr>,
     /// Idle connections, the one used last at the end.
     pub idle: Vec<EndpointConnectionKey>,
-    /// When its process started, in microseconds: as listed, and as corrected for our clock.
-    pub started: Option<(Micros, Micros)>,
+    /// When its process started.
+    pub start_time: Option<StartTime>,
     /// Until when its connections carry one request each, in microseconds, as it sent unsolicited
     /// bytes.
     pub single_use_until: Micros,
@@ -29,13 +29,22 @@
     pub removed_at: Option<Micros>,
 }
 
+/// When the process of an endpoint started, in microseconds.
+#[derive(Clone, Copy, Debug)]
+pub struct StartTime {
+    /// As the list states it, by the wall clock of discovery.
+    pub stated: Micros,
+    /// As corrected for our clock.
+    pub corrected: Micros,
+}
+
 impl Endpoint {
     fn new(id: Rc<str>) -> Self {
         Self {
             id,
             address: None,
             idle: Vec::new(),
-            started: None,
+            start_time: None,
             single_use_until: 0,
             draining_since: None,
             removed_at: None,
