--- a/crates/model/src/lease_history.rs
+++ b/crates/model/src/lease_history.rs
@@ -1,221 +1,220 @@
-//! Who held which duty when: the truth beside what processes say of themselves. One ledger for the explorer, the virtual
-//! clock and real processes, each telling it moments of one clock.
+//! The true history of leases: which member held which lease when, as the state explorer, the virtual clock and real
+//! processes report it by one clock.
 
 use std::collections::BTreeMap;
 
 use crate::Micros;
 
-/// A term as the ledger compares it.
-pub type LeaseTerm = (u64, u64);
+/// The term of a lease, in the order in which terms are compared.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct LeaseTerm {
+    /// The number that increases from term to term.
+    pub number: u64,
+    /// The random identifier of the holder's process.
+    pub incarnation_id: u64,
+}
 
+/// A span in which a member held a lease.
 #[derive(Clone, Debug)]
-struct Span {
-    who: usize,
-    turn: LeaseTerm,
+struct Holding {
+    member: usize,
+    term: LeaseTerm,
     from: Micros,
     to: Option<Micros>,
-    /// How it ended, where it matters to what is measured.
-    how: Option<&'static str>,
+    /// How it ended, where the measurement asks for it.
+    end: Option<&'static str>,
+}
+
+impl Holding {
+    fn end_or(&self, now: Micros) -> Micros {
+        self.to.unwrap_or(now)
+    }
+
+    fn holds_at(&self, now: Micros) -> bool {
+        self.from <= now && self.to.is_none_or(|to| now < to)
+    }
 }
 
-/// All spans in which duties were held, by duty.
+/// All spans in which leases were held.
 #[derive(Clone, Debug, Default)]
 pub struct LeaseHistory {
-    by_duty: BTreeMap<String, Vec<Span>>,
-    /// The greatest term that each process has taken acts of, by process (a number of the carrier's) and duty.
-    taken: BTreeMap<(u64, String), LeaseTerm>,
-    pub old_taken: Vec<String>,
+    by_lease: BTreeMap<String, Vec<Holding>>,
+    /// The greatest term of which each process accepted a command, by process and lease.
+    accepted: BTreeMap<(u64, String), LeaseTerm>,
+    /// Commands that were accepted although one of a later term had been accepted before.
+    pub stale_commands: Vec<String>,
+}
+
+/// A span without holder between two holdings.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Vacancy {
+    /// How long it lasted.
+    pub duration: Micros,
+    /// How the holding before it ended.
+    pub cause: &'static str,
 }
 
-/// What was found.
+/// What an analysis of the history found.
 #[derive(Clone, Debug, Default)]
-pub struct Held {
-    /// Two that held one duty at one instant.
+pub struct LeaseFindings {
+    /// Times that two members held one lease at once.
     pub overlaps: Vec<String>,
-    /// A later turn with an earlier term.
-    pub fallen: Vec<String>,
-    /// From the end of each span to the beginning of the next, with how the first ended.
-    pub without: Vec<(Micros, &'static str)>,
-    /// Times that a duty passed from one to another.
+    /// Holdings under an earlier term than the one before.
+    pub decreased_terms: Vec<String>,
+    /// The spans without holder.
+    pub vacancies: Vec<Vacancy>,
+    /// How often a lease passed from one member to another.
     pub changes: usize,
-    /// The most changes of one duty's hands in any minute.
-    pub most_a_minute: usize,
+    /// The largest number of changes of one lease in any minute.
+    pub max_changes_per_minute: usize,
 }
 
-const MINUTE: Micros = 60_000_000;
+const MINUTE_US: Micros = 60_000_000;
 
 impl LeaseHistory {
-    /// From then on that one may act in the duty's name.
-    pub fn begins(&mut self, now: Micros, who: usize, lease: &str, turn: LeaseTerm) {
-        let span = Span {
-            who,
-            turn,
+    /// Records that a member holds a lease from now on.
+    pub fn acquired(&mut self, now: Micros, member: usize, lease: &str, term: LeaseTerm) {
+        let holding = Holding {
+            member,
+            term,
             from: now,
             to: None,
-            how: None,
+            end: None,
         };
-        self.by_duty.entry(lease.to_owned()).or_default().push(span);
+        self.by_lease
+            .entry(lease.to_owned())
+            .or_default()
+            .push(holding);
     }
 
-    /// Up to then it might; a span that has ended already stays as it is.
-    pub fn ends(
+    /// Records that a member held a lease until then at the latest. A holding that has ended stays as it is.
+    pub fn lost(
         &mut self,
         until: Micros,
-        who: usize,
+        member: usize,
         lease: &str,
-        turn: LeaseTerm,
-        how: &'static str,
+        term: LeaseTerm,
+        cause: &'static str,
     ) {
-        let spans = self.by_duty.get_mut(lease).into_iter().flatten();
-        let mine = |span: &&mut Span| span.who == who && span.turn == turn && span.to.is_none();
-        for span in spans.filter(mine) {
-            (span.to, span.how) = (Some(until.max(span.from)), Some(how));
+        let holdings = self.by_lease.get_mut(lease).into_iter().flatten();
+        let is_open = |holding: &&mut Holding| {
+            holding.member == member && holding.term == term && holding.to.is_none()
+        };
+        for holding in holdings.filter(is_open) {
+            holding.to = Some(until.max(holding.from));
+            holding.end = Some(cause);
         }
     }
 
-    /// A process is gone, and with it all that it held. Deaths may be told late: spans that began after it stay.
-    pub fn dies(&mut self, now: Micros, who: usize) {
-        let open = |span: &&mut Span| span.who == who && span.to.is_none() && span.from <= now;
-        for span in self.by_duty.values_mut().flatten().filter(open) {
-            (span.to, span.how) = (Some(now), Some("killed"));
+    /// Records that the process of a member ended, and with it all that it held by then. Deaths may be reported late:
+    /// what was acquired afterwards stays.
+    pub fn killed(&mut self, now: Micros, member: usize) {
+        let is_open = |holding: &&mut Holding| {
+            holding.member == member && holding.to.is_none() && holding.from <= now
+        };
+        for holding in self.by_lease.values_mut().flatten().filter(is_open) {
+            holding.to = Some(now);
+            holding.end = Some("killed");
         }
     }
 
-    /// Duties that were ever held.
+    /// The number of leases that were ever held.
     pub fn count(&self) -> usize {
-        self.by_duty.len()
+        self.by_lease.len()
     }
 
-    /// A process took an act of that term.
-    pub fn acted(&mut self, process: u64, lease: &str, turn: LeaseTerm) {
-        let known = self
-            .taken
-            .entry((process, lease.to_owned()))
-            .or_insert(turn);
-        if turn < *known {
-            self.old_taken.push(format!(
-                "{lease}: an act of term {turn:?} after one of {known:?}"
+    /// Records that a process accepted a command of that term.
+    pub fn command_accepted(&mut self, process: u64, lease: &str, term: LeaseTerm) {
+        let key = (process, lease.to_owned());
+        let known = self.accepted.entry(key).or_insert(term);
+        if term < *known {
+            self.stale_commands.push(format!(
+                "{lease}: a command of term {term:?} after one of {known:?}"
             ));
         }
-        *known = (*known).max(turn);
+        *known = (*known).max(term);
     }
 
-    /// Spans of one duty that meet, gaps between them, and how often it changed hands.
-    pub fn found(&self, now: Micros) -> Held {
-        let mut found = Held::default();
-        for (lease, spans) in &self.by_duty {
-            let mut spans: Vec<&Span> = spans.iter().collect();
-            spans.sort_by_key(|span| span.from);
-            // The span that reaches farthest so far: a later one may lie wholly inside it.
-            let mut reach: Option<&Span> = None;
-            let mut changes = Vec::new();
-            for span in spans {
-                if let Some(before) = reach {
-                    let ended = before.to.unwrap_or(now);
-                    if span.from < ended && span.who != before.who {
-                        found.overlaps.push(format!(
-                            "{lease}: b{} holds it until {ended}, b{} from {}",
-                            before.who, span.who, span.from
-                        ));
-                    }
-                    if span.turn < before.turn {
-                        found.fallen.push(format!(
-                            "{lease}: term {:?} after {:?}",
-                            span.turn, before.turn
-                        ));
-                    }
-                    if let Some(how) = before.how {
-                        found.without.push((span.from.saturating_sub(ended), how));
-                    }
-                    if span.who != before.who {
-                        changes.push(span.from);
-                    }
-                }
-                let ends = |span: &Span| span.to.unwrap_or(Micros::MAX);
-                if reach.is_none_or(|before| ends(span) >= ends(before)) {
-                    reach = Some(span);
-                }
-            }
-            found.changes += changes.len();
-            let within = |at: &Micros| {
-                changes
-                    .iter()
-                    .filter(|other| (*at..*at + MINUTE).contains(other))
-                    .count()
-            };
-            found.most_a_minute = found
-                .most_a_minute
-                .max(changes.iter().map(within).max().unwrap_or(0));
+    /// Analyses all holdings; those that have not ended last until now.
+    pub fn findings(&self, now: Micros) -> LeaseFindings {
+        let mut findings = LeaseFindings::default();
+        for (lease, holdings) in &self.by_lease {
+            let mut holdings: Vec<&Holding> = holdings.iter().collect();
+            holdings.sort_by_key(|holding| holding.from);
+            let changes = findings.add_holdings(lease, &holdings, now);
+            findings.changes += changes.len();
+            findings.max_changes_per_minute = findings
+                .max_changes_per_minute
+                .max(max_in_any_minute(&changes));
         }
-        found
+        findings
     }
 
-    /// Duties that nobody held at that moment, of all that were ever held.
+    /// The leases that nobody held at that moment, of all that were ever held.
     pub fn vacant(&self, now: Micros) -> Vec<&str> {
-        let held = |span: &Span| span.from <= now && span.to.is_none_or(|to| now < to);
-        let all = self
-            .by_duty
+        self.by_lease
             .iter()
-            .filter(|(_, spans)| !spans.iter().any(held));
-        all.map(|(lease, _)| lease.as_str()).collect()
+            .filter(|(_, holdings)| !holdings.iter().any(|holding| holding.holds_at(now)))
+            .map(|(lease, _)| lease.as_str())
+            .collect()
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use rstest::rstest;
-
-    use super::*;
-
-    #[rstest]
-    #[case::one_after_the_other(20, 25, 0, 5)]
-    #[case::at_once(20, 20, 0, 0)]
-    #[case::overlapping(20, 19, 1, 0)]
-    fn spans_of_one_duty_must_not_meet(
-        #[case] ends: Micros,
-        #[case] begins: Micros,
-        #[case] overlaps: usize,
-        #[case] gap: Micros,
-    ) {
-        let mut lease_history = LeaseHistory::default();
-        lease_history.begins(10, 0, "d", (1, 1));
-        lease_history.ends(ends, 0, "d", (1, 1), "ran out");
-        lease_history.begins(begins, 1, "d", (2, 2));
-        lease_history.begins(begins, 1, "another", (2, 2));
-        let found = lease_history.found(100);
-        assert_eq!(
-            (found.overlaps.len(), found.changes, found.fallen.len()),
-            (overlaps, 1, 0)
-        );
-        assert_eq!(found.without, [(gap, "ran out")]);
-        assert!(lease_history.vacant(100).is_empty());
+impl LeaseFindings {
+    /// Adds the holdings of a lease in the order of their beginnings. Returns the times at which the holder changed.
+    fn add_holdings(&mut self, lease: &str, holdings: &[&Holding], now: Micros) -> Vec<Micros> {
+        let mut changes = Vec::new();
+        // The holding that ends last so far: a later one may lie within it.
+        let mut latest: Option<&Holding> = None;
+        for holding in holdings {
+            if let Some(before) = latest {
+                self.add_pair(lease, before, holding, now);
+                if holding.member != before.member {
+                    changes.push(holding.from);
+                }
+            }
+            let ends_last =
+                |before: &Holding| holding.end_or(Micros::MAX) >= before.end_or(Micros::MAX);
+            if latest.is_none_or(ends_last) {
+                latest = Some(holding);
+            }
+        }
+        changes
     }
 
-    #[test]
-    fn who_never_says_that_it_lost_a_duty_holds_it_to_its_death() {
-        let mut lease_history = LeaseHistory::default();
-        lease_history.begins(10, 0, "d", (5, 1));
-        lease_history.begins(50, 1, "d", (4, 2));
-        assert_eq!(
-            (
-                lease_history.found(100).overlaps.len(),
-                lease_history.found(100).fallen.len()
-            ),
-            (1, 1)
-        );
-        lease_history.dies(40, 0);
-        assert_eq!(lease_history.found(100).overlaps.len(), 0);
-        lease_history.dies(60, 1);
-        assert_eq!(lease_history.vacant(70), ["d"]);
+    fn add_pair(&mut self, lease: &str, before: &Holding, after: &Holding, now: Micros) {
+        let ended = before.end_or(now);
+        if after.from < ended && after.member != before.member {
+            self.overlaps.push(format!(
+                "{lease}: b{} holds it until {ended}, b{} from {}",
+                before.member, after.member, after.from
+            ));
+        }
+        if after.term < before.term {
+            self.decreased_terms.push(format!(
+                "{lease}: term {:?} after {:?}",
+                after.term, before.term
+            ));
+        }
+        if let Some(cause) = before.end {
+            self.vacancies.push(Vacancy {
+                duration: after.from.saturating_sub(ended),
+                cause,
+            });
+        }
     }
+}
 
-    #[test]
-    fn an_act_of_an_older_term_after_a_newer_one_is_seen() {
-        let mut lease_history = LeaseHistory::default();
-        lease_history.acted(1, "d", (5, 1));
-        lease_history.acted(2, "d", (4, 1));
-        assert!(lease_history.old_taken.is_empty());
-        lease_history.acted(1, "d", (4, 9));
-        assert_eq!(lease_history.old_taken.len(), 1);
-    }
+/// The largest number of times within a minute from any of them.
+fn max_in_any_minute(times: &[Micros]) -> usize {
+    let in_minute_from = |start: &Micros| {
+        times
+            .iter()
+            .filter(|time| (*start..*start + MINUTE_US).contains(time))
+            .count()
+    };
+    times.iter().map(in_minute_from).max().unwrap_or(0)
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/model/src/lease_history/tests.rs
@@ -0,0 +1,72 @@
+use rstest::rstest;
+
+use super::*;
+
+fn term(number: u64, incarnation_id: u64) -> LeaseTerm {
+    LeaseTerm {
+        number,
+        incarnation_id,
+    }
+}
+
+#[rstest]
+#[case::one_after_the_other(20, 25, 0, 5)]
+#[case::at_once(20, 20, 0, 0)]
+#[case::overlapping(20, 19, 1, 0)]
+fn spans_of_one_duty_must_not_meet(
+    #[case] ends: Micros,
+    #[case] begins: Micros,
+    #[case] overlaps: usize,
+    #[case] gap: Micros,
+) {
+    let mut lease_history = LeaseHistory::default();
+    lease_history.acquired(10, 0, "d", term(1, 1));
+    lease_history.lost(ends, 0, "d", term(1, 1), "ran out");
+    lease_history.acquired(begins, 1, "d", term(2, 2));
+    lease_history.acquired(begins, 1, "another", term(2, 2));
+    let findings = lease_history.findings(100);
+    assert_eq!(
+        (
+            findings.overlaps.len(),
+            findings.changes,
+            findings.decreased_terms.len()
+        ),
+        (overlaps, 1, 0)
+    );
+    assert_eq!(
+        findings.vacancies,
+        [Vacancy {
+            duration: gap,
+            cause: "ran out"
+        }]
+    );
+    assert!(lease_history.vacant(100).is_empty());
+}
+
+#[test]
+fn who_never_says_that_it_lost_a_duty_holds_it_to_its_death() {
+    let mut lease_history = LeaseHistory::default();
+    lease_history.acquired(10, 0, "d", term(5, 1));
+    lease_history.acquired(50, 1, "d", term(4, 2));
+    assert_eq!(
+        (
+            lease_history.findings(100).overlaps.len(),
+            lease_history.findings(100).decreased_terms.len()
+        ),
+        (1, 1)
+    );
+    lease_history.killed(40, 0);
+    assert_eq!(lease_history.findings(100).overlaps.len(), 0);
+    lease_history.killed(60, 1);
+    assert_eq!(lease_history.vacant(70), ["d"]);
+}
+
+#[test]
+fn an_act_of_an_older_term_after_a_newer_one_is_seen() {
+    let mut lease_history = LeaseHistory::default();
+    lease_history.command_accepted(1, "d", term(5, 1));
+    lease_history.command_accepted(2, "d", term(4, 1));
+    assert!(lease_history.stale_commands.is_empty());
+    lease_history.command_accepted(1, "d", term(4, 9));
+    assert_eq!(lease_history.stale_commands.len(), 1);
+}
--- a/crates/testbed/src/balancers.rs
+++ b/crates/testbed/src/balancers.rs
@@ -16,7 +16,7 @@
 use serde_json::{Value, json};
 use tokio::net::TcpStream;
 
-use crate::fleet::leases::DutyLines;
+use crate::fleet::leases::LeaseLog;
 use crate::fleet::own_address;
 use crate::http;
 use crate::system::{self, System};
@@ -99,7 +99,7 @@
     /// Violations that its guards told of.
     pub violations: Arc<AtomicU64>,
     /// Where lines about duties go, of all balancers.
-    pub duty_lines: DutyLines,
+    pub lease_log: LeaseLog,
     /// Of processes that have ended.
     used: Used,
     /// Ends that nobody asked for, with its last words.
@@ -138,7 +138,7 @@
             child: None,
             lines: Arc::default(),
             violations: Arc::default(),
-            duty_lines: DutyLines::default(),
+            lease_log: LeaseLog::default(),
             used: Used::default(),
             deaths: Vec::new(),
             told_to_end: false,
@@ -199,16 +199,13 @@
                 )
             })?;
         if let Some(stderr) = child.stderr.take() {
-            let (lines, duty_lines, number) = (
-                Arc::clone(&self.lines),
-                self.duty_lines.clone(),
-                self.number,
-            );
+            let (lines, lease_log, number) =
+                (Arc::clone(&self.lines), self.lease_log.clone(), self.number);
             let violations = Arc::clone(&self.violations);
             // Ends with the process.
             std::thread::spawn(move || {
                 for line in BufReader::new(stderr).lines().map_while(Result::ok) {
-                    duty_lines.take(number, &line);
+                    lease_log.record(number, &line);
                     violations.fetch_add(u64::from(line.starts_with(VIOLATION)), Ordering::Relaxed);
                     let mut lines = locked(&lines);
                     if lines.len() >= LINES_KEPT {
@@ -277,7 +274,7 @@
         self.signal(Signal::KILL);
         if let Some(mut child) = self.child.take() {
             let _ = child.wait();
-            self.duty_lines.died(self.number);
+            self.lease_log.record_killed(self.number);
         }
     }
 
--- a/crates/testbed/src/cluster/checker.rs
+++ b/crates/testbed/src/cluster/checker.rs
@@ -1,261 +1,294 @@
-//! Keeps the truth (who ran, who left, who died) beside what each process holds of the others, and says where a promise
-//! was broken: at each moment, not only at the end.
+//! Checks the views of all members against the true history of their processes, at every moment and at the end.
 
 use std::collections::BTreeSet;
 
 use pinefront_cluster::membership::events::MembershipEvent;
 use pinefront_cluster::membership::member::ServingStatus;
-use pinefront_cluster::messages::MemberState;
+use pinefront_cluster::messages::{MemberRecord, MemberState};
 use pinefront_cluster::{Cluster, Incarnation};
 use pinefront_model::process_history::{ClaimedStatus, ProcessHistory, ViewEntry};
 use pinefront_model::{Micros, SECOND};
 
-use super::scenario::{Kind, Scenario};
-use super::simulation::{Process, name};
+use super::fault_plan::{FaultPlan, PlanKind};
+use super::process::{Process, member_name};
 
-pub struct Judge {
-    pub broken: Vec<String>,
+/// Bytes by which datagrams are told apart: their keyed hash.
+const DATAGRAM_ID_BYTES: usize = 32;
+
+/// The version of a member: its process and refutation counter.
+type MemberVersion = (Incarnation, u64);
+
+fn version(record: &MemberRecord) -> MemberVersion {
+    (record.incarnation, record.refutation_counter)
+}
+
+/// The checker of one run.
+pub struct Checker {
+    /// The rules that were broken, with the time.
+    pub violations: Vec<String>,
+    /// From each death to each member's noticing it, in milliseconds.
     pub detected_ms: Vec<f64>,
-    pub one_view_ms: Option<f64>,
-    pub wrong_doubts: u64,
-    kind: Kind,
-    /// When the last fault is over.
-    over: Micros,
+    /// From the last fault's end until all views agreed.
+    pub views_agree_after_ms: Option<f64>,
+    /// Suspicions of members that ran and were not paused.
+    pub wrong_suspicions: u64,
+    kind: PlanKind,
+    last_fault_end: Micros,
     process_history: ProcessHistory<Incarnation>,
-    /// Incarnations that somebody doubted.
-    doubted: BTreeSet<(Incarnation, u64)>,
-    /// Incarnations that somebody called gone.
-    gone: BTreeSet<(Incarnation, u64)>,
-    /// The last own incarnation of each process.
+    /// Versions of members that some member suspected.
+    suspected: BTreeSet<MemberVersion>,
+    /// Versions of members that some member declared dead.
+    declared_dead: BTreeSet<MemberVersion>,
+    /// The last own refutation counter of each process.
     refutation_counters: Vec<u64>,
-    /// Different datagrams that came to each process.
-    came: Vec<BTreeSet<Vec<u8>>>,
+    /// The distinct datagrams that arrived at each process.
+    arrived: Vec<BTreeSet<Vec<u8>>>,
     agreed_since: Option<Micros>,
 }
 
-impl Judge {
-    pub fn new(members: usize, scenario: &Scenario) -> Self {
-        let last = scenario.deeds.last().map_or(0, |(at, _)| *at);
+impl Checker {
+    /// Creates the checker of a run.
+    pub fn new(members: usize, plan: &FaultPlan) -> Self {
         Self {
-            broken: Vec::new(),
+            violations: Vec::new(),
             detected_ms: Vec::new(),
-            one_view_ms: None,
-            wrong_doubts: 0,
-            kind: scenario.kind,
-            over: last.max(scenario.ways.last_fault_end()),
+            views_agree_after_ms: None,
+            wrong_suspicions: 0,
+            kind: plan.kind,
+            last_fault_end: plan.last_fault_end(),
             process_history: ProcessHistory::new(members),
-            doubted: BTreeSet::new(),
-            gone: BTreeSet::new(),
+            suspected: BTreeSet::new(),
+            declared_dead: BTreeSet::new(),
             refutation_counters: vec![0; members],
-            came: vec![BTreeSet::new(); members],
+            arrived: vec![BTreeSet::new(); members],
             agreed_since: None,
         }
     }
 
-    fn breaks(&mut self, now: Micros, what: String) {
-        self.broken
-            .push(format!("{:.3} s: {what}", now as f64 / SECOND as f64));
+    fn violation(&mut self, now: Micros, what: &str) {
+        let seconds = now as f64 / SECOND as f64;
+        self.violations.push(format!("{seconds:.3} s: {what}"));
     }
 
-    pub fn starts(&mut self, now: Micros, member: usize, incarnation: Option<Incarnation>) {
+    /// Records that a process of a member started.
+    pub fn started(&mut self, now: Micros, member: usize, incarnation: Option<Incarnation>) {
         if let Some(incarnation) = incarnation {
-            self.process_history.starts(now, member, incarnation);
+            self.process_history.started(now, member, incarnation);
         }
-        self.came[member].clear();
+        self.arrived[member].clear();
         self.refutation_counters[member] = 0;
     }
 
-    pub fn dies(&mut self, now: Micros, member: usize) {
-        self.process_history.ends(now, member, false);
+    /// Records that the process of a member was killed.
+    pub fn killed(&mut self, now: Micros, member: usize) {
+        self.process_history.ended(now, member, false);
     }
 
-    pub fn leaves(&mut self, now: Micros, member: usize) {
-        self.process_history.ends(now, member, true);
+    /// Records that the process of a member left in order.
+    pub fn left(&mut self, now: Micros, member: usize) {
+        self.process_history.ended(now, member, true);
     }
 
-    /// A datagram reaches a process.
-    pub fn comes(&mut self, member: usize, bytes: &[u8]) {
-        self.came[member].insert(bytes[..bytes.len().min(32)].to_vec());
+    /// Records that a datagram arrived at a process.
+    pub fn datagram_arrived(&mut self, member: usize, bytes: &[u8]) {
+        let id = &bytes[..bytes.len().min(DATAGRAM_ID_BYTES)];
+        self.arrived[member].insert(id.to_vec());
     }
 
-    /// What a process said of others.
-    pub fn told(
+    /// Checks the events of a member. `has_resumed` is set for those right after a pause of its process.
+    pub fn check_events(
         &mut self,
         now: Micros,
         member: usize,
         events: &[MembershipEvent],
-        woke: bool,
+        has_resumed: bool,
         processes: &[Process],
     ) {
         let Some(cluster) = processes[member].cluster.as_ref() else {
             return;
         };
         for event in events {
+            let (MembershipEvent::Suspected(other) | MembershipEvent::Dead(other)) = event else {
+                continue;
+            };
+            let Some(known) = cluster.table.named(other) else {
+                continue;
+            };
             match event {
-                MembershipEvent::Suspected(other) => {
-                    let Some(known) = cluster.table.named(other) else {
-                        continue;
-                    };
-                    let (incarnation, refutation_counter) =
-                        (known.record.incarnation, known.record.refutation_counter);
-                    let new = self.doubted.insert((incarnation, refutation_counter));
-                    let stopped = self
-                        .process_history
-                        .owner(&incarnation)
-                        .is_some_and(|owner| processes[owner].stopped);
-                    if new && self.process_history.serves(&incarnation) && !stopped {
-                        self.wrong_doubts += 1;
-                        if self.kind == Kind::Pair {
-                            self.breaks(
-                                now,
-                                format!(
-                                    "b{member} doubts {other}, which all others reach and say so"
-                                ),
-                            );
-                        }
-                    }
-                }
-                MembershipEvent::Dead(other) => {
-                    let Some(known) = cluster.table.named(other) else {
-                        continue;
-                    };
-                    let (incarnation, refutation_counter) =
-                        (known.record.incarnation, known.record.refutation_counter);
-                    if let Some(died) = self.process_history.notices(member, &incarnation) {
-                        self.detected_ms.push((now - died) as f64 / 1_000.0);
-                        continue;
-                    }
-                    // It may have heard both of the doubt and of its end.
-                    if known.record.state != MemberState::Dead {
-                        continue;
-                    }
-                    // What others said before is theirs; a process that wakes has nothing of its own to say.
-                    let first = self.gone.insert((incarnation, refutation_counter));
-                    if first
-                        && self.process_history.serves(&incarnation)
-                        && woke
-                        && self.kind == Kind::Sleep
-                    {
-                        self.breaks(now, format!("b{member} calls {other} gone as it wakes"));
-                    }
+                MembershipEvent::Suspected(_) => {
+                    self.check_suspicion(now, member, &known.record, processes);
                 }
-                _ => {}
+                _ => self.check_death(now, member, &known.record, has_resumed),
+            }
+        }
+    }
+
+    fn check_suspicion(
+        &mut self,
+        now: Micros,
+        member: usize,
+        record: &MemberRecord,
+        processes: &[Process],
+    ) {
+        let is_new = self.suspected.insert(version(record));
+        let is_paused = self
+            .process_history
+            .member_of(&record.incarnation)
+            .is_some_and(|owner| processes[owner].is_paused);
+        if is_new && self.process_history.runs(&record.incarnation) && !is_paused {
+            self.wrong_suspicions += 1;
+            if self.kind == PlanKind::Pair {
+                let other = &record.name;
+                self.violation(
+                    now,
+                    &format!("b{member} doubts {other}, which all others reach and say so"),
+                );
             }
         }
     }
 
-    /// All views against the truth, at one moment.
-    pub fn look(&mut self, now: Micros, processes: &[Process]) {
+    fn check_death(
+        &mut self,
+        now: Micros,
+        member: usize,
+        record: &MemberRecord,
+        has_resumed: bool,
+    ) {
+        let died_at = self
+            .process_history
+            .death_noticed(member, &record.incarnation);
+        if let Some(died_at) = died_at {
+            self.detected_ms.push((now - died_at) as f64 / 1_000.0);
+            return;
+        }
+        // The death and its refutation may have arrived together.
+        if record.state != MemberState::Dead {
+            return;
+        }
+        // What others declared before is theirs; a process that resumes must not declare anybody dead by itself.
+        let is_first = self.declared_dead.insert(version(record));
+        let runs = self.process_history.runs(&record.incarnation);
+        if is_first && runs && has_resumed && self.kind == PlanKind::Pause {
+            let other = &record.name;
+            self.violation(now, &format!("b{member} calls {other} gone as it wakes"));
+        }
+    }
+
+    /// Checks all views at one moment.
+    pub fn check_views(&mut self, now: Micros, processes: &[Process]) {
         for (member, process) in processes.iter().enumerate() {
             let Some(cluster) = process.cluster.as_ref() else {
                 continue;
             };
-            let own = cluster.table.own.refutation_counter;
-            if own < self.refutation_counters[member] {
-                self.breaks(now, format!("the incarnation of b{member} fell"));
-            }
-            self.refutation_counters[member] = own;
-            if cluster.traffic().accepted > self.came[member].len() as u64 {
-                self.breaks(now, format!("b{member} took a datagram twice"));
-            }
-            for other in &cluster.table.members {
-                let record = &other.record;
-                if record.state == MemberState::Dead
-                    && !self
-                        .doubted
-                        .contains(&(record.incarnation, record.refutation_counter))
-                {
-                    let what = format!(
-                        "b{member} holds {} for gone, which nobody doubted",
-                        record.name
-                    );
-                    return self.breaks(now, what);
-                }
-            }
-            let wrong = self.process_history.view(
-                member,
-                [now, now],
-                &held(cluster),
-                cluster.table.count_may_serve(),
-            );
-            if let Some(wrong) = wrong.into_iter().next() {
-                return self.breaks(now, wrong);
+            self.check_counters(now, member, cluster);
+            if let Some(what) = self.wrong_view(now, member, cluster) {
+                return self.violation(now, &what);
             }
         }
-        let agrees = now >= self.over && self.apart(processes).is_none();
-        match (agrees, self.agreed_since) {
-            (true, None) => self.agreed_since = Some(now),
-            (false, _) => self.agreed_since = None,
-            _ => {}
+        let agrees = now >= self.last_fault_end && self.disagreement(processes).is_none();
+        self.agreed_since = match agrees {
+            true => self.agreed_since.or(Some(now)),
+            false => None,
+        };
+    }
+
+    fn check_counters(&mut self, now: Micros, member: usize, cluster: &Cluster) {
+        let own = cluster.table.own.refutation_counter;
+        if own < self.refutation_counters[member] {
+            self.violation(now, &format!("the refutation counter of b{member} fell"));
+        }
+        self.refutation_counters[member] = own;
+        if cluster.traffic().accepted > self.arrived[member].len() as u64 {
+            self.violation(now, &format!("b{member} took a datagram twice"));
         }
     }
 
+    fn wrong_view(&mut self, now: Micros, member: usize, cluster: &Cluster) -> Option<String> {
+        for other in &cluster.table.members {
+            let record = &other.record;
+            if record.state == MemberState::Dead && !self.suspected.contains(&version(record)) {
+                let name = &record.name;
+                return Some(format!(
+                    "b{member} holds {name} for gone, which nobody doubted"
+                ));
+            }
+        }
+        let counted = cluster.table.count_may_serve();
+        let errors = self
+            .process_history
+            .check_view(member, now..=now, &view_of(cluster), counted);
+        errors.into_iter().next()
+    }
+
     /// Where a view differs from the truth.
-    fn apart(&self, processes: &[Process]) -> Option<String> {
+    fn disagreement(&self, processes: &[Process]) -> Option<String> {
         for (member, process) in processes.iter().enumerate() {
-            let Some(cluster) = process.cluster.as_ref().filter(|_| !process.stopped) else {
+            let Some(cluster) = process.cluster.as_ref().filter(|_| !process.is_paused) else {
                 continue;
             };
-            for (other, incarnation, serving, left) in self.process_history.latest() {
-                if other == member {
+            for other in self.process_history.latest() {
+                if other.member == member {
                     continue;
                 }
-                let known = cluster.table.named(&name(other));
-                let state = known
-                    .filter(|known| known.record.incarnation == *incarnation)
+                let state = cluster
+                    .table
+                    .named(&member_name(other.member))
+                    .filter(|known| known.record.incarnation == *other.incarnation)
                     .map(|known| known.record.state);
-                let wrong = match state {
-                    Some(MemberState::Alive) => !serving,
-                    Some(MemberState::Left) => !left,
-                    Some(MemberState::Dead) => serving || (left && self.kind == Kind::Leave),
+                let is_wrong = match state {
+                    Some(MemberState::Alive) => !other.runs,
+                    Some(MemberState::Left) => !other.has_left,
+                    Some(MemberState::Dead) => {
+                        other.runs || (other.has_left && self.kind == PlanKind::Leave)
+                    }
                     Some(MemberState::Suspected) => true,
-                    // Of who died before it was known nobody need know.
-                    None => serving,
+                    // A process that died before it was known need not be known.
+                    None => other.runs,
                 };
-                if wrong {
-                    return Some(format!("b{member} holds b{other} for {state:?}"));
+                if is_wrong {
+                    return Some(format!("b{member} holds b{} for {state:?}", other.member));
                 }
             }
         }
         None
     }
 
-    /// At the end all views have to agree with the truth.
-    pub fn ends(&mut self, now: Micros, processes: &[Process]) {
-        if !self.broken.is_empty() {
+    /// Checks at the end that all views agree with the truth.
+    pub fn finish(&mut self, now: Micros, processes: &[Process]) {
+        if !self.violations.is_empty() {
             return;
         }
-        if let Some(apart) = self.apart(processes) {
-            self.breaks(
+        if let Some(what) = self.disagreement(processes) {
+            self.violation(
                 now,
-                format!("no one view after all faults were over: {apart}"),
+                &format!("no one view after all faults were over: {what}"),
             );
         }
-        self.one_view_ms = self
+        self.views_agree_after_ms = self
             .agreed_since
-            .map(|since| (since - self.over) as f64 / 1_000.0);
+            .map(|since| (since - self.last_fault_end) as f64 / 1_000.0);
     }
 }
 
-/// All that one says of the processes of others, earlier ones with them.
-fn held(cluster: &Cluster) -> Vec<ViewEntry<Incarnation>> {
+/// What a member holds of all processes of others, earlier ones included.
+fn view_of(cluster: &Cluster) -> Vec<ViewEntry<Incarnation>> {
     let table = &cluster.table;
-    let incarnations = table.members.iter().flat_map(|member| {
+    let processes = table.members.iter().flat_map(|member| {
         let earlier = member.earlier.iter().map(|earlier| earlier.incarnation);
         [member.record.incarnation]
             .into_iter()
             .chain(earlier)
             .map(|incarnation| (&member.record.name, incarnation))
     });
-    let claimed = |serving_status| match serving_status {
-        ServingStatus::MayServe(_) => ClaimedStatus::MayServe,
-        ServingStatus::ProvenStopped(_) => ClaimedStatus::ProvenStopped,
-    };
-    incarnations
+    processes
         .filter_map(|(name, incarnation)| {
+            let claimed = match table.serving_status(name, incarnation)? {
+                ServingStatus::MayServe(_) => ClaimedStatus::MayServe,
+                ServingStatus::ProvenStopped(_) => ClaimedStatus::ProvenStopped,
+            };
             Some(ViewEntry {
                 incarnation,
-                claimed: claimed(table.serving_status(name, incarnation)?),
+                claimed,
             })
         })
         .collect()
--- a/crates/testbed/src/cluster/simulation.rs
+++ b/crates/testbed/src/cluster/simulation.rs
@@ -1,493 +1,411 @@
-//! Many accords on one virtual clock: each with a clock of its own that runs up to 1 % fast or slow, and a network that
-//! does to datagrams what the scenario says. One seed, one run.
+//! A run of many members on one virtual clock, each with a clock of its own, in a simulated network. One seed gives one
+//! run.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
 use pinefront_cluster::datagram::Key;
-use pinefront_cluster::leases::{DEFAULT_LEASE_US, Lease, LeaseConfig, LeaseEvent, LossReason};
+use pinefront_cluster::leases::{DEFAULT_LEASE_US, Lease, LeaseConfig};
 use pinefront_cluster::membership::events::MembershipEvent;
-use pinefront_cluster::{Cluster, Incarnation, InjectedFault, MemberConfig, OutgoingDatagram};
-use pinefront_model::lease_history::{Held, LeaseHistory};
+use pinefront_cluster::{Cluster, MemberConfig, OutgoingDatagram};
+use pinefront_model::lease_history::{LeaseFindings, LeaseHistory};
 use pinefront_model::random::RandomSource;
 use pinefront_model::{Micros, SECOND};
 
-use super::Wish;
-use super::checker::Judge;
-use super::scenario::{Deed, Scenario};
+use super::Options;
+use super::checker::Checker;
+use super::fault_plan::{Action, FaultPlan};
+use super::process::{Process, member_address, member_name};
 
-/// How far clock rates lie apart, as a part of 1 to either side.
-const RATES_APART: f64 = 0.01;
-/// How often all views are looked at.
-const LOOKS_EVERY: Micros = 250_000;
-/// Members that all others know from their files.
+/// How often all views are checked.
+const CHECK_INTERVAL_US: Micros = 250_000;
+/// How many members are seeds in every configuration.
 const SEEDS: usize = 3;
-/// Members that vote on duties: the first.
+/// How many members vote on leases.
 const VOTERS: usize = 3;
-const SENT_KEPT: usize = 256;
-/// The last part of a run.
-pub const LATE: Micros = 10 * SECOND;
+/// How many datagrams are recorded for replay.
+const MAX_RECORDED_DATAGRAMS: usize = 256;
+/// The longest time until a recorded datagram is replayed.
+const MAX_REPLAY_DELAY: Micros = 3 * SECOND;
+/// The last part of a run, whose traffic is counted apart.
+pub const LATE_SPAN: Micros = 10 * SECOND;
 
-/// What one seed came to.
+/// Datagrams and bytes.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Traffic {
+    pub datagrams: u64,
+    pub bytes: u64,
+}
+
+/// The results of one seed.
 #[derive(Debug, Default)]
-pub struct Played {
-    pub broken: Vec<String>,
+pub struct Outcome {
+    pub violations: Vec<String>,
     pub seconds: f64,
     pub member_seconds: f64,
-    pub sent: u64,
-    pub sent_bytes: u64,
-    /// The same in the last ten seconds, when the start and, in most scenarios, the faults are long over.
-    pub late: (u64, u64),
+    pub sent: Traffic,
+    /// What was sent in the last ten seconds, when start and, in most plans, faults are long over.
+    pub late: Traffic,
     pub detected_ms: Vec<f64>,
-    pub one_view_ms: Option<f64>,
-    pub wrong_doubts: u64,
-    /// Who held which duty, where there were any.
-    pub leases: Held,
-    pub vacant: usize,
-    /// Of all that was sent, in its order: equal for equal runs.
+    pub views_agree_after_ms: Option<f64>,
+    pub wrong_suspicions: u64,
+    pub leases: LeaseFindings,
+    pub vacant_leases: usize,
+    /// A hash of all that was sent in its order, equal for equal runs.
     pub trace: u64,
 }
 
-enum What {
-    Deed(Deed),
-    Comes {
-        to: SocketAddr,
-        bytes: Vec<u8>,
-    },
-    Wakes {
-        member: usize,
-        turn: u64,
-    },
-    Look,
-    /// The last span begins, whose traffic is counted apart.
-    Late,
-}
-
-/// One process of a member, or the place where the next one will run.
-pub struct Process {
-    pub cluster: Option<Cluster>,
-    pub address: SocketAddr,
-    pub incarnation: Option<Incarnation>,
-    pub stopped: bool,
-    waiting: VecDeque<Vec<u8>>,
-    /// Local time at the start of the run, and how fast it runs.
-    began: Micros,
-    rate: f64,
-    turn: u64,
-    starts: u64,
-}
-
-impl Process {
-    fn local(&self, now: Micros) -> Micros {
-        self.began + (now as f64 * self.rate) as Micros
-    }
-
-    fn global(&self, local: Micros) -> Micros {
-        (local.saturating_sub(self.began) as f64 / self.rate).ceil() as Micros
-    }
+enum Event {
+    Action(Action),
+    Arrival { to: SocketAddr, bytes: Vec<u8> },
+    WakeUp { member: usize, number: u64 },
+    CheckViews,
+    LateSpanBegins,
 }
 
-pub fn address(place: usize) -> SocketAddr {
-    SocketAddr::from(([10, 0, (place / 250) as u8, (place % 250) as u8 + 1], 7_000))
+/// The time of an event; events of one time happen in the order in which they were scheduled.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct EventKey {
+    at: Micros,
+    order: u64,
 }
 
-pub fn name(member: usize) -> String {
-    format!("b{member}")
+struct RecordedDatagram {
+    to: SocketAddr,
+    bytes: Vec<u8>,
 }
 
-struct Run {
-    now: Micros,
-    order: u64,
-    queue: BTreeMap<(Micros, u64), What>,
-    processes: Vec<Process>,
-    at_address: BTreeMap<SocketAddr, usize>,
-    scenario: Scenario,
-    chance: RandomSource,
+pub(super) struct Simulation<'a> {
+    pub(super) now: Micros,
+    last_order: u64,
+    queue: BTreeMap<EventKey, Event>,
+    pub(super) processes: Vec<Process>,
+    member_at: BTreeMap<SocketAddr, usize>,
+    pub(super) plan: FaultPlan,
+    random: RandomSource,
     key: Key,
     seed: u64,
-    injected_fault: Option<InjectedFault>,
-    judge: Judge,
+    options: &'a Options,
+    pub(super) checker: Checker,
     leases: Vec<Lease>,
-    lease_history: LeaseHistory,
-    /// Datagrams that somebody listened to, to be sent again.
-    listened: VecDeque<(SocketAddr, Vec<u8>)>,
-    played: Played,
+    pub(super) lease_history: LeaseHistory,
+    recorded: VecDeque<RecordedDatagram>,
+    pub(super) outcome: Outcome,
 }
 
-pub fn play(seed: u64, wish: &Wish) -> Played {
-    let (members, injected_fault) = (wish.members, wish.injected_fault);
-    let scenario = Scenario::draw(seed, members, wish.kind, wish.loss);
-    let mut chance = RandomSource::split(seed, "clockwork", 0);
-    let processes: Vec<Process> = (0..members)
-        .map(|member| Process {
-            cluster: None,
-            address: address(member),
-            incarnation: None,
-            stopped: false,
-            waiting: VecDeque::new(),
-            began: SECOND + chance.span(1_000 * SECOND),
-            rate: 1.0 + RATES_APART * (2.0 * chance.unit() - 1.0),
-            turn: 0,
-            starts: 0,
-        })
+/// Runs one seed.
+pub fn run(seed: u64, options: &Options) -> Outcome {
+    let members = options.members;
+    let plan = FaultPlan::draw(seed, members, options.kind, options.loss);
+    let mut random = RandomSource::split(seed, "clockwork", 0);
+    let processes = (0..members)
+        .map(|member| Process::new(member, &mut random))
         .collect();
     let Ok(key) = Key::new(b"a key for the virtual clock") else {
-        return Played::default();
+        return Outcome::default();
     };
-    let judge = Judge::new(members, &scenario);
-    let mut run = Run {
+    let simulation = Simulation {
         now: 0,
-        order: 0,
+        last_order: 0,
         queue: BTreeMap::new(),
-        at_address: (0..members)
-            .map(|member| (address(member), member))
-            .collect(),
         processes,
-        scenario,
-        chance,
+        member_at: (0..members)
+            .map(|member| (member_address(member), member))
+            .collect(),
+        checker: Checker::new(members, &plan),
+        plan,
+        random,
         key,
         seed,
-        injected_fault,
-        judge,
-        leases: (0..wish.leases)
+        options,
+        leases: (0..options.leases)
             .map(|number| Lease::new(&format!("duty-{number}"), None))
             .collect(),
         lease_history: LeaseHistory::default(),
-        listened: VecDeque::new(),
-        played: Played::default(),
+        recorded: VecDeque::new(),
+        outcome: Outcome::default(),
     };
-    run.whole();
-    run.played
+    simulation.run()
 }
 
-impl Run {
-    fn hang(&mut self, at: Micros, what: What) {
-        self.order += 1;
-        self.queue.insert((at, self.order), what);
+impl Simulation<'_> {
+    fn schedule(&mut self, at: Micros, event: Event) {
+        self.last_order += 1;
+        let order = self.last_order;
+        self.queue.insert(EventKey { at, order }, event);
     }
 
-    fn whole(&mut self) {
-        for (at, deed) in self.scenario.deeds.clone() {
-            self.hang(at, What::Deed(deed));
+    fn run(mut self) -> Outcome {
+        for scheduled in self.plan.actions.clone() {
+            self.schedule(scheduled.at, Event::Action(scheduled.action));
         }
-        self.hang(LOOKS_EVERY, What::Look);
-        self.hang(self.scenario.ends.saturating_sub(LATE), What::Late);
-        while let Some(((at, _), what)) = self.queue.pop_first() {
-            if at > self.scenario.ends {
+        self.schedule(CHECK_INTERVAL_US, Event::CheckViews);
+        let late_from = self.plan.ends_at.saturating_sub(LATE_SPAN);
+        self.schedule(late_from, Event::LateSpanBegins);
+        while let Some((key, event)) = self.queue.pop_first() {
+            if key.at > self.plan.ends_at {
                 break;
             }
-            self.now = at;
-            self.happens(what);
-            if !self.judge.broken.is_empty() {
+            self.now = key.at;
+            self.handle(event);
+            if !self.checker.violations.is_empty() {
                 break;
             }
         }
-        self.judge.ends(self.now, &self.processes);
-        self.end_duties();
-        let members = self.processes.len() as f64;
-        self.played.seconds = self.now as f64 / SECOND as f64;
-        self.played.member_seconds = self.played.seconds * members;
-        (self.played.sent, self.played.sent_bytes) = self.sent();
-        let late = &mut self.played.late;
-        *late = (
-            self.played.sent.saturating_sub(late.0),
-            self.played.sent_bytes.saturating_sub(late.1),
-        );
-        self.played.broken = std::mem::take(&mut self.judge.broken);
-        self.played.detected_ms = std::mem::take(&mut self.judge.detected_ms);
-        self.played.one_view_ms = self.judge.one_view_ms;
-        self.played.wrong_doubts = self.judge.wrong_doubts;
+        self.checker.finish(self.now, &self.processes);
+        self.finish_leases();
+        self.into_outcome()
     }
 
-    /// Datagrams and bytes that those sent that run now.
-    fn sent(&self) -> (u64, u64) {
-        let tallies = self
+    fn into_outcome(self) -> Outcome {
+        let sent = self.sent();
+        let before_late = self.outcome.late;
+        let seconds = self.now as f64 / SECOND as f64;
+        Outcome {
+            violations: self.checker.violations,
+            seconds,
+            member_seconds: seconds * self.processes.len() as f64,
+            sent,
+            late: Traffic {
+                datagrams: sent.datagrams.saturating_sub(before_late.datagrams),
+                bytes: sent.bytes.saturating_sub(before_late.bytes),
+            },
+            detected_ms: self.checker.detected_ms,
+            views_agree_after_ms: self.checker.views_agree_after_ms,
+            wrong_suspicions: self.checker.wrong_suspicions,
+            ..self.outcome
+        }
+    }
+
+    /// What the running processes have sent.
+    fn sent(&self) -> Traffic {
+        let running = self
             .processes
             .iter()
-            .filter_map(|process| Some(process.cluster.as_ref()?.traffic()));
-        tallies.fold((0, 0), |sum, traffic| {
-            (sum.0 + traffic.sent, sum.1 + traffic.sent_bytes)
+            .filter_map(|process| process.cluster.as_ref());
+        running.fold(Traffic::default(), |sum, cluster| Traffic {
+            datagrams: sum.datagrams + cluster.traffic().sent,
+            bytes: sum.bytes + cluster.traffic().sent_bytes,
         })
     }
 
-    fn happens(&mut self, what: What) {
-        match what {
-            What::Late => self.played.late = self.sent(),
-            What::Deed(deed) => self.deed(deed),
-            What::Comes { to, bytes } => {
-                let Some(&member) = self.at_address.get(&to) else {
-                    return;
-                };
-                let process = &mut self.processes[member];
-                if process.address != to || process.cluster.is_none() {
-                    return;
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::LateSpanBegins => self.outcome.late = self.sent(),
+            Event::Action(action) => self.act(action),
+            Event::Arrival { to, bytes } => self.deliver(to, bytes),
+            Event::WakeUp { member, number } => {
+                let process = &self.processes[member];
+                if process.wake_up == number && !process.is_paused {
+                    self.run_timers(member);
+                    self.process_output(member, false);
                 }
-                if process.stopped {
-                    process.waiting.push_back(bytes);
-                    return;
-                }
-                self.judge.comes(member, &bytes);
-                let local = process.local(self.now);
-                if let Some(cluster) = process.cluster.as_mut() {
-                    cluster.receive(local, &bytes);
-                }
-                self.after(member, false);
-            }
-            What::Wakes { member, turn } => {
-                let process = &mut self.processes[member];
-                if process.turn != turn || process.stopped {
-                    return;
-                }
-                let local = process.local(self.now);
-                if let Some(cluster) = process.cluster.as_mut() {
-                    cluster.run_timers(local);
-                }
-                self.after(member, false);
             }
-            What::Look => {
-                self.hang(self.now + LOOKS_EVERY, What::Look);
-                self.judge.look(self.now, &self.processes);
+            Event::CheckViews => {
+                self.schedule(self.now + CHECK_INTERVAL_US, Event::CheckViews);
+                self.checker.check_views(self.now, &self.processes);
             }
         }
     }
 
-    fn deed(&mut self, deed: Deed) {
-        match deed {
-            Deed::Start(member) => self.start(member, member),
-            Deed::StartAt(member, place) => self.start(member, place),
-            Deed::Kill(member) => {
+    fn deliver(&mut self, to: SocketAddr, bytes: Vec<u8>) {
+        let Some(&member) = self.member_at.get(&to) else {
+            return;
+        };
+        let process = &mut self.processes[member];
+        if process.address != to || process.cluster.is_none() {
+            return;
+        }
+        if process.is_paused {
+            process.waiting.push_back(bytes);
+            return;
+        }
+        self.receive(member, &bytes);
+        self.process_output(member, false);
+    }
+
+    fn receive(&mut self, member: usize, bytes: &[u8]) {
+        self.checker.datagram_arrived(member, bytes);
+        let process = &mut self.processes[member];
+        let local = process.local_time(self.now);
+        if let Some(cluster) = &mut process.cluster {
+            cluster.receive(local, bytes);
+        }
+    }
+
+    fn run_timers(&mut self, member: usize) {
+        let process = &mut self.processes[member];
+        let local = process.local_time(self.now);
+        if let Some(cluster) = &mut process.cluster {
+            cluster.run_timers(local);
+        }
+    }
+
+    fn act(&mut self, action: Action) {
+        match action {
+            Action::Start { member } => self.start(member, member),
+            Action::StartAt { member, address } => self.start(member, address),
+            Action::Kill { member } => {
                 let process = &mut self.processes[member];
                 process.cluster = None;
                 process.waiting.clear();
-                self.judge.dies(self.now, member);
-                self.lease_history.dies(self.now, member);
+                self.checker.killed(self.now, member);
+                self.lease_history.killed(self.now, member);
             }
-            Deed::Leave(member) => {
+            Action::Leave { member } => {
+                self.checker.left(self.now, member);
                 let process = &mut self.processes[member];
-                let local = process.local(self.now);
-                self.judge.leaves(self.now, member);
-                if let Some(cluster) = process.cluster.as_mut() {
+                let local = process.local_time(self.now);
+                if let Some(cluster) = &mut process.cluster {
                     cluster.leave(local);
                 }
                 self.send(member);
-                self.duty_events(member);
+                self.record_lease_events(member);
                 self.processes[member].cluster = None;
             }
-            Deed::Stop(member) => self.processes[member].stopped = true,
-            Deed::GoOn(member) => {
-                let process = &mut self.processes[member];
-                process.stopped = false;
-                let (local, waiting) = (
-                    process.local(self.now),
-                    std::mem::take(&mut process.waiting),
-                );
-                // Which comes first, what fell due or what lies in the socket, is the carrier's affair.
-                if self.chance.happens(0.5)
-                    && let Some(cluster) = self.processes[member].cluster.as_mut()
-                {
-                    cluster.run_timers(local);
-                    let events = cluster.take_events();
-                    self.told(member, &events, true);
-                }
-                for bytes in waiting {
-                    self.judge.comes(member, &bytes);
-                    if let Some(cluster) = self.processes[member].cluster.as_mut() {
-                        cluster.receive(local, &bytes);
-                    }
-                }
-                if let Some(cluster) = self.processes[member].cluster.as_mut() {
-                    cluster.run_timers(local);
-                }
-                self.after(member, true);
-            }
+            Action::Pause { member } => self.processes[member].is_paused = true,
+            Action::Resume { member } => self.resume(member),
         }
     }
 
-    fn start(&mut self, member: usize, place: usize) {
+    fn resume(&mut self, member: usize) {
+        let process = &mut self.processes[member];
+        process.is_paused = false;
+        let waiting = std::mem::take(&mut process.waiting);
+        // Whether expired timers or waiting datagrams come first is up to the event loop.
+        if self.random.happens(0.5) && self.processes[member].cluster.is_some() {
+            self.run_timers(member);
+            let events = self.take_events(member);
+            self.check_events(member, &events, true);
+        }
+        for bytes in waiting {
+            self.receive(member, &bytes);
+        }
+        self.run_timers(member);
+        self.process_output(member, true);
+    }
+
+    fn start(&mut self, member: usize, address: usize) {
         let now = self.now;
         let process = &mut self.processes[member];
         process.starts += 1;
-        process.address = address(place);
-        process.stopped = false;
+        process.address = member_address(address);
+        process.is_paused = false;
         process.waiting.clear();
-        let mut chance =
-            RandomSource::split(self.seed, "process", member as u64 * 1_000 + process.starts);
+        let stream = member as u64 * 1_000 + process.starts;
+        let mut random = RandomSource::split(self.seed, "process", stream);
         // Clocks of machines differ by seconds, and one may have been set back before a restart.
-        let started_at_us = 1_000 * SECOND + now + chance.span(4 * SECOND);
+        let started_at_us = 1_000 * SECOND + now + random.span(4 * SECOND);
+        let config = member_config(member, process.address, started_at_us);
+        let local = process.local_time(now);
         #[cfg_attr(not(any(test, feature = "planted")), allow(unused_mut))]
-        let mut cluster = Cluster::new(
-            MemberConfig {
-                fleet: "f".into(),
-                name: name(member),
-                zone: ["a", "b", "c"][member % 3].into(),
-                address: process.address,
-                seeds: (0..SEEDS).map(address).collect(),
-                started_at_us,
-                probe_interval: MemberConfig::DEFAULT_PROBE_INTERVAL,
-                probe_timeout: MemberConfig::DEFAULT_PROBE_TIMEOUT,
-                min_suspicion: MemberConfig::DEFAULT_MIN_SUSPICION,
-                confirmed_dead: Default::default(),
-            },
-            self.key.clone(),
-            chance.next_u64(),
-            process.local(now),
-        );
-        if let Some(_fault) = self.injected_fault {
+        let mut cluster = Cluster::new(config, self.key.clone(), random.next_u64(), local);
+        if let Some(_fault) = self.options.injected_fault {
             #[cfg(any(test, feature = "planted"))]
             cluster.inject_fault(_fault);
         }
         if !self.leases.is_empty() {
-            let voters = (0..VOTERS).map(|voter| name(voter).into()).collect();
-            let terms = LeaseConfig {
-                voters,
+            let config = LeaseConfig {
+                voters: (0..VOTERS).map(|voter| member_name(voter).into()).collect(),
                 duration: DEFAULT_LEASE_US,
             };
-            cluster.configure_leases(process.local(now), terms, self.leases.clone());
+            cluster.configure_leases(local, config, self.leases.clone());
         }
         process.incarnation = Some(cluster.incarnation());
         process.cluster = Some(cluster);
-        self.at_address
-            .insert(self.processes[member].address, member);
-        let process = &self.processes[member];
-        self.judge.starts(now, member, process.incarnation);
-        self.after(member, false);
+        self.member_at.insert(process.address, member);
+        let incarnation = process.incarnation;
+        self.checker.started(now, member, incarnation);
+        self.process_output(member, false);
     }
 
-    /// Takes what a process has to say after it was told something, and hangs its next waking.
-    fn after(&mut self, member: usize, woke: bool) {
+    /// Sends and checks what a process has made, and schedules its next wake-up.
+    fn process_output(&mut self, member: usize, has_resumed: bool) {
         self.send(member);
-        self.duty_events(member);
+        self.record_lease_events(member);
         let process = &mut self.processes[member];
-        let Some(cluster) = process.cluster.as_mut() else {
+        let Some(cluster) = &mut process.cluster else {
             return;
         };
-        let (events, next) = (cluster.take_events(), cluster.next_timer());
-        let next = process.global(next).max(self.now + 1);
-        process.turn += 1;
-        let turn = process.turn;
-        self.hang(next, What::Wakes { member, turn });
-        self.told(member, &events, woke);
+        let events = cluster.take_events();
+        let next_timer = cluster.next_timer();
+        let wake_up_at = process.true_time(next_timer).max(self.now + 1);
+        process.wake_up += 1;
+        let number = process.wake_up;
+        self.schedule(wake_up_at, Event::WakeUp { member, number });
+        self.check_events(member, &events, has_resumed);
     }
 
-    /// Takes down what a process says of its duties, by the true clock.
-    fn duty_events(&mut self, member: usize) {
-        let (now, process) = (self.now, &mut self.processes[member]);
-        let Some(cluster) = process.cluster.as_mut() else {
-            return;
-        };
-        let events = cluster.take_lease_events();
-        let id = member as u64 * 1_000 + process.starts;
-        for event in events {
-            match event {
-                LeaseEvent::Acquired { lease, term, .. } => {
-                    self.lease_history.begins(
-                        now,
-                        member,
-                        &lease,
-                        (term.number, term.incarnation_id),
-                    );
-                }
-                LeaseEvent::Lost {
-                    lease,
-                    term,
-                    until,
-                    reason,
-                } => {
-                    let how = if reason == LossReason::Released {
-                        "let go"
-                    } else {
-                        "lost"
-                    };
-                    let until = process.global(until);
-                    self.lease_history.ends(
-                        until,
-                        member,
-                        &lease,
-                        (term.number, term.incarnation_id),
-                        how,
-                    );
-                }
-                LeaseEvent::CommandReceived { lease, term, .. } => {
-                    self.lease_history.acted(
-                        id,
-                        &format!("{lease:?}"),
-                        (term.number, term.incarnation_id),
-                    );
-                }
-                _ => {}
-            }
-        }
+    fn take_events(&mut self, member: usize) -> Vec<MembershipEvent> {
+        self.processes[member]
+            .cluster
+            .as_mut()
+            .map(Cluster::take_events)
+            .unwrap_or_default()
     }
 
-    /// What is open at the end is held as long as its lease says: a process that is stopped can't say that it lost it.
-    fn end_duties(&mut self) {
-        for (member, process) in self.processes.iter().enumerate() {
-            let leases = process.cluster.as_ref().and_then(Cluster::leases);
-            for held in leases.into_iter().flat_map(|leases| leases.unreported()) {
-                let (lease, term, until) = (held.lease, held.term, held.until);
-                let until = process.global(until);
-                self.lease_history.ends(
-                    until,
-                    member,
-                    &lease.name,
-                    (term.number, term.incarnation_id),
-                    "open",
-                );
-            }
-        }
-        let ends = self.scenario.ends;
-        let found = self.lease_history.found(ends);
-        let mut broken: Vec<String> = found.overlaps.iter().take(3).cloned().collect();
-        broken.extend(self.lease_history.old_taken.iter().take(3).cloned());
-        self.judge.broken.extend(broken);
-        self.played.vacant = self.lease_history.vacant(ends).len();
-        self.played.leases = found;
-    }
-
-    fn told(&mut self, member: usize, events: &[MembershipEvent], woke: bool) {
-        if !events.is_empty() {
-            self.judge
-                .told(self.now, member, events, woke, &self.processes);
-        }
+    fn check_events(&mut self, member: usize, events: &[MembershipEvent], has_resumed: bool) {
+        self.checker
+            .check_events(self.now, member, events, has_resumed, &self.processes);
     }
 
     fn send(&mut self, member: usize) {
-        let Some(cluster) = self.processes[member].cluster.as_mut() else {
+        let Some(cluster) = &mut self.processes[member].cluster else {
             return;
         };
         for OutgoingDatagram { to, mut bytes } in cluster.take_datagrams() {
-            for byte in &bytes {
-                self.played.trace =
-                    (self.played.trace ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
-            }
-            let Some(&other) = self.at_address.get(&to) else {
+            self.outcome.trace = hash_bytes(self.outcome.trace, &bytes);
+            let Some(&other) = self.member_at.get(&to) else {
                 continue;
             };
-            let carried = self
-                .scenario
-                .ways
-                .transmit(member, other, self.now, &mut self.chance);
-            let stolen = self.chance.happens(self.scenario.replayed);
-            if stolen {
-                self.listened.push_back((to, bytes.clone()));
-                if self.listened.len() > SENT_KEPT {
-                    self.listened.pop_front();
-                }
-                let again = self.chance.below(self.listened.len());
-                let (to, bytes) = self.listened[again].clone();
-                let at = self.now + self.chance.span(3 * SECOND);
-                self.hang(at, What::Comes { to, bytes });
+            let transmission = self
+                .plan
+                .links
+                .transmit(member, other, self.now, &mut self.random);
+            if self.random.happens(self.plan.replay_probability) {
+                self.record_and_replay(to, &bytes);
             }
-            carried.corrupt(&mut bytes);
-            for delay in carried.copies {
-                self.hang(
-                    self.now + delay,
-                    What::Comes {
-                        to,
-                        bytes: bytes.clone(),
-                    },
-                );
+            transmission.corrupt(&mut bytes);
+            for delay in transmission.copies {
+                let bytes = bytes.clone();
+                self.schedule(self.now + delay, Event::Arrival { to, bytes });
             }
         }
     }
+
+    /// Records a datagram, and schedules a recorded one to arrive again.
+    fn record_and_replay(&mut self, to: SocketAddr, bytes: &[u8]) {
+        let bytes = bytes.to_vec();
+        self.recorded.push_back(RecordedDatagram { to, bytes });
+        if self.recorded.len() > MAX_RECORDED_DATAGRAMS {
+            self.recorded.pop_front();
+        }
+        let index = self.random.below(self.recorded.len());
+        let RecordedDatagram { to, bytes } = &self.recorded[index];
+        let (to, bytes) = (*to, bytes.clone());
+        let at = self.now + self.random.span(MAX_REPLAY_DELAY);
+        self.schedule(at, Event::Arrival { to, bytes });
+    }
+}
+
+fn member_config(member: usize, address: SocketAddr, started_at_us: u64) -> MemberConfig {
+    MemberConfig {
+        fleet: "f".into(),
+        name: member_name(member),
+        zone: ["a", "b", "c"][member % 3].into(),
+        address,
+        seeds: (0..SEEDS).map(member_address).collect(),
+        started_at_us,
+        probe_interval: MemberConfig::DEFAULT_PROBE_INTERVAL,
+        probe_timeout: MemberConfig::DEFAULT_PROBE_TIMEOUT,
+        min_suspicion: MemberConfig::DEFAULT_MIN_SUSPICION,
+        confirmed_dead: Default::default(),
+    }
+}
+
+/// Continues an FNV-1a hash.
+fn hash_bytes(hash: u64, bytes: &[u8]) -> u64 {
+    bytes.iter().fold(hash, |hash, byte| {
+        (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
--- a/crates/testbed/src/cluster/tests.rs
+++ b/crates/testbed/src/cluster/tests.rs
@@ -3,11 +3,11 @@
 use pinefront_cluster::InjectedFault;
 use rstest::rstest;
 
-use super::scenario::Kind;
+use super::fault_plan::PlanKind;
 use super::*;
 
-fn wish(seeds: std::ops::Range<u64>, injected_fault: Option<InjectedFault>) -> Wish {
-    Wish {
+fn options(seeds: std::ops::Range<u64>, injected_fault: Option<InjectedFault>) -> Options {
+    Options {
         seeds,
         members: 8,
         injected_fault,
@@ -20,11 +20,14 @@
 
 #[test]
 fn no_promise_is_broken() {
-    let found = play(&wish(0..12, None), &AtomicBool::new(false));
+    let report = run(&options(0..12, None), &AtomicBool::new(false));
     assert_eq!(
         (
-            found.seeds,
-            found.broken.first().map(|broken| broken.what.clone())
+            report.seeds,
+            report
+                .violations
+                .first()
+                .map(|violation| violation.what.clone())
         ),
         (12, None)
     );
@@ -37,43 +40,52 @@
 #[case::asking(InjectedFault::SuspectsWithoutProbeRequests)]
 #[case::sleep(InjectedFault::PauseUnnoticed)]
 fn a_planted_fault_is_found(#[case] injected_fault: InjectedFault) {
-    let found = play(&wish(0..400, Some(injected_fault)), &AtomicBool::new(false));
+    let report = run(
+        &options(0..400, Some(injected_fault)),
+        &AtomicBool::new(false),
+    );
     assert!(
-        !found.broken.is_empty(),
+        !report.violations.is_empty(),
         "none of {} seeds found it",
-        found.seeds
+        report.seeds
     );
 }
 
 #[test]
 fn one_seed_is_one_run() {
-    let wish = Wish {
+    let options = Options {
         members: 10,
-        kind: Some(Kind::Any),
+        kind: Some(PlanKind::Any),
         leases: 20,
-        ..wish(0..1, None)
+        ..options(0..1, None)
     };
-    let trace = || simulation::play(7, &wish).trace;
+    let trace = || simulation::run(7, &options).trace;
     assert_eq!(trace(), trace());
 }
 
 /// No two hold one duty and no act of an older term is taken, whatever fails; and every duty has a holder at the end.
 #[test]
 fn duties_are_held_by_one_at_most() {
-    let found = play(
-        &Wish {
+    let report = run(
+        &Options {
             members: 10,
             leases: 30,
-            ..wish(0..24, None)
+            ..options(0..24, None)
         },
         &AtomicBool::new(false),
     );
-    assert_eq!(found.broken.first().map(|broken| broken.what.clone()), None);
+    assert_eq!(
+        report
+            .violations
+            .first()
+            .map(|violation| violation.what.clone()),
+        None
+    );
     assert!(
-        found
+        report
             .without_holder_ms
             .values()
-            .map(|spread| spread.count)
+            .map(|distribution| distribution.count)
             .sum::<usize>()
             > 100
     );
--- a/crates/testbed/src/commands/agreement.rs
+++ b/crates/testbed/src/commands/agreement.rs
@@ -1,13 +1,18 @@
-//! What balancers agree on, on a virtual clock and in every order of events.
+//! The commands `accord` and `explore`: the cluster protocol on a virtual clock and in every order of events.
 
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
 
 use clap::Args;
+use pinefront_cluster::{InjectedFault, leases};
 
+use crate::cluster::{self, Report};
 use crate::commands::{Failure, part, seeds, write_json};
-use crate::{cluster, explore as explorer};
+use crate::explore::{self as explorer, Findings};
+
+/// How many violations are printed.
+const MAX_PRINTED_VIOLATIONS: usize = 10;
 
 #[derive(Args)]
 pub struct AccordOf {
@@ -16,162 +21,163 @@
     seeds: std::ops::Range<u64>,
     #[arg(long, default_value_t = 30, value_parser = clap::value_parser!(u64).range(2..=600))]
     members: u64,
-    /// One kind of scenario only
+    /// One kind of fault plan only
     #[arg(long)]
-    kind: Option<cluster::scenario::Kind>,
-    /// Part of all datagrams that is lost, in place of what each seed says
+    kind: Option<cluster::fault_plan::PlanKind>,
+    /// Rate of loss of all datagrams, in place of what each seed says
     #[arg(long, value_parser = part)]
     loss: Option<f64>,
-    /// Duties that the members hold one at a time: 200 where no number is given
+    /// Leases that the members hold one at a time: 200 where no number is given
     #[arg(long = "duties", default_value_t = 0, default_missing_value = "200", num_args = 0..=1)]
     leases: usize,
-    /// Plant a fault, in a lab built with --features planted
-    #[arg(long, value_parser = injected_fault)]
-    plant: Option<pinefront_cluster::InjectedFault>,
+    /// Inject a fault, in a build with --features planted
+    #[arg(long = "plant", value_parser = membership_fault)]
+    injected_fault: Option<InjectedFault>,
     #[arg(long)]
     json: Option<PathBuf>,
 }
 
 #[derive(Args)]
 pub struct Explore {
-    /// Moves from the start
+    /// Steps from the start
     #[arg(long, default_value_t = 7)]
     depth: u32,
-    /// Walks by chance of 400 moves each beside that
+    /// Random walks of 400 steps each beside that
     #[arg(long, default_value_t = 2_000)]
     walks: u64,
     #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u64).range(1..=3))]
     candidates: u64,
-    /// Plant a fault, to see its trace
-    #[arg(long, value_parser = planted_duty)]
-    plant: Option<pinefront_cluster::leases::InjectedFault>,
+    /// Inject a fault, to see its trace
+    #[arg(long = "plant", value_parser = lease_fault)]
+    injected_fault: Option<leases::InjectedFault>,
     #[arg(long)]
     json: Option<PathBuf>,
 }
 
-pub fn injected_fault(text: &str) -> Result<pinefront_cluster::InjectedFault, String> {
-    let all = pinefront_cluster::InjectedFault::ALL;
-    let known = all.iter().find(|(name, _)| *name == text);
+/// Finds a fault by its name; fails with the list of all names.
+fn fault_by_name<F: Copy>(all: &[(&str, F)], name: &str) -> Result<F, String> {
+    let known = all.iter().find(|(known, _)| *known == name);
+    known.map(|(_, fault)| *fault).ok_or_else(|| {
+        let names: Vec<&str> = all.iter().map(|(name, _)| *name).collect();
+        format!("is none of {}", names.join(", "))
+    })
+}
+
+fn membership_fault(name: &str) -> Result<InjectedFault, String> {
     if !cfg!(feature = "planted") {
         return Err("this lab was built without --features planted".into());
     }
-    known.map(|(_, fault)| *fault).ok_or_else(|| {
-        format!(
-            "is none of {}",
-            all.iter()
-                .map(|(name, _)| *name)
-                .collect::<Vec<_>>()
-                .join(", ")
-        )
-    })
+    fault_by_name(&InjectedFault::ALL, name)
 }
 
-pub fn planted_duty(text: &str) -> Result<pinefront_cluster::leases::InjectedFault, String> {
-    let all = pinefront_cluster::leases::InjectedFault::ALL;
-    all.iter()
-        .find(|(name, _)| *name == text)
-        .map(|(_, fault)| *fault)
-        .ok_or_else(|| {
-            format!(
-                "is none of {}",
-                all.iter()
-                    .map(|(name, _)| *name)
-                    .collect::<Vec<_>>()
-                    .join(", ")
-            )
-        })
+fn lease_fault(name: &str) -> Result<leases::InjectedFault, String> {
+    fault_by_name(&leases::InjectedFault::ALL, name)
 }
 
-pub fn explore(options: &Explore, over: &Arc<AtomicBool>) -> Result<(), Failure> {
-    let wish = explorer::Wish {
+pub fn explore(options: &Explore, cancelled: &Arc<AtomicBool>) -> Result<(), Failure> {
+    let findings = explorer::explore(&explorer::Options {
         depth: options.depth,
         walks: options.walks,
         candidates: options.candidates as usize,
-        injected_fault: options.plant,
-        over: Arc::clone(over),
+        injected_fault: options.injected_fault,
+        cancelled: Arc::clone(cancelled),
+    });
+    print_findings(&findings);
+    write_json(options.json.as_deref(), &findings)?;
+    outcome(findings.violations.is_empty())
+}
+
+fn print_findings(findings: &Findings) {
+    let completeness = if findings.is_complete {
+        ""
+    } else {
+        " (not all: too many)"
+    };
+    let result = if findings.violations.is_empty() {
+        "no promise broken"
+    } else {
+        "BROKEN"
     };
-    let found = explorer::explore(&wish);
     println!(
-        "{} states to depth {}{}, {} walks of {} moves in all: {}",
-        found.states,
-        found.depth,
-        if found.whole {
-            ""
-        } else {
-            " (not all: too many)"
-        },
-        found.walks,
-        found.walk_steps,
-        if found.broken.is_empty() {
-            "no promise broken"
-        } else {
-            "BROKEN"
-        }
+        "{} states to depth {}{completeness}, {} walks of {} moves in all: {result}",
+        findings.states, findings.depth, findings.walks, findings.walk_steps,
     );
-    found
-        .broken
-        .iter()
-        .for_each(|broken| println!("  {broken}"));
-    write_json(options.json.as_deref(), &found)?;
-    match found.broken.is_empty() {
+    for violation in &findings.violations {
+        println!("  {violation}");
+    }
+}
+
+fn outcome(is_sound: bool) -> Result<(), Failure> {
+    match is_sound {
         true => Ok(()),
         false => Err(Failure::Failed("a promise was broken; see above".into())),
     }
 }
 
-pub fn accord_of(options: &AccordOf, over: &Arc<AtomicBool>) -> Result<(), Failure> {
-    let wish = cluster::Wish {
+pub fn accord_of(options: &AccordOf, cancelled: &Arc<AtomicBool>) -> Result<(), Failure> {
+    let options_of_run = cluster::Options {
         seeds: options.seeds.clone(),
         members: options.members as usize,
-        injected_fault: options.plant,
+        injected_fault: options.injected_fault,
         kind: options.kind,
         loss: options.loss,
         leases: options.leases,
         first_only: false,
     };
-    let found = cluster::play(&wish, over);
-    for broken in found.broken.iter().take(10) {
-        println!("seed {}: {}\n  {}", broken.seed, broken.what, broken.replay);
+    let report = cluster::run(&options_of_run, cancelled);
+    print_report(&report);
+    if options.leases > 0 {
+        print_leases(&report);
+    }
+    write_json(options.json.as_deref(), &report)?;
+    outcome(report.violating_seeds == 0)
+}
+
+fn print_report(report: &Report) {
+    for violation in report.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
+        println!(
+            "seed {}: {}\n  {}",
+            violation.seed, violation.what, violation.replay
+        );
     }
     println!(
         "{} seeds of {} members, {:.0} virtual seconds: {} broke a promise",
-        found.seeds, found.members, found.virtual_seconds, found.broken_count
+        report.seeds, report.members, report.virtual_seconds, report.violating_seeds
     );
     println!(
         "a member sends {:.1} datagrams and {:.0} bytes a second, {:.1} and {:.0} in the last ten",
-        found.datagrams_a_second,
-        found.bytes_a_second,
-        found.datagrams_a_second_late,
-        found.bytes_a_second_late
+        report.datagrams_per_second,
+        report.bytes_per_second,
+        report.late_datagrams_per_second,
+        report.late_bytes_per_second
     );
-    for (what, spread) in [
-        ("a death is known", &found.detected_ms),
-        ("one view after", &found.one_view_ms),
+    for (what, times) in [
+        ("a death is known", &report.detected_ms),
+        ("one view after", &report.views_agree_after_ms),
     ] {
         println!(
             "{what}: median {:.0} ms, p99 {:.0}, worst {:.0} of {}",
-            spread.p50, spread.p99, spread.worst, spread.count
+            times.p50, times.p99, times.worst, times.count
         );
     }
-    println!("wrong doubts an hour: {:.1}", found.wrong_doubts_an_hour);
-    if options.leases > 0 {
-        for (how, spread) in &found.without_holder_ms {
-            println!(
-                "a duty {how}: without a holder for {:.0} ms (median), p99 {:.0}, worst {:.0} of {}",
-                spread.p50, spread.p99, spread.worst, spread.count
-            );
-        }
+    println!(
+        "wrong doubts an hour: {:.1}",
+        report.wrong_suspicions_per_hour
+    );
+}
+
+fn print_leases(report: &Report) {
+    for (cause, times) in &report.without_holder_ms {
         println!(
-            "a duty changes hands {:.1} times an hour, {} times in a minute at most; {} vacant at an end, {} terms fell",
-            found.duty_changes_an_hour,
-            found.duty_changes_most_a_minute,
-            found.duties_vacant,
-            found.terms_fallen
+            "a duty {cause}: without a holder for {:.0} ms (median), p99 {:.0}, worst {:.0} of {}",
+            times.p50, times.p99, times.worst, times.count
         );
     }
-    write_json(options.json.as_deref(), &found)?;
-    match found.broken_count {
-        0 => Ok(()),
-        _ => Err(Failure::Failed("a promise was broken; see above".into())),
-    }
+    println!(
+        "a duty changes hands {:.1} times an hour, {} times in a minute at most; {} vacant at an end, {} terms fell",
+        report.lease_changes_per_hour,
+        report.max_lease_changes_per_minute,
+        report.vacant_leases,
+        report.decreased_terms
+    );
 }
--- /dev/null
+++ b/crates/testbed/src/explore/tests.rs
@@ -0,0 +1,36 @@
+use rstest::rstest;
+
+use super::*;
+
+#[test]
+fn never_two_hold_one_duty() {
+    let findings = explore(&Options {
+        depth: 4,
+        walks: 200,
+        candidates: 2,
+        injected_fault: None,
+        cancelled: Arc::default(),
+    });
+    assert_eq!(findings.violations, Vec::<String>::new());
+    assert!(
+        findings.is_complete && findings.states > 1_000,
+        "{findings:?}"
+    );
+}
+
+#[rstest]
+fn a_planted_fault_has_a_trace(#[values(0, 1, 2, 3, 4, 5)] which: usize) {
+    let (name, injected_fault) = InjectedFault::ALL[which];
+    let findings = explore(&Options {
+        depth: 1,
+        walks: 3_000,
+        candidates: 2,
+        injected_fault: Some(injected_fault),
+        cancelled: Arc::default(),
+    });
+    assert!(
+        !findings.violations.is_empty(),
+        "{name}: not found in {} walks",
+        findings.walks
+    );
+}
--- a/crates/testbed/src/figures.rs
+++ b/crates/testbed/src/figures.rs
@@ -9,7 +9,7 @@
 
 use crate::clients::{Collected, RequestCounts};
 use crate::fleet::Known;
-use crate::fleet::leases::DutiesFound;
+use crate::fleet::leases::LeaseReport;
 
 /// Milliseconds.
 #[derive(Clone, Debug, Default, Serialize)]
@@ -127,7 +127,7 @@
                 .is_none_or(|known| known.wrongly_gone == 0 && known.views_agree_after_ms.is_some())
             && known
                 .and_then(|known| known.leases.as_ref())
-                .is_none_or(DutiesFound::is_sound)
+                .is_none_or(LeaseReport::is_sound)
     }
 
     pub fn table(&self) -> String {
@@ -203,7 +203,7 @@
                     format!("agree {ms:.0} ms after the last fault")
                 });
             line("views", format!("{agree}, of {} looks", known.looks));
-            let times = crate::cluster::spread(known.detected_ms.clone());
+            let times = crate::cluster::distribution(known.detected_ms.clone());
             line(
                 "who is away",
                 format!(
@@ -211,7 +211,7 @@
                     times.p50, times.worst, times.count
                 ),
             );
-            let all = crate::cluster::spread(known.detected_by_all_ms.clone());
+            let all = crate::cluster::distribution(known.detected_by_all_ms.clone());
             if all.count > 0 {
                 let text = format!(
                     "after {:.0} ms, worst {:.0} of {}",
@@ -241,7 +241,7 @@
                 ),
             );
             if let Some(duties) = &known.leases {
-                let times = crate::cluster::spread(duties.without_holder_ms.clone());
+                let times = crate::cluster::distribution(duties.without_holder_ms.clone());
                 let text = format!(
                     "{}: {} OVERLAPS, {} old terms taken, {} changes ({} of one in a minute at most), {} vacant",
                     duties.leases,
@@ -260,7 +260,7 @@
                     ),
                 );
                 for (how, list) in &duties.without_holder_by {
-                    let times = crate::cluster::spread(list.clone());
+                    let times = crate::cluster::distribution(list.clone());
                     let text = format!(
                         "{how}: {:.0} ms, worst {:.0} of {}",
                         times.p50, times.worst, times.count
--- a/crates/testbed/src/fleet/leases.rs
+++ b/crates/testbed/src/fleet/leases.rs
@@ -1,5 +1,5 @@
-//! Who held which duty, from what the balancers log of it: their clock (CLOCK_BOOTTIME) is one for all on a machine, so
-//! that spans of different processes can be compared to the microsecond.
+//! The history of leases as balancers log it. Their clock (CLOCK_BOOTTIME) is one for all processes of a machine, so that
+//! times of different processes compare to the microsecond.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -11,160 +11,201 @@
 
 use crate::world::locked;
 
-/// Lines kept: far more than a day of many changes writes.
-const LINES_MOST: usize = 200_000;
+/// The largest number of log lines kept, far above what a scenario with many changes writes.
+const MAX_LINES: usize = 200_000;
+/// How many overlaps are described.
+const MAX_DETAILS: usize = 5;
 
-/// What was found of duties on a day.
+/// What was found of leases in a scenario.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct DutiesFound {
-    /// Spans of one duty at two balancers that meet.
+pub struct LeaseReport {
+    /// Times that two balancers held one lease at once.
     pub overlaps: u64,
-    /// Balancers whose greatest known term of a duty fell while they ran.
+    /// Times that the greatest term a balancer knew of a lease decreased while it ran.
     pub old_terms_taken: u64,
-    /// From the end of each span to the beginning of the next.
+    /// The spans without a holder.
     pub without_holder_ms: Vec<f64>,
-    /// The same by how the first span ended.
+    /// The same by how the holding before ended.
     pub without_holder_by: BTreeMap<&'static str, Vec<f64>>,
+    /// Changes of holders.
     pub changes: usize,
+    /// The largest number of changes of one lease in any minute.
     pub changes_most_a_minute: usize,
-    /// Duties that nobody held when the day was over.
+    /// Leases that nobody held at the end.
     pub vacant: usize,
+    /// Leases that were ever held.
     #[serde(rename = "duties")]
     pub leases: usize,
+    /// Descriptions of the first overlaps.
     #[serde(rename = "why")]
     pub details: Vec<String>,
 }
 
-impl DutiesFound {
+impl LeaseReport {
+    /// Whether no rule was broken.
     pub fn is_sound(&self) -> bool {
         self.overlaps == 0 && self.old_terms_taken == 0
     }
 }
 
-/// The time that balancers log.
+/// The time of the clock that balancers log.
 pub fn machine_now() -> Micros {
     let now = clock_gettime(ClockId::Boottime);
     now.tv_sec as Micros * 1_000_000 + now.tv_nsec as Micros / 1_000
 }
 
-/// Lines of all balancers about duties, and the ends of their processes, in the order in which they came.
+/// What a balancer did, as logged or observed.
+#[derive(Clone, Debug)]
+enum Entry {
+    /// A line of its log.
+    Line(String),
+    /// Its process was killed.
+    Killed { at: Micros },
+}
+
+#[derive(Clone, Debug)]
+struct BalancerEntry {
+    balancer: usize,
+    entry: Entry,
+}
+
+/// A log line about a lease.
+enum LeaseLine<'a> {
+    Acquired {
+        at: Micros,
+        lease: &'a str,
+        term: LeaseTerm,
+    },
+    Lost {
+        until: Micros,
+        lease: &'a str,
+        term: LeaseTerm,
+        cause: &'static str,
+    },
+}
+
+/// The log lines of all balancers about leases, and the deaths of their processes, in order of arrival.
 #[derive(Clone, Default)]
-pub struct DutyLines(Arc<Mutex<Vec<(usize, String)>>>);
-
-impl DutyLines {
-    /// Keeps a line of a balancer's log if it is about a duty.
-    pub fn take(&self, number: usize, line: &str) {
-        let of_duty = line.contains(" lease acquired ") || line.contains(" lease lost ");
-        let mut lines = locked(&self.0);
-        if of_duty && lines.len() < LINES_MOST {
-            lines.push((number, line.to_owned()));
+pub struct LeaseLog(Arc<Mutex<Vec<BalancerEntry>>>);
+
+impl LeaseLog {
+    /// Keeps a line of a balancer's log if it is about a lease.
+    pub fn record(&self, balancer: usize, line: &str) {
+        let is_about_lease = line.contains(" lease acquired ") || line.contains(" lease lost ");
+        let mut entries = locked(&self.0);
+        if is_about_lease && entries.len() < MAX_LINES {
+            let entry = Entry::Line(line.to_owned());
+            entries.push(BalancerEntry { balancer, entry });
         }
     }
 
-    /// A process has ended without a word.
-    pub fn died(&self, number: usize) {
-        locked(&self.0).push((number, format!("died at_us={}", machine_now())));
+    /// Records that a process ended without a log line.
+    pub fn record_killed(&self, balancer: usize) {
+        let entry = Entry::Killed { at: machine_now() };
+        locked(&self.0).push(BalancerEntry { balancer, entry });
     }
 
-    /// Holds all spans against one another, at a moment when every process has ended or said what it lost.
-    pub fn found(&self, ends: Micros, fallen: u64) -> DutiesFound {
-        let mut lease_history = LeaseHistory::default();
-        let mut lines = locked(&self.0).clone();
-        // Each balancer's lines come in order; those of several in any: begins before ends of one term is what counts.
-        lines.sort_by_key(|(_, line)| field(line, "at_us").or(field(line, "until_us")));
-        let mut ended: Vec<(usize, String, LeaseTerm, Micros, &'static str)> = Vec::new();
-        let mut deaths = Vec::new();
-        for (number, line) in &lines {
-            let (lease, term) = (text(line, "lease"), text(line, "term").and_then(turn));
-            match (lease, term, field(line, "at_us"), field(line, "until_us")) {
-                (Some(lease), Some(turn), Some(at), None) => {
-                    lease_history.begins(at, *number, lease, turn)
-                }
-                (Some(lease), Some(turn), None, Some(until)) => {
-                    let how = match text(line, "reason") {
-                        Some("released") => "let go",
-                        Some("process_paused") => "pauses",
-                        Some("superseded") => "later term",
-                        _ => "ran out",
-                    };
-                    ended.push((*number, lease.to_owned(), turn, until, how));
-                }
-                (None, _, Some(at), _) => deaths.push((*number, at)),
-                _ => {}
-            }
-        }
-        for (number, lease, turn, until, how) in ended {
-            lease_history.ends(until, number, &lease, turn, how);
-        }
-        for (number, at) in deaths {
-            lease_history.dies(at, number);
-        }
-        let held = lease_history.found(ends);
-        let mut found = DutiesFound {
-            overlaps: held.overlaps.len() as u64,
-            old_terms_taken: fallen,
-            changes: held.changes,
-            changes_most_a_minute: held.most_a_minute,
-            vacant: lease_history.vacant(ends).len(),
-            leases: lease_history.count(),
-            details: held.overlaps.into_iter().take(5).collect(),
-            ..DutiesFound::default()
+    /// Analyses all holdings at a moment when every process has ended or logged its losses.
+    pub fn report(&self, now: Micros, decreased_terms: u64) -> LeaseReport {
+        let history = history_of(&locked(&self.0));
+        let findings = history.findings(now);
+        let mut report = LeaseReport {
+            overlaps: findings.overlaps.len() as u64,
+            old_terms_taken: decreased_terms,
+            changes: findings.changes,
+            changes_most_a_minute: findings.max_changes_per_minute,
+            vacant: history.vacant(now).len(),
+            leases: history.count(),
+            details: findings.overlaps.into_iter().take(MAX_DETAILS).collect(),
+            ..LeaseReport::default()
         };
-        for (span, how) in held.without {
-            let ms = span as f64 / 1_000.0;
-            found.without_holder_ms.push(ms);
-            found.without_holder_by.entry(how).or_default().push(ms);
+        for vacancy in findings.vacancies {
+            let ms = vacancy.duration as f64 / 1_000.0;
+            report.without_holder_ms.push(ms);
+            report
+                .without_holder_by
+                .entry(vacancy.cause)
+                .or_default()
+                .push(ms);
         }
-        found
+        report
     }
 }
 
-fn text<'a>(line: &'a str, field: &str) -> Option<&'a str> {
-    let mut words = line.split_whitespace();
-    words.find_map(|word| word.strip_prefix(field)?.strip_prefix('='))
+/// Builds the history. Lines of one balancer are in order, those of several in any: acquisitions are added first in
+/// order of time, then losses, then deaths.
+fn history_of(entries: &[BalancerEntry]) -> LeaseHistory {
+    let mut history = LeaseHistory::default();
+    let mut acquired = Vec::new();
+    let mut lost = Vec::new();
+    let mut killed = Vec::new();
+    for BalancerEntry { balancer, entry } in entries {
+        match entry {
+            Entry::Killed { at } => killed.push((*at, *balancer)),
+            Entry::Line(line) => match parse_line(line) {
+                Some(LeaseLine::Acquired { at, lease, term }) => {
+                    acquired.push((at, *balancer, lease, term));
+                }
+                Some(LeaseLine::Lost {
+                    until,
+                    lease,
+                    term,
+                    cause,
+                }) => lost.push((until, *balancer, lease, term, cause)),
+                None => {}
+            },
+        }
+    }
+    acquired.sort_by_key(|(at, ..)| *at);
+    for (at, balancer, lease, term) in acquired {
+        history.acquired(at, balancer, lease, term);
+    }
+    lost.sort_by_key(|(until, ..)| *until);
+    for (until, balancer, lease, term, cause) in lost {
+        history.lost(until, balancer, lease, term, cause);
+    }
+    killed.sort_by_key(|(at, _)| *at);
+    for (at, balancer) in killed {
+        history.killed(at, balancer);
+    }
+    history
 }
 
-fn field(line: &str, name: &str) -> Option<Micros> {
-    text(line, name)?.parse().ok()
+fn parse_line(line: &str) -> Option<LeaseLine<'_>> {
+    let lease = field(line, "lease")?;
+    let term = parse_term(field(line, "term")?)?;
+    let acquired_at = field(line, "at_us").and_then(|text| text.parse().ok());
+    let until = field(line, "until_us").and_then(|text| text.parse().ok());
+    match (acquired_at, until) {
+        (Some(at), None) => Some(LeaseLine::Acquired { at, lease, term }),
+        (None, Some(until)) => Some(LeaseLine::Lost {
+            until,
+            lease,
+            term,
+            cause: match field(line, "reason") {
+                Some("released") => "let go",
+                Some("process_paused") => "pauses",
+                Some("superseded") => "later term",
+                _ => "ran out",
+            },
+        }),
+        _ => None,
+    }
 }
 
-/// A term as it is logged.
-pub fn turn(text: &str) -> Option<LeaseTerm> {
-    let (number, incarnation) = text.split_once('-')?;
-    Some((
-        u64::from_str_radix(number, 16).ok()?,
-        u64::from_str_radix(incarnation, 16).ok()?,
-    ))
+fn field<'a>(line: &'a str, name: &str) -> Option<&'a str> {
+    line.split_whitespace()
+        .find_map(|word| word.strip_prefix(name)?.strip_prefix('='))
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn spans_are_read_from_lines_and_held_against_each_other() {
-        let lines = DutyLines::default();
-        lines.take(
-            0,
-            "INFO lease acquired lease=a term=0000000000000005-00000000000000aa at_us=1000",
-        );
-        lines.take(
-            1,
-            "INFO lease acquired lease=a term=0000000000000006-00000000000000bb at_us=9000",
-        );
-        lines.take(0, "INFO member joined member=b2");
-        // Said late by one that was stopped: it lost it long before.
-        lines.take(
-            0,
-            "INFO lease lost lease=a term=0000000000000005-00000000000000aa until_us=8000 reason=expired",
-        );
-        let found = lines.found(20_000, 0);
-        assert_eq!((found.overlaps, found.changes, found.vacant), (0, 1, 0));
-        assert_eq!(found.without_holder_by["ran out"], [1.0]);
-        lines.take(
-            2,
-            "INFO lease acquired lease=a term=0000000000000007-00000000000000cc at_us=9500",
-        );
-        assert_eq!(lines.found(20_000, 0).overlaps, 1);
-    }
+/// Parses a term as balancers log it.
+pub fn parse_term(text: &str) -> Option<LeaseTerm> {
+    let (number, incarnation_id) = text.split_once('-')?;
+    Some(LeaseTerm {
+        number: u64::from_str_radix(number, 16).ok()?,
+        incarnation_id: u64::from_str_radix(incarnation_id, 16).ok()?,
+    })
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -14,7 +14,7 @@
 use pinefront_model::scenario::Scenario;
 use serde::Serialize;
 
-use crate::fleet::leases::DutiesFound;
+use crate::fleet::leases::LeaseReport;
 
 /// What was found of the balancers' knowledge of each other.
 #[derive(Clone, Debug, Default, Serialize)]
@@ -44,7 +44,7 @@
     pub details: Vec<String>,
     /// Who held which duty, where the day has any.
     #[serde(rename = "duties")]
-    pub leases: Option<DutiesFound>,
+    pub leases: Option<LeaseReport>,
 }
 
 /// Members that vote: the first, which are seeds too.
--- a/crates/testbed/src/fleet/views.rs
+++ b/crates/testbed/src/fleet/views.rs
@@ -1,5 +1,5 @@
-//! Asks every balancer what it holds of the others, again and again, and judges that against the truth: who ran, who
-//! was stopped, who was killed, at the moment of each answer.
+//! Requests each balancer's view of the others again and again, and checks it against the truth at the moment of each
+//! response: which process ran, was paused or was killed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -14,29 +14,59 @@
 use tokio::net::TcpStream;
 
 use crate::fleet::Known;
-use crate::fleet::leases::turn;
+use crate::fleet::leases::parse_term;
 use crate::http;
 use crate::world::{World, locked};
 
-/// How often each balancer is asked, and how long it may take: one that is stopped never answers.
-const LOOKS_APART: Duration = Duration::from_millis(100);
-const ANSWERS_WITHIN: Duration = Duration::from_millis(400);
-/// A stall that others must notice.
-const LONG_STALL: Micros = 4 * SECOND;
-const WHYS_KEPT: usize = 20;
+/// How often each balancer is asked for its view.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
+/// How long a response may take; a paused process sends none.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
+/// A pause that others must notice.
+const MIN_NOTICED_PAUSE: Micros = 4 * SECOND;
+/// After this long, a running balancer must not be held for dead.
+const MAX_RECOVERY_TIME: Micros = 10 * SECOND;
+/// How many violations are described.
+const MAX_DETAILS: usize = 20;
+/// How many wrong views are described at the end.
+const MAX_WRONG_VIEWS: usize = 3;
 
+/// A member in the response to `GET /fleet`.
 #[derive(Debug, Deserialize)]
-struct Seen {
+struct MemberView {
     name: String,
     #[serde(rename = "life")]
     incarnation: String,
     state: String,
     #[serde(rename = "standing")]
     serving_status: BTreeMap<String, String>,
-    /// Earlier processes of that name that may be serving.
+    /// Earlier processes of that name that may serve.
     earlier: Vec<String>,
 }
 
+impl MemberView {
+    /// What is claimed of all processes of the member.
+    fn entries(&self) -> impl Iterator<Item = ViewEntry<String>> {
+        let current = if self.serving_status.contains_key("proven_gone") {
+            ClaimedStatus::ProvenStopped
+        } else {
+            ClaimedStatus::MayServe
+        };
+        let earlier = self
+            .earlier
+            .iter()
+            .map(|incarnation| (incarnation, ClaimedStatus::MayServe));
+        [(&self.incarnation, current)]
+            .into_iter()
+            .chain(earlier)
+            .map(|(incarnation, claimed)| ViewEntry {
+                incarnation: incarnation.clone(),
+                claimed,
+            })
+    }
+}
+
+/// The response to `GET /fleet`.
 #[derive(Debug, Deserialize)]
 struct View {
     #[serde(rename = "life")]
@@ -45,100 +75,111 @@
     may_serve: usize,
     #[serde(rename = "refuted")]
     refutations: u64,
-    members: Vec<Seen>,
+    members: Vec<MemberView>,
     #[serde(rename = "duties")]
-    leases: Option<SeenDuties>,
+    leases: Option<LeasesView>,
+}
+
+impl View {
+    fn member(&self, number: usize) -> Option<&MemberView> {
+        let name = format!("b{number}");
+        self.members.iter().find(|member| member.name == name)
+    }
 }
 
 #[derive(Debug, Deserialize)]
-struct SeenDuties {
-    all: Vec<SeenDuty>,
+struct LeasesView {
+    all: Vec<LeaseView>,
 }
 
 #[derive(Debug, Deserialize)]
-struct SeenDuty {
+struct LeaseView {
     name: String,
     term: Option<String>,
 }
 
-/// What is true of one balancer.
+/// What is true of a balancer.
 #[derive(Clone, Debug, Default)]
 struct Truth {
-    /// The process that runs, as it names itself; nothing until it was asked.
+    /// The running process by its own name for it; nothing until it was asked.
     incarnation: Option<String>,
     runs: bool,
-    stopped: bool,
-    /// When it last came, went, stopped or went on.
+    is_paused: bool,
+    /// When it last started, ended, was paused or resumed.
     since: Micros,
-    /// Since when it is dead or stalled for long, and who has noticed.
-    away: Option<Micros>,
-    noticed: BTreeSet<usize>,
-    /// Whether all others that ran had noticed.
-    by_all: bool,
-    blamed: bool,
-    /// How often it had to say that it is there, its earlier processes included.
+    /// Since when it is dead, or paused for long enough to be noticed.
+    away_since: Option<Micros>,
+    noticed_by: BTreeSet<usize>,
+    /// Whether all others that ran have noticed.
+    is_noticed_by_all: bool,
+    /// Whether it was held for dead while running.
+    was_held_dead: bool,
+    /// How often its process has refuted a suspicion.
     refutations: u64,
 }
 
+impl Truth {
+    fn is_responsive(&self) -> bool {
+        self.runs && !self.is_paused
+    }
+}
+
+/// The views of all balancers against the truth.
 pub struct Views {
     truth: Vec<Truth>,
     process_history: ProcessHistory<String>,
-    /// Terms of duties that each process knows, by its life.
+    /// The terms that each process knew.
     lease_history: LeaseHistory,
+    /// All processes, whose index is their number in `lease_history`.
     incarnations: Vec<String>,
     known: Known,
-    /// When the last fault is over, and since when all views are right.
-    over: Micros,
+    last_fault_end: Micros,
+    /// Since when all views are right.
     right_since: Option<Micros>,
-    /// Whose last view was right, and why not.
-    right: Vec<Result<(), String>>,
+    /// For each balancer, what is wrong with its last view.
+    last_views: Vec<Result<(), String>>,
 }
 
 impl Views {
+    /// Creates the checker of a scenario in which all balancers run.
     pub fn new(world: &World, balancers: usize) -> Self {
-        let line = world.timeline();
-        let events = line
+        let timeline = world.timeline();
+        let last_event = timeline
             .events
             .iter()
-            .filter(|scheduled| scheduled.event.balancer().is_some());
-        let over = events
+            .filter(|scheduled| scheduled.event.balancer().is_some())
             .map(|scheduled| scheduled.at)
             .max()
-            .unwrap_or(0)
-            .max(line.links.last_fault_end());
-        let truth = vec![
-            Truth {
-                runs: true,
-                ..Truth::default()
-            };
-            balancers
-        ];
-        let right = vec![Err("never asked".into()); balancers];
-        let process_history = ProcessHistory::new(balancers);
-        let (lease_history, incarnations) = (LeaseHistory::default(), Vec::new());
+            .unwrap_or(0);
+        let running = Truth {
+            runs: true,
+            ..Truth::default()
+        };
         Self {
-            truth,
-            process_history,
-            lease_history,
-            incarnations,
+            truth: vec![running; balancers],
+            process_history: ProcessHistory::new(balancers),
+            lease_history: LeaseHistory::default(),
+            incarnations: Vec::new(),
             known: Known::default(),
-            over,
+            last_fault_end: last_event.max(timeline.links.last_fault_end()),
             right_since: None,
-            right,
+            last_views: vec![Err("never asked".into()); balancers],
         }
     }
 
-    /// A balancer is about to be killed, stopped, or goes on.
-    pub fn happens(&mut self, now: Micros, what: TimelineEvent, stall_lasts: Micros) {
-        let (number, runs, stopped, away) = match what {
+    /// Records an event of the timeline just before it happens.
+    pub fn happens(&mut self, now: Micros, event: TimelineEvent, pause_duration: Micros) {
+        let is_started = matches!(
+            event,
+            TimelineEvent::BalancerStarted(_) | TimelineEvent::BalancerMoved { .. }
+        );
+        let (number, runs, is_paused, away_since) = match event {
             TimelineEvent::BalancerKilled(number) => (number, false, false, Some(now)),
             TimelineEvent::BalancerStopped(number) => (number, false, false, None),
-            TimelineEvent::BalancerPaused(number) => (
-                number,
-                true,
-                true,
-                (stall_lasts >= LONG_STALL).then_some(now),
-            ),
+            TimelineEvent::BalancerPaused(number) => {
+                let is_long = pause_duration >= MIN_NOTICED_PAUSE;
+                (number, true, true, is_long.then_some(now))
+            }
             TimelineEvent::BalancerResumed(number)
             | TimelineEvent::BalancerStarted(number)
             | TimelineEvent::BalancerMoved { number, .. } => (number, true, false, None),
@@ -147,173 +188,179 @@
         let Some(truth) = self.truth.get_mut(number) else {
             return;
         };
-        if !runs
-            || matches!(
-                what,
-                TimelineEvent::BalancerStarted(_) | TimelineEvent::BalancerMoved { .. }
-            )
-        {
+        if !runs || is_started {
             truth.incarnation = None;
             truth.refutations = 0;
-            self.process_history
-                .ends(now, number, !runs && away.is_none());
+            let has_left = !runs && away_since.is_none();
+            self.process_history.ended(now, number, has_left);
+        }
+        truth.runs = runs;
+        truth.is_paused = is_paused;
+        truth.since = now;
+        truth.away_since = away_since;
+        truth.noticed_by.clear();
+        truth.is_noticed_by_all = false;
+        for view in &mut self.last_views {
+            *view = Err("not asked since".into());
         }
-        (truth.runs, truth.stopped, truth.since, truth.away) = (runs, stopped, now, away);
-        truth.noticed.clear();
-        truth.by_all = false;
-        self.right
-            .iter_mut()
-            .for_each(|right| *right = Err("not asked since".into()));
     }
 
-    fn wrong(&mut self, now: Micros, what: String) {
+    fn violation(&mut self, now: Micros, what: &str) {
         self.known.wrongly_gone += 1;
-        if self.known.details.len() < WHYS_KEPT {
-            self.known
-                .details
-                .push(format!("{:.1} s: {what}", now as f64 / 1e6));
+        if self.known.details.len() < MAX_DETAILS {
+            let seconds = now as f64 / 1e6;
+            self.known.details.push(format!("{seconds:.1} s: {what}"));
         }
     }
 
-    /// A balancer answered: what it said was true at some moment between the two times.
-    fn take(&mut self, number: usize, asked: Micros, now: Micros, view: &View) {
+    /// Checks a view that was true at some moment between the request and the response.
+    fn check(&mut self, number: usize, requested_at: Micros, now: Micros, view: &View) {
         self.known.looks += 1;
-        if !self.truth[number].runs || asked < self.truth[number].since {
+        let since = self.truth[number].since;
+        if !self.truth[number].runs || requested_at < since {
             return;
         }
-        let since = self.truth[number].since;
         if self.truth[number].incarnation.is_none() {
-            self.truth[number].incarnation = Some(view.incarnation.clone());
-            self.process_history
-                .starts(since, number, view.incarnation.clone());
+            let incarnation = view.incarnation.clone();
+            self.truth[number].incarnation = Some(incarnation.clone());
+            self.process_history.started(since, number, incarnation);
+        }
+        self.record_terms(view);
+        let refutations = &mut self.truth[number].refutations;
+        self.known.refutations += view.refutations.saturating_sub(*refutations);
+        *refutations = view.refutations;
+        let entries: Vec<_> = view.members.iter().flat_map(MemberView::entries).collect();
+        // The balancer counts itself too.
+        let counted = view.may_serve.saturating_sub(1);
+        let span = requested_at..=now;
+        let errors = self
+            .process_history
+            .check_view(number, span, &entries, counted);
+        for error in errors {
+            self.violation(now, &error);
+        }
+        let mut result = Ok(());
+        for other in (0..self.truth.len()).filter(|other| *other != number) {
+            if let Err(wrong) = self.check_member(number, other, requested_at, now, view) {
+                result = Err(wrong);
+            }
         }
-        let place = self
+        self.last_views[number] = result;
+        self.update_agreement(now);
+    }
+
+    /// Records the terms that a process knows.
+    fn record_terms(&mut self, view: &View) {
+        let known = self
             .incarnations
             .iter()
             .position(|incarnation| *incarnation == view.incarnation);
-        let process = place.unwrap_or_else(|| {
+        let process = known.unwrap_or_else(|| {
             self.incarnations.push(view.incarnation.clone());
             self.incarnations.len() - 1
         });
         for lease in view.leases.iter().flat_map(|leases| &leases.all) {
-            if let Some(turn) = lease.term.as_deref().and_then(turn) {
-                self.lease_history.acted(process as u64, &lease.name, turn);
+            if let Some(term) = lease.term.as_deref().and_then(parse_term) {
+                self.lease_history
+                    .command_accepted(process as u64, &lease.name, term);
             }
         }
-        self.known.refutations += view
-            .refutations
-            .saturating_sub(self.truth[number].refutations);
-        self.truth[number].refutations = view.refutations;
-        let held = |seen: &Seen| {
-            let gone = seen.serving_status.contains_key("proven_gone");
-            let claimed = if gone {
-                ClaimedStatus::ProvenStopped
-            } else {
-                ClaimedStatus::MayServe
-            };
-            let earlier = seen.earlier.iter().map(|incarnation| ViewEntry {
-                incarnation: incarnation.clone(),
-                claimed: ClaimedStatus::MayServe,
-            });
-            [ViewEntry {
-                incarnation: seen.incarnation.clone(),
-                claimed,
-            }]
-            .into_iter()
-            .chain(earlier)
-            .collect::<Vec<_>>()
-        };
-        let held: Vec<_> = view.members.iter().flat_map(held).collect();
-        // It counts itself too.
-        let wrong = self.process_history.view(
-            number,
-            [asked, now],
-            &held,
-            view.may_serve.saturating_sub(1),
-        );
-        wrong.into_iter().for_each(|wrong| self.wrong(now, wrong));
-        let mut right = Ok(());
-        for other in (0..self.truth.len()).filter(|other| *other != number) {
-            let seen = view
-                .members
-                .iter()
-                .find(|seen| seen.name == format!("b{other}"));
-            let truth = self.truth[other].clone();
-            let same = seen.filter(|seen| truth.incarnation.as_ref() == Some(&seen.incarnation));
-            if let Some(seen) = same
-                && truth.runs
-                && asked > truth.since
-            {
-                let blames =
-                    seen.state == "gone" && !truth.stopped && now > truth.since + 10 * SECOND;
-                if blames && !truth.blamed {
-                    self.truth[other].blamed = true;
-                    self.known.held_gone_while_running += 1;
-                }
-            }
-            // The one that is away is known by the life before, which was forgotten with its death.
-            let gone = seen.is_some_and(|seen| matches!(seen.state.as_str(), "gone" | "left"));
-            if let Some(away) = truth.away.filter(|away| gone && asked >= *away)
-                && self.truth[other].noticed.insert(number)
-            {
-                self.known.detected_ms.push((now - away) as f64 / 1_000.0);
-                let runs =
-                    |n: &usize| *n != other && self.truth[*n].runs && !self.truth[*n].stopped;
-                let all = (0..self.truth.len())
-                    .filter(runs)
-                    .all(|n| self.truth[other].noticed.contains(&n));
-                if all && !std::mem::replace(&mut self.truth[other].by_all, true) {
-                    self.known
-                        .detected_by_all_ms
-                        .push((now - away) as f64 / 1_000.0);
-                }
-            }
-            let state = seen.map_or("unknown", |seen| seen.state.as_str());
-            let fits = match truth.runs && !truth.stopped {
-                true => same.is_some() && state == "present",
-                false => state != "present",
-            };
-            if !fits {
-                right = Err(format!("b{number} holds b{other} for {state}"));
+    }
+
+    /// Checks what a balancer holds of another one.
+    fn check_member(
+        &mut self,
+        number: usize,
+        other: usize,
+        requested_at: Micros,
+        now: Micros,
+        view: &View,
+    ) -> Result<(), String> {
+        let member = view.member(other);
+        let truth = self.truth[other].clone();
+        let current =
+            member.filter(|member| truth.incarnation.as_ref() == Some(&member.incarnation));
+        if let Some(current) = current {
+            let is_late = requested_at > truth.since && now > truth.since + MAX_RECOVERY_TIME;
+            let is_held_dead = current.state == "gone" && truth.is_responsive() && is_late;
+            if is_held_dead && !truth.was_held_dead {
+                self.truth[other].was_held_dead = true;
+                self.known.held_gone_while_running += 1;
             }
         }
-        self.right[number] = right;
-        let running = |n: &usize| self.truth[*n].runs && !self.truth[*n].stopped;
-        let all = (0..self.truth.len())
-            .filter(running)
-            .all(|n| self.right[n].is_ok());
-        self.right_since = if all {
-            self.right_since.or(Some(now))
-        } else {
-            None
+        // A process that is away is known by its former incarnation, which was forgotten with its death.
+        let is_noticed =
+            member.is_some_and(|member| matches!(member.state.as_str(), "gone" | "left"));
+        if let Some(away_since) = truth
+            .away_since
+            .filter(|at| is_noticed && requested_at >= *at)
+        {
+            self.record_noticed(number, other, now - away_since);
+        }
+        let state = member.map_or("unknown", |member| member.state.as_str());
+        let is_right = match truth.is_responsive() {
+            true => current.is_some() && state == "present",
+            false => state != "present",
+        };
+        match is_right {
+            true => Ok(()),
+            false => Err(format!("b{number} holds b{other} for {state}")),
+        }
+    }
+
+    /// Records that a balancer noticed another's death or pause after that time.
+    fn record_noticed(&mut self, number: usize, other: usize, after: Micros) {
+        if !self.truth[other].noticed_by.insert(number) {
+            return;
+        }
+        let after_ms = after as f64 / 1_000.0;
+        self.known.detected_ms.push(after_ms);
+        let noticed_by_all = (0..self.truth.len())
+            .filter(|observer| *observer != other && self.truth[*observer].is_responsive())
+            .all(|observer| self.truth[other].noticed_by.contains(&observer));
+        if noticed_by_all && !self.truth[other].is_noticed_by_all {
+            self.truth[other].is_noticed_by_all = true;
+            self.known.detected_by_all_ms.push(after_ms);
+        }
+    }
+
+    fn update_agreement(&mut self, now: Micros) {
+        let all_right = (0..self.truth.len())
+            .filter(|number| self.truth[*number].is_responsive())
+            .all(|number| self.last_views[number].is_ok());
+        self.right_since = match all_right {
+            true => self.right_since.or(Some(now)),
+            false => None,
         };
     }
 
-    /// Times that a balancer's greatest known term of a duty fell.
+    /// How often the greatest term that a process knew of a lease decreased.
     pub fn terms_fallen(&self) -> u64 {
-        self.lease_history.old_taken.len() as u64
+        self.lease_history.stale_commands.len() as u64
     }
 
-    /// What was found, when the day is over.
+    /// What was found, at the end of the scenario.
     pub fn found(&self) -> Known {
         let mut known = self.known.clone();
-        let after = |since: Micros| since.saturating_sub(self.over) as f64 / 1_000.0;
-        known.views_agree_after_ms = self.right_since.map(after);
+        known.views_agree_after_ms = self
+            .right_since
+            .map(|since| since.saturating_sub(self.last_fault_end) as f64 / 1_000.0);
         if known.views_agree_after_ms.is_none() {
             let wrong = self
-                .right
+                .last_views
                 .iter()
-                .filter_map(|right| right.as_ref().err())
-                .take(3);
-            known
-                .details
-                .extend(wrong.map(|wrong| format!("at the end {wrong}")));
+                .filter_map(|view| view.as_ref().err());
+            known.details.extend(
+                wrong
+                    .take(MAX_WRONG_VIEWS)
+                    .map(|wrong| format!("at the end {wrong}")),
+            );
         }
         known
     }
 }
 
-/// Asks one balancer until the runtime ends.
+/// Requests and checks the view of one balancer until the runtime ends.
 pub async fn watch(
     world: Arc<World>,
     views: Arc<Mutex<Views>>,
@@ -321,22 +368,22 @@
     address: SocketAddr,
 ) {
     loop {
-        tokio::time::sleep(LOOKS_APART).await;
-        let asked = world.now();
-        let answer = tokio::time::timeout(ANSWERS_WITHIN, ask(address)).await;
-        if let Ok(Ok(text)) = answer
-            && let Ok(view) = serde_json::from_slice::<View>(&text)
+        tokio::time::sleep(REQUEST_INTERVAL).await;
+        let requested_at = world.now();
+        let response = tokio::time::timeout(RESPONSE_TIMEOUT, request_view(address)).await;
+        if let Ok(Ok(body)) = response
+            && let Ok(view) = serde_json::from_slice::<View>(&body)
         {
-            locked(&views).take(number, asked, world.now(), &view);
+            locked(&views).check(number, requested_at, world.now(), &view);
         }
     }
 }
 
-async fn ask(address: SocketAddr) -> std::io::Result<Vec<u8>> {
+async fn request_view(address: SocketAddr) -> std::io::Result<Vec<u8>> {
     let mut stream = TcpStream::connect(address).await?;
-    let text = "GET /fleet HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n";
-    tokio::io::AsyncWriteExt::write_all(&mut stream, text.as_bytes()).await?;
-    let mut kept = Vec::new();
-    let answer = http::read_answer(&mut stream, &mut kept).await?;
-    Ok(kept[answer.body].to_vec())
+    let request = "GET /fleet HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n";
+    tokio::io::AsyncWriteExt::write_all(&mut stream, request.as_bytes()).await?;
+    let mut buffer = Vec::new();
+    let response = http::read_answer(&mut stream, &mut buffer).await?;
+    Ok(buffer[response.body].to_vec())
 }
--- a/crates/testbed/src/play.rs
+++ b/crates/testbed/src/play.rs
@@ -20,7 +20,7 @@
 use crate::clients::{Load, worker};
 use crate::discovery;
 use crate::figures::Figures;
-use crate::fleet::leases::{DutyLines, machine_now};
+use crate::fleet::leases::{LeaseLog, machine_now};
 use crate::fleet::relays::{Relayed, flood, relay};
 use crate::fleet::views::{Views, watch};
 use crate::fleet::{Addresses, Known};
@@ -183,7 +183,7 @@
     /// Where the balancers of a fleet hear one another.
     hear: Option<Addresses>,
     relayed: Arc<Relayed>,
-    duty_lines: DutyLines,
+    lease_log: LeaseLog,
     folder: Folder,
 }
 
@@ -192,7 +192,7 @@
         Folder::new().map_err(|problem| format!("cannot make a folder for this run: {problem}"))?;
     let children = Arc::new(Mutex::new(Vec::new()));
     let (mut addresses, relayed) = (Vec::new(), Arc::new(Relayed::default()));
-    let duty_lines = DutyLines::default();
+    let lease_log = LeaseLog::default();
     let mut hear = match fleet {
         true => Some(
             Addresses::new(*world.scenario.balancers.get_ref())
@@ -254,7 +254,7 @@
                 );
                 let mut child = child
                     .map_err(|problem| format!("cannot set up balancer {number}: {problem}"))?;
-                child.duty_lines = duty_lines.clone();
+                child.lease_log = lease_log.clone();
                 child.system.clone_from(&system);
                 world.lives(number, true);
                 child
@@ -274,7 +274,7 @@
         addresses,
         hear,
         relayed,
-        duty_lines,
+        lease_log,
         folder,
     })
 }
@@ -503,8 +503,8 @@
         std::thread::sleep(RUNS_OUT);
         known.leases = Some(
             balancing
-                .duty_lines
-                .found(over_at, locked(&views).terms_fallen()),
+                .lease_log
+                .report(over_at, locked(&views).terms_fallen()),
         );
     }
     runtime.shutdown_background();
--- a/crates/testbed/src/tests.rs
+++ b/crates/testbed/src/tests.rs
@@ -18,7 +18,7 @@
 use crate::clients::RequestCounts;
 use crate::figures::{Figures, Second, Times};
 use crate::fleet::Known;
-use crate::fleet::leases::DutiesFound;
+use crate::fleet::leases::LeaseReport;
 use crate::soak::schedule::{self, Shape};
 use crate::world::World;
 use crate::{balancers, clients, discovery, load, overhead, soak, stand, system};
@@ -80,8 +80,8 @@
     }
 }
 
-fn duties_found() -> DutiesFound {
-    DutiesFound {
+fn lease_report() -> LeaseReport {
+    LeaseReport {
         overlaps: 1,
         old_terms_taken: 2,
         without_holder_ms: vec![3.5],
@@ -109,7 +109,7 @@
         discovery_calls: 19,
         discovery_calls_a_second: 20.5,
         details: vec!["view text".into()],
-        leases: Some(duties_found()),
+        leases: Some(lease_report()),
     }
 }
 
