--- a/crates/proxy/src/connections/attempt.rs
+++ b/crates/proxy/src/connections/attempt.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use pinefront_policy::{AttemptOutcome, Micros};
+use pinefront_policy::{AttemptEnd, AttemptOutcome, Micros};
 use slog::info;
 
 use crate::close_reason::CloseReason;
@@ -12,30 +12,33 @@
 use crate::state::proxy::{Proxy, ProxyState};
 use crate::state::timers::TimerEvent;
 
+#[cfg(test)]
+mod tests;
+
 impl Proxy {
-    /// Ends an attempt that was started at `sent`, in microseconds, without a response.
+    /// Ends an attempt that was started at `started_at`, in microseconds, without a response.
     pub fn attempt_finished(
         &mut self,
         request: RequestKey,
         number: usize,
         outcome: AttemptOutcome,
-        sent: Micros,
+        started_at: Micros,
     ) {
         let mut state = self.state.borrow_mut();
         let now = state.now();
         state.counters.count_outcome(outcome);
         let finished = state
             .requests
-            .finish_attempt(request, number, outcome, sent);
+            .finish_attempt(request, number, outcome, started_at);
         drop(state);
         if let Some(finished) = finished {
-            let elapsed = now.saturating_sub(sent);
+            let elapsed = now.saturating_sub(started_at);
             self.report_attempt(now, &finished.request_id, number, outcome, elapsed);
         }
     }
 
-    /// Reports the end of an attempt to the policy, also where no client waits any more: the next request of the same
-    /// ordering key waits for it.
+    /// Reports the end of an attempt to the policy, also where no client waits any more: the next
+    /// request of the same ordering key waits for it.
     pub fn report_attempt(
         &mut self,
         now: Micros,
@@ -46,11 +49,16 @@
     ) {
         let is_final = outcome == AttemptOutcome::Succeeded;
         if !is_final {
-            info!(self.state.borrow().log, "attempt ended"; "request" => request, "attempt" => number,
-                "outcome" => ?outcome);
+            info!(self.state.borrow().log, "attempt ended"; "request" => request,
+                "attempt" => number, "outcome" => ?outcome);
         }
-        self.balancer
-            .attempt_ended(now, request, number, is_final, outcome, elapsed);
+        let end = AttemptEnd {
+            number,
+            is_final,
+            outcome,
+            elapsed,
+        };
+        self.balancer.attempt_ended(now, request, end);
     }
 
     /// Reports to the policy whether an endpoint answered a health check.
@@ -88,7 +96,7 @@
         let exchange = Exchange {
             request: key,
             number,
-            sent: now,
+            started_at: now,
             expire_at,
         };
         match connection {
@@ -97,16 +105,16 @@
         }
     }
 
-    /// Starts the exchange of an attempt on a connection. Where that is not established yet, the request is written once
-    /// it is.
+    /// Starts the exchange of an attempt on a connection. Where that is not established yet, the
+    /// request is written once it is.
     fn start_exchange(&mut self, key: EndpointConnectionKey, exchange: Exchange) {
-        let now = exchange.sent;
+        let now = exchange.started_at;
         let connect_by = now + self.config.connect_timeout;
         let Some(connection) = self.endpoint_connections.get_mut(key) else {
             return;
         };
         connection.exchange = Some(exchange);
-        if !connection.connected {
+        if !connection.is_connected {
             let at = connect_by.min(exchange.expire_at);
             return self.set_endpoint_connection_timer(key, at);
         }
@@ -120,7 +128,8 @@
         self.set_endpoint_connection_timer(key, exchange.expire_at);
     }
 
-    /// Cancels an attempt by closing its connection, by which the endpoint sees that no response is awaited.
+    /// Cancels an attempt by closing its connection, by which the endpoint sees that no response is
+    /// awaited.
     pub fn cancel_attempt(&mut self, id: &str, number: usize) {
         let Some(key) = self.requests.key_of(id) else {
             return;
@@ -163,8 +172,8 @@
         }
     }
 
-    /// Sends a health check; none where that is not possible. It waits as long as connecting may take: a later answer
-    /// reports another load.
+    /// Sends a health check; none where that is not possible. It waits as long as connecting may
+    /// take: a later answer reports another load.
     fn send_probe(&mut self, endpoint: EndpointKey, now: Micros) -> Option<()> {
         let path = self.config.probe_path.clone()?;
         let key = self.connection_to(endpoint).ok()?;
@@ -174,12 +183,12 @@
         connection.exchange = Some(Exchange {
             request: RequestKey::default(),
             number: 0,
-            sent: now,
+            started_at: now,
             expire_at,
         });
         let head = format!("GET {path} HTTP/1.1\r\nHost: {address}\r\n\r\n");
         connection.write_buffer.push(Bytes::from(head));
-        if connection.connected {
+        if connection.is_connected {
             self.flush_endpoint_connection(key, now);
         }
         self.set_endpoint_connection_timer(key, expire_at);
--- a/crates/proxy/src/connections/endpoint_pool.rs
+++ b/crates/proxy/src/connections/endpoint_pool.rs
@@ -14,11 +14,14 @@
 use crate::state::socket::{RegisteredSocket, connect};
 use crate::state::timers::TimerEvent;
 
-/// Share of the idle time in the settings after which we close first: a request written to a connection that the
-/// endpoint is closing would be lost.
+#[cfg(test)]
+mod tests;
+
+/// Share of the idle time in the settings after which we close first: a request written to a
+/// connection that the endpoint is closing would be lost.
 const IDLE_SHARE: f64 = 0.8;
-/// How long a connection is not reused after a response, so that a close or further bytes of the endpoint are noticed
-/// before the next request is written to it and takes them for its response.
+/// How long a connection is not reused after a response, so that a close or further bytes of the
+/// endpoint are noticed before the next request is written to it and takes them for its response.
 pub const REUSE_DELAY_US: Micros = 8_000;
 /// How long the connections of an endpoint carry one request each after it sent unsolicited bytes.
 const SINGLE_USE_US: Micros = 10_000_000;
@@ -55,27 +58,33 @@
             None => Err(ErrorKind::NotFound.into()),
         };
         opened.map_err(|error| {
-            warn!(self.log, "cannot connect"; "reason" => CloseReason::NotRegistered.code(), "error" => %error);
-            // A shortage of our own must not be held against the endpoint.
-            if is_remote_failure(&error) { AttemptOutcome::Unreachable } else { AttemptOutcome::NotSent }
+            let reason = CloseReason::NotRegistered.code();
+            warn!(self.log, "cannot connect"; "reason" => reason, "error" => %error);
+            if is_remote_failure(&error) {
+                AttemptOutcome::Unreachable
+            } else {
+                // A shortage of our own must not be held against the endpoint.
+                AttemptOutcome::NotSent
+            }
         })
     }
 
-    /// Takes the idle connection used last, of those whose reuse delay has passed, from its endpoint.
+    /// Takes the idle connection used last, of those whose reuse delay has passed, from its
+    /// endpoint.
     fn take_idle_connection(&mut self, endpoint: EndpointKey) -> Option<EndpointConnectionKey> {
         let now = self.now();
         let idle = &mut self.endpoints.get_mut(endpoint)?.idle;
         let is_rested = |key: &EndpointConnectionKey| {
             self.endpoint_connections
                 .get(*key)
-                .is_none_or(|connection| connection.answered + REUSE_DELAY_US <= now)
+                .is_none_or(|connection| connection.last_response_at + REUSE_DELAY_US <= now)
         };
         let position = idle.iter().rposition(is_rested)?;
         Some(idle.remove(position))
     }
 
-    /// Whether an idle connection is still open and silent. Another one is closed: a request written to it would be lost,
-    /// or take unsolicited bytes for its response.
+    /// Whether an idle connection is still open and silent. Another one is closed: a request
+    /// written to it would be lost, or take unsolicited bytes for its response.
     fn is_reusable(&mut self, key: EndpointConnectionKey, endpoint: EndpointKey) -> bool {
         let Some(connection) = self.endpoint_connections.get(key) else {
             return false;
@@ -103,12 +112,12 @@
                 socket,
                 endpoint,
                 address,
-                connected: false,
+                is_connected: false,
                 read_buffer: ReadBuffer::default(),
                 write_buffer: WriteBuffer::default(),
                 exchange: None,
                 requests_carried: 0,
-                answered: 0,
+                last_response_at: 0,
                 timer: None,
             })
         })?;
@@ -135,7 +144,8 @@
         }
     }
 
-    /// Sends what waits on a connection. A failure is handled in a later iteration, as this may be a call of the policy.
+    /// Sends what waits on a connection. A failure is handled in a later iteration, as this may be
+    /// a call of the policy.
     pub fn flush_endpoint_connection(&mut self, key: EndpointConnectionKey, now: Micros) {
         if let Some(connection) = self.endpoint_connections.get_mut(key)
             && connection
@@ -148,8 +158,8 @@
         }
     }
 
-    /// Notes that an endpoint sent bytes that are no response. It may do so again later than the reuse delay, and then
-    /// the next request would take them for its response.
+    /// Notes that an endpoint sent bytes that are no response. It may do so again later than the
+    /// reuse delay, and then the next request would take them for its response.
     pub fn received_unsolicited(&mut self, endpoint: EndpointKey) {
         let until = self.now() + SINGLE_USE_US;
         let Some(endpoint) = self.endpoints.get_mut(endpoint) else {
@@ -166,7 +176,7 @@
         let Some(connection) = self.endpoint_connections.get_mut(key) else {
             return;
         };
-        connection.answered = now;
+        connection.last_response_at = now;
         let reason = match self.endpoints.get_mut(connection.endpoint) {
             Some(endpoint) if now < endpoint.single_use_until => CloseReason::UnsolicitedResponse,
             Some(endpoint) if endpoint.draining_since.is_some() => CloseReason::Draining,
@@ -182,12 +192,13 @@
         self.close_endpoint_connection(key, reason);
     }
 
-    /// Closes the idle connection that expires first, to free a descriptor. Returns whether there was one.
+    /// Closes the idle connection that expires first, to free a descriptor. Returns whether there
+    /// was one.
     pub fn evict_idle_endpoint_connection(&mut self) -> bool {
         let idle = self
             .endpoint_connections
             .iter()
-            .filter(|(_, connection)| connection.exchange.is_none() && connection.connected);
+            .filter(|(_, connection)| connection.exchange.is_none() && connection.is_connected);
         let first = idle.min_by_key(|(_, connection)| connection.timer);
         let Some((key, _)) = first else {
             return false;
@@ -206,8 +217,8 @@
         }
     }
 
-    /// Closes a connection and removes it from the table. Where the reason casts doubt on the endpoint's other
-    /// connections, its idle ones are closed too.
+    /// Closes a connection and removes it from the table. Where the reason casts doubt on the
+    /// endpoint's other connections, its idle ones are closed too.
     pub fn close_endpoint_connection(&mut self, key: EndpointConnectionKey, reason: CloseReason) {
         let Some(mut connection) = self.endpoint_connections.remove(key) else {
             return;
@@ -217,8 +228,8 @@
         self.counters.endpoint_connections_closed += 1;
         if let Some(endpoint) = self.endpoints.get_mut(connection.endpoint) {
             endpoint.idle.retain(|idle| *idle != key);
-            info!(self.log, "endpoint connection closed"; "reason" => reason.code(), "endpoint" => &*endpoint.id,
-                "requests_carried" => connection.requests_carried);
+            info!(self.log, "endpoint connection closed"; "reason" => reason.code(),
+                "endpoint" => &*endpoint.id, "requests_carried" => connection.requests_carried);
         }
         let is_doubtful = reason.casts_doubt_on_endpoint()
             || (reason == CloseReason::Cancelled && self.is_unresponsive(&connection));
@@ -232,7 +243,7 @@
         let waited = connection
             .exchange
             .as_ref()
-            .map_or(0, |exchange| self.now().saturating_sub(exchange.sent));
+            .map_or(0, |exchange| self.now().saturating_sub(exchange.started_at));
         waited > self.config.connect_timeout && connection.read_buffer.bytes().is_empty()
     }
 }
--- a/crates/proxy/src/state/client_connection.rs
+++ b/crates/proxy/src/state/client_connection.rs
@@ -10,8 +10,8 @@
 use crate::state::socket::RegisteredSocket;
 use crate::state::timers::TimerKey;
 
-/// Bytes read ahead while a request is in flight or its response is not taken: enough to notice a disconnect,
-/// too little to keep a second message beside the first.
+/// Bytes read ahead while a request is in flight or its response is not taken: enough to notice a
+/// disconnect, too little to keep a second message beside the first.
 pub const READ_AHEAD_BYTES: usize = 4 * 1024;
 
 /// The state of one client's connection.
@@ -29,11 +29,12 @@
     /// The client asked for the connection to be closed after this response.
     pub no_keep_alive: bool,
     /// Responses written so far.
-    pub answered: u64,
+    pub responses_sent: u64,
     /// When it was accepted, in microseconds.
-    pub opened: Micros,
-    /// How long it may have waited in the backlog while the process was busy or not scheduled, in microseconds.
-    pub waited: Micros,
+    pub accepted_at: Micros,
+    /// How long it may have waited in the backlog while the process was busy or not scheduled, in
+    /// microseconds.
+    pub backlog_wait: Micros,
     /// Requests received so far.
     pub requests_received: u64,
     /// An incomplete request at the front of the read buffer.
@@ -42,11 +43,11 @@
     pub discarded_bytes: usize,
     /// Why the connection closes once everything is written.
     pub close_reason: Option<CloseReason>,
-    /// Our side is shut down. What the client still sends is discarded: closing over unread bytes would reset the
-    /// connection and lose the end of the last response.
+    /// Our side is shut down. What the client still sends is discarded: closing over unread bytes
+    /// would reset the connection and lose the end of the last response.
     pub is_lingering: bool,
     /// When the present wait began, in microseconds.
-    pub since: Micros,
+    pub waiting_since: Micros,
     /// `100 Continue` was sent for the request being received.
     pub sent_continue: bool,
     /// The connection's timer.
@@ -59,10 +60,39 @@
     /// Bytes received so far.
     pub length: usize,
     /// When its first bytes were seen, in microseconds.
-    pub began: Micros,
+    pub started_at: Micros,
 }
 
 impl ClientConnection {
+    /// A connection accepted at `accepted_at` after it may have waited for `backlog_wait`, both in
+    /// microseconds.
+    pub fn new(
+        socket: RegisteredSocket,
+        peer: SocketAddr,
+        accepted_at: Micros,
+        backlog_wait: Micros,
+    ) -> Self {
+        Self {
+            socket,
+            peer,
+            read_buffer: ReadBuffer::default(),
+            write_buffer: WriteBuffer::default(),
+            request: None,
+            no_keep_alive: false,
+            responses_sent: 0,
+            accepted_at,
+            backlog_wait,
+            requests_received: 0,
+            partial_request: None,
+            discarded_bytes: 0,
+            close_reason: None,
+            is_lingering: false,
+            waiting_since: 0,
+            sent_continue: false,
+            timer: None,
+        }
+    }
+
     /// Whether the client waits for a response or for the rest of one.
     pub fn awaits_response(&self) -> bool {
         self.request.is_some() || !self.write_buffer.is_empty()
--- a/crates/proxy/src/state/timers.rs
+++ b/crates/proxy/src/state/timers.rs
@@ -1,4 +1,4 @@
-//! Timers of all kinds, in one ordered structure.
+//! Timers of all kinds, ordered by time.
 
 use std::collections::BTreeMap;
 
@@ -9,83 +9,102 @@
 #[cfg(test)]
 mod tests;
 
-/// What falls due.
+/// What an expired timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TimerEvent {
-    /// A timer that the policy set, by its number.
+    /// A timer of the policy, by its id.
     PolicyTimer(u64),
-    /// A client's connection: what for follows from its state.
+    /// The timer of a client's connection; what for follows from the connection's state.
     ClientConnection(ClientKey),
-    /// A client's next request may already lie in its read buffer.
+    /// A client's next request may already be in its read buffer.
     NextRequest(ClientKey),
-    /// A connection to an endpoint, likewise.
+    /// The timer of a connection to an endpoint; what for follows from the connection's state.
     EndpointConnection(EndpointConnectionKey),
-    /// A connection to an endpoint may have failed as it was written to.
+    /// A connection to an endpoint may have been lost while it was written to.
     EndpointConnectionReady(EndpointConnectionKey),
     /// An attempt has ended within a call of the policy.
     AttemptEnded {
         /// The request.
         request: RequestKey,
-        /// The attempt's index.
+        /// The attempt's index in its request.
         number: usize,
         /// How it ended.
         outcome: AttemptOutcome,
     },
-    /// A probe that never got a connection.
+    /// A health check could not be sent.
     ProbeNotSent(EndpointKey),
-    /// Time to ask discovery, or to stop waiting for it.
+    /// Discovery is to be polled, or a poll has timed out.
     Discovery,
-    /// Accepting was paused for want of descriptors.
+    /// The pause in accepting connections is over.
     ResumeAccepting,
-    /// The next step of an orderly stop.
+    /// The next step of the shutdown.
     Shutdown,
-    /// A configuration that could not be read is tried again.
+    /// A configuration that could not be read is to be read again.
     RetryReload,
 }
 
-/// A timer's key: its time, and a number that keeps those of one moment in their order.
-pub type TimerKey = (Micros, u64);
+/// A timer's key: when it expires, in microseconds, and a serial number that keeps timers of the
+/// same time in order.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct TimerKey {
+    /// When the timer expires, in microseconds.
+    pub at: Micros,
+    serial: u64,
+}
 
+/// The timers that have not expired.
 #[derive(Default)]
 pub struct Timers {
     ordered: BTreeMap<TimerKey, TimerEvent>,
-    last: u64,
+    last_serial: u64,
 }
 
 impl Timers {
-    pub fn schedule(&mut self, at: Micros, due: TimerEvent) -> TimerKey {
-        self.last += 1;
-        self.ordered.insert((at, self.last), due);
-        (at, self.last)
+    /// Schedules a timer.
+    pub fn schedule(&mut self, at: Micros, event: TimerEvent) -> TimerKey {
+        self.last_serial += 1;
+        let key = TimerKey {
+            at,
+            serial: self.last_serial,
+        };
+        self.ordered.insert(key, event);
+        key
     }
 
+    /// Cancels a timer.
     pub fn cancel(&mut self, key: TimerKey) {
         self.ordered.remove(&key);
     }
 
     /// Schedules a timer in place of an earlier one.
-    pub fn move_to(&mut self, key: &mut Option<TimerKey>, at: Micros, due: TimerEvent) {
+    pub fn move_to(&mut self, key: &mut Option<TimerKey>, at: Micros, event: TimerEvent) {
         self.clear(key);
-        *key = Some(self.schedule(at, due));
+        *key = Some(self.schedule(at, event));
     }
 
+    /// Cancels a timer and forgets its key.
     pub fn clear(&mut self, key: &mut Option<TimerKey>) {
         if let Some(key) = key.take() {
             self.cancel(key);
         }
     }
 
+    /// When the next timer expires, in microseconds.
     pub fn next(&self) -> Option<Micros> {
-        self.ordered.first_key_value().map(|(key, _)| key.0)
+        self.ordered.first_key_value().map(|(key, _)| key.at)
     }
 
-    /// The number of the last one hung: with [`Self::due`] it keeps what a turn hangs for a later turn.
-    pub fn mark(&self) -> u64 {
-        self.last
+    /// The serial number of the last timer scheduled. With it, [`Self::expired`] leaves timers that
+    /// are scheduled from now on to a later iteration.
+    pub fn last_serial(&self) -> u64 {
+        self.last_serial
     }
 
-    pub fn due(&mut self, now: Micros, mark: u64) -> Option<TimerEvent> {
+    /// Removes the first timer that has expired by `now` and was scheduled no later than
+    /// `last_serial`.
+    pub fn expired(&mut self, now: Micros, last_serial: u64) -> Option<TimerEvent> {
         let first = self.ordered.first_entry()?;
-        (first.key().0 <= now && first.key().1 <= mark).then(|| first.remove())
+        let key = first.key();
+        (key.at <= now && key.serial <= last_serial).then(|| first.remove())
     }
 }
--- a/crates/proxy/src/state/timers/tests.rs
+++ b/crates/proxy/src/state/timers/tests.rs
@@ -1,15 +1,15 @@
 use super::*;
 
 #[test]
-fn what_falls_due_comes_by_time_and_then_by_order() {
+fn timers_expire_by_time_then_in_order() {
     let mut timers = Timers::default();
     let keys = [(20, 1), (10, 2), (10, 3), (10, 4)]
         .map(|(at, timer_id)| timers.schedule(at, TimerEvent::PolicyTimer(timer_id)));
     timers.cancel(keys[2]);
-    let mark = timers.mark();
-    let due: Vec<_> = std::iter::from_fn(|| timers.due(20, mark)).collect();
+    let last_serial = timers.last_serial();
+    let expired: Vec<_> = std::iter::from_fn(|| timers.expired(20, last_serial)).collect();
     assert_eq!(
-        due,
+        expired,
         [
             TimerEvent::PolicyTimer(2),
             TimerEvent::PolicyTimer(4),
@@ -19,15 +19,18 @@
 }
 
 #[test]
-fn what_a_turn_hangs_waits_for_the_next() {
+fn a_timer_scheduled_in_an_iteration_waits_for_the_next() {
     let mut timers = Timers::default();
-    let mark = timers.mark();
+    let last_serial = timers.last_serial();
     timers.schedule(10, TimerEvent::ResumeAccepting);
-    assert_eq!((timers.due(10, mark), timers.next()), (None, Some(10)));
+    assert_eq!(
+        (timers.expired(10, last_serial), timers.next()),
+        (None, Some(10))
+    );
 }
 
 #[test]
-fn a_deadline_that_moved_stands_only_once() {
+fn a_moved_timer_expires_once() {
     let (mut timers, mut key) = (Timers::default(), None);
     timers.move_to(&mut key, 10, TimerEvent::Shutdown);
     timers.move_to(&mut key, 30, TimerEvent::Shutdown);
--- a/crates/testbed/src/fleet/views.rs
+++ b/crates/testbed/src/fleet/views.rs
@@ -384,6 +384,6 @@
     let request = "GET /fleet HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n";
     tokio::io::AsyncWriteExt::write_all(&mut stream, request.as_bytes()).await?;
     let mut buffer = Vec::new();
-    let response = http::read_answer(&mut stream, &mut buffer).await?;
+    let response = http::read_response(&mut stream, &mut buffer).await?;
     Ok(buffer[response.body].to_vec())
 }
