--- a/crates/testbed/src/figures/mod.rs
+++ b/crates/testbed/src/figures/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::clients::{RequestCounts, Results};
 use crate::fleet::Known;
-use crate::fleet::leases::DutiesFound;
+use crate::fleet::leases::LeaseReport;
 
 /// Violations that are listed; of further ones only the number is given.
 const MAX_LISTED_VIOLATIONS: usize = 20;
@@ -146,6 +146,6 @@
             && self.unexpected_ends.is_empty()
             && self.violations == 0
             && is_cluster_sound
-            && duties.is_none_or(DutiesFound::is_sound)
+            && duties.is_none_or(LeaseReport::is_sound)
     }
 }
--- a/crates/testbed/src/runner/setup.rs
+++ b/crates/testbed/src/runner/setup.rs
@@ -9,7 +9,7 @@
 use crate::environment::TemporaryFolder;
 use crate::error::{Context, Error};
 use crate::fleet::Addresses;
-use crate::fleet::leases::DutyLines;
+use crate::fleet::leases::LeaseLog;
 use crate::fleet::relays::{Relayed, flood, relay};
 use crate::system_faults::PreloadedLibrary;
 use crate::world::{World, locked};
@@ -23,7 +23,7 @@
     /// The cluster addresses, where the balancers form a cluster.
     cluster: Option<Addresses>,
     pub(super) relayed: Arc<Relayed>,
-    pub(super) duty_lines: DutyLines,
+    pub(super) lease_log: LeaseLog,
     pub(super) folder: TemporaryFolder,
     preloaded: Option<PreloadedLibrary>,
 }
@@ -74,7 +74,7 @@
             addresses: Vec::new(),
             cluster,
             relayed: Arc::default(),
-            duty_lines: DutyLines::default(),
+            lease_log: LeaseLog::default(),
             folder,
             preloaded,
         })
@@ -132,7 +132,7 @@
         };
         let mut balancer =
             Balancer::new(&setup).context(format!("cannot set up balancer {number}"))?;
-        balancer.duty_lines = self.duty_lines.clone();
+        balancer.lease_log = self.lease_log.clone();
         balancer.preloaded.clone_from(&self.preloaded);
         world.set_balancer_running(number, true);
         balancer.start().context("cannot start a balancer")?;
