--- a/crates/model/src/call_queue.rs
+++ b/crates/model/src/call_queue.rs
@@ -1,7 +1,8 @@
-//! Capacity of discovery: calls are processed one after the other, and a call that would wait too long is rejected.
+//! Capacity of discovery: calls are processed one after the other, and a call that would wait too
+//! long is rejected.
 //!
-//! An admitted call uses its time whether or not the caller is still connected. A watch that is renewed soon after its
-//! last response uses none.
+//! An admitted call uses its time whether or not the caller is still connected. A watch that is
+//! renewed soon after its last response uses none.
 
 use std::collections::BTreeMap;
 
--- a/crates/model/src/checker.rs
+++ b/crates/model/src/checker.rs
@@ -1,13 +1,14 @@
 //! Checks the four safety rules against what is observed outside the balancers.
 //!
 //! 1. Every request received gets one final response before its deadline, and nothing after.
-//! 2. Nothing is processed twice: a non-idempotent request is retried or rejected only when each earlier attempt provably
-//!    did not run; one with an idempotency key only within the key's scope and window.
+//! 2. Nothing is processed twice: a non-idempotent request is retried or rejected only when each
+//!    earlier attempt provably did not run; one with an idempotency key only within the key's scope
+//!    and window.
 //! 3. No new attempt is sent to a server that drains or is removed, once the grace period is over.
 //! 4. No server in slow start receives more work than the allowed multiple of its capacity.
 //!
-//! Observations carry the time at which they were made. They may be recorded in another order, since the exact order on
-//! sockets is unknown; the rules compare times, with the scenario's slack.
+//! Observations carry the time at which they were made. They may be recorded in another order,
+//! since the exact order on sockets is unknown; the rules compare times, with the scenario's slack.
 
 mod observation;
 mod rules;
@@ -21,7 +22,8 @@
 
 /// How long after its deadline a request is retained, for observations that are recorded late.
 const RETENTION_US: Micros = 15 * SECOND;
-/// How long after its last observation a request is retained that no balancer is known to have received.
+/// How long after its last observation a request is retained that no balancer is known to have
+/// received.
 const UNRECEIVED_RETENTION_US: Micros = 4 * RETENTION_US;
 /// Number of observations between two removals of expired requests.
 const CLEANUP_INTERVAL: u64 = 4096;
@@ -41,7 +43,8 @@
     received: Option<Received>,
     answered_at: Option<Micros>,
     connection_lost: bool,
-    /// No response is required, since the client disconnected or the balancer was killed or suspended.
+    /// No response is required, since the client disconnected or the balancer was killed or
+    /// suspended.
     excused: bool,
     disconnected_at: Option<Micros>,
 }
@@ -83,7 +86,8 @@
     drain_notified_at: BTreeMap<usize, Micros>,
 }
 
-/// Records observations and finds violations. Memory is bounded: requests are removed some time after their deadline.
+/// Records observations and finds violations. Memory is bounded: requests are removed some time
+/// after their deadline.
 pub struct Checker {
     rules: Rules,
     classes: Vec<RequestClass>,
--- a/crates/model/src/checker/observation.rs
+++ b/crates/model/src/checker/observation.rs
@@ -1,4 +1,5 @@
-//! What is observed outside the balancers, and violations of rules with the observations that show them.
+//! What is observed outside the balancers, and violations of rules with the observations that show
+//! them.
 
 use std::fmt;
 
--- a/crates/model/src/discovery.rs
+++ b/crates/model/src/discovery.rs
@@ -1,4 +1,5 @@
-//! The versioned endpoint list of discovery. Each change becomes visible some time after it happened.
+//! The versioned endpoint list of discovery. Each change becomes visible some time after it
+//! happened.
 
 use crate::Micros;
 use crate::random::RandomSource;
@@ -58,7 +59,8 @@
         }
     }
 
-    /// Records a change. Returns when it becomes visible: after a random delay, and not before any earlier change.
+    /// Records a change. Returns when it becomes visible: after a random delay, and not before any
+    /// earlier change.
     pub fn change(&mut self, now: Micros, entry: Entry) -> Micros {
         let [min, max] = self.propagation_delay.map(|delay| delay as f64);
         let delay = self.random.between(min, max) as Micros;
--- a/crates/model/src/fleet.rs
+++ b/crates/model/src/fleet.rs
@@ -5,10 +5,12 @@
 use crate::scenario::Scenario;
 use crate::server::ServerSpec;
 
-/// Step through the machine types' shares. An irrational step mixes the types evenly in any range of servers.
+/// Step through the machine types' shares. An irrational step mixes the types evenly in any range
+/// of servers.
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
 
-/// The servers that a scenario starts with: machine types by their shares, zones in turn, speeds at random.
+/// The servers that a scenario starts with: machine types by their shares, zones in turn, speeds at
+/// random.
 pub fn specs(scenario: &Scenario, seed: u64) -> Vec<ServerSpec> {
     let count = *scenario.fleet.servers.get_ref();
     (0..count)
@@ -16,7 +18,8 @@
         .collect()
 }
 
-/// A server that joins at `now` in slow start, of the same zone and machine as `replaced` where it replaces one.
+/// A server that joins at `now` in slow start, of the same zone and machine as `replaced` where it
+/// replaces one.
 pub fn new_server(
     scenario: &Scenario,
     seed: u64,
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,9 +1,9 @@
-//! A deterministic model of the environment of a load balancer: servers, clients, discovery, network links and faults,
-//! and a checker of the four safety rules.
+//! A deterministic model of the environment of a load balancer: servers, clients, discovery,
+//! network links and faults, and a checker of the four safety rules.
 //!
-//! The crate does no I/O and reads no clock. Callers pass the time in whole microseconds since the scenario started,
-//! and all randomness comes from a seed, so that the same seed gives the same events. The testbed drives these parts
-//! behind loopback sockets.
+//! The crate does no I/O and reads no clock. Callers pass the time in whole microseconds since the
+//! scenario started, and all randomness comes from a seed, so that the same seed gives the same
+//! events. The testbed drives these parts behind loopback sockets.
 #![warn(missing_docs)]
 
 pub mod call_queue;
--- a/crates/model/src/network.rs
+++ b/crates/model/src/network.rs
@@ -1,5 +1,5 @@
-//! Network links between balancers: whether, when and how a datagram arrives. The caller passes the time, so that relays
-//! on sockets and simulations on a virtual clock use the same rules.
+//! Network links between balancers: whether, when and how a datagram arrives. The caller passes the
+//! time, so that relays on sockets and simulations on a virtual clock use the same rules.
 
 use crate::Micros;
 use crate::random::RandomSource;
--- a/crates/model/src/random.rs
+++ b/crates/model/src/random.rs
@@ -1,14 +1,15 @@
 //! Seeded random numbers, and the distributions that the model draws from.
 //!
-//! A seed identifies a scenario, so it must give the same values in every version: the generator is WyRand, and the
-//! distributions are implemented here rather than taken from a library that may change its algorithms.
+//! A seed identifies a scenario, so it must give the same values in every version: the generator is
+//! WyRand, and the distributions are implemented here rather than taken from a library that may
+//! change its algorithms.
 
 use nanorand::{Rng, WyRand};
 
 use crate::Micros;
 
-/// A stream of random numbers. Parts of the model that must not influence each other use streams of their own, from
-/// [`RandomSource::split`].
+/// A stream of random numbers. Parts of the model that must not influence each other use streams of
+/// their own, from [`RandomSource::split`].
 #[derive(Clone)]
 pub struct RandomSource(WyRand);
 
@@ -18,7 +19,8 @@
         Self(WyRand::new_seed(seed))
     }
 
-    /// The stream of the part of the model with that name and number, independent of all other streams of the seed.
+    /// The stream of the part of the model with that name and number, independent of all other
+    /// streams of the seed.
     pub fn split(seed: u64, part: &str, number: u64) -> Self {
         // FNV-1a, so that similar names and numbers get unrelated seeds.
         let bytes = part
@@ -60,9 +62,11 @@
         -mean * (1.0 - self.unit()).ln()
     }
 
-    /// A lognormally distributed number with that mean; `scatter` is the standard deviation of its logarithm.
+    /// A lognormally distributed number with that mean; `scatter` is the standard deviation of its
+    /// logarithm.
     pub fn lognormal(&mut self, mean: f64, scatter: f64) -> f64 {
-        // Box-Muller. The second normal number is discarded, so that each call takes the same number of draws.
+        // Box-Muller. The second normal number is discarded, so that each call takes the same
+        // number of draws.
         let radius = (-2.0 * (1.0 - self.unit()).ln()).sqrt();
         let normal = radius * (std::f64::consts::TAU * self.unit()).cos();
         mean * (scatter * normal - scatter * scatter / 2.0).exp()
@@ -76,7 +80,8 @@
             .min(cumulative.len().saturating_sub(1))
     }
 
-    /// `count` distinct integers below `end`, in ascending order; all of them where there are fewer.
+    /// `count` distinct integers below `end`, in ascending order; all of them where there are
+    /// fewer.
     pub fn some_of(&mut self, count: usize, end: usize) -> Vec<usize> {
         let mut numbers: Vec<usize> = (0..end).collect();
         for index in 0..count.min(end) {
--- a/crates/model/src/scenario/fault.rs
+++ b/crates/model/src/scenario/fault.rs
@@ -25,8 +25,8 @@
     Corrupted,
     /// Servers reset `factor` of the connections in the middle of a request.
     Reset,
-    /// The endpoint list marks servers as draining; at the end they are removed and replaced by new servers in slow
-    /// start.
+    /// The endpoint list marks servers as draining; at the end they are removed and replaced by new
+    /// servers in slow start.
     Drain,
     /// Servers crash, and restart in slow start at the end.
     Crash,
@@ -67,7 +67,8 @@
     /// A bit is flipped in `factor` of the datagrams.
     #[serde(rename = "link_spoils")]
     LinkCorrupts,
-    /// Strangers send the balancers listed `factor` datagrams a second: noise, replayed and corrupted datagrams.
+    /// Strangers send the balancers listed `factor` datagrams a second: noise, replayed and
+    /// corrupted datagrams.
     LinkFlood,
     /// Balancers reload their configuration (SIGHUP), which names another address of discovery.
     BalancerReloaded,
@@ -77,7 +78,8 @@
     WatchesReset,
     /// Discovery takes `factor` times as long for each call.
     DiscoverySlow,
-    /// `factor` of discovery's responses are truncated at a random byte and their connection closed.
+    /// `factor` of discovery's responses are truncated at a random byte and their connection
+    /// closed.
     ListsCut,
     /// `factor` of its responses are sent in pieces with pauses, over up to `by` in total.
     ListsInPieces,
@@ -94,7 +96,8 @@
     ListsStrange,
     /// `factor` of the clients write their requests in pieces.
     ClientsInPieces,
-    /// Clients stop in the middle of a request and stay connected, `factor` of them a second for each balancer.
+    /// Clients stop in the middle of a request and stay connected, `factor` of them a second for
+    /// each balancer.
     ClientsStop,
     /// `factor` of the clients pipeline a second request.
     ClientsPipeline,
@@ -285,8 +288,8 @@
     }
 }
 
-/// One fault of the scenario. Servers are selected by number, zone, machine type or fraction of the fleet; without any
-/// of these, all servers are.
+/// One fault of the scenario. Servers are selected by number, zone, machine type or fraction of the
+/// fleet; without any of these, all servers are.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
--- a/crates/model/src/scenario/mod.rs
+++ b/crates/model/src/scenario/mod.rs
@@ -1,6 +1,8 @@
-//! The scenario file: servers, traffic, faults and scoring, decoded from TOML. [`crate::validation`] checks the values.
+//! The scenario file: servers, traffic, faults and scoring, decoded from TOML.
+//! [`crate::validation`] checks the values.
 //!
-//! Keys of the file are part of its format. Where a field has another name than its key, `serde` maps it.
+//! Keys of the file are part of its format. Where a field has another name than its key, `serde`
+//! maps it.
 
 mod defaults;
 mod fault;
@@ -47,7 +49,8 @@
     /// Number of named duties for which the balancers of a cluster hold leases.
     #[serde(default)]
     pub duties: usize,
-    /// Whether one balancer of each zone polls discovery and shares the endpoint list with the others.
+    /// Whether one balancer of each zone polls discovery and shares the endpoint list with the
+    /// others.
     #[serde(default, rename = "roster")]
     pub shared_endpoint_list: bool,
     /// Limits of the four rules and of what balancers may do.
@@ -90,14 +93,15 @@
     /// How late a final response may be before it counts as missing, where this exceeds the slack.
     #[serde(rename = "late")]
     pub late_response_limit: Span,
-    /// Fraction of its capacity that a server has when it starts; capacity rises linearly from there.
+    /// Fraction of its capacity that a server has when it starts; capacity rises linearly from
+    /// there.
     #[serde(rename = "cold_from")]
     pub slow_start_capacity: f64,
     /// Duration of slow start.
     #[serde(rename = "warm_after")]
     pub slow_start_duration: Span,
-    /// A server in slow start crashes when the work received within `slow_start_overload_window` exceeds this multiple
-    /// of what it can process.
+    /// A server in slow start crashes when the work received within `slow_start_overload_window`
+    /// exceeds this multiple of what it can process.
     #[serde(rename = "cold_multiple")]
     pub slow_start_overload_factor: f64,
     /// Window over which work is summed for `slow_start_overload_factor`.
@@ -386,8 +390,8 @@
     pub worst_tenant: f64,
     /// Late responses.
     pub tail: f64,
-    /// Fraction of the responses that may miss the latency objective without loss; at five times this fraction the tail
-    /// scores nothing.
+    /// Fraction of the responses that may miss the latency objective without loss; at five times
+    /// this fraction the tail scores nothing.
     #[serde(rename = "late_free")]
     pub late_fraction_allowed: f64,
 }
--- a/crates/model/src/server/duplicates.rs
+++ b/crates/model/src/server/duplicates.rs
@@ -18,7 +18,8 @@
 }
 
 impl DuplicateFilter {
-    /// Whether a request is a duplicate in its scope. Otherwise its key is remembered for the window.
+    /// Whether a request is a duplicate in its scope. Otherwise its key is remembered for the
+    /// window.
     pub fn is_duplicate(&mut self, now: Micros, scope: usize, key: u64, window: Micros) -> bool {
         let expires_at = self.expires_at.get(&(scope, key));
         if expires_at.is_some_and(|expires_at| now < *expires_at) {
--- a/crates/model/src/server/load.rs
+++ b/crates/model/src/server/load.rs
@@ -11,7 +11,8 @@
 /// Fraction of the cores that may be busy while an overloaded server recovers.
 const RECOVERY_BUSY_FRACTION: f64 = 0.5;
 
-/// Whether a server is overloaded. It becomes so when its queue stays too long, and recovers when it stays mostly idle.
+/// Whether a server is overloaded. It becomes so when its queue stays too long, and recovers when
+/// it stays mostly idle.
 #[derive(Default)]
 pub(super) struct Overload {
     is_overloaded: bool,
@@ -81,7 +82,8 @@
         self.received.clear();
     }
 
-    /// Adds work. Whether the sum within the window exceeds the limit for a capacity in work per microsecond.
+    /// Adds work. Whether the sum within the window exceeds the limit for a capacity in work per
+    /// microsecond.
     pub(super) fn add(&mut self, now: Micros, work: f64, capacity: f64, rules: &Rules) -> bool {
         let window = rules.slow_start_overload_window.0;
         let received = &mut self.received;
@@ -124,7 +126,8 @@
         self.busy += core_time;
     }
 
-    /// Measures the load if the interval has passed. `jobs` and `waiting` count all jobs and those without a core.
+    /// Measures the load if the interval has passed. `jobs` and `waiting` count all jobs and those
+    /// without a core.
     pub(super) fn measure(
         &mut self,
         now: Micros,
--- a/crates/model/src/server/mod.rs
+++ b/crates/model/src/server/mod.rs
@@ -1,7 +1,8 @@
 //! A server: cores with a speed, a queue, slow start, overload, and the effect of faults.
 //!
-//! [`Server::receive`] adds jobs, [`Server::advance`] returns finished ones, and [`Server::next_event`] gives the time of
-//! the next change. Rates are constant between two changes, so the simulation is exact.
+//! [`Server::receive`] adds jobs, [`Server::advance`] returns finished ones, and
+//! [`Server::next_event`] gives the time of the next change. Rates are constant between two
+//! changes, so the simulation is exact.
 
 mod duplicates;
 mod load;
@@ -18,7 +19,8 @@
 use crate::random::RandomSource;
 use crate::scenario::{Fleet, Rules};
 
-/// Capacity rises in this many equal steps during slow start, so that rates are constant between them.
+/// Capacity rises in this many equal steps during slow start, so that rates are constant between
+/// them.
 const SLOW_START_STEPS: u64 = 40;
 /// Remaining work below this is rounding error.
 const NEGLIGIBLE_WORK: f64 = 1e-6;
@@ -148,7 +150,8 @@
         self.spec.speed * self.slow_start_factor(self.now) * self.condition.rate / slowdown
     }
 
-    /// Changes the effect of faults. Finished jobs are appended to `finished`, here and in all other methods.
+    /// Changes the effect of faults. Finished jobs are appended to `finished`, here and in all
+    /// other methods.
     pub fn set_condition(
         &mut self,
         now: Micros,
@@ -318,7 +321,8 @@
         }
     }
 
-    /// Moves finished work off the cores, starts waiting jobs, ends jobs and updates the overload state.
+    /// Moves finished work off the cores, starts waiting jobs, ends jobs and updates the overload
+    /// state.
     fn settle(&mut self, finished: &mut Vec<FinishedJob>) {
         if self.condition.frozen || self.is_dead {
             return;
@@ -382,7 +386,8 @@
         }
     }
 
-    /// The load that a response reports now; none where reports are off or nothing was measured yet.
+    /// The load that a response reports now; none where reports are off or nothing was measured
+    /// yet.
     pub fn report(&self, now: Micros) -> Option<Report> {
         if self.condition.reports_absent || self.fleet.report_interval.0 == 0 {
             return None;
--- a/crates/model/src/service.rs
+++ b/crates/model/src/service.rs
@@ -1,5 +1,6 @@
-//! The service score: the priority weight answered within the latency objective over the weight requested, in parts that
-//! the scenario weighs. Retries of a client count towards its first attempt.
+//! The service score: the priority weight answered within the latency objective over the weight
+//! requested, in parts that the scenario weighs. Retries of a client count towards its first
+//! attempt.
 
 use std::collections::BTreeMap;
 
@@ -130,7 +131,8 @@
         is_scored.then(|| weight.earned / weight.requested)
     }
 
-    /// The score of late responses: by class and window, 1 up to the allowed fraction, falling linearly to 0.
+    /// The score of late responses: by class and window, 1 up to the allowed fraction, falling
+    /// linearly to 0.
     fn tail(&self, scenario: &Scenario) -> f64 {
         let mut windows: BTreeMap<(usize, Micros), TailWindow> = BTreeMap::new();
         let unanswered_or_served =
@@ -185,7 +187,8 @@
         Parts { total, ..parts }
     }
 
-    /// The score of each second of the scenario, by when requests were scheduled; 1 where there were none.
+    /// The score of each second of the scenario, by when requests were scheduled; 1 where there
+    /// were none.
     pub fn by_second(&self, scenario: &Scenario) -> Vec<f64> {
         let seconds = scenario.length.get_ref().0.div_ceil(SECOND) as usize;
         let mut weights = vec![Weight::default(); seconds];
--- a/crates/model/src/timeline/mod.rs
+++ b/crates/model/src/timeline/mod.rs
@@ -1,5 +1,5 @@
-//! The faults of a scenario as a timeline: what holds for each server, for traffic and for discovery at a point in time,
-//! and which events happen to servers and balancers.
+//! The faults of a scenario as a timeline: what holds for each server, for traffic and for
+//! discovery at a point in time, and which events happen to servers and balancers.
 
 use crate::Micros;
 use crate::network::{LinkFault, NetworkLinks};
@@ -394,7 +394,8 @@
     }
 }
 
-/// The events at the start and the end of a fault of one balancer; `next` is the next balancer that the fault names.
+/// The events at the start and the end of a fault of one balancer; `next` is the next balancer that
+/// the fault names.
 fn start_and_end(kind: FaultKind, number: usize, next: usize) -> [TimelineEvent; 2] {
     use TimelineEvent::{
         BalancerKilled, BalancerMoved, BalancerPaused, BalancerResumed, BalancerStarted,
--- a/crates/model/src/traffic.rs
+++ b/crates/model/src/traffic.rs
@@ -1,5 +1,5 @@
-//! Open-loop traffic: requests arrive regardless of the outcome of earlier ones, and clients retry after rejections and
-//! failures.
+//! Open-loop traffic: requests arrive regardless of the outcome of earlier ones, and clients retry
+//! after rejections and failures.
 
 use crate::random::{RandomSource, cumulative_sums};
 use crate::scenario::{Scenario, Span};
@@ -53,7 +53,8 @@
     candidate_at: f64,
     /// Number of the last request.
     number: u64,
-    /// The maximum rate of the scenario. Candidates are drawn at this rate and thinned to the current one.
+    /// The maximum rate of the scenario. Candidates are drawn at this rate and thinned to the
+    /// current one.
     max_requests_per_us: f64,
     class_weights: Vec<f64>,
     tenant_weights: Vec<f64>,
@@ -162,7 +163,8 @@
     }
 }
 
-/// The retry of a request that was rejected or failed; none where the client has no retries left or is to disconnect.
+/// The retry of a request that was rejected or failed; none where the client has no retries left or
+/// is to disconnect.
 ///
 /// `number` is the retry's own number, `retry_after` the delay that the response asked for.
 pub fn retry(
--- a/crates/model/src/validation/faults.rs
+++ b/crates/model/src/validation/faults.rs
@@ -134,7 +134,8 @@
         }
     }
 
-    /// Finds the first fault that overlaps another of its kind on one server, or affects a server that is dead or removed.
+    /// Finds the first fault that overlaps another of its kind on one server, or affects a server
+    /// that is dead or removed.
     fn check_overlapping_server_faults(&mut self, scenario: &Scenario, timeline: &Timeline) {
         let faults = timeline.server_faults();
         for (index, fault) in faults.iter().enumerate() {
--- a/crates/model/src/validation/mod.rs
+++ b/crates/model/src/validation/mod.rs
@@ -1,4 +1,5 @@
-//! Decodes a scenario file and reports everything that is wrong with it, each problem with file, line and field.
+//! Decodes a scenario file and reports everything that is wrong with it, each problem with file,
+//! line and field.
 
 mod faults;
 mod values;
@@ -182,7 +183,8 @@
         });
     }
 
-    /// Adds a problem with a field whose offset is unknown, at the first line of its table that sets it.
+    /// Adds a problem with a field whose offset is unknown, at the first line of its table that
+    /// sets it.
     fn add_for_key(&mut self, table: &str, field: &str, reason: impl Into<String>) {
         let table_start = self.text.find(&format!("[{table}]")).unwrap_or(0);
         let mut offset = table_start;
--- a/crates/model/src/validation/values.rs
+++ b/crates/model/src/validation/values.rs
@@ -1,4 +1,5 @@
-//! Checks of all values but the faults. The order of the checks is the order in which problems are reported.
+//! Checks of all values but the faults. The order of the checks is the order in which problems are
+//! reported.
 
 use toml::Spanned;
 
--- a/crates/model/tests/scenario_keys.rs
+++ b/crates/model/tests/scenario_keys.rs
@@ -1,8 +1,8 @@
-//! The keys of a scenario file, held in place: every key of every table, every kind of fault, and the texts that refuse
-//! a file are compared byte for byte with what is recorded.
+//! The keys of a scenario file, held in place: every key of every table, every kind of fault, and
+//! the texts that refuse a file are compared byte for byte with what is recorded.
 //!
-//! `RECORD_SCENARIO=1 cargo test -p pinefront-model` writes the recordings anew; only a change that is meant to alter
-//! the file format may do so. `recorded/every_key.toml` is written by hand.
+//! `RECORD_SCENARIO=1 cargo test -p pinefront-model` writes the recordings anew; only a change that
+//! is meant to alter the file format may do so. `recorded/every_key.toml` is written by hand.
 
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
@@ -314,7 +314,8 @@
     )
 }
 
-/// Files that are refused: an unknown key in each table, values of the wrong type, and what a check finds.
+/// Files that are refused: an unknown key in each table, values of the wrong type, and what a check
+/// finds.
 fn refused_files() -> Vec<String> {
     let class = "[[use_cases]]\nname = 'x'\neffect = 'redoable'\nwork = '1ms'\npromised_time = '1s'\nhard_stop = '2s'\n";
     let fault = "[[faults]]\nkind = 'freeze'\nat = '1s'\nfor = '1s'\n";
--- a/crates/testbed/src/assumed_notifications.rs
+++ b/crates/testbed/src/assumed_notifications.rs
@@ -1,5 +1,6 @@
-//! Assumes that a balancer was notified of a change of the endpoint list some time after discovery served it, even if
-//! the notification never arrived, so that the rule on draining servers applies to it.
+//! Assumes that a balancer was notified of a change of the endpoint list some time after discovery
+//! served it, even if the notification never arrived, so that the rule on draining servers applies
+//! to it.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,7 +13,8 @@
 
 use crate::world::World;
 
-/// How long after discovery served a change, and could be reached, balancers are assumed to know it.
+/// How long after discovery served a change, and could be reached, balancers are assumed to know
+/// it.
 const ASSUMED_AFTER_US: Micros = 6 * SECOND;
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
--- a/crates/testbed/src/balancers/mod.rs
+++ b/crates/testbed/src/balancers/mod.rs
@@ -84,7 +84,8 @@
 impl Balancer {
     /// Writes the configuration of a balancer; its process is started by [`Balancer::start`].
     pub fn new(setup: &BalancerSetup) -> io::Result<Self> {
-        // The port is free until the balancer binds it, unless another process takes it, which the start then reports.
+        // The port is free until the balancer binds it, unless another process takes it, which the
+        // start then reports.
         let address = TcpListener::bind((own_address(), 0))?.local_addr()?;
         let config = initial_config(setup, address);
         let config_file = setup.folder.join(format!("b{}.json", setup.number));
--- a/crates/testbed/src/baseline.rs
+++ b/crates/testbed/src/baseline.rs
@@ -1,5 +1,5 @@
-//! Simple load balancing policies as stand-in balancers, for comparison: one attempt per request, another only where a
-//! connection was refused, without limits, outlier detection or slow start.
+//! Simple load balancing policies as stand-in balancers, for comparison: one attempt per request,
+//! another only where a connection was refused, without limits, outlier detection or slow start.
 
 use std::io;
 use std::net::SocketAddr;
@@ -234,7 +234,8 @@
     }
 }
 
-/// Sends a request on a connection. Returns the response's bytes; none where the server did not process it.
+/// Sends a request on a connection. Returns the response's bytes; none where the server did not
+/// process it.
 async fn exchange(endpoint: &Endpoint, mut stream: TcpStream, message: &[u8]) -> Option<Vec<u8>> {
     let _ = stream.set_nodelay(true);
     if stream.write_all(message).await.is_err() {
--- a/crates/testbed/src/clients/exchange.rs
+++ b/crates/testbed/src/clients/exchange.rs
@@ -77,8 +77,8 @@
 }
 
 impl Exchange<'_> {
-    /// Writes the request and waits for its response. Returns none where a reused connection ended without a byte: the
-    /// balancer closed it, and the request goes on a new one.
+    /// Writes the request and waits for its response. Returns none where a reused connection ended
+    /// without a byte: the balancer closed it, and the request goes on a new one.
     pub(super) async fn run(mut self) -> Option<AttemptEnd> {
         let sent = match self.send().await {
             Ok(sent) => sent,
@@ -193,7 +193,8 @@
         }
     }
 
-    /// Waits for the response to the pipelined request. Returns whether the connection can be reused.
+    /// Waits for the response to the pipelined request. Returns whether the connection can be
+    /// reused.
     async fn receive_pipelined(&mut self, sent: &Sent, buffer: &mut Vec<u8>) -> bool {
         let read = http::read_response(&mut self.stream, buffer);
         if let Ok(Ok(response)) = timeout(PIPELINED_TIMEOUT, read).await {
--- a/crates/testbed/src/clients/mod.rs
+++ b/crates/testbed/src/clients/mod.rs
@@ -1,5 +1,5 @@
-//! The clients of a run: each request is sent at its scheduled time, whatever became of others, and retried as the
-//! scenario says.
+//! The clients of a run: each request is sent at its scheduled time, whatever became of others, and
+//! retried as the scenario says.
 
 mod exchange;
 mod results;
@@ -80,8 +80,8 @@
     }
 }
 
-/// Runs a worker on this thread, with a runtime of its own, so that stand-ins do not delay requests. Returns when the
-/// channel is closed and all requests have ended.
+/// Runs a worker on this thread, with a runtime of its own, so that stand-ins do not delay
+/// requests. Returns when the channel is closed and all requests have ended.
 pub fn run_worker(load: &Arc<Load>, mut requests: mpsc::Receiver<Request>) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/testbed/src/commands/measuring.rs
+++ b/crates/testbed/src/commands/measuring.rs
@@ -64,7 +64,8 @@
     binary: Vec<PathBuf>,
     #[arg(long, default_value_t = 2)]
     threads: usize,
-    /// Without an operator file and then in clusters of so many members, before the first number of servers and clients
+    /// Without an operator file and then in clusters of so many members, before the first number of
+    /// servers and clients
     #[arg(long, value_delimiter = ',')]
     fleet: Vec<usize>,
     #[arg(long)]
--- a/crates/testbed/src/commands/scenarios.rs
+++ b/crates/testbed/src/commands/scenarios.rs
@@ -1,4 +1,5 @@
-//! Commands that run scenarios: calm ones, from files, with a cluster, with simple policies, and stand-ins alone.
+//! Commands that run scenarios: calm ones, from files, with a cluster, with simple policies, and
+//! stand-ins alone.
 
 use std::net::SocketAddr;
 use std::ops::Range;
@@ -117,7 +118,8 @@
     /// Faults drawn from each of these seeds, in place of the scenario's own
     #[arg(long, value_parser = seeds)]
     seeds: Option<Range<u64>>,
-    /// Fraction of all datagrams between balancers that is lost all the time, beside the scenario's faults
+    /// Fraction of all datagrams between balancers that is lost all the time, beside the scenario's
+    /// faults
     #[arg(long, value_parser = part)]
     loss: Option<f64>,
     /// The balancer's program; the one beside this program where none is named
--- a/crates/testbed/src/discovery_stand_in/list.rs
+++ b/crates/testbed/src/discovery_stand_in/list.rs
@@ -1,4 +1,5 @@
-//! Responses of discovery: the endpoint list or its changes, as JSON in one of the framings of HTTP/1.1.
+//! Responses of discovery: the endpoint list or its changes, as JSON in one of the framings of
+//! HTTP/1.1.
 
 use pinefront_model::Micros;
 use pinefront_model::discovery::Entry;
@@ -82,7 +83,8 @@
         Self::framed(&body, offsets, world)
     }
 
-    /// Frames a body by its length; at random by chunks or the connection's end while a fault sends it in pieces.
+    /// Frames a body by its length; at random by chunks or the connection's end while a fault sends
+    /// it in pieces.
     fn framed(body: &str, offsets: Vec<usize>, world: &World) -> Self {
         let in_pieces = world
             .timeline()
--- a/crates/testbed/src/discovery_stand_in/mod.rs
+++ b/crates/testbed/src/discovery_stand_in/mod.rs
@@ -1,4 +1,5 @@
-//! The stand-in of discovery on loopback sockets: polls and watches, its capacity, and faults of its responses.
+//! The stand-in of discovery on loopback sockets: polls and watches, its capacity, and faults of
+//! its responses.
 
 mod list;
 
@@ -43,7 +44,8 @@
     FaultKind::DiscoveryUnreachable,
 ];
 
-/// Starts discovery for one balancer, on an address of its own, so that the checker knows which balancer was notified.
+/// Starts discovery for one balancer, on an address of its own, so that the checker knows which
+/// balancer was notified.
 pub async fn start(world: &Arc<World>, balancer: usize) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
@@ -261,7 +263,8 @@
         next.unwrap_or(latest).min(latest)
     }
 
-    /// Writes the response to a call, with the active faults, and records what the balancer was notified of.
+    /// Writes the response to a call, with the active faults, and records what the balancer was
+    /// notified of.
     async fn write_list(&mut self, call: Call) -> io::Result<AfterCall> {
         let world = Arc::clone(&self.world);
         if let Some(delay) = self.draw_fault_duration(FaultKind::ListsLate) {
--- a/crates/testbed/src/figures/mod.rs
+++ b/crates/testbed/src/figures/mod.rs
@@ -1,4 +1,5 @@
-//! The figures of a run, as JSON for programs and as a table for people. The names of JSON keys are part of the format.
+//! The figures of a run, as JSON for programs and as a table for people. The names of JSON keys are
+//! part of the format.
 
 mod table;
 
@@ -121,7 +122,8 @@
         self.seconds = seconds.map(second).collect();
     }
 
-    /// Decides whether the load was fast enough for the run to be valid. `dropped` requests were never sent.
+    /// Decides whether the load was fast enough for the run to be valid. `dropped` requests were
+    /// never sent.
     pub fn check_validity(&mut self, max_lateness_ms: f64, dropped: u64) {
         let lateness_ms = self.lateness_ms.p99;
         if lateness_ms > max_lateness_ms {
--- a/crates/testbed/src/http.rs
+++ b/crates/testbed/src/http.rs
@@ -1,5 +1,5 @@
-//! Reading and writing of HTTP/1.1 messages on raw sockets: stand-ins must be able to truncate and corrupt what they
-//! send, and the load must know when the last byte was sent and received.
+//! Reading and writing of HTTP/1.1 messages on raw sockets: stand-ins must be able to truncate and
+//! corrupt what they send, and the load must know when the last byte was sent and received.
 
 use std::io;
 use std::ops::Range;
@@ -138,7 +138,8 @@
     }))
 }
 
-/// Parses the first response of the buffer; none while part of it is missing. `is_closed`: the connection has ended.
+/// Parses the first response of the buffer; none while part of it is missing. `is_closed`: the
+/// connection has ended.
 pub fn parse_response(buffer: &[u8], is_closed: bool) -> io::Result<Option<ParsedResponse>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = Response::new(&mut headers);
@@ -174,8 +175,8 @@
     Ok(stream.read_buf(buffer).await? > 0)
 }
 
-/// Reads until the buffer starts with a complete request. Returns none where the connection ended or failed, or where
-/// the bytes are no request.
+/// Reads until the buffer starts with a complete request. Returns none where the connection ended
+/// or failed, or where the bytes are no request.
 pub async fn read_request(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<ParsedRequest> {
     loop {
         if !buffer.is_empty()
--- a/crates/testbed/src/load/mod.rs
+++ b/crates/testbed/src/load/mod.rs
@@ -1,5 +1,6 @@
-//! Open-loop load on an HTTP address of this machine: requests are sent at their scheduled times whatever became of
-//! others, and latency counts from there. A run in which the load itself was late is invalid.
+//! Open-loop load on an HTTP address of this machine: requests are sent at their scheduled times
+//! whatever became of others, and latency counts from there. A run in which the load itself was
+//! late is invalid.
 
 mod worker;
 
@@ -29,7 +30,8 @@
     pub path: String,
     /// Further header lines, each with its line end.
     pub headers: String,
-    /// Requests per second; none for a closed loop, in which each client sends its next request after its response.
+    /// Requests per second; none for a closed loop, in which each client sends its next request
+    /// after its response.
     pub rate: Option<f64>,
     pub duration: Duration,
     /// Number of connections; unlimited where none is given.
--- a/crates/testbed/src/load/worker.rs
+++ b/crates/testbed/src/load/worker.rs
@@ -74,7 +74,8 @@
         }
     }
 
-    /// Sends requests until the channel is closed, and in a closed loop until the plan's duration is over.
+    /// Sends requests until the channel is closed, and in a closed loop until the plan's duration
+    /// is over.
     pub(super) fn run(self, mut scheduled: mpsc::Receiver<Instant>) -> io::Result<WorkerResults> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,5 @@
-//! `pinefront-testbed`: runs balancers before stand-in servers on this machine, with faults, and measures them.
+//! `pinefront-testbed`: runs balancers before stand-in servers on this machine, with faults, and
+//! measures them.
 
 mod assumed_notifications;
 mod balancers;
@@ -44,7 +45,8 @@
 
 /// Runs pinefront before stand-in servers on this machine, with faults, and measures it.
 ///
-/// Exit codes: 0 success, 1 a rule was violated, a balancer died or the testbed failed, 2 a scenario or an argument is wrong.
+/// Exit codes: 0 success, 1 a rule was violated, a balancer died or the testbed failed, 2 a
+/// scenario or an argument is wrong.
 #[derive(Parser)]
 #[command(version)]
 struct Line {
@@ -64,7 +66,8 @@
     Load(LoadAt),
     /// Measures the overhead of a balancer: the same load directly on servers and through it
     Overhead(Overhead),
-    /// Runs a scenario with balancers that form a cluster, with a relay on each link between two of them
+    /// Runs a scenario with balancers that form a cluster, with a relay on each link between two of
+    /// them
     Fleet(ClusterRun),
     /// Plays the accord of many members on a virtual clock, under faults drawn from seeds
     Accord(AccordOf),
--- a/crates/testbed/src/overhead.rs
+++ b/crates/testbed/src/overhead.rs
@@ -1,4 +1,5 @@
-//! The overhead of a balancer: the same load directly on servers and through a balancer, in one measurement.
+//! The overhead of a balancer: the same load directly on servers and through a balancer, in one
+//! measurement.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/testbed/src/pace.rs
+++ b/crates/testbed/src/pace.rs
@@ -1,5 +1,5 @@
-//! Sends items to workers at their scheduled times, from a thread that sleeps with microsecond precision. The timers of
-//! the runtime have a precision of a millisecond.
+//! Sends items to workers at their scheduled times, from a thread that sleeps with microsecond
+//! precision. The timers of the runtime have a precision of a millisecond.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
@@ -9,7 +9,8 @@
 /// The longest sleep, so that an early end is noticed.
 const MAX_SLEEP: Duration = Duration::from_millis(50);
 
-/// Capacity of the channel to a worker. Items that do not fit are counted as dropped, which makes the run invalid.
+/// Capacity of the channel to a worker. Items that do not fit are counted as dropped, which makes
+/// the run invalid.
 pub const CHANNEL_CAPACITY: usize = 65_536;
 
 /// An item and when it is due.
@@ -18,7 +19,8 @@
     pub item: T,
 }
 
-/// Sends each item at its time, to the workers in turn. Returns early when `stop` is set or a worker is gone.
+/// Sends each item at its time, to the workers in turn. Returns early when `stop` is set or a
+/// worker is gone.
 pub fn send_on_schedule<T>(
     scheduled: impl Iterator<Item = Scheduled<T>>,
     workers: &[Sender<T>],
--- a/crates/testbed/src/runner/events.rs
+++ b/crates/testbed/src/runner/events.rs
@@ -22,7 +22,8 @@
 /// The longest sleep between two looks at the timeline.
 const MAX_SLEEP: Duration = Duration::from_secs(1);
 
-/// Applies conditions and events as the timeline reaches them, until the runtime ends. Events of balancers are sent to
+/// Applies conditions and events as the timeline reaches them, until the runtime ends. Events of
+/// balancers are sent to
 /// `balancer_events`.
 pub async fn follow_timeline(
     world: Arc<World>,
@@ -172,7 +173,8 @@
         self.load.front_end.set_up(balancer, false);
     }
 
-    /// Starts a process, at the cluster address of `address_of` where given, and waits until it is ready.
+    /// Starts a process, at the cluster address of `address_of` where given, and waits until it is
+    /// ready.
     async fn start(self, event: TimelineEvent, balancer: usize, address_of: Option<usize>) {
         let started = self.with_process(balancer, |process| {
             locked(&self.views).happens(self.world().now(), event, 0);
--- a/crates/testbed/src/runner/load.rs
+++ b/crates/testbed/src/runner/load.rs
@@ -1,4 +1,5 @@
-//! The load of a run: worker threads, the thread that sends requests on schedule, and the line on the terminal.
+//! The load of a run: worker threads, the thread that sends requests on schedule, and the line on
+//! the terminal.
 
 use std::io::{self, IsTerminal, Write};
 use std::sync::Arc;
@@ -23,7 +24,8 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 const TERMINAL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Runs the load until all requests have ended. Returns the number of requests that could not be sent in time.
+/// Runs the load until all requests have ended. Returns the number of requests that could not be
+/// sent in time.
 pub(super) fn run_load(
     load: &Arc<Load>,
     group: &BalancerGroup,
@@ -58,8 +60,8 @@
     Ok(dropped.load(Ordering::Relaxed))
 }
 
-/// Waits until the workers have ended, or for some time after the last request. Balancers that end by themselves get no
-/// more requests.
+/// Waits until the workers have ended, or for some time after the last request. Balancers that end
+/// by themselves get no more requests.
 fn wait_for_workers(
     load: &Load,
     group: &BalancerGroup,
--- a/crates/testbed/src/runner/mod.rs
+++ b/crates/testbed/src/runner/mod.rs
@@ -1,4 +1,5 @@
-//! Runs a scenario from the first request to the last response: stand-ins, balancers and load together.
+//! Runs a scenario from the first request to the last response: stand-ins, balancers and load
+//! together.
 
 mod events;
 mod load;
--- a/crates/testbed/src/runner/setup.rs
+++ b/crates/testbed/src/runner/setup.rs
@@ -141,7 +141,8 @@
         Ok(address)
     }
 
-    /// Writes the operator file of a balancer at the cluster address of `address_of`, where there is a cluster.
+    /// Writes the operator file of a balancer at the cluster address of `address_of`, where there
+    /// is a cluster.
     pub(super) fn write_operator_file(
         &self,
         world: &World,
--- a/crates/testbed/src/server_stand_in.rs
+++ b/crates/testbed/src/server_stand_in.rs
@@ -1,5 +1,5 @@
-//! Stand-ins of servers on loopback sockets: they pass attempts to the simulated servers and write responses, with the
-//! faults of the scenario.
+//! Stand-ins of servers on loopback sockets: they pass attempts to the simulated servers and write
+//! responses, with the faults of the scenario.
 
 use std::io;
 use std::sync::Arc;
@@ -23,7 +23,8 @@
 const MAX_SECOND_RESPONSE_DELAY_US: usize = 6_000;
 /// Fraction of the responses without a length that are reset on the way.
 const RESET_FRACTION: f64 = 0.33;
-/// Fraction of the idle connections that are reset rather than closed, while a fault shortens the idle timeout.
+/// Fraction of the idle connections that are reset rather than closed, while a fault shortens the
+/// idle timeout.
 const IDLE_RESET_FRACTION: f64 = 0.5;
 /// Delay between writing and a reset, so that the reset doesn't overtake the data.
 const RESET_DELAY: Duration = Duration::from_millis(2);
@@ -32,8 +33,8 @@
 /// Delay after a failure to accept a connection, most likely for want of descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Starts the stand-in of a server on a new address; it ends with the server's incarnation. `announce` adds the server
-/// to the endpoint list.
+/// Starts the stand-in of a server on a new address; it ends with the server's incarnation.
+/// `announce` adds the server to the endpoint list.
 pub async fn start(world: &Arc<World>, number: usize, announce: bool) -> io::Result<()> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let Some(host) = world.server(number) else {
--- a/crates/testbed/src/soak/coverage.rs
+++ b/crates/testbed/src/soak/coverage.rs
@@ -1,4 +1,5 @@
-//! Which pairs of faults overlapped, in how many scenarios, and how many requests were sent meanwhile.
+//! Which pairs of faults overlapped, in how many scenarios, and how many requests were sent
+//! meanwhile.
 
 use std::collections::BTreeMap;
 
--- a/crates/testbed/src/soak/mod.rs
+++ b/crates/testbed/src/soak/mod.rs
@@ -1,4 +1,5 @@
-//! Soak tests: scenarios drawn from seeds, with faults that overlap, run with real processes and checked from outside.
+//! Soak tests: scenarios drawn from seeds, with faults that overlap, run with real processes and
+//! checked from outside.
 
 pub mod coverage;
 pub mod schedule;
--- a/crates/testbed/src/soak/schedule/catalog.rs
+++ b/crates/testbed/src/soak/schedule/catalog.rs
@@ -1,4 +1,5 @@
-//! The kinds of faults that schedules contain, with the ranges that their parameters are drawn from.
+//! The kinds of faults that schedules contain, with the ranges that their parameters are drawn
+//! from.
 
 use pinefront_model::scenario::FaultKind;
 
--- a/crates/testbed/src/soak/schedule/mod.rs
+++ b/crates/testbed/src/soak/schedule/mod.rs
@@ -1,4 +1,5 @@
-//! Scenarios drawn from a seed, as the text of a scenario file: settings, and faults that overlap in time.
+//! Scenarios drawn from a seed, as the text of a scenario file: settings, and faults that overlap
+//! in time.
 //!
 //! The order of the draws is part of what a seed means.
 
@@ -226,8 +227,8 @@
     }
 }
 
-/// The servers that a fault of a group may affect. Servers that the first group may have removed are left out of the
-/// second.
+/// The servers that a fault of a group may affect. Servers that the first group may have removed
+/// are left out of the second.
 fn candidate_servers(template: &FaultTemplate, group: Group) -> Vec<usize> {
     let all = 0..MIN_SERVERS;
     match group {
--- a/crates/testbed/src/soak/shrink.rs
+++ b/crates/testbed/src/soak/shrink.rs
@@ -27,7 +27,8 @@
     smallest.join(FAULT_HEADER)
 }
 
-/// Removes each part but the first, the settings, without which `fails` still holds. At least one fault remains.
+/// Removes each part but the first, the settings, without which `fails` still holds. At least one
+/// fault remains.
 pub fn remove_needless<'a>(
     parts: &[&'a str],
     mut fails: impl FnMut(&[&'a str]) -> bool,
--- a/crates/testbed/src/stalled_clients.rs
+++ b/crates/testbed/src/stalled_clients.rs
@@ -1,5 +1,5 @@
-//! Clients that stop in the middle of a request and stay connected. A balancer must answer or close such a connection
-//! within three seconds.
+//! Clients that stop in the middle of a request and stay connected. A balancer must answer or close
+//! such a connection within three seconds.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -64,8 +64,8 @@
     }
 }
 
-/// Sends a request that no server knows as a client's, so that it is served as a usual one. Returns whether a response
-/// arrived.
+/// Sends a request that no server knows as a client's, so that it is served as a usual one. Returns
+/// whether a response arrived.
 async fn send_complete_request(world: &World, balancer: usize, stream: &mut TcpStream) -> bool {
     let request = format!(
         "GET /look/1 HTTP/1.1\r\nHost: lab\r\nX-Txn: stop-{balancer}-{}-{}\r\nX-Remaining-Ms: 1000\r\n\r\n",
--- a/crates/testbed/src/stand_alone.rs
+++ b/crates/testbed/src/stand_alone.rs
@@ -1,5 +1,5 @@
-//! Stand-ins without load: servers and discovery for a balancer that is started by hand, and a page that shows the servers
-//! and injects faults.
+//! Stand-ins without load: servers and discovery for a balancer that is started by hand, and a page
+//! that shows the servers and injects faults.
 
 use std::fmt::Write as _;
 use std::net::SocketAddr;
--- a/crates/testbed/src/system_faults.rs
+++ b/crates/testbed/src/system_faults.rs
@@ -1,5 +1,6 @@
-//! Faults of the operating system that balancers run on, by a library that is preloaded into them (`shim/shim.c`): calls
-//! that fail temporarily, short reads and writes, steps of the wall clock, and delays.
+//! Faults of the operating system that balancers run on, by a library that is preloaded into them
+//! (`shim/shim.c`): calls that fail temporarily, short reads and writes, steps of the wall clock,
+//! and delays.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -27,7 +28,8 @@
     pub control_file: PathBuf,
 }
 
-/// The control block, in the order of `struct control` in the library's source. Probabilities are in millionths.
+/// The control block, in the order of `struct control` in the library's source. Probabilities are
+/// in millionths.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Control {
     /// Probability that a call fails.
--- a/crates/testbed/src/tests.rs
+++ b/crates/testbed/src/tests.rs
@@ -1,8 +1,9 @@
-//! What the testbed writes for others, held in place: schedules that a soak draws, JSON figures, what the stand-ins send,
-//! what a client sends, and the settings that a balancer is given, each compared byte for byte with what is recorded.
+//! What the testbed writes for others, held in place: schedules that a soak draws, JSON figures,
+//! what the stand-ins send, what a client sends, and the settings that a balancer is given, each
+//! compared byte for byte with what is recorded.
 //!
-//! `RECORD_TESTBED=1 cargo test -p pinefront-testbed` writes the recordings anew; only a change that is meant
-//! to alter one of these forms may do so.
+//! `RECORD_TESTBED=1 cargo test -p pinefront-testbed` writes the recordings anew; only a change
+//! that is meant to alter one of these forms may do so.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
--- a/crates/testbed/src/world/balancers.rs
+++ b/crates/testbed/src/world/balancers.rs
@@ -1,4 +1,5 @@
-//! What the testbed knows of balancer processes: whether they run, and what excuses them from rules.
+//! What the testbed knows of balancer processes: whether they run, and what excuses them from
+//! rules.
 
 use std::collections::HashMap;
 
--- a/crates/testbed/src/world/mod.rs
+++ b/crates/testbed/src/world/mod.rs
@@ -1,5 +1,6 @@
-//! The simulated environment of a run: servers, discovery and the checker behind locks, and the timeline of faults that
-//! changes them. Stand-ins on sockets call this module; nothing here uses a socket.
+//! The simulated environment of a run: servers, discovery and the checker behind locks, and the
+//! timeline of faults that changes them. Stand-ins on sockets call this module; nothing here uses a
+//! socket.
 
 mod balancers;
 mod requests;
@@ -205,7 +206,8 @@
         locked(&self.sent_requests).add(self.now(), request);
     }
 
-    /// The request with that identity; where no client sent it, a usual request of the path's class.
+    /// The request with that identity; where no client sent it, a usual request of the path's
+    /// class.
     pub fn find_request(&self, id: &str, path: &str) -> Option<FoundRequest> {
         locked(&self.sent_requests).find(&self.scenario, id, path)
     }
--- a/crates/testbed/src/world/requests.rs
+++ b/crates/testbed/src/world/requests.rs
@@ -43,7 +43,8 @@
         });
     }
 
-    /// The request with an identity; otherwise a usual request of the path's class, if there is such a class.
+    /// The request with an identity; otherwise a usual request of the path's class, if there is
+    /// such a class.
     pub(super) fn find(&self, scenario: &Scenario, id: &str, path: &str) -> Option<FoundRequest> {
         let number = u64::from_str_radix(id, 16).ok();
         let sent = number.and_then(|number| self.requests.get(&number));
--- a/crates/testbed/src/world/servers.rs
+++ b/crates/testbed/src/world/servers.rs
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Passes a complete attempt, whose first byte arrived at `started_at`, to a server. `extra_work` is added to the
-    /// request's work.
+    /// Passes a complete attempt, whose first byte arrived at `started_at`, to a server.
+    /// `extra_work` is added to the request's work.
     pub fn receive_attempt(
         &self,
         host: &ServerHost,
@@ -182,7 +182,8 @@
         locked(&host.state).waiting.remove(&job);
     }
 
-    /// Applies an event to a server. Returns the numbers of servers that need a new stand-in on sockets.
+    /// Applies an event to a server. Returns the numbers of servers that need a new stand-in on
+    /// sockets.
     pub fn apply_event(&self, event: TimelineEvent) -> Vec<usize> {
         match event {
             TimelineEvent::DrainStarted(server) => {
