--- a/crates/proxy/src/discovery/polling_schedule/mod.rs
+++ b/crates/proxy/src/discovery/polling_schedule/mod.rs
@@ -54,7 +54,7 @@
 /// The bound that it keeps: a change is received **6 s after it was made and discovery accepted
 /// polls**, or, where a watch was open that timed out, **2 s after the wait of that watch was
 /// over**, if that is later; provided that discovery answers a poll within 1.7 s of accepting it.
-/// `docs/sockets.md` has the sum for each path, and the tests play all paths.
+/// `docs/network.md` has the sum for each path, and the tests play all paths.
 pub struct PollingSchedule {
     list: ListState,
     polls: PollsInFlight,
