--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -9,6 +9,15 @@
 //! - [`shared_list`] passes the endpoint list from the member that polls discovery to the others of its zone.
 //! - [`datagram`] seals and opens what is sent; [`messages`] are its contents.
 
+#![cfg_attr(
+    test,
+    // A test that lists its cases in a row reads better whole.
+    allow(
+        clippy::default_trait_access,
+        clippy::needless_for_each,
+        clippy::too_many_lines
+    )
+)]
 #![warn(missing_docs)]
 
 mod cluster;
--- a/crates/cluster/tests/datagrams.rs
+++ b/crates/cluster/tests/datagrams.rs
@@ -1,6 +1,8 @@
 //! What members send one another, byte for byte as recorded: a sealed datagram of each kind of message, and all that
 //! three members send in their first seconds. The files under `recorded/` are the wire; they do not change.
 
+#![allow(clippy::pedantic)] // As it was when the recording was made.
+
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
--- a/crates/model/src/checker.rs
+++ b/crates/model/src/checker.rs
@@ -59,12 +59,11 @@
     }
 
     fn is_expired(&self, now: Micros) -> bool {
-        match self.received {
-            Some(received) => received.deadline + RETENTION_US < now,
-            None => {
-                let last = self.observations.last();
-                last.is_none_or(|(at, _)| at + UNRECEIVED_RETENTION_US < now)
-            }
+        if let Some(received) = self.received {
+            received.deadline + RETENTION_US < now
+        } else {
+            let last = self.observations.last();
+            last.is_none_or(|(at, _)| at + UNRECEIVED_RETENTION_US < now)
         }
     }
 }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -4,6 +4,15 @@
 //! The crate does no I/O and reads no clock. Callers pass the time in whole microseconds since the
 //! scenario started, and all randomness comes from a seed, so that the same seed gives the same
 //! events. The testbed drives these parts behind loopback sockets.
+#![cfg_attr(
+    test,
+    // A test that lists its cases in a row reads better whole.
+    allow(
+        clippy::default_trait_access,
+        clippy::needless_for_each,
+        clippy::too_many_lines
+    )
+)]
 #![warn(missing_docs)]
 
 pub mod call_queue;
--- a/crates/model/src/random.rs
+++ b/crates/model/src/random.rs
@@ -1,7 +1,7 @@
 //! Seeded random numbers, and the distributions that the model draws from.
 //!
 //! A seed identifies a scenario, so it must give the same values in every version: the generator is
-//! WyRand, and the distributions are implemented here rather than taken from a library that may
+//! `WyRand`, and the distributions are implemented here rather than taken from a library that may
 //! change its algorithms.
 
 use nanorand::{Rng, WyRand};
--- a/crates/model/src/random/tests.rs
+++ b/crates/model/src/random/tests.rs
@@ -10,17 +10,18 @@
     assert_eq!(split.next_u64(), PINNED[2]);
 }
 const PINNED: [u64; 3] = [
-    16292765481176799425,
-    15778304849968482104,
-    15433792414885178538,
+    16_292_765_481_176_799_425,
+    15_778_304_849_968_482_104,
+    15_433_792_414_885_178_538,
 ];
 
 #[test]
 fn draws_keep_to_their_means() {
     let mut random = RandomSource::new(1);
     let count = 100_000;
-    let mean =
-        |mut draw: Box<dyn FnMut() -> f64>| (0..count).map(|_| draw()).sum::<f64>() / count as f64;
+    let mean = |mut draw: Box<dyn FnMut() -> f64>| {
+        (0..count).map(|_| draw()).sum::<f64>() / f64::from(count)
+    };
     let mut other = random.clone();
     assert!((mean(Box::new(move || other.exponential(5.0))) - 5.0).abs() < 0.1);
     let mut other = random.clone();
--- a/crates/model/src/scenario/fault.rs
+++ b/crates/model/src/scenario/fault.rs
@@ -133,8 +133,8 @@
 }
 
 impl FactorRange {
-    const fn new(default: f64, min: f64, max: f64) -> Option<Self> {
-        Some(Self { default, min, max })
+    const fn new(default: f64, min: f64, max: f64) -> Self {
+        Self { default, min, max }
     }
 }
 
@@ -238,7 +238,7 @@
 
     /// Default and valid range of the factor, for the kinds that take one.
     pub fn factor(self) -> Option<FactorRange> {
-        match self {
+        let range = match self {
             Self::Neighbour => FactorRange::new(0.5, 0.0, 0.99),
             Self::Slow => FactorRange::new(3.0, 1.0, 1000.0),
             Self::Errors | Self::Corrupted | Self::Reset | Self::Lost => {
@@ -268,8 +268,9 @@
             Self::BalancerHurt => FactorRange::new(0.5, 0.0, 0.9),
             Self::Burst => FactorRange::new(2.0, 0.0, 100.0),
             Self::Grow => FactorRange::new(1.0, 0.0, 100.0),
-            _ => None,
-        }
+            _ => return None,
+        };
+        Some(range)
     }
 
     /// Whether it needs the duration `by`.
--- a/crates/model/tests/scenario_keys.rs
+++ b/crates/model/tests/scenario_keys.rs
@@ -4,6 +4,8 @@
 //! `RECORD_SCENARIO=1 cargo test -p pinefront-model` writes the recordings anew; only a change that
 //! is meant to alter the file format may do so. `recorded/every_key.toml` is written by hand.
 
+#![allow(clippy::pedantic)] // As it was when the recording was made.
+
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
 
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -4,6 +4,15 @@
 //! `balancer.rs` holds the events in the order in which a request meets them, `decisions` what they
 //! decide, `scoring` the learned choice of an endpoint, and `state` what a balancer remembers.
 
+#![cfg_attr(
+    test,
+    // A test that lists its cases in a row reads better whole.
+    allow(
+        clippy::default_trait_access,
+        clippy::needless_for_each,
+        clippy::too_many_lines
+    )
+)]
 #![warn(missing_docs)]
 
 mod attempt_outcome;
--- a/crates/policy/src/tests/retry.rs
+++ b/crates/policy/src/tests/retry.rs
@@ -86,7 +86,7 @@
             START_AT + 5 * MS,
             "a",
             attempt_end(n, false, AttemptOutcome::ConnectionLost, 5 * MS),
-        )
+        );
     });
     balancer.attempt_ended(
         START_AT + 10 * MS,
--- a/crates/proxy/src/cluster/node.rs
+++ b/crates/proxy/src/cluster/node.rs
@@ -166,7 +166,7 @@
         match &new.leases {
             Some(leases) => {
                 self.cluster
-                    .configure_leases(now(), leases.config.clone(), leases.leases.clone())
+                    .configure_leases(now(), leases.config.clone(), leases.leases.clone());
             }
             None => self.cluster.disable_leases(now()),
         }
--- a/crates/proxy/src/cluster/operator_file/mod.rs
+++ b/crates/proxy/src/cluster/operator_file/mod.rs
@@ -117,9 +117,10 @@
         name: &str,
         zone: &str,
     ) -> Result<MemberConfig> {
-        let name_or = |value: &Option<Spanned<String>>, field: &str, default: &str| match value {
-            Some(value) => self.name(value, field),
-            None => {
+        let name_or = |value: &Option<Spanned<String>>, field: &str, default: &str| {
+            if let Some(value) = value {
+                self.name(value, field)
+            } else {
                 let default = Spanned::new(table.name.span(), default.to_owned());
                 self.name(&default, field)
             }
--- a/crates/proxy/src/config/classes.rs
+++ b/crates/proxy/src/config/classes.rs
@@ -82,16 +82,13 @@
             name: name.to_owned(),
             idempotency: class.idempotency,
         };
-        match self.known.iter().position(|other| *other == known) {
-            Some(index) => {
-                self.classes[index] = class;
-                name.clone_into(&mut self.names[index]);
-            }
-            None => {
-                self.known.push(known);
-                self.classes.push(class);
-                self.names.push(name.to_owned());
-            }
+        if let Some(index) = self.known.iter().position(|other| *other == known) {
+            self.classes[index] = class;
+            name.clone_into(&mut self.names[index]);
+        } else {
+            self.known.push(known);
+            self.classes.push(class);
+            self.names.push(name.to_owned());
         }
     }
 }
--- a/crates/proxy/src/config/decode.rs
+++ b/crates/proxy/src/config/decode.rs
@@ -173,9 +173,10 @@
 /// The path of probes, required where endpoints report their load to probes only.
 fn probe_path(document: &Value, settings: &Settings) -> Result<Option<String>, ConfigError> {
     let Some(path) = optional(document, "probe_path", Value::as_str)? else {
-        return match settings.load_from_probes {
-            true => Err(ConfigError::NoProbePath),
-            false => Ok(None),
+        return if settings.load_from_probes {
+            Err(ConfigError::NoProbePath)
+        } else {
+            Ok(None)
         };
     };
     let is_graphic = path.bytes().all(|byte| byte.is_ascii_graphic());
--- a/crates/proxy/src/connections/client_lifetime.rs
+++ b/crates/proxy/src/connections/client_lifetime.rs
@@ -141,7 +141,9 @@
             .filter(|(_, client)| !client.is_lingering && is_selected(client))
             .map(|(key, _)| key)
             .collect();
-        keys.into_iter().for_each(|key| act(self, key));
+        for key in keys {
+            act(self, key);
+        }
     }
 
     /// Shuts down our side of a connection and lingers: what the client still sends is discarded,
--- a/crates/proxy/src/connections/endpoint.rs
+++ b/crates/proxy/src/connections/endpoint.rs
@@ -124,7 +124,7 @@
         if connection.exchange.is_none() {
             return self.check_idle_connection(key, outcome);
         }
-        read_response(connection, is_written, &outcome)
+        read_response(connection, is_written, outcome)
     }
 
     /// Completes the connecting of a new connection and sends the attempt on it. Returns what to do
@@ -179,11 +179,11 @@
 fn read_response(
     connection: &mut EndpointConnection,
     is_written: bool,
-    outcome: &ReadOutcome,
+    outcome: ReadOutcome,
 ) -> EndpointRead {
     let is_lost = !is_written || matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed);
     // A failed write consumes the report of a reset: what is read then looks like an orderly end.
-    let is_closed = *outcome == ReadOutcome::Closed && is_written;
+    let is_closed = outcome == ReadOutcome::Closed && is_written;
     match parse_response(&mut connection.read_buffer, is_closed) {
         ParsedResponse::Complete(mut frame) => {
             frame.is_reusable &= !is_lost;
--- a/crates/proxy/src/connections/request/tests.rs
+++ b/crates/proxy/src/connections/request/tests.rs
@@ -171,7 +171,7 @@
             harness
                 .read_until(client, "\r\n\r\n")
                 .starts_with("HTTP/1.1 200 ")
-        )
+        );
     });
 }
 
--- a/crates/proxy/src/connections/send_guard/tests.rs
+++ b/crates/proxy/src/connections/send_guard/tests.rs
@@ -102,7 +102,7 @@
             .exchange
             .as_mut()
             .unwrap()
-            .expire_at = 0
+            .expire_at = 0;
     };
     assert_eq!(asked(over), (Err(SendRefusal::DeadlinePassed), 0));
     let moved = |state: &mut ProxyState, key: EndpointConnectionKey, _| {
--- a/crates/proxy/src/discovery/connection.rs
+++ b/crates/proxy/src/discovery/connection.rs
@@ -118,9 +118,10 @@
                     keep_alive: response.keep_alive && !transfer.is_ended(),
                 }
             }
-            Ok(None) if transfer.is_failed() => PollProgress::Failed(match has_part {
-                true => PollFailure::Truncated,
-                false => PollFailure::ConnectionLost,
+            Ok(None) if transfer.is_failed() => PollProgress::Failed(if has_part {
+                PollFailure::Truncated
+            } else {
+                PollFailure::ConnectionLost
             }),
             Ok(None) => {
                 if has_part {
--- a/crates/proxy/src/discovery/endpoint_update.rs
+++ b/crates/proxy/src/discovery/endpoint_update.rs
@@ -73,9 +73,10 @@
     /// Marks all endpoints as removed before a complete list names those that are not.
     pub fn mark_all_removed(&mut self, now: Micros, stays_usable: bool) {
         for endpoint in self.endpoints.values_mut() {
-            match stays_usable {
-                true => endpoint.removed_at.get_or_insert(now),
-                false => endpoint.draining_since.get_or_insert(now),
+            if stays_usable {
+                endpoint.removed_at.get_or_insert(now)
+            } else {
+                endpoint.draining_since.get_or_insert(now)
             };
         }
     }
--- a/crates/proxy/src/discovery/polling_schedule/mod.rs
+++ b/crates/proxy/src/discovery/polling_schedule/mod.rs
@@ -279,11 +279,11 @@
             return ListQuery::CompleteList;
         };
         let had_entries = self.list.last_had_entries;
-        let wait = match continues {
-            true => self
-                .watch
-                .next_wait(had_entries, settings, &mut self.random),
-            false => QUEUED_POLL_WAIT_US,
+        let wait = if continues {
+            self.watch
+                .next_wait(had_entries, settings, &mut self.random)
+        } else {
+            QUEUED_POLL_WAIT_US
         };
         ListQuery::Changes { since, wait }
     }
@@ -407,9 +407,10 @@
         self.close_idle_connection();
         let requested_changes = poll.query != ListQuery::CompleteList;
         self.watch.answered_at = requested_changes.then_some(now);
-        match keep_alive {
-            true => self.idle = Some(connection),
-            false => self.close_unread(connection),
+        if keep_alive {
+            self.idle = Some(connection);
+        } else {
+            self.close_unread(connection);
         }
         self.next_poll_at = Some(now.max(poll.sent_at + MIN_POLL_INTERVAL_US));
     }
--- a/crates/proxy/src/discovery/polling_schedule/tests/versions.rs
+++ b/crates/proxy/src/discovery/polling_schedule/tests/versions.rs
@@ -29,7 +29,7 @@
         match schedule.next_action(now, settings(1)) {
             Some(PollAction::Open(id, ListQuery::CompleteList)) => break id,
             Some(PollAction::Reuse(watch, ListQuery::Changes { since: 42, .. })) => {
-                assert_eq!(watch, id)
+                assert_eq!(watch, id);
             }
             Some(other) => panic!("{other:?}"),
             None if schedule
--- a/crates/proxy/src/discovery/transport.rs
+++ b/crates/proxy/src/discovery/transport.rs
@@ -57,9 +57,10 @@
         let was_connected = connection.is_connected;
         let transfer = connection.transfer();
         if !connection.is_connected {
-            return match transfer.is_failed() {
-                true => PollProgress::Failed(PollFailure::Unreachable),
-                false => PollProgress::Pending,
+            return if transfer.is_failed() {
+                PollProgress::Failed(PollFailure::Unreachable)
+            } else {
+                PollProgress::Pending
             };
         }
         if !was_connected {
@@ -69,9 +70,10 @@
             return connection.read_poll_response(now, &transfer);
         }
         let is_closed = transfer.is_ended() || transfer.has_socket_error;
-        match is_closed || !connection.read_buffer.bytes().is_empty() {
-            true => PollProgress::Unsolicited,
-            false => PollProgress::Pending,
+        if is_closed || !connection.read_buffer.bytes().is_empty() {
+            PollProgress::Unsolicited
+        } else {
+            PollProgress::Pending
         }
     }
 
--- a/crates/proxy/src/gossip/tests.rs
+++ b/crates/proxy/src/gossip/tests.rs
@@ -17,7 +17,7 @@
         .local_addr()
         .unwrap();
     let harness = TestHarness::with(|document| {
-        change_deployment(document, &[own, other.local_addr().unwrap()])
+        change_deployment(document, &[own, other.local_addr().unwrap()]);
     });
     (harness, other, own)
 }
--- a/crates/proxy/src/lifecycle/reload/tests.rs
+++ b/crates/proxy/src/lifecycle/reload/tests.rs
@@ -142,7 +142,7 @@
             let (asking, _) = harness.connect_client();
             send_text(&asking, &taken);
             let taken = |state: &ProxyState| state.counters.requests_received;
-            let before = 2 * round + u64::from(std::ptr::eq(document, &old));
+            let before = 2 * round + u64::from(std::ptr::eq(document, &raw const old));
             harness.run_until(|proxy| (taken(&proxy.state.borrow()) > before).then_some(()));
         }
     }
--- a/crates/proxy/src/logging.rs
+++ b/crates/proxy/src/logging.rs
@@ -94,9 +94,10 @@
         let text = value.to_string();
         // Line ends and blanks from outside must not look like lines or fields of ours.
         let plain = |byte: u8| byte.is_ascii_graphic() && byte != b'"' && byte != b'=';
-        match !text.is_empty() && text.bytes().all(plain) {
-            true => write!(self.0, " {key}={text}")?,
-            false => write!(self.0, " {key}={text:?}")?,
+        if !text.is_empty() && text.bytes().all(plain) {
+            write!(self.0, " {key}={text}")?;
+        } else {
+            write!(self.0, " {key}={text:?}")?;
         }
         Ok(())
     }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,5 +1,15 @@
 //! `pinefront`: the balancer's command line.
 
+#![cfg_attr(
+    test,
+    // A test that lists its cases in a row reads better whole.
+    allow(
+        clippy::default_trait_access,
+        clippy::needless_for_each,
+        clippy::too_many_lines
+    )
+)]
+
 mod close_reason;
 mod cluster;
 mod config;
--- a/crates/proxy/src/state/buffers.rs
+++ b/crates/proxy/src/state/buffers.rs
@@ -15,7 +15,7 @@
 const MAX_SLICES_PER_WRITE: usize = 64;
 
 /// Why reading stopped.
-#[derive(Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
     /// The socket holds no more bytes for now.
     WouldBlock,
--- a/crates/proxy/tests/edges/main.rs
+++ b/crates/proxy/tests/edges/main.rs
@@ -4,6 +4,8 @@
 //! `RECORD_EDGES=1 cargo test -p pinefront-proxy --test edges` writes the recordings anew; only a change that is meant to
 //! alter what is on a wire may do so.
 
+#![allow(clippy::pedantic)] // As it was when the recording was made.
+
 mod clients;
 mod configuration;
 mod discovery;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -3,6 +3,15 @@
 //!
 //! The keys are those of the document; the decoded [`Settings`] have the names of the policy.
 
+#![cfg_attr(
+    test,
+    // A test that lists its cases in a row reads better whole.
+    allow(
+        clippy::default_trait_access,
+        clippy::needless_for_each,
+        clippy::too_many_lines
+    )
+)]
 #![warn(missing_docs)]
 
 pub mod fields;
--- a/crates/settings/tests/settings_keys.rs
+++ b/crates/settings/tests/settings_keys.rs
@@ -1,6 +1,8 @@
 //! Each key of the settings: what it is decoded to, and the text of the error where it is missing or
 //! has the wrong type.
 
+#![allow(clippy::pedantic)] // As it was when the recording was made.
+
 use pinefront_policy::{Idempotency, IdempotencyScope, RequestClass, Settings, SlowStart};
 use pinefront_settings::decode_settings;
 use rstest::rstest;
--- a/crates/simulator-adapter/tests/refused_lines.rs
+++ b/crates/simulator-adapter/tests/refused_lines.rs
@@ -1,6 +1,8 @@
 //! Lines that the adapter refuses: it exits with an error that names the batch, the message and the
 //! field, and writes no line for the batch.
 
+#![allow(clippy::pedantic)] // As it was when the recording was made.
+
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
--- a/crates/simulator-adapter/tests/simulator_wire.rs
+++ b/crates/simulator-adapter/tests/simulator_wire.rs
@@ -4,6 +4,8 @@
 //! `RECORD_WIRE=1 cargo test -p pinefront-simulator-adapter` writes the recording anew; only a change that is meant
 //! to alter the wire or the decisions may do so.
 
+#![allow(clippy::pedantic)] // As it was when the recording was made.
+
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
 use std::path::PathBuf;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,6 +1,16 @@
 //! `pinefront-testbed`: runs balancers before stand-in servers on this machine, with faults, and
 //! measures them.
 
+#![cfg_attr(
+    test,
+    // A test that lists its cases in a row reads better whole.
+    allow(
+        clippy::default_trait_access,
+        clippy::needless_for_each,
+        clippy::too_many_lines
+    )
+)]
+
 mod assumed_notifications;
 mod balancers;
 mod baseline;
