--- a/crates/model/src/discovery.rs
+++ b/crates/model/src/discovery.rs
@@ -27,6 +27,15 @@
     pub started_at: Option<Micros>,
 }
 
+/// Some entries of the list, and the version that they belong to.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct VersionedEntries {
+    /// The version of the list.
+    pub version: u64,
+    /// The entries, in order of the servers' numbers.
+    pub entries: Vec<Entry>,
+}
+
 /// A change and when it becomes visible.
 struct Change {
     visible_at: Micros,
@@ -76,20 +85,20 @@
         self.changes.partition_point(visible) as u64
     }
 
-    /// The visible version and the complete list, in order of the servers' numbers.
-    pub fn list(&self, now: Micros) -> (u64, Vec<Entry>) {
+    /// The complete list that is visible now.
+    pub fn list(&self, now: Micros) -> VersionedEntries {
         let version = self.version(now);
         let mut entries = latest_entries(&self.changes[..version as usize]);
         entries.retain(|entry| entry.state != State::Removed);
-        (version, entries)
+        VersionedEntries { version, entries }
     }
 
-    /// The visible version, and the latest entry of each server that changed since `version`.
-    pub fn since(&self, now: Micros, version: u64) -> (u64, Vec<Entry>) {
-        let visible = self.version(now);
-        let from = version.min(visible) as usize;
-        let changes = &self.changes[from..visible as usize];
-        (visible, latest_entries(changes))
+    /// The latest entry of each server that changed between `since` and the visible version.
+    pub fn changes_since(&self, now: Micros, since: u64) -> VersionedEntries {
+        let version = self.version(now);
+        let from = since.min(version) as usize;
+        let entries = latest_entries(&self.changes[from..version as usize]);
+        VersionedEntries { version, entries }
     }
 
     /// When a newer version than that becomes visible, if a change is pending or visible.
--- a/crates/model/src/discovery/tests.rs
+++ b/crates/model/src/discovery/tests.rs
@@ -20,7 +20,7 @@
         3,
         5,
     );
-    assert_eq!(registry.list(0).0, 3);
+    assert_eq!(registry.list(0).version, 3);
     let first = registry.change(0, entry(1, State::Draining));
     let second = registry.change(0, entry(1, State::Removed));
     assert!((100..=1000).contains(&first) && second >= first);
@@ -29,20 +29,29 @@
         (3, Some(first))
     );
     assert_eq!(
-        registry.since(second, 3),
-        (5, vec![entry(1, State::Removed)])
+        registry.changes_since(second, 3),
+        VersionedEntries {
+            version: 5,
+            entries: vec![entry(1, State::Removed)]
+        }
     );
-    let (version, list) = registry.list(second);
+    let list = registry.list(second);
     assert_eq!(
         (
-            version,
-            list.iter().map(|entry| entry.server).collect::<Vec<_>>()
+            list.version,
+            list.entries
+                .iter()
+                .map(|entry| entry.server)
+                .collect::<Vec<_>>()
         ),
         (5, vec![0, 2])
     );
     assert_eq!(
-        registry.since(second, 9),
-        (5, vec![]),
+        registry.changes_since(second, 9),
+        VersionedEntries {
+            version: 5,
+            entries: vec![]
+        },
         "a version from elsewhere is not behind"
     );
     assert_eq!(registry.next_change(5), None);
--- a/crates/testbed/src/assumed_notifications.rs
+++ b/crates/testbed/src/assumed_notifications.rs
@@ -44,8 +44,8 @@
 fn update_draining(world: &World, draining: &mut BTreeMap<usize, DrainingServer>) {
     let now = world.now();
     let is_available = world.timeline().discovery_state(now) == DiscoveryState::Available;
-    let (_, entries) = world.with_registry(|registry| registry.since(now, 0));
-    for entry in entries {
+    let changes = world.with_registry(|registry| registry.changes_since(now, 0));
+    for entry in changes.entries {
         if entry.state == State::Active {
             draining.remove(&entry.server);
             continue;
--- a/crates/testbed/src/baseline.rs
+++ b/crates/testbed/src/baseline.rs
@@ -173,8 +173,9 @@
     /// Brings the endpoints up to date with the endpoint list.
     fn read_list(&self, world: &World) {
         let now = world.now();
-        let (_, entries) = world.with_registry(|registry| registry.list(now));
-        let active: Vec<usize> = entries
+        let list = world.with_registry(|registry| registry.list(now));
+        let active: Vec<usize> = list
+            .entries
             .iter()
             .filter(|entry| entry.state == State::Active)
             .map(|entry| entry.server)
--- a/crates/testbed/src/discovery_stand_in/list.rs
+++ b/crates/testbed/src/discovery_stand_in/list.rs
@@ -26,17 +26,17 @@
     /// The changes since a version, or the complete list where none is given.
     pub(super) fn new(world: &World, since: Option<u64>) -> Self {
         let moment = served_moment(world);
-        let (version, entries) = world.with_registry(|registry| match since {
-            Some(since) => registry.since(moment, since),
+        let list = world.with_registry(|registry| match since {
+            Some(since) => registry.changes_since(moment, since),
             None => registry.list(moment),
         });
         let with_document = |entry: Entry| {
             let document = world.entry_document(&entry)?;
             Some((entry, document.to_string()))
         };
-        let (entries, documents) = entries.into_iter().filter_map(with_document).unzip();
+        let (entries, documents) = list.entries.into_iter().filter_map(with_document).unzip();
         Self {
-            version,
+            version: list.version,
             is_complete: since.is_none(),
             entries,
             documents,
--- a/crates/testbed/src/report/plots.rs
+++ b/crates/testbed/src/report/plots.rs
@@ -9,10 +9,11 @@
 use crate::error::Error;
 use crate::figures::{Figures, Second};
 
-/// Width and height of a plot over time, in pixels.
-const CURVES_SIZE: (u32, u32) = (860, 230);
-/// Width and height of a bar chart, in pixels.
-const BARS_SIZE: (u32, u32) = (860, 200);
+const WIDTH_PX: u32 = 860;
+/// Height of a plot over time.
+const CURVES_HEIGHT_PX: u32 = 230;
+/// Height of a bar chart.
+const BARS_HEIGHT_PX: u32 = 200;
 /// Colours of the runs, in turn.
 const COLOURS: [RGBColor; 6] = [
     RGBColor(31, 119, 180),
@@ -88,7 +89,8 @@
     /// Draws the plot.
     pub(super) fn draw(self) -> Result<String, Error> {
         let mut svg = String::new();
-        let area = SVGBackend::with_string(&mut svg, CURVES_SIZE).into_drawing_area();
+        let area =
+            SVGBackend::with_string(&mut svg, (WIDTH_PX, CURVES_HEIGHT_PX)).into_drawing_area();
         self.draw_on(&area)?;
         drop(area);
         Ok(svg)
@@ -157,7 +159,7 @@
 /// Draws a bar for each server.
 pub(super) fn draw_bars(counts: &[u64], colour: &RGBColor) -> Result<String, Error> {
     let mut svg = String::new();
-    let area = SVGBackend::with_string(&mut svg, BARS_SIZE).into_drawing_area();
+    let area = SVGBackend::with_string(&mut svg, (WIDTH_PX, BARS_HEIGHT_PX)).into_drawing_area();
     area.fill(&WHITE).map_err(error)?;
     let max = counts.iter().copied().max().unwrap_or(1).max(1) as f64;
     let mut chart = ChartBuilder::on(&area)
--- a/crates/testbed/src/world/mod.rs
+++ b/crates/testbed/src/world/mod.rs
@@ -165,12 +165,13 @@
     /// The current endpoint list as a JSON document, as a balancer gets it at its start.
     pub fn list_document(&self) -> serde_json::Value {
         let now = self.now();
-        let (version, entries) = self.with_registry(|registry| registry.list(now));
-        let targets: Vec<_> = entries
+        let list = self.with_registry(|registry| registry.list(now));
+        let targets: Vec<_> = list
+            .entries
             .iter()
             .filter_map(|entry| self.entry_document(entry))
             .collect();
-        serde_json::json!({"rev": version, "all": true, "targets": targets})
+        serde_json::json!({"rev": list.version, "all": true, "targets": targets})
     }
 
     /// An entry of the endpoint list as JSON; none where the server has no address yet.
