--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -16,6 +16,7 @@
 use crate::state::fleet_statistics::FleetStatistics;
 use crate::state::idle_drops::IdleDrops;
 use crate::state::key_queue::KeyQueues;
+use crate::state::load_polls::LoadPolls;
 use crate::state::outliers::Outliers;
 use crate::state::request::Request;
 use crate::state::request_queue::RequestQueue;
@@ -44,6 +45,19 @@
     pub key: Option<u64>,
 }
 
+/// The end of an attempt.
+#[derive(Clone, Copy, Debug)]
+pub struct AttemptEnd {
+    /// Position of the attempt among those of its request, counted from 0.
+    pub number: usize,
+    /// Whether the request has its answer.
+    pub is_final: bool,
+    /// How the attempt ended.
+    pub outcome: AttemptOutcome,
+    /// Duration of the attempt in microseconds.
+    pub elapsed: Micros,
+}
+
 /// Load of an endpoint as it reports it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
@@ -74,9 +88,7 @@
     /// Requests that wait for capacity.
     pub(crate) queue: RequestQueue,
     /// Requests that wait for the loads of endpoints.
-    pub(crate) awaiting_loads: Vec<Request>,
-    /// When a request last found no endpoint that would meet its objective by the polled loads.
-    pub(crate) last_unplaced_at: Micros,
+    pub(crate) load_polls: LoadPolls,
     pub(crate) key_queues: KeyQueues,
     pub(crate) timers: Timers,
     pub(crate) admission: Admission,
@@ -102,8 +114,7 @@
             failed_list_polls: 0,
             requests: HashMap::new(),
             queue: RequestQueue::default(),
-            awaiting_loads: Vec::new(),
-            last_unplaced_at: 0,
+            load_polls: LoadPolls::default(),
             key_queues: KeyQueues::default(),
             timers: Timers::default(),
             admission: Admission::new(settings.tenant_quotas.len()),
@@ -172,9 +183,10 @@
                 within_quota,
             )
         };
-        match self.admits(now, &request) {
-            true => self.enter_key_queue(now, request),
-            false => self.reject_or_fail(now, request),
+        if self.admits(now, &request) {
+            self.enter_key_queue(now, request);
+        } else {
+            self.reject_or_fail(now, request);
         }
     }
 
@@ -213,26 +225,17 @@
         }
     }
 
-    /// Attempt `number` of a request, counted from 0, ended after `elapsed` microseconds. `last`
-    /// says that the request has its answer.
-    pub fn attempt_ended(
-        &mut self,
-        now: Micros,
-        id: &str,
-        number: usize,
-        last: bool,
-        outcome: AttemptOutcome,
-        elapsed: Micros,
-    ) {
+    /// An attempt of a request ended.
+    pub fn attempt_ended(&mut self, now: Micros, id: &str, end: AttemptEnd) {
         let Some(mut request) = self.requests.remove(id) else {
-            return self.trailing_attempt_ended(now, id, outcome);
+            return self.trailing_attempt_ended(now, id, end.outcome);
         };
         request.outcome_pending = false;
         if let Some(key) = request.order_key {
-            self.key_attempt_ended(now, key, outcome);
+            self.key_attempt_ended(now, key, end.outcome);
         }
-        self.record_attempt_end(now, &mut request, number, outcome, elapsed);
-        if last {
+        self.record_attempt_end(now, &mut request, end);
+        if end.is_final {
             self.close(now, request);
         } else if request.attempt_in_flight().is_some() {
             self.requests.insert(Rc::clone(&request.id), request);
@@ -275,7 +278,7 @@
     /// The lists of requests that wait for capacity, for loads or for their key.
     fn waiting_lists(&mut self) -> impl Iterator<Item = &mut Vec<Request>> {
         let key_queues = self.key_queues.queues.values_mut();
-        [&mut self.queue.requests, &mut self.awaiting_loads]
+        [&mut self.queue.requests, &mut self.load_polls.requests]
             .into_iter()
             .chain(key_queues.map(|queue| &mut queue.waiting))
     }
--- a/crates/proxy/src/connections/client_lifetime.rs
+++ b/crates/proxy/src/connections/client_lifetime.rs
@@ -6,19 +6,24 @@
 use slog::info;
 
 use crate::close_reason::CloseReason;
+use crate::connections::request_error::RequestError;
 use crate::state::client_connection::{ClientConnection, PartialRequest};
 use crate::state::keys::ClientKey;
 use crate::state::proxy::ProxyState;
 use crate::state::timers::TimerEvent;
 
+#[cfg(test)]
+mod tests;
+
 /// How long a client may take to send a request, and to read a response.
 pub const TRANSFER_TIMEOUT_US: Micros = 10_000_000;
-/// How long a client may stall in the middle of a request, and how long after connecting its first request may take.
-/// Clients are owed an error or a close within 3 s.
+/// How long a client may stall in the middle of a request, and how long after connecting its first
+/// request may take. Clients are owed an error or a close within 3 s.
 pub const STALL_TIMEOUT_US: Micros = 2_300_000;
 /// How long a connection may be idle between requests: a client that vanished sends nothing.
 pub const MAX_IDLE_US: Micros = 120_000_000;
-/// How long a connection may be idle in any case. Where many are idle, the room is needed for those that send.
+/// How long a connection may be idle in any case. Where many are idle, the room is needed for those
+/// that send.
 pub const MIN_IDLE_US: Micros = 2_100_000;
 /// Share of the connection limit from which on many connections are open.
 const MANY_CONNECTIONS_SHARE: f64 = 0.3;
@@ -36,50 +41,52 @@
         self.wait_for_client(key, now, now + after);
     }
 
-    fn wait_for_client(&mut self, key: ClientKey, since: Micros, at: Micros) {
+    fn wait_for_client(&mut self, key: ClientKey, waiting_since: Micros, at: Micros) {
         if let Some(client) = self.clients.get_mut(key) {
-            client.since = since;
+            client.waiting_since = waiting_since;
             self.timers
                 .move_to(&mut client.timer, at, TimerEvent::ClientConnection(key));
         }
     }
 
-    /// Notes that a connection is idle between requests. Whether it may stay is decided when the shortest idle time has
-    /// passed, and again and again from then on.
+    /// Notes that a connection is idle between requests. Whether it may stay is decided when the
+    /// shortest idle time has passed, and again and again from then on.
     pub fn client_idle(&mut self, key: ClientKey) {
         self.wait_for_next_bytes(key, MIN_IDLE_US);
     }
 
-    /// Notes that part of a request was received. Its sender may stall for some time, but the whole request is bounded
-    /// however slowly it trickles in.
+    /// Notes that part of a request was received. Its sender may stall for some time, but the whole
+    /// request is bounded however slowly it trickles in.
     pub fn wait_for_rest(&mut self, key: ClientKey) {
         let now = self.clock.now();
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
         let length = client.read_buffer.bytes().len();
-        let began = client.partial_request.map_or(now, |partial| partial.began);
+        let started_at = client
+            .partial_request
+            .map_or(now, |partial| partial.started_at);
         let before = client
             .partial_request
-            .replace(PartialRequest { length, began });
+            .replace(PartialRequest { length, started_at });
         // A connection that has brought no request yet gains no time by trickling.
         let has_progressed =
             |before: PartialRequest| before.length < length && client.requests_received > 0;
         if before.is_none_or(has_progressed) {
-            let rest = (began + TRANSFER_TIMEOUT_US).saturating_sub(now);
+            let rest = (started_at + TRANSFER_TIMEOUT_US).saturating_sub(now);
             self.wait_for_next_bytes(key, STALL_TIMEOUT_US.min(rest));
         }
     }
 
-    /// Waits for bytes of the client. A connection that has brought no request yet has only the time since it was
-    /// accepted.
+    /// Waits for bytes of the client. A connection that has brought no request yet has only the
+    /// time since it was accepted.
     fn wait_for_next_bytes(&mut self, key: ClientKey, after: Micros) {
         let Some(client) = self.clients.get(key) else {
             return;
         };
         let now = self.clock.now();
         let at = if client.requests_received == 0 {
-            client.opened + STALL_TIMEOUT_US
+            client.accepted_at + STALL_TIMEOUT_US
         } else {
             now + after
         };
@@ -94,7 +101,7 @@
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
-        let idle = now.saturating_sub(client.since);
+        let idle = now.saturating_sub(client.waiting_since);
         if client.requests_received == 0
             || idle >= MAX_IDLE_US
             || (is_crowded && idle >= MIN_IDLE_US)
@@ -105,7 +112,8 @@
         client.timer = Some(self.timers.schedule(now + MIN_IDLE_US, again));
     }
 
-    /// Closes connections that are idle between requests, once what was received on them has been parsed.
+    /// Closes connections that are idle between requests, once what was received on them has been
+    /// parsed.
     pub fn close_idle_clients(&mut self) {
         self.for_clients(
             |client| !client.awaits_response() && client.read_buffer.bytes().is_empty(),
@@ -117,7 +125,7 @@
     pub fn reject_partial_requests(&mut self) {
         self.for_clients(
             |client| !client.awaits_response() && client.partial_request.is_some(),
-            |state, key| state.reject_and_close(key, 503, CloseReason::Shutdown),
+            |state, key| state.reject(key, RequestError::ShuttingDown),
         );
     }
 
@@ -136,9 +144,10 @@
         keys.into_iter().for_each(|key| act(self, key));
     }
 
-    /// Shuts down our side of a connection and lingers: what the client still sends is discarded, then the connection
-    /// is closed. Closing over unread bytes would reset it and lose the end of the last response; a request that crosses
-    /// our end is the client's to send elsewhere. A connection without a response is closed immediately.
+    /// Shuts down our side of a connection and lingers: what the client still sends is discarded,
+    /// then the connection is closed. Closing over unread bytes would reset it and lose the end of
+    /// the last response; a request that crosses our end is the client's to send elsewhere. A
+    /// connection without a response is closed immediately.
     pub fn shut_down_client(&mut self, key: ClientKey, reason: CloseReason) {
         let linger = if self.closing {
             SHUTDOWN_LINGER_US
@@ -151,7 +160,7 @@
         client.close_reason.get_or_insert(reason);
         client.is_lingering = true;
         client.read_buffer.clear();
-        if client.answered > 0 && client.socket.stream.shutdown(Shutdown::Write).is_ok() {
+        if client.responses_sent > 0 && client.socket.stream.shutdown(Shutdown::Write).is_ok() {
             self.set_client_timer(key, linger);
         } else {
             self.close_client(key, reason);
@@ -166,8 +175,8 @@
         self.timers.clear(&mut client.timer);
         self.handle.remove(client.socket.token);
         self.counters.client_connections_closed += 1;
-        info!(self.log, "client connection closed"; "reason" => reason.code(), "peer" => %client.peer,
-            "responses" => client.answered);
+        info!(self.log, "client connection closed"; "reason" => reason.code(),
+            "peer" => %client.peer, "responses" => client.responses_sent);
     }
 }
 
--- a/crates/proxy/src/connections/own_pages.rs
+++ b/crates/proxy/src/connections/own_pages.rs
@@ -3,11 +3,16 @@
 use bytes::Bytes;
 
 use crate::connections::client_response::ClientResponse;
+use crate::connections::request_error::RequestError;
+use crate::connections::status_code::StatusCode;
 use crate::state::keys::ClientKey;
 use crate::state::proxy::ProxyState;
 
-/// The path under which the leases of named duties are shown.
-const DUTY_PREFIX: &str = "/duty/";
+#[cfg(test)]
+mod tests;
+
+/// The path under which leases are shown.
+const LEASE_PREFIX: &str = "/duty/";
 
 impl ProxyState {
     /// Answers a request for one of the balancer's own pages. Returns whether there is such a page.
@@ -20,27 +25,28 @@
             response.body.push(Bytes::from(text));
             self.write_response(key, response);
         } else {
-            self.reject(key, 405);
+            self.reject(key, RequestError::MethodNotAllowed);
         }
         true
     }
 
     /// The status and text of a page.
-    fn own_page(&self, path: &str) -> Option<(u16, String)> {
+    fn own_page(&self, path: &str) -> Option<(StatusCode, String)> {
         match path {
-            "/health/ready" if self.is_ready() => Some((200, "ready\n".into())),
-            "/health/ready" => Some((503, "not ready\n".into())),
-            "/health/live" => Some((200, "live\n".into())),
-            "/stats" => Some((200, self.counters.to_string())),
-            "/fleet" => Some((200, self.fleet.as_ref()?.borrow().page())),
+            "/health/ready" if self.is_ready() => Some((StatusCode::OK, "ready\n".into())),
+            "/health/ready" => Some((StatusCode::SERVICE_UNAVAILABLE, "not ready\n".into())),
+            "/health/live" => Some((StatusCode::OK, "live\n".into())),
+            "/stats" => Some((StatusCode::OK, self.counters.to_string())),
+            "/fleet" => Some((StatusCode::OK, self.cluster.as_ref()?.borrow().fleet_page())),
             _ => {
-                let name = path.strip_prefix(DUTY_PREFIX)?;
-                Some(self.fleet.as_ref()?.borrow().lease_page(name))
+                let name = path.strip_prefix(LEASE_PREFIX)?;
+                let (status, text) = self.cluster.as_ref()?.borrow().lease_page(name);
+                Some((StatusCode::new(status), text))
             }
         }
     }
 
     fn is_ready(&self) -> bool {
-        self.stopping.is_none() && self.discovery.stands()
+        self.stopping.is_none() && self.discovery.has_usable_list()
     }
 }
--- a/crates/proxy/src/connections/request.rs
+++ b/crates/proxy/src/connections/request.rs
@@ -6,10 +6,11 @@
 use httparse::Request as RequestHead;
 use pinefront_policy::{Idempotency, Micros, RequestArrival};
 
-use crate::close_reason::CloseReason;
 use crate::connections::http_message::{self, MAX_FIELDS};
+use crate::connections::request_error::RequestError;
 use crate::connections::request_parser::{
-    InvalidMessage, RequestMessage, expects_continue, parse_request, path_of, request_parameters,
+    ID_FIELD, REMAINING_FIELD, RequestMessage, expects_continue, parse_request, path_of,
+    request_parameters,
 };
 use crate::state::client_connection::READ_AHEAD_BYTES;
 use crate::state::keys::ClientKey;
@@ -27,7 +28,8 @@
 const SENT_BEFORE_ACCEPT_US: Micros = 20_000;
 
 impl Proxy {
-    /// Takes the first complete request from a client's read buffer, if there is one, and passes it to the policy.
+    /// Takes the first complete request from a client's read buffer, if there is one, and passes it
+    /// to the policy.
     pub fn read_request(&mut self, key: ClientKey) {
         let mut borrowed = self.state.borrow_mut();
         let state = &mut *borrowed;
@@ -39,22 +41,22 @@
         let parsed = head.parse(&message.bytes[..message.head_length]);
         let (Ok(_), Some(method), Some(target)) = (parsed, head.method, head.path) else {
             // Does not happen: the same bytes were parsed to find the end of the message.
-            return state.reject_and_close(key, 400, CloseReason::Malformed);
+            return state.reject(key, RequestError::MalformedMessage);
         };
         state.note_keep_alive(key, &head);
         let path = path_of(target);
         // A class may be named like a page: a request with an id belongs to a class.
-        if http_message::field(head.headers, "x-txn").is_none()
+        if http_message::field(head.headers, ID_FIELD).is_none()
             && state.serve_own_page(key, method, path)
         {
             return;
         }
         let parameters = match request_parameters(&state.config, method, path, head.headers) {
             Ok(parameters) => parameters,
-            Err(status) => return state.reject(key, status),
+            Err(error) => return state.reject(key, error),
         };
         if state.requests.key_of(parameters.id).is_some() {
-            return state.reject(key, 409);
+            return state.reject(key, RequestError::DuplicateId);
         }
         let now = state.now();
         let deadline = state.request_deadline(key, now, parameters.remaining);
@@ -66,7 +68,7 @@
             class: parameters.class,
             tenant: parameters.tenant,
             deadline,
-            work_hint: parameters.estimate,
+            work_hint: parameters.work_hint,
             key: parameters.ordering_key,
         };
         self.balancer.request_arrived(now, arrival);
@@ -74,13 +76,14 @@
 }
 
 impl ProxyState {
-    /// Takes a complete message from the front of a client's read buffer. Where there is none, waits for the rest of
-    /// it or rejects it.
+    /// Takes a complete message from the front of a client's read buffer. Where there is none,
+    /// waits for the rest of it or rejects it.
     fn take_request_message(&mut self, key: ClientKey) -> Option<RequestMessage> {
         let unread = self.clients.get(key)?.read_buffer.bytes().len();
-        // Nothing of the request was sent yet. Small messages are still accepted: they are bounded by their number.
+        // Nothing of the request was sent yet. Small messages are still accepted: they are bounded
+        // by their number.
         if unread > READ_AHEAD_BYTES && self.buffered_bytes() > self.config.max_message_bytes {
-            self.reject_and_close(key, 503, CloseReason::MemoryLimit);
+            self.reject(key, RequestError::MemoryLimit);
             return None;
         }
         let client = self.clients.get_mut(key)?;
@@ -99,8 +102,8 @@
                 self.wait_for_rest(key);
                 None
             }
-            Err(InvalidMessage { status, reason }) => {
-                self.reject_and_close(key, status, reason);
+            Err(error) => {
+                self.reject(key, error);
                 None
             }
         }
@@ -122,8 +125,8 @@
         let _ = client.write_buffer.drain(&client.socket.stream);
     }
 
-    /// Notes whether the client wants the connection closed after this response. HTTP/1.0 has no persistent connections
-    /// unless both sides ask for them, which we do not.
+    /// Notes whether the client wants the connection closed after this response. HTTP/1.0 has no
+    /// persistent connections unless both sides ask for them, which we do not.
     fn note_keep_alive(&mut self, key: ClientKey, head: &RequestHead) {
         if let Some(client) = self.clients.get_mut(key) {
             client.no_keep_alive =
@@ -132,14 +135,15 @@
         }
     }
 
-    /// When the response must be on its way to the client, in microseconds. The remaining time counts from when the
-    /// request was sent: it may have waited in the socket, and a new connection in the backlog before that.
+    /// When the response must be on its way to the client, in microseconds. The remaining time
+    /// counts from when the request was sent: it may have waited in the socket, and a new
+    /// connection in the backlog before that.
     fn request_deadline(&self, key: ClientKey, now: Micros, remaining: Micros) -> Micros {
         let in_backlog = self
             .clients
             .get(key)
-            .filter(|client| now < client.opened + SENT_BEFORE_ACCEPT_US)
-            .map_or(0, |client| client.waited);
+            .filter(|client| now < client.accepted_at + SENT_BEFORE_ACCEPT_US)
+            .map_or(0, |client| client.backlog_wait);
         let waited = self.loop_iteration.late(now).max(in_backlog);
         let return_time = MAX_RETURN_TIME_US.min(remaining / RETURN_TIME_DIVISOR);
         (now + remaining)
@@ -192,7 +196,7 @@
         Bytes::from_static(b" HTTP/1.1\r\n"),
     ];
     slices.extend(http_message::lines(message, head.headers, |name| {
-        http_message::is_end_to_end(name) && !name.eq_ignore_ascii_case("x-remaining-ms")
+        http_message::is_end_to_end(name) && !name.eq_ignore_ascii_case(REMAINING_FIELD)
     }));
     slices
 }
--- a/crates/proxy/src/connections/response.rs
+++ b/crates/proxy/src/connections/response.rs
@@ -12,6 +12,7 @@
 use crate::connections::http_message::{self, MAX_FIELDS};
 use crate::connections::load_report::{LOAD_REPORT_FIELD, load_report};
 use crate::connections::response_parser::ResponseFrame;
+use crate::connections::status_code::StatusCode;
 use crate::state::endpoint_connection::Exchange;
 use crate::state::keys::{EndpointConnectionKey, EndpointKey};
 use crate::state::proxy::{Proxy, ProxyState};
@@ -37,7 +38,8 @@
         let exchange = received.exchange;
         let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut head = Response::new(&mut fields);
-        // The same bytes were parsed to find the end of the message; a failure here would count as a failed attempt.
+        // The same bytes were parsed to find the end of the message; a failure here would count as
+        // a failed attempt.
         let parsed = head.parse(&received.message[..frame.head_length]);
         let outcome = outcome_of(head.code.filter(|_| parsed.is_ok()), head.headers);
         let reports_load = state.config.reports_load || exchange.is_probe();
@@ -55,15 +57,15 @@
             state.respond(exchange.request, response);
         }
         drop(borrowed);
-        if let Some(report) = load {
+        if let Some(load) = load {
             self.balancer
-                .load_reported(now, &received.endpoint_id, report);
+                .load_reported(now, &received.endpoint_id, load);
         }
         if exchange.is_probe() {
             return self.probe_finished(received.endpoint, outcome == AttemptOutcome::Succeeded);
         }
         if let Some(finished) = finished {
-            let elapsed = now.saturating_sub(exchange.sent);
+            let elapsed = now.saturating_sub(exchange.started_at);
             let id = &finished.request_id;
             self.report_attempt(now, id, exchange.number, outcome, elapsed);
         }
@@ -90,7 +92,8 @@
         })
     }
 
-    /// Keeps a connection for reuse after a response, or closes it. Bytes behind the response are unsolicited.
+    /// Keeps a connection for reuse after a response, or closes it. Bytes behind the response are
+    /// unsolicited.
     fn release_endpoint_connection(&mut self, key: EndpointConnectionKey, is_reusable: bool) {
         let Some(connection) = self.endpoint_connections.get(key) else {
             return;
@@ -107,7 +110,8 @@
         }
     }
 
-    /// Records the end of an attempt; none for a health check and where the request is no longer in flight.
+    /// Records the end of an attempt; none for a health check and where the request is no longer in
+    /// flight.
     fn finish_exchange(
         &mut self,
         exchange: &Exchange,
@@ -117,8 +121,12 @@
             return None;
         }
         self.counters.count_outcome(outcome);
-        self.requests
-            .finish_attempt(exchange.request, exchange.number, outcome, exchange.sent)
+        self.requests.finish_attempt(
+            exchange.request,
+            exchange.number,
+            outcome,
+            exchange.started_at,
+        )
     }
 }
 
@@ -138,7 +146,7 @@
         http_message::is_end_to_end(name) && !name.eq_ignore_ascii_case(LOAD_REPORT_FIELD)
     };
     ClientResponse {
-        status: 200,
+        status: StatusCode::OK,
         fields: http_message::lines(message, fields, is_forwarded),
         body: http_message::slices(message, body),
     }
--- /dev/null
+++ b/crates/proxy/src/discovery/list_update.rs
@@ -0,0 +1,186 @@
+//! Applies endpoint lists, as discovery writes them, to the endpoint table and the policy.
+
+use std::net::SocketAddr;
+
+use pinefront_policy::{ListedEndpoint, Micros};
+use pinefront_settings::fields::{flag, list, number, text, whole};
+use serde_json::Value;
+use slog::{info, warn};
+
+use crate::discovery::endpoint_update::stated_start;
+use crate::discovery::list_error::ListError;
+use crate::discovery::partial_list::{PartialEntry, PartialList};
+use crate::discovery::polling_schedule::ListSummary;
+use crate::discovery::start_times::StartTimes;
+use crate::state::proxy::Proxy;
+
+impl Proxy {
+    /// Applies the list of the configuration file, unless it was applied before: changes follow on
+    /// it, or there is no other.
+    pub fn apply_cached_list(&mut self) {
+        let Some(list) = self.state.borrow_mut().discovery.cached_list.take() else {
+            return;
+        };
+        let applied = self.apply_entries(&list);
+        let mut state = self.state.borrow_mut();
+        match applied {
+            Ok(_) => state.discovery.is_cached_list_applied = true,
+            Err(error) => warn!(state.log, "cached endpoint list malformed"; "error" => %error),
+        }
+    }
+
+    /// Applies a complete list, or what changed.
+    ///
+    /// # Errors
+    ///
+    /// Fails when the list has no version or no entries. An entry that cannot be read fails
+    /// nothing: its endpoint gets no new requests.
+    pub fn apply_list(&mut self, list: &Value) -> Result<ListSummary, ListError> {
+        self.apply_cached_list();
+        let summary = self.apply_entries(list)?;
+        let mut state = self.state.borrow_mut();
+        state.counters.list_updates += 1;
+        info!(state.log, "endpoint list received"; "version" => summary.version,
+            "complete" => summary.is_complete, "has_entries" => summary.has_entries);
+        Ok(summary)
+    }
+
+    fn apply_entries(&mut self, document: &Value) -> Result<ListSummary, ListError> {
+        let version = whole(document, "rev")?;
+        let now = self.state.borrow().now();
+        let entries = list(document, "targets")?;
+        let is_complete = flag(document, "all")?;
+        if is_complete {
+            let stays_usable = self.balancer.settings().unlisted_stay_usable;
+            self.state.borrow_mut().mark_all_removed(now, stays_usable);
+        }
+        self.balancer.endpoint_list_begins(now, is_complete);
+        let starts = self.state.borrow_mut().start_times(now, entries);
+        for entry in entries {
+            if let Err(error) = self.apply_entry(now, entry, starts) {
+                // One bad entry must not hide the others.
+                warn!(self.state.borrow().log, "endpoint list entry malformed"; "error" => %error);
+                if let Ok(id) = text(entry, "uid") {
+                    self.mark_draining(now, id);
+                }
+            }
+        }
+        self.balancer.endpoint_list_ends(now);
+        let mut state = self.state.borrow_mut();
+        state.remove_departed_endpoints();
+        state.discovery.last_list_at = now;
+        Ok(ListSummary {
+            version,
+            is_complete,
+            has_entries: !entries.is_empty(),
+        })
+    }
+
+    fn apply_entry(
+        &mut self,
+        now: Micros,
+        entry: &Value,
+        starts: StartTimes,
+    ) -> Result<(), ListError> {
+        let id = text(entry, "uid")?;
+        match text(entry, "state")? {
+            "active" => self.apply_active_entry(id, entry, starts)?,
+            "leaving" => self.mark_draining(now, id),
+            "left" => self.mark_removed(now, id),
+            other => return Err(ListError::UnknownState(other.to_owned())),
+        }
+        Ok(())
+    }
+
+    fn apply_active_entry(
+        &mut self,
+        id: &str,
+        entry: &Value,
+        starts: StartTimes,
+    ) -> Result<(), ListError> {
+        let address = text(entry, "endpoint")?.parse();
+        let address: SocketAddr = address.map_err(|_| ListError::Address)?;
+        let stated = stated_start(entry)?;
+        let (cell, weight) = (whole(entry, "pod_group")?, number(entry, "capacity_hint")?);
+        let (zone, machine_type) = (text(entry, "az")?, text(entry, "model")?);
+        let mut state = self.state.borrow_mut();
+        let zone = state.config.zone(zone);
+        let machine_type = state.config.machine_type(machine_type);
+        state.endpoint_active(id, address);
+        let started_at = state.started_at(id, stated, starts);
+        drop(state);
+        self.balancer.endpoint_listed(ListedEndpoint {
+            id,
+            zone,
+            machine_type,
+            cell,
+            weight,
+            started_at,
+        });
+        Ok(())
+    }
+
+    /// The endpoint is draining: it gets no new requests.
+    fn mark_draining(&mut self, now: Micros, id: &str) {
+        self.state.borrow_mut().endpoint_draining(id, now);
+        self.balancer.endpoint_draining(id);
+    }
+
+    /// The endpoint was removed.
+    fn mark_removed(&mut self, now: Micros, id: &str) {
+        let stays_usable = self.balancer.settings().unlisted_stay_usable;
+        self.state
+            .borrow_mut()
+            .endpoint_removed(id, now, stays_usable);
+        self.balancer.endpoint_removed(now, id);
+    }
+
+    /// Applies what an incomplete response removes, as it counts as delivered whether or not the
+    /// rest arrives. What it adds waits for the complete one. An entry that ends before its state
+    /// most likely drains its endpoint; until the complete response is received, that gets no new
+    /// requests either.
+    pub fn apply_partial_list(&mut self, partial: &PartialList, requested_changes: bool) {
+        let departing = self.departing_entries(partial, requested_changes);
+        if departing.is_empty() {
+            return;
+        }
+        let now = self.state.borrow().now();
+        self.balancer.endpoint_list_begins(now, false);
+        for entry in &departing {
+            match entry.state.as_deref() {
+                Some("left") => self.mark_removed(now, &entry.id),
+                _ => self.mark_draining(now, &entry.id),
+            }
+        }
+        self.balancer.endpoint_list_ends(now);
+        let mut state = self.state.borrow_mut();
+        // An endpoint whose state was cut off may be used again: what is known of it stays.
+        for entry in departing.iter().filter(|entry| entry.state.is_some()) {
+            state.remove_if_draining(&entry.id);
+        }
+        state.counters.list_updates_partial += 1;
+        info!(state.log, "partial endpoint list received"; "version" => partial.version,
+            "draining" => departing.len());
+    }
+
+    /// Returns the entries of known endpoints that drain or were removed.
+    fn departing_entries<'a>(
+        &self,
+        partial: &'a PartialList,
+        requested_changes: bool,
+    ) -> Vec<&'a PartialEntry> {
+        let has_changes_only = partial
+            .is_complete
+            .map_or(requested_changes, |is_complete| !is_complete);
+        let departs = |entry: &PartialEntry| match entry.state.as_deref() {
+            Some(state) => matches!(state, "leaving" | "left"),
+            None => has_changes_only,
+        };
+        let state = self.state.borrow();
+        let is_known = |entry: &PartialEntry| state.endpoints.key_of(&entry.id).is_some();
+        let entries = partial.entries.iter();
+        entries
+            .filter(|entry| departs(entry) && is_known(entry))
+            .collect()
+    }
+}
--- a/crates/proxy/src/state/proxy.rs
+++ b/crates/proxy/src/state/proxy.rs
@@ -1,5 +1,5 @@
-//! The event loop's data: the policy and the state that it decides on. Handlers of events are `impl` blocks in the
-//! modules named after what they handle.
+//! The event loop's data: the policy and the state that it decides on. Handlers of events are
+//! `impl` blocks in the modules named after what they handle.
 
 use std::cell::RefCell;
 use std::net::TcpListener;
@@ -10,9 +10,9 @@
 use slog::Logger;
 use slotmap::SlotMap;
 
+use crate::cluster::node::ClusterNode;
 use crate::config::Config;
 use crate::discovery::state::Discovery;
-use crate::fleet::carrier::Fleet;
 use crate::state::client_connection::ClientConnection;
 use crate::state::clock::{Clock, LoopIteration};
 use crate::state::counters::Counters;
@@ -23,8 +23,8 @@
 use crate::state::request::RequestTable;
 use crate::state::timers::Timers;
 
-/// The data of the event loop. The borrow of the state ends before the policy is called, as the policy calls back
-/// through its host.
+/// The data of the event loop. The borrow of the state ends before the policy is called, as the
+/// policy calls back through its host.
 pub struct Proxy {
     /// The policy.
     pub balancer: Balancer<ProxyHost>,
@@ -71,7 +71,7 @@
     /// Where gossip from other balancers is received, if the settings allow it.
     pub gossip_socket: Option<GossipSocket>,
     /// This balancer's membership of its cluster, where an operator file names one.
-    pub fleet: Option<Rc<RefCell<Fleet>>>,
+    pub cluster: Option<Rc<RefCell<ClusterNode>>>,
     /// All timers.
     pub timers: Timers,
     /// The counters of `/stats`.
@@ -106,8 +106,8 @@
         unread + self.requests.buffered_bytes()
     }
 
-    /// Detaches the client from a request: it needs no response any more. Returns the client's connection, if there
-    /// was one.
+    /// Detaches the client from a request: it needs no response any more. Returns the client's
+    /// connection, if there was one.
     pub fn detach_client(&mut self, key: RequestKey) -> Option<ClientKey> {
         let client = self.requests.detach_client(key)?;
         if let Some(client) = self.clients.get_mut(client) {
--- a/crates/testbed/src/figures/table.rs
+++ b/crates/testbed/src/figures/table.rs
@@ -121,8 +121,8 @@
         cluster.wrongly_gone, cluster.held_gone_while_running
     );
     table.line("wrongly dead", text);
-    if let Some(duties) = &cluster.leases {
-        add_duties(table, duties);
+    if let Some(leases) = &cluster.leases {
+        add_duties(table, leases);
     }
     table.lines("", &cluster.details);
 }
