--- a/crates/testbed/shim/shim.c
+++ b/crates/testbed/shim/shim.c
@@ -1,6 +1,7 @@
-/* A library that the soak preloads into balancers: it fails system calls as Linux documents, cuts reads and writes short,
- * steps the wall clock and holds the process up between its clock and a write. What it does is read from a file that the
- * lab writes while the day runs. Calls that go to the kernel without the C library are not reached. */
+/* A library that is preloaded into balancers. It injects faults of the operating system: calls that fail as Linux
+ * documents, short reads and writes, broken connections, delayed writes, and steps of the wall clock. The active faults are
+ * read from a file that the testbed writes during the run. System calls that do not go through the C library are not
+ * affected. */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
@@ -13,15 +14,15 @@
 #include <time.h>
 #include <unistd.h>
 
-/* Parts of a million calls, spans in microseconds; the lab's `system.rs` writes the same. */
+/* Probabilities in millionths, durations in microseconds; `Control` in `system_faults.rs` has the same layout. */
 struct control {
-    int64_t fails;
-    int64_t is_short;
-    int64_t interrupted;
-    int64_t held_up;
-    int64_t held_up_us;
+    int64_t failing_calls;
+    int64_t short_calls;
+    int64_t interrupted_calls;
+    int64_t delayed_writes;
+    int64_t write_delay_us;
     int64_t clock_offset_us;
-    int64_t breaks;
+    int64_t broken_connections;
 };
 
 #define DESCRIPTORS 65536
@@ -47,7 +48,7 @@
     return state;
 }
 
-static int happens(int64_t part) { return part > 0 && (int64_t)(next() % 1000000) < part; }
+static int happens(int64_t millionths) { return millionths > 0 && (int64_t)(next() % 1000000) < millionths; }
 
 static int one_of(const int *codes, unsigned count) {
     errno = codes[next() % count];
@@ -58,7 +59,7 @@
 
 static int accept_fails(void) {
     static const int codes[] = {ECONNABORTED, ENFILE, ENOBUFS, EPROTO, EINTR, ENETDOWN};
-    return control && happens(control->fails) ? one_of(codes, 6) : 0;
+    return control && happens(control->failing_calls) ? one_of(codes, 6) : 0;
 }
 
 int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags) {
@@ -69,14 +70,14 @@
 int socket(int domain, int type, int protocol) {
     static const int codes[] = {ENFILE, ENOBUFS, ENOMEM};
     REAL(socket);
-    if (control && happens(control->fails)) return one_of(codes, 3);
+    if (control && happens(control->failing_calls)) return one_of(codes, 3);
     return real(domain, type, protocol);
 }
 
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
     static const int codes[] = {EADDRNOTAVAIL, ENETUNREACH, EAGAIN, EINTR};
     REAL(connect);
-    if (control && happens(control->fails)) return one_of(codes, 4);
+    if (control && happens(control->failing_calls)) return one_of(codes, 4);
     if (fd >= 0 && fd < DESCRIPTORS) outgoing[fd] = 1;
     return real(fd, address, length);
 }
@@ -87,10 +88,10 @@
     return real(fd);
 }
 
-/* Ends a connection to an upstream or to discovery as its network may. */
-static int breaks(int fd) {
+/* Ends a connection to a server or to discovery, as a network failure would. */
+static int break_connection(int fd) {
     static const int codes[] = {ETIMEDOUT, EHOSTUNREACH, ECONNRESET};
-    if (!control || fd < 0 || fd >= DESCRIPTORS || !outgoing[fd] || !happens(control->breaks)) return 0;
+    if (!control || fd < 0 || fd >= DESCRIPTORS || !outgoing[fd] || !happens(control->broken_connections)) return 0;
     shutdown(fd, SHUT_RDWR);
     return one_of(codes, 3);
 }
@@ -98,30 +99,30 @@
 ssize_t recv(int fd, void *bytes, size_t length, int flags) {
     REAL(recv);
     if (control && !(flags & MSG_PEEK)) {
-        if (happens(control->interrupted)) {
+        if (happens(control->interrupted_calls)) {
             errno = EINTR;
             return -1;
         }
-        if (breaks(fd)) return -1;
-        if (length > 1 && happens(control->is_short)) length = 1 + next() % (length < 64 ? length : 64);
+        if (break_connection(fd)) return -1;
+        if (length > 1 && happens(control->short_calls)) length = 1 + next() % (length < 64 ? length : 64);
     }
     return real(fd, bytes, length, flags);
 }
 
-static void hold_up(void) {
-    if (control && happens(control->held_up)) usleep((useconds_t)(next() % (uint64_t)(control->held_up_us + 1)));
+static void delay_write(void) {
+    if (control && happens(control->delayed_writes)) usleep((useconds_t)(next() % (uint64_t)(control->write_delay_us + 1)));
 }
 
 ssize_t writev(int fd, const struct iovec *parts, int count) {
     REAL(writev);
     if (control && fd > 2) {
-        hold_up();
-        if (happens(control->interrupted)) {
+        delay_write();
+        if (happens(control->interrupted_calls)) {
             errno = EINTR;
             return -1;
         }
-        if (breaks(fd)) return -1;
-        if (count > 0 && parts[0].iov_len > 1 && happens(control->is_short)) {
+        if (break_connection(fd)) return -1;
+        if (count > 0 && parts[0].iov_len > 1 && happens(control->short_calls)) {
             struct iovec part = {parts[0].iov_base, 1 + next() % parts[0].iov_len};
             return real(fd, &part, 1);
         }
--- a/crates/testbed/src/load/mod.rs
+++ b/crates/testbed/src/load/mod.rs
@@ -112,7 +112,7 @@
         .ok_or_else(|| Error::new(format!("'{host}' has no address")))?;
     if !address.ip().is_loopback() {
         return Err(Error::new(format!(
-            "{address} is not on this machine; the lab loads loopback addresses only"
+            "{address} is not on this machine; the testbed loads loopback addresses only"
         )));
     }
     Ok((address, path.to_owned()))
