--- a/crates/proxy/src/connections/http_message/tests.rs
+++ b/crates/proxy/src/connections/http_message/tests.rs
@@ -36,7 +36,7 @@
 }
 
 #[rstest]
-#[case::whole("abcdef", Framing::Length(4), false, Body::Complete { slices: Vec::from_iter(Some(2..6)), end: 6 })]
+#[case::unsigned("abcdef", Framing::Length(4), false, Body::Complete { slices: Vec::from_iter(Some(2..6)), end: 6 })]
 #[case::part("abcde", Framing::Length(4), false, Body::Partial)]
 #[case::too_long("ab", Framing::Length(11), false, Body::TooLong)]
 #[case::no_overflow("ab", Framing::Length(usize::MAX), false, Body::TooLong)]
--- a/crates/testbed/src/balancers/mod.rs
+++ b/crates/testbed/src/balancers/mod.rs
@@ -21,7 +21,7 @@
 pub use usage::Usage;
 
 use crate::error::Error;
-use crate::fleet::leases::DutyLines;
+use crate::fleet::leases::LeaseLog;
 use crate::fleet::own_address;
 use crate::http;
 use crate::system_faults::{self, PreloadedLibrary};
@@ -72,7 +72,7 @@
     /// Number of violated invariants that it logged.
     pub violations: Arc<AtomicU64>,
     /// Receives log lines about duties.
-    pub duty_lines: DutyLines,
+    pub lease_log: LeaseLog,
     /// Resources used by processes that have ended.
     past_usage: Usage,
     /// Descriptions of ends that were not asked for.
@@ -102,7 +102,7 @@
             child: None,
             lines: Arc::default(),
             violations: Arc::default(),
-            duty_lines: DutyLines::default(),
+            lease_log: LeaseLog::default(),
             past_usage: Usage::default(),
             unexpected_ends: Vec::new(),
             is_end_expected: false,
@@ -168,12 +168,12 @@
     /// Reads the log on a thread that ends with the process.
     fn follow_log(&self, stderr: ChildStderr) {
         let lines = Arc::clone(&self.lines);
-        let duty_lines = self.duty_lines.clone();
+        let lease_log = self.lease_log.clone();
         let violations = Arc::clone(&self.violations);
         let number = self.number;
         std::thread::spawn(move || {
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
-                duty_lines.take(number, &line);
+                lease_log.record(number, &line);
                 violations.fetch_add(u64::from(line.starts_with(VIOLATION)), Ordering::Relaxed);
                 let mut lines = locked(&lines);
                 if lines.len() >= RETAINED_LINES {
@@ -232,7 +232,7 @@
         self.send_end_signal(Signal::KILL);
         if let Some(mut child) = self.child.take() {
             let _ = child.wait();
-            self.duty_lines.died(self.number);
+            self.lease_log.record_killed(self.number);
         }
     }
 
--- a/crates/testbed/src/figures/table.rs
+++ b/crates/testbed/src/figures/table.rs
@@ -3,9 +3,9 @@
 use std::fmt::Write as _;
 
 use super::{Figures, Times};
-use crate::cluster::spread;
+use crate::cluster::distribution;
 use crate::fleet::Known;
-use crate::fleet::leases::DutiesFound;
+use crate::fleet::leases::LeaseReport;
 
 /// Lines with a name and a text.
 struct Table(String);
@@ -127,7 +127,7 @@
     table.lines("", &cluster.details);
 }
 
-fn add_duties(table: &mut Table, duties: &DutiesFound) {
+fn add_duties(table: &mut Table, duties: &LeaseReport) {
     let text = format!(
         "{}: {} OVERLAPS, {} old terms accepted, {} changes ({} of one in a minute at most), {} vacant",
         duties.leases,
@@ -138,7 +138,7 @@
         duties.vacant
     );
     table.line("duties", text);
-    let vacancy = spread(duties.without_holder_ms.clone());
+    let vacancy = distribution(duties.without_holder_ms.clone());
     let text = format!(
         "{:.0} ms (median), worst {:.0} of {}",
         vacancy.p50, vacancy.worst, vacancy.count
@@ -152,7 +152,7 @@
 
 /// Median, maximum and number of some durations in milliseconds.
 fn times(values_ms: &[f64]) -> String {
-    let spread = spread(values_ms.to_vec());
+    let spread = distribution(values_ms.to_vec());
     format!(
         "{:.0} ms, worst {:.0} of {}",
         spread.p50, spread.worst, spread.count
--- a/crates/testbed/src/runner/mod.rs
+++ b/crates/testbed/src/runner/mod.rs
@@ -239,7 +239,7 @@
         // The readers of the logs end with the processes.
         std::thread::sleep(SETTLE_DELAY);
         let terms_fallen = locked(&self.views).terms_fallen();
-        cluster.leases = Some(self.group.duty_lines.found(ended_at, terms_fallen));
+        cluster.leases = Some(self.group.lease_log.report(ended_at, terms_fallen));
     }
 }
 
--- a/crates/testbed/src/tests.rs
+++ b/crates/testbed/src/tests.rs
@@ -19,7 +19,7 @@
 use crate::clients::{self, RequestCounts};
 use crate::figures::{Figures, Second, Times};
 use crate::fleet::Known;
-use crate::fleet::leases::DutiesFound;
+use crate::fleet::leases::LeaseReport;
 use crate::soak::schedule::{self, Shape};
 use crate::world::{FoundRequest, World};
 use crate::{balancers, discovery_stand_in, load, overhead, server_stand_in, soak, system_faults};
@@ -81,8 +81,8 @@
     }
 }
 
-fn duties_found() -> DutiesFound {
-    DutiesFound {
+fn lease_report() -> LeaseReport {
+    LeaseReport {
         overlaps: 1,
         old_terms_taken: 2,
         without_holder_ms: vec![3.5],
@@ -110,7 +110,7 @@
         discovery_calls: 19,
         discovery_calls_a_second: 20.5,
         details: vec!["view text".into()],
-        leases: Some(duties_found()),
+        leases: Some(lease_report()),
     }
 }
 
