--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -19,10 +19,8 @@
 pub mod checker;
 pub mod discovery;
 pub mod fleet;
-#[allow(missing_docs)]
 pub mod lease_history;
 pub mod network;
-#[allow(missing_docs)]
 pub mod process_history;
 pub mod random;
 pub mod scenario;
