--- a/crates/cluster/src/leases/manager/receive.rs
+++ b/crates/cluster/src/leases/manager/receive.rs
@@ -20,33 +20,10 @@
         message: &LeaseMessage,
     ) {
         match message {
-            LeaseMessage::Query {
-                round,
-                voters,
-                leases,
-            } => {
-                if self.has_same_voters(sender, *voters) {
-                    self.answer_query(now, sender, *round, leases);
-                }
-            }
-            LeaseMessage::Bid {
-                round,
-                voters,
-                duration_us,
-                bids,
-            } => {
-                if self.has_same_voters(sender, *voters) {
-                    let duration = Micros::from(*duration_us);
-                    let bids = terms_of(bids, sender_id);
-                    self.vote(now, sender, *round, duration, bids);
-                }
-            }
-            LeaseMessage::Release { terms } => {
-                if let Some(voter) = &mut self.voter {
-                    for (lease, term) in terms_of(terms, sender_id) {
-                        voter.release(now, lease, term);
-                    }
-                }
+            LeaseMessage::Query { .. }
+            | LeaseMessage::Bid { .. }
+            | LeaseMessage::Release { .. } => {
+                self.receive_as_voter(now, sender, sender_id, message);
             }
             LeaseMessage::QueryReply { round, statuses } => {
                 if let Some(voter) = self.config.voter_index(sender) {
@@ -76,6 +53,42 @@
         }
     }
 
+    /// Receives a message that asks this member for votes.
+    fn receive_as_voter(
+        &mut self,
+        now: Micros,
+        sender: &Rc<str>,
+        sender_id: u64,
+        message: &LeaseMessage,
+    ) {
+        match message {
+            LeaseMessage::Query {
+                round,
+                voters,
+                leases,
+            } if self.has_same_voters(sender, *voters) => {
+                self.answer_query(now, sender, *round, leases);
+            }
+            LeaseMessage::Bid {
+                round,
+                voters,
+                duration_us,
+                bids,
+            } if self.has_same_voters(sender, *voters) => {
+                let duration = Micros::from(*duration_us);
+                self.vote(now, sender, *round, duration, terms_of(bids, sender_id));
+            }
+            LeaseMessage::Release { terms } => {
+                if let Some(voter) = &mut self.voter {
+                    for (lease, term) in terms_of(terms, sender_id) {
+                        voter.release(now, lease, term);
+                    }
+                }
+            }
+            _ => {}
+        }
+    }
+
     /// Whether a requester has the same voters in its file. Otherwise nothing is granted to it, since majorities of
     /// different voters need not overlap.
     fn has_same_voters(&mut self, sender: &Rc<str>, fingerprint: u32) -> bool {
--- a/crates/cluster/src/leases/manager/replies.rs
+++ b/crates/cluster/src/leases/manager/replies.rs
@@ -145,7 +145,7 @@
         }
         let majority = self.config.majority();
         let voters = self.config.voters.len() as u32;
-        let mut abandoned = Vec::new();
+        let mut lost_bids = Vec::new();
         for status in refused {
             let Some(tracked) = self.tracked.get_mut(&status.lease) else {
                 continue;
@@ -159,7 +159,7 @@
             }
             bid.refused |= 1 << voter;
             if voters - bid.refused.count_ones() < majority {
-                abandoned.push(TermNumber {
+                lost_bids.push(TermNumber {
                     lease: status.lease,
                     number: bid.term.number,
                 });
@@ -167,6 +167,6 @@
                 tracked.retry_after(now, delay);
             }
         }
-        self.send_release(now, &abandoned);
+        self.send_release(now, &lost_bids);
     }
 }
--- a/crates/cluster/src/leases/manager/rounds.rs
+++ b/crates/cluster/src/leases/manager/rounds.rs
@@ -134,7 +134,7 @@
     /// Ends the rounds that have waited long enough for replies.
     pub(super) fn expire_rounds(&mut self, now: Micros) {
         let majority = self.config.majority();
-        let mut abandoned = Vec::new();
+        let mut expired_bids = Vec::new();
         let mut is_unanswered = false;
         for tracked in self.tracked.values_mut() {
             match &tracked.state {
@@ -149,7 +149,7 @@
                     }
                 }
                 LeaseState::Bidding(bid) if now >= bid.sent_at + ROUND_TIMEOUT_US => {
-                    abandoned.push(TermNumber {
+                    expired_bids.push(TermNumber {
                         lease: tracked.lease.id,
                         number: bid.term.number,
                     });
@@ -161,7 +161,7 @@
         if is_unanswered {
             self.record_quorum(false);
         }
-        self.send_release(now, &abandoned);
+        self.send_release(now, &expired_bids);
     }
 
     /// Records whether a majority of voters replied, and reports when the quorum is lost or restored.
--- a/crates/testbed/src/cluster/fault_plan.rs
+++ b/crates/testbed/src/cluster/fault_plan.rs
@@ -268,17 +268,11 @@
         }
     }
 
-    /// Draws one fault of any kind, on a member that no other fault pauses or ends.
+    /// Draws one fault of any kind; none where it would pause or end a process that another fault does.
     fn draw_one_fault(&mut self, random: &mut RandomSource, members: usize) {
         let from = FAULTS_FROM + random.span(FAULTS_TO - FAULTS_FROM);
         let to = from + 200_000 + random.span(10 * SECOND);
         let member = random.below(members);
-        let is_untouched = !self.actions.iter().any(|scheduled| {
-            matches!(scheduled.action,
-                Action::Kill { member: other }
-                | Action::Leave { member: other }
-                | Action::Pause { member: other } if other == member)
-        });
         match random.below(8) {
             0 => {
                 let count = 1 + random.below(members / 2);
@@ -293,19 +287,19 @@
                 factor: 0.3,
                 ..link_fault(FaultKind::LinkLossy, from, to, vec![member])
             }),
-            _ if !is_untouched => {}
+            _ if self.is_hit(member) => {}
             3 => {
                 self.schedule(from, Action::Pause { member });
                 self.schedule(to, Action::Resume { member });
             }
             4 => self.schedule(from, Action::Kill { member }),
             5 => {
-                self.schedule(from, Action::Kill { member });
                 let restart_at = if random.happens(0.5) {
                     from + 200_000
                 } else {
                     to
                 };
+                self.schedule(from, Action::Kill { member });
                 self.schedule(restart_at, Action::Start { member });
             }
             6 => {
@@ -316,4 +310,14 @@
             _ => self.schedule(from, Action::Leave { member }),
         }
     }
+
+    /// Whether a fault pauses or ends the process of a member.
+    fn is_hit(&self, member: usize) -> bool {
+        self.actions.iter().any(|scheduled| match scheduled.action {
+            Action::Kill { member: other }
+            | Action::Leave { member: other }
+            | Action::Pause { member: other } => other == member,
+            _ => false,
+        })
+    }
 }
--- a/crates/testbed/src/fleet/drawn.rs
+++ b/crates/testbed/src/fleet/drawn.rs
@@ -1,12 +1,15 @@
-//! Days of trouble drawn from a seed: fault, victim, time and overlap.
+//! Faults of a fleet drawn from a seed.
 
 use pinefront_model::random::RandomSource;
 use pinefront_model::scenario::{Fault, FaultKind, Scenario, Span};
 use pinefront_model::{Micros, SECOND};
 
-/// Calm at the start, for all to know each other, and at the end, for all to agree again.
-const CALM: (Micros, Micros) = (4 * SECOND, 8 * SECOND);
-const FAULTS_MOST: usize = 4;
+/// The time without faults at the start, for all balancers to know each other.
+const START_TIME: Micros = 4 * SECOND;
+/// The time without faults at the end, for all views to agree again.
+const END_TIME: Micros = 8 * SECOND;
+const MAX_FAULTS: usize = 4;
+const MIN_FAULT_DURATION_US: Micros = 200_000;
 
 const KINDS: [FaultKind; 9] = [
     FaultKind::LinkCut,
@@ -20,47 +23,49 @@
     FaultKind::BalancerHurt,
 ];
 
-/// Puts drawn faults in the place of a day's own. No balancer is hit by two that end its process or stop it.
-pub fn draw(day: &mut Scenario, seed: u64) {
-    let mut chance = RandomSource::split(seed, "fleet faults", 0);
-    let (balancers, length) = (*day.balancers.get_ref(), day.length.get_ref().0);
-    let room = length.saturating_sub(CALM.0 + CALM.1).max(SECOND);
-    day.faults.clear();
+/// Replaces the faults of a scenario by drawn ones. No balancer is hit by two faults that end or pause its process.
+pub fn draw(scenario: &mut Scenario, seed: u64) {
+    let mut random = RandomSource::split(seed, "fleet faults", 0);
+    let balancers = *scenario.balancers.get_ref();
+    let length = scenario.length.get_ref().0;
+    let available = length.saturating_sub(START_TIME + END_TIME).max(SECOND);
+    scenario.faults.clear();
     let mut hit = Vec::new();
-    for _ in 0..1 + chance.below(FAULTS_MOST) {
-        let kind = KINDS[chance.below(KINDS.len())];
-        let at = CALM.0 + chance.span(room * 2 / 3);
-        let lasts = (200_000 + chance.span(room / 2)).min(CALM.0 + room - at);
-        let on_ways = kind.hits_links();
-        let count = if on_ways {
-            1 + chance.below((balancers / 2).max(1))
+    for _ in 0..1 + random.below(MAX_FAULTS) {
+        let kind = KINDS[random.below(KINDS.len())];
+        let at = START_TIME + random.span(available * 2 / 3);
+        let duration = MIN_FAULT_DURATION_US + random.span(available / 2);
+        let duration = duration.min(START_TIME + available - at);
+        let hits_links = kind.hits_links();
+        let count = if hits_links {
+            1 + random.below((balancers / 2).max(1))
         } else {
             1
         };
-        let side = chance.some_of(count, balancers);
-        if !on_ways && hit.contains(&side[0]) {
+        let side = random.some_of(count, balancers);
+        if !hits_links && hit.contains(&side[0]) {
             continue;
         }
-        if !on_ways {
+        if !hits_links {
             hit.push(side[0]);
         }
-        let one_way = kind == FaultKind::LinkCut && chance.happens(0.4);
-        let by = (kind == FaultKind::LinkSlow).then(|| Span(10_000 + chance.span(300_000)));
+        let one_way = kind == FaultKind::LinkCut && random.happens(0.4);
+        let by = (kind == FaultKind::LinkSlow).then(|| Span(10_000 + random.span(300_000)));
         let fault = Fault {
             one_way,
             by,
-            ..among(kind, at, lasts, side)
+            ..balancer_fault(kind, at, duration, side)
         };
-        day.faults.push(toml::Spanned::new(0..0, fault));
+        scenario.faults.push(toml::Spanned::new(0..0, fault));
     }
 }
 
-/// A fault among balancers as a day's file would name it.
-fn among(kind: FaultKind, at: Micros, lasts: Micros, side: Vec<usize>) -> Fault {
+/// A fault of balancers or the links between them, as a scenario file would name it.
+fn balancer_fault(kind: FaultKind, at: Micros, duration: Micros, side: Vec<usize>) -> Fault {
     Fault {
         kind,
         at: Span(at),
-        duration: Span(lasts),
+        duration: Span(duration),
         servers: None,
         zone: None,
         machine: None,
@@ -74,14 +79,19 @@
     }
 }
 
-/// Loses so much of all that balancers tell one another, all day.
-pub fn lose(day: &mut Scenario, part: f64) {
-    let all: Vec<usize> = (0..*day.balancers.get_ref()).collect();
-    let lossy = among(FaultKind::LinkLossy, 0, day.length.get_ref().0, all.clone());
+/// Loses a fraction of all datagrams between balancers throughout a scenario.
+pub fn lose(scenario: &mut Scenario, fraction: f64) {
+    let all: Vec<usize> = (0..*scenario.balancers.get_ref()).collect();
+    let lossy = balancer_fault(
+        FaultKind::LinkLossy,
+        0,
+        scenario.length.get_ref().0,
+        all.clone(),
+    );
     let fault = Fault {
         against: Some(all),
-        factor: Some(part),
+        factor: Some(fraction),
         ..lossy
     };
-    day.faults.push(toml::Spanned::new(0..0, fault));
+    scenario.faults.push(toml::Spanned::new(0..0, fault));
 }
--- a/crates/testbed/src/fleet/relays.rs
+++ b/crates/testbed/src/fleet/relays.rs
@@ -1,6 +1,8 @@
-//! A relay on each way between two balancers: every datagram passes one, and meets what the day says of that way.
+//! Relays between balancers: every datagram passes through one, which applies the faults of that network link; and
+//! datagrams sent from outside the fleet.
 
 use std::collections::VecDeque;
+use std::io;
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -12,25 +14,65 @@
 
 use crate::world::{World, locked};
 
-/// Far more than a datagram of the accord.
-const LONGEST: usize = 2_048;
+/// Far more than the longest datagram of a balancer.
+const MAX_DATAGRAM_BYTES: usize = 2_048;
+/// The longest random datagram sent from outside.
+const MAX_NOISE_BYTES: usize = 1_200;
+/// How many datagrams are recorded for replay.
+const MAX_RECORDED_DATAGRAMS: usize = 512;
+/// How often bursts from outside are sent.
+const BURST_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Datagrams kept for those who send them again.
-const KEPT: usize = 512;
-/// How often strangers send a burst.
-const BURSTS_APART: Duration = Duration::from_millis(5);
+/// A datagram that passed a relay.
+struct RecordedDatagram {
+    to: usize,
+    bytes: Vec<u8>,
+}
 
+/// What all relays have done.
 #[derive(Default)]
 pub struct Relayed {
+    /// Datagrams passed on.
     pub passed: AtomicU64,
+    /// Datagrams lost.
     pub lost: AtomicU64,
-    /// Sent by strangers.
+    /// Datagrams sent from outside.
     pub flooded: AtomicU64,
-    /// What went past, where anybody listens: by whom it was meant to be heard, and the bytes.
-    listened: Mutex<VecDeque<(usize, Vec<u8>)>>,
+    /// The last datagrams, where any are replayed from outside.
+    recorded: Mutex<VecDeque<RecordedDatagram>>,
+}
+
+impl Relayed {
+    fn record(&self, to: usize, bytes: &[u8]) {
+        let bytes = bytes.to_vec();
+        let mut recorded = locked(&self.recorded);
+        recorded.push_back(RecordedDatagram { to, bytes });
+        if recorded.len() > MAX_RECORDED_DATAGRAMS {
+            recorded.pop_front();
+        }
+    }
+
+    /// A random recorded datagram to that balancer.
+    fn random_recorded(&self, random: &mut RandomSource, to: usize) -> Option<Vec<u8>> {
+        let recorded = locked(&self.recorded);
+        let matching: Vec<_> = recorded.iter().filter(|one| one.to == to).collect();
+        (!matching.is_empty()).then(|| matching[random.below(matching.len())].bytes.clone())
+    }
+}
+
+/// The relay of one link.
+struct Relay {
+    world: Arc<World>,
+    from: usize,
+    to: usize,
+    address: SocketAddr,
+    socket: Arc<tokio::net::UdpSocket>,
+    relayed: Arc<Relayed>,
+    random: RandomSource,
+    records: bool,
 }
 
-/// Relays what comes at a socket from one balancer to another's address, until the runtime ends.
+/// Relays what arrives at a socket from one balancer to another's address, until the runtime ends.
 pub fn relay(
     world: &Arc<World>,
     from: usize,
@@ -38,119 +80,148 @@
     socket: UdpSocket,
     address: SocketAddr,
     relayed: &Arc<Relayed>,
-) -> std::io::Result<()> {
-    let socket = Arc::new(tokio::net::UdpSocket::from_std(socket)?);
-    let (world, relayed) = (Arc::clone(world), Arc::clone(relayed));
-    let listens = floods(&world).next().is_some();
-    let mut chance = RandomSource::split(world.seed, "relay", (from * 1_000 + to) as u64);
+) -> io::Result<()> {
+    let mut relay = Relay {
+        world: Arc::clone(world),
+        from,
+        to,
+        address,
+        socket: Arc::new(tokio::net::UdpSocket::from_std(socket)?),
+        relayed: Arc::clone(relayed),
+        random: RandomSource::split(world.seed, "relay", (from * 1_000 + to) as u64),
+        records: floods(world).next().is_some(),
+    };
     tokio::spawn(async move {
-        let mut bytes = [0; LONGEST];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES];
         loop {
-            // A report that nobody took an earlier one comes as an error; the next may be a datagram.
-            let Ok((length, _)) = socket.recv_from(&mut bytes).await else {
-                continue;
-            };
-            let mut bytes = bytes[..length].to_vec();
-            let carried = world
-                .timeline()
-                .links
-                .transmit(from, to, world.now(), &mut chance);
-            if carried.copies.is_empty() {
-                relayed.lost.fetch_add(1, Ordering::Relaxed);
-            }
-            carried.corrupt(&mut bytes);
-            if listens {
-                let mut listened = locked(&relayed.listened);
-                listened.push_back((to, bytes.clone()));
-                if listened.len() > KEPT {
-                    listened.pop_front();
-                }
-            }
-            for delay in carried.copies {
-                relayed.passed.fetch_add(1, Ordering::Relaxed);
-                if delay == 0 {
-                    // Who is not there hears nothing, as on any network.
-                    let _ = socket.send_to(&bytes, address).await;
-                    continue;
-                }
-                let (socket, bytes) = (Arc::clone(&socket), bytes.clone());
-                tokio::spawn(async move {
-                    tokio::time::sleep(Duration::from_micros(delay)).await;
-                    let _ = socket.send_to(&bytes, address).await;
-                });
+            // An error reports that an earlier datagram was refused; the next may be a datagram.
+            if let Ok((length, _)) = relay.socket.recv_from(&mut bytes).await {
+                relay.pass_on(bytes[..length].to_vec()).await;
             }
         }
     });
     Ok(())
 }
 
+impl Relay {
+    /// Passes a datagram on as the faults of the link allow.
+    async fn pass_on(&mut self, mut bytes: Vec<u8>) {
+        let transmission = self.world.timeline().links.transmit(
+            self.from,
+            self.to,
+            self.world.now(),
+            &mut self.random,
+        );
+        if transmission.copies.is_empty() {
+            self.relayed.lost.fetch_add(1, Ordering::Relaxed);
+        }
+        transmission.corrupt(&mut bytes);
+        if self.records {
+            self.relayed.record(self.to, &bytes);
+        }
+        for delay in transmission.copies {
+            self.relayed.passed.fetch_add(1, Ordering::Relaxed);
+            let address = self.address;
+            if delay == 0 {
+                // A balancer that does not run receives nothing.
+                let _ = self.socket.send_to(&bytes, address).await;
+                continue;
+            }
+            let socket = Arc::clone(&self.socket);
+            let bytes = bytes.clone();
+            tokio::spawn(async move {
+                tokio::time::sleep(Duration::from_micros(delay)).await;
+                let _ = socket.send_to(&bytes, address).await;
+            });
+        }
+    }
+}
+
 fn floods(world: &World) -> impl Iterator<Item = LinkFault> {
-    let troubles = world.timeline().links.faults.clone();
-    troubles
+    let faults = world.timeline().links.faults.clone();
+    faults
         .into_iter()
-        .filter(|trouble| trouble.kind == FaultKind::LinkFlood)
+        .filter(|fault| fault.kind == FaultKind::LinkFlood)
 }
 
-/// Strangers send what the day says to the balancers that it names: a third noise, a third of what went past before, a
-/// third of that with a bit turned. Each from a socket of its own, until the runtime ends.
+/// Sends datagrams from outside to the balancers that the scenario names, each from a socket of its own, until the
+/// runtime ends: a third random bytes, a third replayed ones, a third replayed ones with a flipped bit.
 pub fn flood(
     world: &Arc<World>,
-    heard_at: &[SocketAddr],
+    addresses: &[SocketAddr],
     relayed: &Arc<Relayed>,
-) -> std::io::Result<()> {
-    for (number, trouble) in floods(world).enumerate() {
-        for place in trouble.side.clone() {
-            let Some(&address) = heard_at.get(place) else {
+) -> io::Result<()> {
+    for (number, fault) in floods(world).enumerate() {
+        for &balancer in &fault.side {
+            let Some(&address) = addresses.get(balancer) else {
                 continue;
             };
             let socket = UdpSocket::bind("127.0.0.1:0")?;
             socket.set_nonblocking(true)?;
-            let socket = tokio::net::UdpSocket::from_std(socket)?;
-            let (world, relayed, trouble) =
-                (Arc::clone(world), Arc::clone(relayed), trouble.clone());
-            let mut chance =
-                RandomSource::split(world.seed, "flood", (number * 1_000 + place) as u64);
-            tokio::spawn(async move {
-                let (mut ticks, mut owed) = (tokio::time::interval(BURSTS_APART), 0.0);
-                loop {
-                    ticks.tick().await;
-                    let now = world.now();
-                    if now < trouble.from || now >= trouble.to {
-                        continue;
-                    }
-                    owed += trouble.factor * BURSTS_APART.as_secs_f64();
-                    while owed >= 1.0 {
-                        owed -= 1.0;
-                        let bytes = strange(&mut chance, &relayed, place);
-                        // A full socket loses it, as it would anybody's.
-                        if socket.try_send_to(&bytes, address).is_ok() {
-                            relayed.flooded.fetch_add(1, Ordering::Relaxed);
-                        }
-                    }
-                }
-            });
+            let stream = (number * 1_000 + balancer) as u64;
+            let source = FloodSource {
+                world: Arc::clone(world),
+                relayed: Arc::clone(relayed),
+                socket: tokio::net::UdpSocket::from_std(socket)?,
+                balancer,
+                address,
+                random: RandomSource::split(world.seed, "flood", stream),
+            };
+            tokio::spawn(source.run(fault.clone()));
         }
     }
     Ok(())
 }
 
-fn strange(chance: &mut RandomSource, relayed: &Relayed, place: usize) -> Vec<u8> {
-    let kind = chance.below(3);
-    let heard: Option<Vec<u8>> = match kind {
-        0 => None,
-        _ => {
-            let listened = locked(&relayed.listened);
-            let meant: Vec<_> = listened.iter().filter(|(to, _)| *to == place).collect();
-            (!meant.is_empty()).then(|| meant[chance.below(meant.len())].1.clone())
+/// A sender from outside.
+struct FloodSource {
+    world: Arc<World>,
+    relayed: Arc<Relayed>,
+    socket: tokio::net::UdpSocket,
+    balancer: usize,
+    address: SocketAddr,
+    random: RandomSource,
+}
+
+impl FloodSource {
+    async fn run(mut self, fault: LinkFault) {
+        let mut ticks = tokio::time::interval(BURST_INTERVAL);
+        let mut allowance = 0.0;
+        loop {
+            ticks.tick().await;
+            let now = self.world.now();
+            if now < fault.from || now >= fault.to {
+                continue;
+            }
+            allowance += fault.factor * BURST_INTERVAL.as_secs_f64();
+            while allowance >= 1.0 {
+                allowance -= 1.0;
+                let bytes = self.next_datagram();
+                // A full socket loses it, as it would any datagram.
+                if self.socket.try_send_to(&bytes, self.address).is_ok() {
+                    self.relayed.flooded.fetch_add(1, Ordering::Relaxed);
+                }
+            }
         }
-    };
-    let Some(mut bytes) = heard else {
-        let length = 1 + chance.below(1_200);
-        return (0..length).map(|_| chance.below(256) as u8).collect();
-    };
-    if kind == 2 {
-        let at = chance.below(bytes.len());
-        bytes[at] ^= 1 << chance.below(8);
     }
-    bytes
+
+    fn next_datagram(&mut self) -> Vec<u8> {
+        const NOISE: usize = 0;
+        const CORRUPTED: usize = 2;
+        let random = &mut self.random;
+        let kind = random.below(3);
+        let recorded = match kind {
+            NOISE => None,
+            _ => self.relayed.random_recorded(random, self.balancer),
+        };
+        let Some(mut bytes) = recorded else {
+            let length = 1 + random.below(MAX_NOISE_BYTES);
+            return (0..length).map(|_| random.below(256) as u8).collect();
+        };
+        if kind == CORRUPTED {
+            let index = random.below(bytes.len());
+            bytes[index] ^= 1 << random.below(8);
+        }
+        bytes
+    }
 }
--- a/crates/testbed/src/fleet/simulated_members.rs
+++ b/crates/testbed/src/fleet/simulated_members.rs
@@ -1,5 +1,5 @@
-//! Members that are no processes: accords of the lab's own on sockets of their own, to measure what a balancer's part in
-//! a fleet of any size costs it.
+//! Cluster members within this process, each on a socket of its own, to measure what a fleet of any size costs a
+//! balancer.
 
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
@@ -14,13 +14,14 @@
 
 const FLEET: &str = "lab";
 const KEY: &str = "a key for the lab's own fleet\n";
-/// How often all sockets are looked at: later than a network would be, far below what a member allows for.
-const LOOKS_APART: Duration = Duration::from_millis(5);
+/// How often each member is served, far more often than members allow for.
+const SERVE_INTERVAL: Duration = Duration::from_millis(5);
+/// How many of them are seeds of the balancer.
 const SEEDS: usize = 3;
 
-/// Ends with the value.
+/// Members that run until this value is dropped.
 pub struct SimulatedMembers {
-    over: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
     seeds: Vec<SocketAddr>,
 }
@@ -34,18 +35,25 @@
             socket.set_nonblocking(true)?;
             sockets.push((socket.local_addr()?, socket));
         }
-        let seeds: Vec<_> = sockets.iter().take(SEEDS).map(|one| one.0).collect();
-        let over = Arc::new(AtomicBool::new(false));
-        let (told, known) = (Arc::clone(&over), seeds.clone());
-        let thread = std::thread::spawn(move || carry(sockets, &known, &told));
+        let seeds: Vec<_> = sockets
+            .iter()
+            .take(SEEDS)
+            .map(|(address, _)| *address)
+            .collect();
+        let stop = Arc::new(AtomicBool::new(false));
+        let thread = std::thread::spawn({
+            let stop = Arc::clone(&stop);
+            let seeds = seeds.clone();
+            move || run(sockets, &seeds, &stop)
+        });
         Ok(Self {
-            over,
+            stop,
             thread: Some(thread),
             seeds,
         })
     }
 
-    /// The operator file of a balancer that joins them.
+    /// Writes the operator file of a balancer that joins them.
     pub fn operator_file(&self, folder: &Path) -> io::Result<PathBuf> {
         let key = folder.join("company.key");
         std::fs::write(&key, KEY)?;
@@ -68,58 +76,73 @@
 
 impl Drop for SimulatedMembers {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
-            // One that failed has nothing more to say here: the balancer's view shows that its members are gone.
+            // If it failed, the balancer's view shows that its members are dead.
             let _ = thread.join();
         }
     }
 }
 
-fn carry(sockets: Vec<(SocketAddr, UdpSocket)>, seeds: &[SocketAddr], over: &AtomicBool) {
+fn run(sockets: Vec<(SocketAddr, UdpSocket)>, seeds: &[SocketAddr], stop: &AtomicBool) {
     let Ok(key) = Key::new(KEY.as_bytes()) else {
         return;
     };
-    let began = Instant::now();
-    let now = || began.elapsed().as_micros() as Micros + 1;
+    let started = Instant::now();
+    let now = || started.elapsed().as_micros() as Micros + 1;
     let started_at_us = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
         .as_micros() as u64;
-    let mut all: Vec<(Cluster, UdpSocket)> = Vec::new();
-    for (number, (address, socket)) in sockets.into_iter().enumerate() {
-        let part = MemberConfig {
-            fleet: FLEET.into(),
-            name: format!("company-{number}"),
-            zone: "a".into(),
-            address,
-            seeds: seeds.to_vec(),
-            started_at_us,
-            probe_interval: MemberConfig::DEFAULT_PROBE_INTERVAL,
-            probe_timeout: MemberConfig::DEFAULT_PROBE_TIMEOUT,
-            min_suspicion: MemberConfig::DEFAULT_MIN_SUSPICION,
-            confirmed_dead: Default::default(),
-        };
-        all.push((
-            Cluster::new(part, key.clone(), number as u64 + 1, now()),
-            socket,
-        ));
+    let mut members: Vec<(Cluster, UdpSocket)> = sockets
+        .into_iter()
+        .enumerate()
+        .map(|(number, (address, socket))| {
+            let config = member_config(number, address, seeds, started_at_us);
+            let seed = number as u64 + 1;
+            (Cluster::new(config, key.clone(), seed, now()), socket)
+        })
+        .collect();
+    while !stop.load(Ordering::Relaxed) {
+        for (cluster, socket) in &mut members {
+            serve(cluster, socket, now);
+        }
+        std::thread::sleep(SERVE_INTERVAL);
+    }
+}
+
+fn member_config(
+    number: usize,
+    address: SocketAddr,
+    seeds: &[SocketAddr],
+    started_at_us: u64,
+) -> MemberConfig {
+    MemberConfig {
+        fleet: FLEET.into(),
+        name: format!("company-{number}"),
+        zone: "a".into(),
+        address,
+        seeds: seeds.to_vec(),
+        started_at_us,
+        probe_interval: MemberConfig::DEFAULT_PROBE_INTERVAL,
+        probe_timeout: MemberConfig::DEFAULT_PROBE_TIMEOUT,
+        min_suspicion: MemberConfig::DEFAULT_MIN_SUSPICION,
+        confirmed_dead: Default::default(),
     }
+}
+
+/// Receives, runs timers and sends for one member.
+fn serve(cluster: &mut Cluster, socket: &UdpSocket, now: impl Fn() -> Micros) {
     let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
-    while !over.load(Ordering::Relaxed) {
-        for (cluster, socket) in &mut all {
-            while let Ok((length, _)) = socket.recv_from(&mut bytes) {
-                cluster.receive(now(), &bytes[..length]);
-            }
-            if cluster.next_timer() <= now() {
-                cluster.run_timers(now());
-            }
-            cluster.take_events();
-            for OutgoingDatagram { to, bytes } in cluster.take_datagrams() {
-                // A full socket loses one as well as the network does.
-                let _ = socket.send_to(&bytes, to);
-            }
-        }
-        std::thread::sleep(LOOKS_APART);
+    while let Ok((length, _)) = socket.recv_from(&mut bytes) {
+        cluster.receive(now(), &bytes[..length]);
+    }
+    if cluster.next_timer() <= now() {
+        cluster.run_timers(now());
+    }
+    cluster.take_events();
+    for OutgoingDatagram { to, bytes } in cluster.take_datagrams() {
+        // The protocol allows for loss, in a full socket as in the network.
+        let _ = socket.send_to(&bytes, to);
     }
 }
--- a/crates/testbed/src/runner/setup.rs
+++ b/crates/testbed/src/runner/setup.rs
@@ -8,9 +8,9 @@
 use crate::balancers::{Balancer, BalancerSetup, wait_until_ready};
 use crate::environment::TemporaryFolder;
 use crate::error::{Context, Error};
-use crate::fleet::Addresses;
 use crate::fleet::leases::LeaseLog;
 use crate::fleet::relays::{Relayed, flood, relay};
+use crate::fleet::{Addresses, RelaySocket};
 use crate::system_faults::PreloadedLibrary;
 use crate::world::{World, locked};
 use crate::{baseline, discovery_stand_in, server_stand_in};
@@ -85,13 +85,13 @@
         let Some(cluster) = &mut self.cluster else {
             return Ok(());
         };
-        for (from, to, socket) in std::mem::take(&mut cluster.sockets) {
-            let address = cluster.heard_at.get(to).copied();
+        for RelaySocket { from, to, socket } in std::mem::take(&mut cluster.relay_sockets) {
+            let address = cluster.members.get(to).copied();
             let address = address.ok_or_else(|| Error::new("no such balancer"))?;
             relay(world, from, to, socket, address, &self.relayed)
                 .context("cannot relay between balancers")?;
         }
-        flood(world, &cluster.heard_at, &self.relayed).context("no strangers")
+        flood(world, &cluster.members, &self.relayed).context("no strangers")
     }
 
     async fn start_balancer(
