--- a/crates/cluster/src/cluster/tests.rs
+++ b/crates/cluster/src/cluster/tests.rs
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn all_know_each_other_by_one_seed() {
+fn members_discover_each_other_through_one_seed() {
     let mut all: Vec<Cluster> = (0..5).map(cluster).collect();
     carry(&mut all, 0, 3 * SECOND, &[]);
     assert!(all.iter().all(|one| states(one) == [MemberState::Alive; 4]));
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn who_is_silent_is_gone_after_a_doubt_and_back_when_heard() {
+fn unresponsive_member_is_suspected_then_dead_and_recovers() {
     let mut all: Vec<Cluster> = (0..4).map(cluster).collect();
     carry(&mut all, 0, 3 * SECOND, &[]);
     all[0].take_events();
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn who_leaves_is_proven_gone_at_once() {
+fn member_that_leaves_is_proven_stopped_at_once() {
     let mut all: Vec<Cluster> = (0..4).map(cluster).collect();
     carry(&mut all, 0, 3 * SECOND, &[]);
     all[2].leave(3 * SECOND);
@@ -120,7 +120,10 @@
 #[rstest]
 #[case::stopped(20 * SECOND, true)]
 #[case::a_little_late(200 * MS, false)]
-fn who_slept_doubts_nobody_until_it_is_heard(#[case] lasted: Micros, #[case] pauses_seen: bool) {
+fn paused_process_suspects_nobody_until_reachable(
+    #[case] lasted: Micros,
+    #[case] pauses_seen: bool,
+) {
     let mut all: Vec<Cluster> = (0..4).map(cluster).collect();
     carry(&mut all, 0, 3 * SECOND, &[]);
     all[1].take_events();
@@ -142,9 +145,9 @@
     assert_eq!(judged, !pauses_seen);
 }
 
-/// The carrier's clock goes on by itself; a wall clock that jumps is seen only as `born`.
+/// Times come from the caller's clock; a wall clock that jumps is seen only as `started_at_us`.
 #[test]
-fn time_that_seems_to_go_back_changes_nothing() {
+fn decreasing_time_changes_nothing() {
     let mut all: Vec<Cluster> = (0..2).map(cluster).collect();
     carry(&mut all, 0, 2 * SECOND, &[]);
     all[0].run_timers(SECOND);
@@ -152,7 +155,7 @@
 }
 
 #[test]
-fn who_comes_back_without_memory_and_with_its_clock_set_back_is_taken_in() {
+fn restarted_process_with_an_earlier_clock_is_accepted() {
     let mut all: Vec<Cluster> = (0..3).map(cluster).collect();
     carry(&mut all, 0, 3 * SECOND, &[]);
     all[2] = Cluster::new(
@@ -181,7 +184,7 @@
 }
 
 #[test]
-fn of_two_processes_of_one_name_the_later_keeps_quiet() {
+fn later_of_two_processes_with_one_name_stays_silent() {
     let mut all: Vec<Cluster> = (0..3).map(cluster).collect();
     let elsewhere = MemberConfig {
         address: SocketAddr::from(([127, 0, 0, 1], 7_003)),
@@ -209,7 +212,7 @@
 
 /// A machine that died for good would be counted for ever; the operators may say so, and may be wrong.
 #[test]
-fn the_operators_word_goes_for_who_is_silent_until_it_is_heard() {
+fn confirmation_of_death_holds_until_a_datagram_arrives() {
     let mut all: Vec<Cluster> = (0..3).map(cluster).collect();
     carry(&mut all, 0, 3 * SECOND, &[]);
     let (incarnation, own) = (all[2].incarnation(), all[0].config.clone());
@@ -271,7 +274,7 @@
 
 /// Ten thousand a second from a stranger: each costs a hash, and nothing else happens.
 #[test]
-fn strangers_and_listeners_change_nothing() {
+fn corrupted_and_replayed_datagrams_change_nothing() {
     let mut all: Vec<Cluster> = (0..3).map(cluster).collect();
     carry(&mut all, 0, 2 * SECOND, &[]);
     all[0].take_datagrams();
@@ -303,7 +306,7 @@
 
 /// A file without voters and then with them again: what was let go is taken anew, by a later term.
 #[test]
-fn duties_that_were_left_are_taken_again() {
+fn disabled_leases_are_acquired_again() {
     let mut all: Vec<Cluster> = (0..3).map(cluster).collect();
     let terms = || LeaseConfig {
         voters: vec!["b0".into(), "b1".into(), "b2".into()],
@@ -335,7 +338,7 @@
 
 /// Names as long as may be and numbers as great: a frame that does not fit would never be sent, and its duties never held.
 #[test]
-fn what_a_voter_tells_of_as_many_duties_as_it_may_fits_into_a_datagram() {
+fn largest_reply_of_a_voter_fits_into_a_datagram() {
     let long = "n".repeat(crate::messages::MAX_NAME_BYTES);
     let config = MemberConfig {
         fleet: long.clone(),
@@ -375,7 +378,7 @@
 }
 
 #[test]
-fn few_members_hold_many_duties() {
+fn few_members_hold_many_leases() {
     let mut all: Vec<Cluster> = (0..3).map(cluster).collect();
     for one in &mut all {
         let terms = LeaseConfig {
--- a/crates/cluster/src/datagram/tests.rs
+++ b/crates/cluster/src/datagram/tests.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn what_is_sealed_opens_for_who_has_the_key() {
+fn sealed_datagram_opens_with_the_key() {
     let bytes = seal(&key(), &datagram(3)).unwrap();
     assert_eq!(open(&key(), "f", &bytes), Ok(datagram(3)));
     assert_eq!(open(&key(), "g", &bytes), Err(DropReason::ForeignFleet));
@@ -40,7 +40,7 @@
 #[case::empty(b"", 0)]
 #[case::short(b"0123456789abcde", 15)]
 #[case::blanks(b"  0123456789    \n", 10)]
-fn a_key_that_can_be_guessed_is_refused(#[case] bytes: &[u8], #[case] length: usize) {
+fn short_key_is_refused(#[case] bytes: &[u8], #[case] length: usize) {
     assert_eq!(Key::new(bytes).err(), Some(KeyTooShort(length)));
 }
 
@@ -55,12 +55,12 @@
 #[case::no_letter(sealed(&[PROTOCOL_VERSION, 255, 255]), DropReason::Malformed)]
 #[case::short(vec![0; 31], DropReason::Size)]
 #[case::long(vec![0; MAX_DATAGRAM_BYTES + 1], DropReason::Size)]
-fn what_nobody_sends_is_dropped_by_cause(#[case] bytes: Vec<u8>, #[case] cause: DropReason) {
+fn malformed_datagrams_are_dropped_by_reason(#[case] bytes: Vec<u8>, #[case] cause: DropReason) {
     assert_eq!(open(&key(), "f", &bytes), Err(cause));
 }
 
 #[test]
-fn more_behind_a_letter_or_a_name_of_blanks_is_no_letter() {
+fn trailing_bytes_and_invalid_names_are_malformed() {
     let mut bytes = vec![PROTOCOL_VERSION];
     bytes.extend(postcard::to_stdvec(&datagram(0)).unwrap());
     bytes.push(0);
@@ -93,7 +93,7 @@
     }
 
     #[test]
-    fn each_counter_is_taken_once(numbers in prop::collection::vec(0u64..300, 1..200)) {
+    fn each_sequence_number_is_accepted_once(numbers in prop::collection::vec(0u64..300, 1..200)) {
         let (mut taken, mut known) = (ReplayFilter::default(), Vec::new());
         for counter in numbers {
             let highest = known.iter().copied().max().unwrap_or(0);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn counters_of_many_names_stay_bounded() {
+fn replay_windows_stay_bounded() {
     let mut replay_filter = ReplayFilter::default();
     for number in 0..MAX_REPLAY_WINDOWS + 10 {
         let mut datagram = datagram(1);
--- a/crates/cluster/src/leases/assignment/tests.rs
+++ b/crates/cluster/src/leases/assignment/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn duties_are_even_and_few_move_when_one_comes() {
+fn leases_are_balanced_and_few_move_when_a_member_joins() {
     let leases = leases(200);
     let before = assign(&leases, &indices(0..30));
     let mut loads = vec![0; 30];
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_zone_has_its_own_first_and_each_order_names_no_member_twice() {
+fn members_of_the_zone_come_first_and_candidates_are_distinct() {
     let leases = [
         Lease::new("roster/a", Some("a".into())),
         Lease::new("roster/b", Some("b".into())),
--- a/crates/cluster/src/leases/tests.rs
+++ b/crates/cluster/src/leases/tests.rs
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn each_duty_has_one_holder_and_keeps_it() {
+fn each_lease_has_one_holder_and_keeps_it() {
     let mut fleet = Fleet::new(6, &["a", "b", "c", "d"]);
     fleet.run(2_000 * MS);
     // Voters that have just started are silent for the longest lease.
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_holder_that_is_cut_off_loses_its_duty_before_another_takes_it() {
+fn holder_that_is_cut_off_loses_its_lease_before_another_acquires_it() {
     let mut fleet = Fleet::new(5, &["a"]);
     fleet.run(5 * SECOND);
     let first = fleet.holders("a")[0];
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn who_lets_go_is_followed_within_the_third_of_a_second() {
+fn released_lease_has_a_new_holder_within_a_third_of_a_second() {
     let mut fleet = Fleet::new(5, &["a"]);
     fleet.run(5 * SECOND);
     let first = fleet.holders("a")[0];
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn without_a_majority_of_voters_nobody_holds_and_that_is_said() {
+fn without_a_quorum_nobody_holds_and_that_is_reported() {
     let mut fleet = Fleet::new(5, &["a"]);
     fleet.run(5 * SECOND);
     fleet.cut = vec![0, 1];
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn who_is_stopped_again_and_again_gives_its_duties_up() {
+fn member_paused_repeatedly_releases_its_leases() {
     let mut fleet = Fleet::new(4, &["a"]);
     fleet.run(5 * SECOND);
     let first = fleet.holders("a")[0];
@@ -218,7 +218,7 @@
 
 /// Two files with different voters would have majorities that share no voter.
 #[test]
-fn a_voter_grants_nothing_to_who_has_other_voters_in_its_file() {
+fn voter_grants_nothing_to_a_member_with_other_voters() {
     let mut fleet = Fleet::new(4, &["a"]);
     let other = LeaseConfig {
         voters: ["b0", "b1", "b3"].map(Rc::from).into(),
@@ -241,7 +241,7 @@
 #[case::silent_at_first(0, with_clock_margin(MAX_LEASE_US) - 1, Err(()))]
 #[case::then_granted(0, with_clock_margin(MAX_LEASE_US), Ok(()))]
 #[case::longer_than_any_lease(MAX_LEASE_US, with_clock_margin(MAX_LEASE_US), Err(()))]
-fn a_voter_that_started_is_silent(
+fn started_voter_is_silent(
     #[case] more: Micros,
     #[case] now: Micros,
     #[case] granted: Result<(), ()>,
@@ -267,7 +267,7 @@
 #[case::when_it_ran_out(10, 8, with_clock_margin(DEFAULT_LEASE_US), true)]
 #[case::an_older_term(8, 8, 10 * SECOND, false)]
 #[case::one_number_of_another_life(9, 6, 10 * SECOND, false)]
-fn a_voter_grants_one_claimant_at_a_time(
+fn voter_grants_one_bidder_at_a_time(
     #[case] number: u64,
     #[case] incarnation: u64,
     #[case] after: Micros,
@@ -299,7 +299,7 @@
 }
 
 #[test]
-fn a_release_frees_its_own_turn_only_and_uses_it_up() {
+fn release_frees_its_own_term_only_and_uses_it_up() {
     let (mut voter, at) = (Voter::new(0, None), 10 * SECOND);
     let term = |number| Term {
         number,
@@ -326,7 +326,7 @@
 }
 
 #[test]
-fn acts_of_older_terms_are_not_taken_and_their_holder_hears_why() {
+fn stale_commands_are_rejected_and_their_sender_is_notified() {
     let mut fleet = Fleet::new(2, &["a"]);
     let (lease, sender) = (LeaseId::of("a"), Rc::from("b0"));
     let send_command = |number| LeaseMessage::Command {
--- a/crates/cluster/src/membership/table/tests.rs
+++ b/crates/cluster/src/membership/table/tests.rs
@@ -56,7 +56,7 @@
     MergeOutcome::Changed,
     MemberState::Dead
 )]
-fn at_one_incarnation_the_heavier_state_goes_first(
+fn at_one_refutation_counter_the_later_state_supersedes(
     #[case] told: MemberRecord,
     #[case] merged: MergeOutcome,
     #[case] state: MemberState,
@@ -78,7 +78,7 @@
 #[case::doubted(MemberState::Suspected, 1)]
 #[case::silent(MemberState::Dead, 1)]
 #[case::said_so(MemberState::Left, 0)]
-fn only_who_said_so_serves_no_more(#[case] state: MemberState, #[case] serving: usize) {
+fn only_a_member_that_left_has_stopped(#[case] state: MemberState, #[case] serving: usize) {
     let mut table = table();
     table.merge(0, &record(FIRST, 10, state));
     assert_eq!(table.count_may_serve(), serving);
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn what_is_wrong_about_us_is_overtaken_and_our_leave_is_not() {
+fn wrong_records_of_this_member_are_refuted_until_it_leaves() {
     let mut table = table();
     let wrong = MemberRecord {
         state: MemberState::Dead,
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_name_is_taken_when_another_process_overtakes_us_again_and_again() {
+fn name_conflict_is_reported_after_repeated_superseding() {
     let mut table = table();
     for _ in 0..NAME_CONFLICT_THRESHOLD {
         assert!(!table.has_name_conflict());
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_full_table_takes_nobody_in_but_for_who_left() {
+fn full_table_adds_a_member_only_in_place_of_one_that_left() {
     let mut table = table();
     let named = |number: usize, state| {
         let name = Rc::from(format!("n{number}"));
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn doubts_of_several_are_counted_once_each() {
+fn suspicions_are_counted_once_for_each_process() {
     let mut table = table();
     let suspicion = |by| MemberRecord {
         suspected_by: by,
--- a/crates/cluster/src/shared_list/tests.rs
+++ b/crates/cluster/src/shared_list/tests.rs
@@ -63,7 +63,7 @@
 #[case::nothing(&[], &[20])]
 #[case::a_part(&[1], &[20])]
 #[case::all(&[0, 1, 2, 3], &[20])]
-fn what_is_lost_of_a_list_is_asked_for(#[case] lost: &[usize], #[case] found: &[usize]) {
+fn lost_chunks_are_requested(#[case] lost: &[usize], #[case] found: &[usize]) {
     let (mut publisher, mut subscriber) = (ListPublisher::default(), ListSubscriber::default());
     let said = publisher.publish(7, true, &entries(0..20));
     assert_eq!(said.len(), 4);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn changes_are_taken_in_order_and_a_whole_list_stands_for_all_before() {
+fn changes_are_applied_in_order_and_a_full_list_replaces_earlier_pages() {
     let (mut publisher, mut subscriber) = (ListPublisher::default(), ListSubscriber::default());
     let whole = publisher.publish(7, true, &entries(0..3));
     let changes: Vec<_> = (8..12)
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn what_left_is_in_no_whole_list() {
+fn endpoint_that_left_is_in_no_full_list() {
     let mut publisher = ListPublisher::default();
     publisher.publish(7, true, &entries(0..3));
     publisher.publish(
@@ -133,7 +133,7 @@
 
 /// A watch that broke is said by the beat; a holder that is cut off says nothing at all.
 #[test]
-fn a_holder_that_does_not_follow_feeds_nobody() {
+fn list_is_not_fresh_without_an_open_watch_of_the_holder() {
     let (mut publisher, mut subscriber) = (ListPublisher::default(), ListSubscriber::default());
     let said = publisher.publish(7, true, &entries(0..3));
     carry(&mut subscriber, &mut publisher, 0, &said, &[]);
@@ -150,7 +150,7 @@
 #[case::version_goes_back(6, 0..3, false)]
 #[case::nobody(9, 0..0, false)]
 #[case::sound(9, 0..2, true)]
-fn a_holder_that_tells_what_cannot_be_is_passed_over(
+fn holder_with_an_impossible_list_is_ignored(
     #[case] version: u64,
     #[case] named: std::ops::Range<usize>,
     #[case] taken: bool,
--- a/crates/cluster/tests/datagrams.rs
+++ b/crates/cluster/tests/datagrams.rs
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn bodies_of_the_roster_are_read_back() {
+fn bodies_of_the_shared_list_are_read_back() {
     for (name, message) in list_messages() {
         match message {
             LeaseMessage::Command { body, .. } => {
@@ -288,7 +288,7 @@
 }
 
 #[test]
-fn texts_of_lives_and_names_of_duties_stay() {
+fn texts_of_incarnations_and_identifiers_of_leases_stay() {
     assert_eq!(LIFE.to_string(), "60a2418202240-00c0ffee00c0ffee");
     assert_eq!("60a2418202240-00c0ffee00c0ffee".parse(), Ok(LIFE));
     assert_eq!(LeaseId::of("roster/a").0, 2_156_073_173);
--- a/crates/model/src/lease_history/tests.rs
+++ b/crates/model/src/lease_history/tests.rs
@@ -13,7 +13,7 @@
 #[case::one_after_the_other(20, 25, 0, 5)]
 #[case::at_once(20, 20, 0, 0)]
 #[case::overlapping(20, 19, 1, 0)]
-fn spans_of_one_duty_must_not_meet(
+fn holdings_of_one_lease_must_not_overlap(
     #[case] ends: Micros,
     #[case] begins: Micros,
     #[case] overlaps: usize,
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn who_never_says_that_it_lost_a_duty_holds_it_to_its_death() {
+fn unreported_holding_ends_with_the_process() {
     let mut lease_history = LeaseHistory::default();
     lease_history.acquired(10, 0, "d", term(5, 1));
     lease_history.acquired(50, 1, "d", term(4, 2));
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn an_act_of_an_older_term_after_a_newer_one_is_seen() {
+fn stale_command_is_detected() {
     let mut lease_history = LeaseHistory::default();
     lease_history.command_accepted(1, "d", term(5, 1));
     lease_history.command_accepted(2, "d", term(4, 1));
--- a/crates/model/src/process_history/tests.rs
+++ b/crates/model/src/process_history/tests.rs
@@ -24,7 +24,7 @@
 #[case::one_not_known_yet(&[('b', ClaimedStatus::MayServe)], 1, 0)]
 #[case::taken_for_gone(&[('b', ClaimedStatus::ProvenStopped), ('c', ClaimedStatus::MayServe)], 2, 1)]
 #[case::not_counted(&[('b', ClaimedStatus::MayServe), ('c', ClaimedStatus::MayServe)], 1, 1)]
-fn a_view_is_held_against_who_serves(
+fn view_is_checked_against_running_processes(
     #[case] all: &[(char, ClaimedStatus)],
     #[case] counted: usize,
     #[case] wrong: usize,
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn who_was_known_must_not_be_forgotten_while_it_serves() {
+fn known_process_must_not_be_forgotten_while_it_serves() {
     let mut history = process_history();
     let both = held(&[
         ('b', ClaimedStatus::MayServe),
--- a/crates/proxy/src/cluster/node/tests.rs
+++ b/crates/proxy/src/cluster/node/tests.rs
@@ -84,7 +84,7 @@
 
 /// Also while a stranger sends: each of its datagrams costs a hash, and is counted.
 #[test]
-fn members_find_each_other_by_their_sockets_and_tell_of_leaving() {
+fn members_discover_each_other_by_their_sockets_and_announce_leaving() {
     let mut event_loop = EventLoop::try_new().unwrap();
     let first = open(&event_loop, "b0", Vec::new());
     let seed = first.borrow().settings.member.address;
@@ -114,7 +114,7 @@
 
 /// One follows discovery, the other is told the list whole and then its changes, and asks nothing while that goes on.
 #[test]
-fn the_list_is_passed_on_by_who_holds_the_roster() {
+fn lease_holder_publishes_the_shared_list() {
     let mut event_loop = EventLoop::try_new().unwrap();
     let first = open_with(&event_loop, "b0", Vec::new(), true);
     let seed = first.borrow().settings.member.address;
--- a/crates/proxy/src/cluster/operator_file/tests.rs
+++ b/crates/proxy/src/cluster/operator_file/tests.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn what_is_left_out_comes_from_the_configuration() {
+fn missing_fields_come_from_the_configuration() {
     let key = KeyFile::new("usual");
     let settings =
         settings(&key.text("listen = '127.0.0.1:7400'\nseeds = ['127.0.0.1:7401']")).unwrap();
@@ -102,14 +102,14 @@
 )]
 #[case::mistyped("listen = 5", "o.toml:4: listen: invalid type")]
 #[case::missing("", "o.toml:1: [fleet]: missing field `listen`")]
-fn what_is_wrong_is_named_with_its_line(#[case] more: &str, #[case] problem: &str) {
+fn errors_name_line_and_field(#[case] more: &str, #[case] problem: &str) {
     let key = KeyFile::new(&format!("{:x}", more.len() * 1_000 + problem.len()));
     let told = settings(&key.text(more)).err().unwrap();
     assert!(told.starts_with(problem), "{told}");
 }
 
 #[test]
-fn a_key_that_is_not_there_or_too_short_is_named() {
+fn missing_key_file_is_named() {
     let text = "[fleet]\nname = 'f'\nkey_file = '/nowhere/key'\nlisten = '127.0.0.1:1'";
     assert!(
         settings(text)
--- a/crates/proxy/src/cluster/pages/tests.rs
+++ b/crates/proxy/src/cluster/pages/tests.rs
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn duty_pages_are_as_recorded_before_and_while_it_is_held() {
+fn lease_pages_are_as_recorded_before_and_while_it_is_held() {
     let mut event_loop = EventLoop::try_new().unwrap();
     let fleet = open(&event_loop, true);
     let page = |name: &str| {
--- a/crates/testbed/src/cluster/tests.rs
+++ b/crates/testbed/src/cluster/tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn no_promise_is_broken() {
+fn no_rule_is_broken() {
     let report = run(&options(0..12, None), &AtomicBool::new(false));
     assert_eq!(
         (
@@ -39,7 +39,7 @@
 #[case::silent(InjectedFault::UnresponsiveCountsAsStopped)]
 #[case::asking(InjectedFault::SuspectsWithoutProbeRequests)]
 #[case::sleep(InjectedFault::PauseUnnoticed)]
-fn a_planted_fault_is_found(#[case] injected_fault: InjectedFault) {
+fn injected_fault_is_found(#[case] injected_fault: InjectedFault) {
     let report = run(
         &options(0..400, Some(injected_fault)),
         &AtomicBool::new(false),
@@ -65,7 +65,7 @@
 
 /// No two hold one duty and no act of an older term is taken, whatever fails; and every duty has a holder at the end.
 #[test]
-fn duties_are_held_by_one_at_most() {
+fn leases_have_one_holder_at_most() {
     let report = run(
         &Options {
             members: 10,
--- a/crates/testbed/src/commands/agreement.rs
+++ b/crates/testbed/src/commands/agreement.rs
@@ -15,7 +15,7 @@
 const MAX_PRINTED_VIOLATIONS: usize = 10;
 
 #[derive(Args)]
-pub struct AccordOf {
+pub struct SimulateCluster {
     /// From the first seed up to the last, which is left out
     #[arg(long, default_value = "0..500", value_parser = seeds)]
     seeds: std::ops::Range<u64>,
@@ -114,7 +114,10 @@
     }
 }
 
-pub fn accord_of(options: &AccordOf, cancelled: &Arc<AtomicBool>) -> Result<(), Failure> {
+pub fn simulate_cluster(
+    options: &SimulateCluster,
+    cancelled: &Arc<AtomicBool>,
+) -> Result<(), Failure> {
     let options_of_run = cluster::Options {
         seeds: options.seeds.clone(),
         members: options.members as usize,
--- a/crates/testbed/src/explore/tests.rs
+++ b/crates/testbed/src/explore/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn never_two_hold_one_duty() {
+fn never_two_hold_one_lease() {
     let findings = explore(&Options {
         depth: 4,
         walks: 200,
@@ -19,7 +19,7 @@
 }
 
 #[rstest]
-fn a_planted_fault_has_a_trace(#[values(0, 1, 2, 3, 4, 5)] which: usize) {
+fn injected_fault_has_a_trace(#[values(0, 1, 2, 3, 4, 5)] which: usize) {
     let (name, injected_fault) = InjectedFault::ALL[which];
     let findings = explore(&Options {
         depth: 1,
--- a/crates/testbed/src/fleet/leases/tests.rs
+++ b/crates/testbed/src/fleet/leases/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn spans_are_read_from_lines_and_held_against_each_other() {
+fn holdings_are_read_from_log_lines_and_compared() {
     let lines = LeaseLog::default();
     lines.record(
         0,
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -35,7 +35,7 @@
 use clap::{Parser, Subcommand};
 
 use crate::commands::Failure;
-use crate::commands::agreement::{AccordOf, Explore, accord_of, explore};
+use crate::commands::agreement::{Explore, SimulateCluster, explore, simulate_cluster};
 use crate::commands::measuring::{LoadAt, Overhead, load_at, measure_overhead};
 use crate::commands::scenarios::{
     ClusterRun, Compare, Demo, Run, StandAlone, compare, demo, run, run_cluster, stand,
@@ -66,9 +66,9 @@
     Overhead(Overhead),
     /// Runs a scenario with balancers that form a cluster, with a relay on each link between two of them
     Fleet(ClusterRun),
-    /// Plays the accord of many members on a virtual clock, under faults drawn from seeds
-    Accord(AccordOf),
-    /// Goes through every order of events of a few members and one duty, to a depth
+    /// Simulates the cluster protocol of many members on a virtual clock, under faults drawn from seeds
+    Accord(SimulateCluster),
+    /// Tries every order of events for a few members and one lease, up to a depth
     Explore(Explore),
     /// Runs scenarios drawn from seeds, with faults that overlap
     Soak(Soak),
@@ -112,7 +112,7 @@
         Command::Fleet(options) => run_cluster(options, &stop),
         Command::Explore(options) => explore(options, &stop),
         Command::Soak(options) => soak(options, &stop),
-        Command::Accord(options) => accord_of(options, &stop),
+        Command::Accord(options) => simulate_cluster(options, &stop),
         Command::Baseline(options) => compare(options, &stop),
     };
     match done {
