--- a/crates/cluster/src/cluster/gossip.rs
+++ b/crates/cluster/src/cluster/gossip.rs
@@ -14,7 +14,8 @@
 pub(super) const GOSSIP_INTERVAL_US: Micros = 100_000;
 /// How many members they are sent to.
 const GOSSIP_FANOUT: usize = 3;
-/// How often a part of the table is sent to a member, so that records lost everywhere arrive eventually.
+/// How often a part of the table is sent to a member, so that records lost everywhere arrive
+/// eventually.
 pub(super) const SYNC_INTERVAL_US: Micros = 1_000_000;
 /// How often a dead member is probed, by which the halves of a partition find each other.
 pub(super) const DEAD_PROBE_INTERVAL_US: Micros = 500_000;
@@ -63,7 +64,8 @@
         }
     }
 
-    /// Contacts a seed that is not among the members: at the start, and after a partition was forgotten.
+    /// Contacts a seed that is not among the members: at the start, and after a partition was
+    /// forgotten.
     pub(super) fn contact_seed(&mut self) {
         let is_alone = self.table.alive().next().is_none();
         let interval = if is_alone {
--- a/crates/cluster/src/cluster/lease_control.rs
+++ b/crates/cluster/src/cluster/lease_control.rs
@@ -11,8 +11,8 @@
 use crate::timers::Timer;
 
 impl Cluster {
-    /// Takes part in these leases from now on. A changed configuration makes this process a new voter, which grants
-    /// nothing at first.
+    /// Takes part in these leases from now on. A changed configuration makes this process a new
+    /// voter, which grants nothing at first.
     pub fn configure_leases(&mut self, now: Micros, config: LeaseConfig, leases: Vec<Lease>) {
         self.now = self.now.max(now);
         let is_current = self
@@ -64,8 +64,8 @@
             .unwrap_or_default()
     }
 
-    /// Sends a command in the name of a lease if this member holds it for `required` longer. Returns whether it was
-    /// sent.
+    /// Sends a command in the name of a lease if this member holds it for `required` longer.
+    /// Returns whether it was sent.
     pub fn send_command(
         &mut self,
         now: Micros,
--- a/crates/cluster/src/cluster/mod.rs
+++ b/crates/cluster/src/cluster/mod.rs
@@ -1,7 +1,7 @@
 //! One member of a fleet: its public operations and the state behind them.
 //!
-//! Datagrams are handled in `receive`, probes in `probing`, suspicions in `suspicions`, periodic messages in `gossip`,
-//! sending in `send`, and the lease manager is connected in `lease_control`.
+//! Datagrams are handled in `receive`, probes in `probing`, suspicions in `suspicions`, periodic
+//! messages in `gossip`, sending in `send`, and the lease manager is connected in `lease_control`.
 
 mod gossip;
 mod lease_control;
@@ -28,8 +28,8 @@
 use crate::messages::{MemberRecord, MemberState, Message};
 use crate::timers::{Timer, Timers};
 
-/// A timer that runs later than this shows that the process was paused or starved, and that what it waits for may still
-/// lie in its socket.
+/// A timer that runs later than this shows that the process was paused or starved, and that what it
+/// waits for may still lie in its socket.
 const PAUSE_THRESHOLD_US: Micros = 300_000;
 /// The number of members that are told when this one leaves; they tell the others.
 const LEAVE_FANOUT: usize = 12;
@@ -74,7 +74,8 @@
     traffic: TrafficCounters,
     /// The latest time that was given.
     now: Micros,
-    /// After a pause: nobody is suspected until a probe with this number or a later one is answered.
+    /// After a pause: nobody is suspected until a probe with this number or a later one is
+    /// answered.
     unreachable_until: Option<u32>,
     pause_count: u64,
     /// The index in the table where the next part to send begins.
@@ -128,8 +129,8 @@
         cluster
     }
 
-    /// Schedules the periodic timers at random times within their intervals, so that members that start together do not
-    /// send at once.
+    /// Schedules the periodic timers at random times within their intervals, so that members that
+    /// start together do not send at once.
     fn schedule_first_timers(&mut self) {
         for (interval, timer) in [
             (self.config.probe_interval, Timer::ProbeRound),
@@ -160,7 +161,8 @@
         &self.traffic
     }
 
-    /// Whether a member has answered since the last pause of this process. Until then it cannot tell who is alive.
+    /// Whether a member has answered since the last pause of this process. Until then it cannot
+    /// tell who is alive.
     pub fn is_reachable(&self) -> bool {
         self.unreachable_until.is_none()
     }
@@ -227,7 +229,8 @@
         }
     }
 
-    /// Records that the process did not run for `duration`. The caller may know so by other means as well.
+    /// Records that the process did not run for `duration`. The caller may know so by other means
+    /// as well.
     pub fn record_pause(&mut self, now: Micros, duration: Micros) {
         self.now = self.now.max(now);
         if self.table.has_fault(InjectedFault::PauseUnnoticed) {
@@ -235,7 +238,8 @@
         }
         self.pause_count += 1;
         self.table.events.push(MembershipEvent::Paused(duration));
-        // Only a reply to a probe sent from now on shows that others receive us: older ones lay in the socket.
+        // Only a reply to a probe sent from now on shows that others receive us: older ones lay in
+        // the socket.
         self.unreachable_until = Some(self.failure_detector.last_number.wrapping_add(1));
         self.failure_detector.pending = None;
         self.failure_detector.degrade_health();
--- a/crates/cluster/src/cluster/probing.rs
+++ b/crates/cluster/src/cluster/probing.rs
@@ -56,8 +56,8 @@
         self.timers.schedule(retry_at, Timer::ProbeRetry);
     }
 
-    /// Repeats a probe that got no reply, and asks others to relay it, since the fault may lie in the network between or
-    /// with this process.
+    /// Repeats a probe that got no reply, and asks others to relay it, since the fault may lie in
+    /// the network between or with this process.
     pub(super) fn retry_probe(&mut self) {
         let Some(probe) = &self.failure_detector.pending else {
             return;
@@ -102,7 +102,8 @@
         if probe.is_answered {
             return self.failure_detector.improve_health();
         }
-        // If members that were asked to relay do not even report, the fault may be with this process.
+        // If members that were asked to relay do not even report, the fault may be with this
+        // process.
         if probe.reported < probe.requested {
             self.failure_detector.degrade_health();
         }
@@ -151,7 +152,8 @@
         self.confirm_reachable(number);
     }
 
-    /// Ends a relayed probe, if there is one with that number, and reports its result to the requester.
+    /// Ends a relayed probe, if there is one with that number, and reports its result to the
+    /// requester.
     pub(super) fn report_relayed_probe(&mut self, number: u32, answered: bool) {
         if let Some(probe) = self.failure_detector.take_relayed_probe(number) {
             let report = Message::ProbeReport {
@@ -162,8 +164,8 @@
         }
     }
 
-    /// A reply to a probe sent after a pause shows that others receive this member, so that missing replies are a sign
-    /// of their failure again.
+    /// A reply to a probe sent after a pause shows that others receive this member, so that missing
+    /// replies are a sign of their failure again.
     fn confirm_reachable(&mut self, number: u32) {
         // Numbers wrap around: those within half the range are later.
         let is_later = |from: u32| number.wrapping_sub(from) < u32::MAX / 2;
--- a/crates/cluster/src/cluster/receive.rs
+++ b/crates/cluster/src/cluster/receive.rs
@@ -10,8 +10,8 @@
 use crate::messages::{MAX_NAME_BYTES, MemberRecord, MemberState, Message};
 use crate::timers::Timer;
 
-/// A sender with a superseded incarnation is replied to at most this often; a member that was dead and sends again is
-/// sent the table at most this often.
+/// A sender with a superseded incarnation is replied to at most this often; a member that was dead
+/// and sends again is sent the table at most this often.
 const OLD_REPLY_INTERVAL_US: Micros = 500_000;
 /// How long this process sends nothing after another process proved to have its name.
 const NAME_CONFLICT_SILENCE_US: Micros = 30_000_000;
@@ -56,8 +56,8 @@
         })
     }
 
-    /// Sends a process that lost its memory the record of the process before it, so that it takes a greater refutation
-    /// counter.
+    /// Sends a process that lost its memory the record of the process before it, so that it takes a
+    /// greater refutation counter.
     fn reply_to_old_incarnation(&mut self, datagram: &Datagram) {
         let last_reply = self.old_incarnation_replies.get(&datagram.sender);
         if last_reply.is_some_and(|at| self.now < at + OLD_REPLY_INTERVAL_US) {
@@ -121,7 +121,8 @@
         let address = member.record.address;
         let state = member.record.state;
         let is_disputed = !matches!(state, MemberState::Alive | MemberState::Left);
-        // Gossip is not answered by gossip: two members that hold each other for dead would never end.
+        // Gossip is not answered by gossip: two members that hold each other for dead would never
+        // end.
         if is_disputed && datagram.message != Message::Gossip {
             let record = member.record.clone();
             self.send(address, Message::Gossip, vec![record]);
--- a/crates/cluster/src/cluster/suspicions.rs
+++ b/crates/cluster/src/cluster/suspicions.rs
@@ -7,14 +7,15 @@
 use crate::messages::{MemberRecord, MemberState};
 use crate::timers::Timer;
 
-/// The longest suspicion relative to the shortest one. Independent suspicions shorten it from the one to the other.
+/// The longest suspicion relative to the shortest one. Independent suspicions shorten it from the
+/// one to the other.
 const MAX_OVER_MIN_SUSPICION: f64 = 3.0;
 /// The number of independent suspicions at which it is shortest.
 const SUSPECTERS_FOR_MIN_SUSPICION: f64 = 3.0;
 
 impl Cluster {
-    /// How long a suspicion lasts: shorter the more processes share it, and longer in a larger fleet, where news takes
-    /// longer to arrive.
+    /// How long a suspicion lasts: shorter the more processes share it, and longer in a larger
+    /// fleet, where news takes longer to arrive.
     fn suspicion_timeout(&self, suspecters: usize) -> Micros {
         let members = self.table.members.len() as f64 + 1.0;
         let min = self.config.min_suspicion as f64 * members.log10().max(1.0);
@@ -57,7 +58,8 @@
             return;
         };
         let ends_at = suspicion.started_at + self.suspicion_timeout(suspicion.suspecters.len());
-        // Without replies after a pause nobody is declared dead; suspicions restart with the first reply.
+        // Without replies after a pause nobody is declared dead; suspicions restart with the first
+        // reply.
         if !self.is_reachable() || ends_at > self.now {
             return;
         }
--- a/crates/cluster/src/cluster/tests.rs
+++ b/crates/cluster/src/cluster/tests.rs
@@ -210,7 +210,8 @@
     assert_eq!(all[0].table.may_serve(all[0].table.named("b1").unwrap()), 2);
 }
 
-/// A machine that died for good would be counted for ever; the operators may say so, and may be wrong.
+/// A machine that died for good would be counted for ever; the operators may say so, and may be
+/// wrong.
 #[test]
 fn confirmation_of_death_holds_until_a_datagram_arrives() {
     let mut all: Vec<Cluster> = (0..3).map(cluster).collect();
@@ -336,7 +337,8 @@
     assert!(second.len() == 1 && second > first, "{first:?} {second:?}");
 }
 
-/// Names as long as may be and numbers as great: a frame that does not fit would never be sent, and its duties never held.
+/// Names as long as may be and numbers as great: a frame that does not fit would never be sent, and
+/// its duties never held.
 #[test]
 fn largest_reply_of_a_voter_fits_into_a_datagram() {
     let long = "n".repeat(crate::messages::MAX_NAME_BYTES);
--- a/crates/cluster/src/datagram.rs
+++ b/crates/cluster/src/datagram.rs
@@ -1,5 +1,5 @@
-//! Datagrams and how they are sealed. Nothing of a datagram is read before its keyed hash has been checked; datagrams
-//! that are not accepted are counted by reason.
+//! Datagrams and how they are sealed. Nothing of a datagram is read before its keyed hash has been
+//! checked; datagrams that are not accepted are counted by reason.
 
 mod replay_filter;
 
--- a/crates/cluster/src/datagram/replay_filter.rs
+++ b/crates/cluster/src/datagram/replay_filter.rs
@@ -5,7 +5,8 @@
 use super::{Datagram, DropReason};
 use crate::Incarnation;
 
-/// How far datagrams of one process may overtake one another, in sequence numbers; later ones are rejected.
+/// How far datagrams of one process may overtake one another, in sequence numbers; later ones are
+/// rejected.
 pub(super) const REPLAY_WINDOW_LENGTH: u64 = 128;
 /// The largest number of senders whose sequence numbers are kept, above that of members.
 pub(super) const MAX_REPLAY_WINDOWS: usize = 4_096;
--- a/crates/cluster/src/leases/assignment.rs
+++ b/crates/cluster/src/leases/assignment.rs
@@ -1,6 +1,7 @@
-//! Assignment of leases to candidates, by rendezvous hashing with bounded loads (Thaler and Ravishankar, 1998; Mirrokni,
-//! Thorup and Zadimoghaddam, 2018). It decides who requests a lease first; that no two members hold one lease is
-//! ensured by the votes, so members with different views lose time and nothing else.
+//! Assignment of leases to candidates, by rendezvous hashing with bounded loads (Thaler and
+//! Ravishankar, 1998; Mirrokni, Thorup and Zadimoghaddam, 2018). It decides who requests a lease
+//! first; that no two members hold one lease is ensured by the votes, so members with different
+//! views lose time and nothing else.
 
 use std::rc::Rc;
 
--- a/crates/cluster/src/leases/config.rs
+++ b/crates/cluster/src/leases/config.rs
@@ -5,7 +5,8 @@
 use super::term::LeaseId;
 use crate::Micros;
 
-/// The largest relative difference between the rates of any two clocks: each may be off by 1 %, plus rounding.
+/// The largest relative difference between the rates of any two clocks: each may be off by 1 %,
+/// plus rounding.
 pub const MAX_CLOCK_RATE_DIFFERENCE: f64 = 0.025;
 /// The longest lease duration a file may name. A voter that starts grants nothing for as long.
 pub const MAX_LEASE_US: Micros = 2_000_000;
@@ -18,7 +19,8 @@
 /// The largest number of leases in a fleet.
 pub const MAX_LEASES: usize = 4_096;
 
-/// Returns a span that covers `span` as measured by any other clock within [`MAX_CLOCK_RATE_DIFFERENCE`].
+/// Returns a span that covers `span` as measured by any other clock within
+/// [`MAX_CLOCK_RATE_DIFFERENCE`].
 pub fn with_clock_margin(span: Micros) -> Micros {
     span + (span as f64 * MAX_CLOCK_RATE_DIFFERENCE).ceil() as Micros
 }
--- a/crates/cluster/src/leases/fencing.rs
+++ b/crates/cluster/src/leases/fencing.rs
@@ -27,7 +27,8 @@
         self.known.get(&lease).copied()
     }
 
-    /// Records a term. Beyond [`MAX_LEASES`] leases nothing is recorded, so that their commands are rejected.
+    /// Records a term. Beyond [`MAX_LEASES`] leases nothing is recorded, so that their commands are
+    /// rejected.
     pub fn learn(&mut self, lease: LeaseId, term: Term) {
         if self.known.len() >= MAX_LEASES && !self.known.contains_key(&lease) {
             return;
--- a/crates/cluster/src/leases/manager/mod.rs
+++ b/crates/cluster/src/leases/manager/mod.rs
@@ -1,5 +1,5 @@
-//! The lease manager of one member: requests, renews and releases leases, votes where it is a voter, and checks the
-//! terms of commands.
+//! The lease manager of one member: requests, renews and releases leases, votes where it is a
+//! voter, and checks the terms of commands.
 
 mod receive;
 mod release;
@@ -53,8 +53,8 @@
 
 /// The leases of one member: those it requests or holds, and its votes.
 ///
-/// It does no I/O and reads no clock: it is given times, messages and the members that are alive, and returns messages,
-/// events and the time of its next timer.
+/// It does no I/O and reads no clock: it is given times, messages and the members that are alive,
+/// and returns messages, events and the time of its next timer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Leases {
     config: LeaseConfig,
@@ -73,7 +73,8 @@
     sent_rounds: BTreeMap<u32, Micros>,
     renew_at: Micros,
     assigned_at: Micros,
-    /// The members that the current candidates were drawn from; empty where a new assignment is needed.
+    /// The members that the current candidates were drawn from; empty where a new assignment is
+    /// needed.
     assigned_members: Vec<Candidate>,
     next_transfer_at: Micros,
     recent_pauses: VecDeque<Micros>,
@@ -93,8 +94,9 @@
 }
 
 impl Leases {
-    /// Creates the manager of a process. `own_id` is the random identifier of the process; `wall_clock_offset_ms` is
-    /// Unix milliseconds at local time 0, where term numbers start if the whole fleet forgot its terms.
+    /// Creates the manager of a process. `own_id` is the random identifier of the process;
+    /// `wall_clock_offset_ms` is Unix milliseconds at local time 0, where term numbers start if the
+    /// whole fleet forgot its terms.
     pub fn new(
         now: Micros,
         config: LeaseConfig,
@@ -141,8 +143,8 @@
         self
     }
 
-    /// Continues the rounds and term numbers of an earlier manager of this process, so that replies to that one do not
-    /// pass for replies to this one.
+    /// Continues the rounds and term numbers of an earlier manager of this process, so that replies
+    /// to that one do not pass for replies to this one.
     #[must_use]
     pub fn continuing(mut self, before: &Self) -> Self {
         self.round = before.round;
@@ -187,8 +189,8 @@
         self.assigned_members.clear();
     }
 
-    /// The term under which a lease is held now and for at least `required` longer. Call this at the act itself:
-    /// nothing else entitles to act in the name of the lease.
+    /// The term under which a lease is held now and for at least `required` longer. Call this at
+    /// the act itself: nothing else entitles to act in the name of the lease.
     pub fn holds(&self, now: Micros, lease: LeaseId, required: Micros) -> Option<Term> {
         match &self.tracked.get(&lease)?.state {
             LeaseState::Held(held) if now + required < held.until => Some(held.term),
@@ -253,8 +255,8 @@
         std::mem::take(&mut self.events)
     }
 
-    /// Sends a command in the name of a lease if it is held now and for as long as sending may take. Returns whether
-    /// it was sent.
+    /// Sends a command in the name of a lease if it is held now and for as long as sending may
+    /// take. Returns whether it was sent.
     pub fn send_command(
         &mut self,
         now: Micros,
@@ -303,8 +305,9 @@
         first.unwrap_or(Micros::MAX).min(reassign_at)
     }
 
-    /// Runs the timers that have expired. `alive` are all members that nobody suspects, this one included. A member
-    /// that is not `fit`, since nobody has answered it after a pause, requests nothing.
+    /// Runs the timers that have expired. `alive` are all members that nobody suspects, this one
+    /// included. A member that is not `fit`, since nobody has answered it after a pause, requests
+    /// nothing.
     pub fn run_timers(&mut self, now: Micros, alive: &[Candidate], fit: bool) {
         self.expire_held(now);
         self.reassign(now, alive);
--- a/crates/cluster/src/leases/manager/receive.rs
+++ b/crates/cluster/src/leases/manager/receive.rs
@@ -89,8 +89,8 @@
         }
     }
 
-    /// Whether a requester has the same voters in its file. Otherwise nothing is granted to it, since majorities of
-    /// different voters need not overlap.
+    /// Whether a requester has the same voters in its file. Otherwise nothing is granted to it,
+    /// since majorities of different voters need not overlap.
     fn has_same_voters(&mut self, sender: &Rc<str>, fingerprint: u32) -> bool {
         let is_same = fingerprint == self.voters_fingerprint;
         let is_reported = self.differing_members.contains(sender);
--- a/crates/cluster/src/leases/manager/release.rs
+++ b/crates/cluster/src/leases/manager/release.rs
@@ -12,8 +12,8 @@
 
 /// The shortest time between two transfers to preferred members.
 const TRANSFER_INTERVAL_US: Micros = 500_000;
-/// After this many pauses of its process within [`PAUSE_WINDOW_US`] a member releases everything, and requests nothing
-/// for as long.
+/// After this many pauses of its process within [`PAUSE_WINDOW_US`] a member releases everything,
+/// and requests nothing for as long.
 pub(in super::super) const MAX_PAUSES: usize = 3;
 const PAUSE_WINDOW_US: Micros = 30_000_000;
 
@@ -24,8 +24,8 @@
         self.release_all(now, LossReason::Released);
     }
 
-    /// Records that this process did not run for a while. What has expired meanwhile is lost; a process that is paused
-    /// again and again releases everything.
+    /// Records that this process did not run for a while. What has expired meanwhile is lost; a
+    /// process that is paused again and again releases everything.
     pub fn record_pause(&mut self, now: Micros) {
         self.expire_held(now);
         self.recent_pauses.push_back(now);
--- a/crates/cluster/src/leases/manager/replies.rs
+++ b/crates/cluster/src/leases/manager/replies.rs
@@ -42,7 +42,8 @@
             if query.has_available(majority) {
                 available.push(status.lease);
             } else if query.is_lost(majority, voters) {
-                // Held by another member whatever the other voters reply: retried when enough grants have expired.
+                // Held by another member whatever the other voters reply: retried when enough
+                // grants have expired.
                 let delay = query.majority_available_in(majority).max(RANK_DELAY_US);
                 tracked.backoff = 0;
                 tracked.retry_after(now, delay);
@@ -56,7 +57,8 @@
         }
     }
 
-    /// Receives a voter's grants: a majority of them makes this member the holder, or extends the lease it holds.
+    /// Receives a voter's grants: a majority of them makes this member the holder, or extends the
+    /// lease it holds.
     pub(super) fn receive_grants(
         &mut self,
         now: Micros,
@@ -99,7 +101,8 @@
         }
     }
 
-    /// Makes this member the holder under the term it bid for, and announces the term to all members.
+    /// Makes this member the holder under the term it bid for, and announces the term to all
+    /// members.
     fn acquire(&mut self, now: Micros, lease: LeaseId, until: Micros) {
         let Some(tracked) = self.tracked.get_mut(&lease) else {
             return;
--- a/crates/cluster/src/leases/manager/rounds.rs
+++ b/crates/cluster/src/leases/manager/rounds.rs
@@ -164,7 +164,8 @@
         self.send_release(now, &expired_bids);
     }
 
-    /// Records whether a majority of voters replied, and reports when the quorum is lost or restored.
+    /// Records whether a majority of voters replied, and reports when the quorum is lost or
+    /// restored.
     pub(super) fn record_quorum(&mut self, has_majority: bool) {
         self.unanswered_rounds = if has_majority {
             0
--- a/crates/cluster/src/leases/messages.rs
+++ b/crates/cluster/src/leases/messages.rs
@@ -4,8 +4,9 @@
 
 use super::term::{LeaseId, Term};
 
-/// The largest number of leases in one message. The status of a lease takes up to 31 bytes; the header, the sender's
-/// record and that of a suspected receiver take up to 570 of a datagram's 1,200 bytes.
+/// The largest number of leases in one message. The status of a lease takes up to 31 bytes; the
+/// header, the sender's record and that of a suspected receiver take up to 570 of a datagram's
+/// 1,200 bytes.
 pub const MAX_LEASES_PER_MESSAGE: usize = 20;
 /// The largest body of a command or note.
 pub const MAX_BODY_BYTES: usize = 600;
@@ -21,7 +22,8 @@
     pub available_in_us: u32,
 }
 
-/// A lease with the number of a term, which is complete with the process identifier of the sender or receiver.
+/// A lease with the number of a term, which is complete with the process identifier of the sender
+/// or receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TermNumber {
     /// The lease.
--- a/crates/cluster/src/leases/mod.rs
+++ b/crates/cluster/src/leases/mod.rs
@@ -1,11 +1,12 @@
-//! Leases: work that must be done once in a fleet. Each lease is held by at most one member at every instant, granted by
-//! a majority of named voters (as in Gray and Cheriton's leases, 1989, made safe without a disk as in PaxosLease,
-//! Trencseni, Gazso, Reinhardt, 2012).
+//! Leases: work that must be done once in a fleet. Each lease is held by at most one member at
+//! every instant, granted by a majority of named voters (as in Gray and Cheriton's leases, 1989,
+//! made safe without a disk as in PaxosLease, Trencseni, Gazso, Reinhardt, 2012).
 //!
-//! Why two members never hold one lease: a holder needs grants of its term from a majority, and counts the lease from
-//! before it sent its bid. A voter grants another term only when the grant has expired by its own clock, for which it
-//! counts longer by [`MAX_CLOCK_RATE_DIFFERENCE`]. Two majorities share a voter, which granted the second term after
-//! the first lease had expired by its holder's clock. A voter that lost its memory grants nothing for the longest lease.
+//! Why two members never hold one lease: a holder needs grants of its term from a majority, and
+//! counts the lease from before it sent its bid. A voter grants another term only when the grant
+//! has expired by its own clock, for which it counts longer by [`MAX_CLOCK_RATE_DIFFERENCE`]. Two
+//! majorities share a voter, which granted the second term after the first lease had expired by its
+//! holder's clock. A voter that lost its memory grants nothing for the longest lease.
 
 pub mod assignment;
 mod config;
--- a/crates/cluster/src/leases/state.rs
+++ b/crates/cluster/src/leases/state.rs
@@ -129,8 +129,8 @@
 
 /// A lease held up to `until` by this process's clock.
 ///
-/// Invariant: a majority granted `term` for a whole lease duration in one round, and `until` is that duration counted
-/// from the moment before that round was sent.
+/// Invariant: a majority granted `term` for a whole lease duration in one round, and `until` is
+/// that duration counted from the moment before that round was sent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct HeldLease {
     /// The term under which it is held.
@@ -161,8 +161,8 @@
         self.rounds.push(RenewalRound { round, granted: 0 });
     }
 
-    /// Records a voter's grant and returns the number of grants in that round. Grants of different rounds are never
-    /// added up.
+    /// Records a voter's grant and returns the number of grants in that round. Grants of different
+    /// rounds are never added up.
     pub fn record_grant(&mut self, round: u32, voter: usize) -> u32 {
         let Some(entry) = self.rounds.iter_mut().find(|entry| entry.round == round) else {
             return 0;
--- a/crates/cluster/src/leases/term.rs
+++ b/crates/cluster/src/leases/term.rs
@@ -2,8 +2,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The identifier of a lease: the head of the hash of its name. Two names with one identifier share a holder, which is
-/// harmless.
+/// The identifier of a lease: the head of the hash of its name. Two names with one identifier share
+/// a holder, which is harmless.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LeaseId(pub u32);
 
@@ -20,12 +20,13 @@
     }
 }
 
-/// The term under which one process holds a lease; it is also the fencing token of its commands. Terms of a lease
-/// increase, no two processes have the same one, and no process has one twice.
+/// The term under which one process holds a lease; it is also the fencing token of its commands.
+/// Terms of a lease increase, no two processes have the same one, and no process has one twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Term {
     /// The number that increases from term to term.
     pub number: u64,
-    /// The random identifier of the bidding process (incarnation), which tells apart two that chose one number.
+    /// The random identifier of the bidding process (incarnation), which tells apart two that chose
+    /// one number.
     pub incarnation_id: u64,
 }
--- a/crates/cluster/src/leases/tracked.rs
+++ b/crates/cluster/src/leases/tracked.rs
@@ -10,13 +10,14 @@
 
 /// The delay between candidates of successive rank, so that they do not bid at once.
 pub(super) const RANK_DELAY_US: Micros = 60_000;
-/// How long a member that lost or released a lease leaves it to others. With [`CANDIDATES_PER_LEASE`] candidates a
-/// lease changes hands at most that many times in this span.
+/// How long a member that lost or released a lease leaves it to others. With
+/// [`CANDIDATES_PER_LEASE`] candidates a lease changes hands at most that many times in this span.
 const REST_AFTER_LOSS_US: Micros = 10_000_000;
 /// The first and the longest wait after voters did not answer.
 const MIN_BACKOFF_US: Micros = 200_000;
 const MAX_BACKOFF_US: Micros = 4_000_000;
-/// A transfer waits until the preferred member has been alive and the lease has been held for this long.
+/// A transfer waits until the preferred member has been alive and the lease has been held for this
+/// long.
 const MIN_HOLD_BEFORE_TRANSFER_US: Micros = 10_000_000;
 
 /// A lease that this member knows of, with its state here.
@@ -77,8 +78,8 @@
         self.retry_after(now, self.backoff);
     }
 
-    /// Records the greatest term a voter granted. It is a number to exceed and nothing more: whoever was granted it
-    /// need not have held the lease.
+    /// Records the greatest term a voter granted. It is a number to exceed and nothing more:
+    /// whoever was granted it need not have held the lease.
     pub fn observe_status(&mut self, status: &GrantStatus) {
         self.number = self.number.max(status.term.map_or(0, |term| term.number));
     }
@@ -101,7 +102,8 @@
         };
     }
 
-    /// Whether the lease is to be transferred to a candidate that has been preferred for long enough.
+    /// Whether the lease is to be transferred to a candidate that has been preferred for long
+    /// enough.
     pub fn is_transfer_due(&self, now: Micros) -> bool {
         let is_settled = |since: Micros| since + MIN_HOLD_BEFORE_TRANSFER_US <= now;
         match &self.state {
--- a/crates/cluster/src/leases/voter.rs
+++ b/crates/cluster/src/leases/voter.rs
@@ -1,5 +1,6 @@
-//! A voter grants each lease to one bidder at a time. It stores nothing on disk: when it starts it grants nothing for
-//! the longest lease duration, so that every grant it may have forgotten has expired.
+//! A voter grants each lease to one bidder at a time. It stores nothing on disk: when it starts it
+//! grants nothing for the longest lease duration, so that every grant it may have forgotten has
+//! expired.
 
 use std::collections::BTreeMap;
 
@@ -14,8 +15,8 @@
 
 /// The last grant of a lease.
 ///
-/// Invariant: `term` never decreases while the voter runs, and until `until` no other term is granted unless this one
-/// is released.
+/// Invariant: `term` never decreases while the voter runs, and until `until` no other term is
+/// granted unless this one is released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Grant {
     term: Term,
@@ -105,7 +106,8 @@
             self.grants.insert(lease, Grant { until, ..grant });
             return Ok(());
         }
-        // Only a later term follows, and only after the one before has expired here or was released.
+        // Only a later term follows, and only after the one before has expired here or was
+        // released.
         if term <= grant.term || grant.is_open(now) {
             return refused;
         }
@@ -113,7 +115,8 @@
         Ok(())
     }
 
-    /// Releases a term. A release that overtakes its own bid uses the term up; one of an earlier term has no effect.
+    /// Releases a term. A release that overtakes its own bid uses the term up; one of an earlier
+    /// term has no effect.
     pub fn release(&mut self, now: Micros, lease: LeaseId, term: Term) {
         let Some(grant) = self.grants.get_mut(&lease) else {
             return;
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,12 +1,14 @@
 //! Membership, leases and the shared endpoint list of a fleet of load balancers.
 //!
-//! [`Cluster`] is the state of one member. It does no I/O, reads no clock and starts no thread: it is given datagrams,
-//! times and the expiry of timers, and returns datagrams to send, events and the time of its next timer. The same
-//! inputs and seed give the same datagrams to the byte.
+//! [`Cluster`] is the state of one member. It does no I/O, reads no clock and starts no thread: it
+//! is given datagrams, times and the expiry of timers, and returns datagrams to send, events and
+//! the time of its next timer. The same inputs and seed give the same datagrams to the byte.
 //!
-//! - [`membership`] tells which members are alive, and which processes may still serve although nobody hears them.
+//! - [`membership`] tells which members are alive, and which processes may still serve although
+//!   nobody hears them.
 //! - [`leases`] grants work that must be done once in a fleet to one member at a time.
-//! - [`shared_list`] passes the endpoint list from the member that polls discovery to the others of its zone.
+//! - [`shared_list`] passes the endpoint list from the member that polls discovery to the others of
+//!   its zone.
 //! - [`datagram`] seals and opens what is sent; [`messages`] are its contents.
 
 #![warn(missing_docs)]
@@ -27,5 +29,6 @@
 pub use fault_injection::InjectedFault;
 pub use incarnation::{Incarnation, InvalidIncarnation};
 
-/// A time or span in whole microseconds, of a clock that never goes back and runs on while the process is stopped.
+/// A time or span in whole microseconds, of a clock that never goes back and runs on while the
+/// process is stopped.
 pub type Micros = u64;
--- a/crates/cluster/src/membership/dissemination.rs
+++ b/crates/cluster/src/membership/dissemination.rs
@@ -2,8 +2,8 @@
 
 use std::rc::Rc;
 
-/// How often a changed record is sent, times the logarithm of the number of members, so that all receive it although
-/// datagrams are lost (SWIM, section 4.1).
+/// How often a changed record is sent, times the logarithm of the number of members, so that all
+/// receive it although datagrams are lost (SWIM, section 4.1).
 const TRANSMISSIONS_PER_LOG_MEMBERS: f64 = 5.0;
 /// The smallest number of times a changed record is sent.
 const MIN_TRANSMISSIONS: u32 = 3;
@@ -35,8 +35,8 @@
         self.changes.is_empty()
     }
 
-    /// Offers the names of changed records to `add_to_datagram`, least sent first, until it returns false since a
-    /// record does not fit.
+    /// Offers the names of changed records to `add_to_datagram`, least sent first, until it returns
+    /// false since a record does not fit.
     pub fn take(&mut self, members: usize, mut add_to_datagram: impl FnMut(&str) -> bool) {
         self.changes.sort_by_key(|change| change.transmissions);
         for change in &mut self.changes {
--- a/crates/cluster/src/membership/events.rs
+++ b/crates/cluster/src/membership/events.rs
@@ -25,7 +25,8 @@
     Reconnected,
     /// Another running process has the name of this member.
     NameConflict,
-    /// A datagram arrived from a process that the operators had confirmed dead; the confirmation is revoked.
+    /// A datagram arrived from a process that the operators had confirmed dead; the confirmation is
+    /// revoked.
     ConfirmedDeadAlive(Rc<str>),
     /// A member could not be added since the table is full.
     TableFull,
--- a/crates/cluster/src/membership/failure_detector.rs
+++ b/crates/cluster/src/membership/failure_detector.rs
@@ -1,5 +1,5 @@
-//! The state of the failure detector: the probe in progress, the members to probe in this round, and the probes relayed
-//! for other members.
+//! The state of the failure detector: the probe in progress, the members to probe in this round,
+//! and the probes relayed for other members.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -47,7 +47,8 @@
     relayed_probes: Vec<RelayedProbe>,
     /// The members still to probe before any is probed again.
     remaining: Vec<Rc<str>>,
-    /// Scales timeouts up while replies fail, as the fault may be with this process; 0 while all is well.
+    /// Scales timeouts up while replies fail, as the fault may be with this process; 0 while all is
+    /// well.
     health_penalty: u32,
     /// The number of the last probe.
     pub last_number: u32,
@@ -60,7 +61,8 @@
         self.last_number
     }
 
-    /// The next member to probe. All of `names` are probed in random order before any is probed again.
+    /// The next member to probe. All of `names` are probed in random order before any is probed
+    /// again.
     pub fn next_target(
         &mut self,
         rng: &mut WyRand,
--- a/crates/cluster/src/membership/merge.rs
+++ b/crates/cluster/src/membership/merge.rs
@@ -109,8 +109,8 @@
             .min_by_key(|&index| self.members[index].since)
     }
 
-    /// Merges what others hold of this process, which alone decides its state: what is wrong is refuted by a greater
-    /// refutation counter.
+    /// Merges what others hold of this process, which alone decides its state: what is wrong is
+    /// refuted by a greater refutation counter.
     fn merge_own(&mut self, record: &MemberRecord) -> MergeOutcome {
         let is_other_process = record.incarnation != self.own.incarnation;
         let is_wrong = record.state != MemberState::Alive || is_other_process;
@@ -121,7 +121,8 @@
             return MergeOutcome::Unchanged;
         }
         if is_other_process {
-            // Records of an ended process do not answer refutations; those of a running one come again and again.
+            // Records of an ended process do not answer refutations; those of a running one come
+            // again and again.
             self.name_conflicts += 1;
             if self.name_conflicts == NAME_CONFLICT_THRESHOLD {
                 self.events.push(MembershipEvent::NameConflict);
@@ -143,9 +144,11 @@
 }
 
 impl Member {
-    /// Keeps the process before the current one among the earlier ones, unless it is known to have ended.
+    /// Keeps the process before the current one among the earlier ones, unless it is known to have
+    /// ended.
     fn keep_earlier(&mut self, before: &MemberRecord) {
-        // A process keeps its socket until it ends, so one whose address is used by another has ended.
+        // A process keeps its socket until it ends, so one whose address is used by another has
+        // ended.
         let address = self.record.address;
         let has_ended = before.state == MemberState::Left || address == before.address;
         if !has_ended {
--- a/crates/cluster/src/membership/table.rs
+++ b/crates/cluster/src/membership/table.rs
@@ -10,8 +10,8 @@
 
 /// The largest number of members, this one included. Further ones are not added, and are counted.
 pub const MAX_MEMBERS: usize = 1_024;
-/// How often another process of this name must have superseded this one, in spite of refutations, before the name is
-/// in conflict. Records left behind by an earlier process run out before that.
+/// How often another process of this name must have superseded this one, in spite of refutations,
+/// before the name is in conflict. Records left behind by an earlier process run out before that.
 pub(super) const NAME_CONFLICT_THRESHOLD: u32 = 4;
 
 /// The members of a fleet as this process knows them.
@@ -70,7 +70,8 @@
         self.index(name).map(|index| &self.members[index])
     }
 
-    /// Whether another running process has this member's name. Of the two the one that started later stays silent.
+    /// Whether another running process has this member's name. Of the two the one that started
+    /// later stays silent.
     pub fn has_name_conflict(&self) -> bool {
         self.name_conflicts >= NAME_CONFLICT_THRESHOLD
     }
@@ -82,7 +83,8 @@
             .filter(|member| member.record.state == MemberState::Alive)
     }
 
-    /// How many processes beside this one may serve. It never falls because a process is unresponsive.
+    /// How many processes beside this one may serve. It never falls because a process is
+    /// unresponsive.
     pub fn count_may_serve(&self) -> usize {
         self.members
             .iter()
@@ -100,7 +102,8 @@
         }
     }
 
-    /// Replaces the processes that the operators confirmed dead. Revoked confirmations are not accepted again.
+    /// Replaces the processes that the operators confirmed dead. Revoked confirmations are not
+    /// accepted again.
     pub fn set_confirmed_dead(&mut self, processes: BTreeSet<(Rc<str>, Incarnation)>) {
         self.confirmed_dead = processes
             .difference(&self.revoked_confirmations)
@@ -126,7 +129,8 @@
                 .contains(&(Rc::clone(name), incarnation))
     }
 
-    /// Whether the current process of a member may serve. The operators' word counts for dead members only.
+    /// Whether the current process of a member may serve. The operators' word counts for dead
+    /// members only.
     pub fn serving_status_of(&self, member: &Member) -> ServingStatus {
         let record = &member.record;
         match record.state {
--- a/crates/cluster/src/messages.rs
+++ b/crates/cluster/src/messages.rs
@@ -1,4 +1,5 @@
-//! Messages between members, before they are sealed. Fields and variants are encoded by their order.
+//! Messages between members, before they are sealed. Fields and variants are encoded by their
+//! order.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,7 +14,8 @@
 /// The largest length of a member's or zone's name.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// The state of a member. Of two records with one refutation counter the one with the later state supersedes the other.
+/// The state of a member. Of two records with one refutation counter the one with the later state
+/// supersedes the other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
@@ -23,7 +25,8 @@
     /// A member could not reach it.
     #[serde(rename = "doubted")]
     Suspected,
-    /// The suspicion was not refuted in time. The process may have died, be cut off or paused, and may still serve.
+    /// The suspicion was not refuted in time. The process may have died, be cut off or paused, and
+    /// may still serve.
     #[serde(rename = "gone")]
     Dead,
     /// It announced that it no longer serves.
@@ -45,8 +48,8 @@
     pub refutation_counter: u64,
     /// Its state.
     pub state: MemberState,
-    /// The random identifier of the process that suspects it, by which independent suspicions are counted; 0 where
-    /// nobody does.
+    /// The random identifier of the process that suspects it, by which independent suspicions are
+    /// counted; 0 where nobody does.
     pub suspected_by: u64,
     /// The protocol version it speaks.
     pub version: u8,
@@ -72,7 +75,8 @@
             address,
             zone: Rc::from(zone),
             incarnation,
-            // Above that of earlier processes of the name if the clock is right; otherwise they tell.
+            // Above that of earlier processes of the name if the clock is right; otherwise they
+            // tell.
             refutation_counter: incarnation.started_at_us,
             state: MemberState::Alive,
             suspected_by: 0,
@@ -85,8 +89,8 @@
         is_valid_name(&self.name) && (self.zone.is_empty() || is_valid_name(&self.zone))
     }
 
-    /// Whether it supersedes another record of the same name. Of two processes with one refutation counter the greater
-    /// incarnation wins, so that all members decide alike.
+    /// Whether it supersedes another record of the same name. Of two processes with one refutation
+    /// counter the greater incarnation wins, so that all members decide alike.
     pub fn supersedes(&self, other: &Self) -> bool {
         let order = |record: &Self| (record.refutation_counter, record.incarnation, record.state);
         order(self) > order(other)
@@ -97,8 +101,8 @@
         self.refutation_counter == other.refutation_counter && self.incarnation == other.incarnation
     }
 
-    /// The largest number of bytes of the record in a datagram: texts, address, incarnation, counter, state, suspecting
-    /// process and version.
+    /// The largest number of bytes of the record in a datagram: texts, address, incarnation,
+    /// counter, state, suspecting process and version.
     pub fn max_encoded_length(&self) -> usize {
         const LENGTHS_BYTES: usize = 2;
         const ADDRESS_BYTES: usize = 19;
@@ -145,7 +149,8 @@
         /// The address of that member.
         address: SocketAddr,
     },
-    /// The result of a requested probe. That it arrives at all shows that the link to its sender works.
+    /// The result of a requested probe. That it arrives at all shows that the link to its sender
+    /// works.
     ProbeReport {
         /// The number of the probe request.
         number: u32,
--- a/crates/cluster/src/shared_list/mod.rs
+++ b/crates/cluster/src/shared_list/mod.rs
@@ -1,13 +1,14 @@
-//! The endpoint list of a zone, polled from discovery by the holder of the lease `roster/ZONE` and passed on to the
-//! other members of the zone.
+//! The endpoint list of a zone, polled from discovery by the holder of the lease `roster/ZONE` and
+//! passed on to the other members of the zone.
 //!
-//! The holder follows discovery and cuts what it reports into numbered pages, which the others apply in order. Whoever
-//! misses chunks of a page requests them, or the full list. A heartbeat tells the number of the last page and that the
-//! holder's watch is open; without one for [`HEARTBEAT_TIMEOUT_US`] a subscriber polls discovery itself.
+//! The holder follows discovery and cuts what it reports into numbered pages, which the others
+//! apply in order. Whoever misses chunks of a page requests them, or the full list. A heartbeat
+//! tells the number of the last page and that the holder's watch is open; without one for
+//! [`HEARTBEAT_TIMEOUT_US`] a subscriber polls discovery itself.
 //!
-//! A subscriber's list is at most as old as the last heartbeat it counted plus what the holder's own watch allows: a
-//! heartbeat says that the watch is open and that no later page was made before it was sent, and it counts only when
-//! all pages up to that one have been applied.
+//! A subscriber's list is at most as old as the last heartbeat it counted plus what the holder's
+//! own watch allows: a heartbeat says that the watch is open and that no later page was made before
+//! it was sent, and it counts only when all pages up to that one have been applied.
 
 pub mod publisher;
 pub mod subscriber;
@@ -47,7 +48,8 @@
     pub bytes: Vec<u8>,
 }
 
-/// A message of the holder, sent as a command under its term. Fields and variants are encoded by their order.
+/// A message of the holder, sent as a command under its term. Fields and variants are encoded by
+/// their order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListMessage {
     /// A chunk of a page.
--- a/crates/cluster/src/shared_list/publisher.rs
+++ b/crates/cluster/src/shared_list/publisher.rs
@@ -69,8 +69,8 @@
 }
 
 impl ListPublisher {
-    /// Applies what discovery reported and returns the messages for all subscribers. The first page under a term is a
-    /// full list.
+    /// Applies what discovery reported and returns the messages for all subscribers. The first page
+    /// under a term is a full list.
     pub fn publish(&mut self, version: u64, is_full: bool, entries: &[Entry]) -> Vec<ListMessage> {
         self.apply(version, is_full, entries);
         // Changes to a list that was never sent in full are of no use.
@@ -155,7 +155,8 @@
         }
     }
 
-    /// The list as it is now. The same entries give the same bytes, so that chunks of two of them fit together.
+    /// The list as it is now. The same entries give the same bytes, so that chunks of two of them
+    /// fit together.
     fn full_page(&self) -> Page {
         let entries = self.entries.values().map(String::as_str);
         Page {
--- a/crates/cluster/src/shared_list/subscriber.rs
+++ b/crates/cluster/src/shared_list/subscriber.rs
@@ -121,7 +121,8 @@
             .is_some_and(|distrusted| Some(distrusted.term) == self.term && now < distrusted.until)
     }
 
-    /// Records the version of a list polled from discovery itself; that of a holder must not be older.
+    /// Records the version of a list polled from discovery itself; that of a holder must not be
+    /// older.
     pub fn record_own_version(&mut self, version: u64) {
         self.version = Some(version);
     }
@@ -204,7 +205,8 @@
             let is_older = self.version.is_some_and(|version| page.version < version);
             let is_empty = page.is_full && !text.windows(2).any(|pair| pair == b"[{");
             if is_older || is_empty {
-                // Discovery's versions do not decrease, and an empty list would remove all endpoints.
+                // Discovery's versions do not decrease, and an empty list would remove all
+                // endpoints.
                 self.distrusted = self.term.map(|term| DistrustedTerm {
                     term,
                     until: now + DISTRUST_PERIOD_US,
@@ -221,7 +223,8 @@
         texts
     }
 
-    /// The first complete page that is a full list or follows on the last one applied, with its text.
+    /// The first complete page that is a full list or follows on the last one applied, with its
+    /// text.
     fn next_complete_page(&self) -> Option<(u32, Vec<u8>)> {
         self.partial_pages.iter().find_map(|(number, page)| {
             let is_next = *number == self.applied_page + 1 && self.applied_page > 0;
--- a/crates/cluster/src/timers.rs
+++ b/crates/cluster/src/timers.rs
@@ -61,7 +61,8 @@
         (first.key().at <= now).then(|| first.remove())
     }
 
-    /// Reschedules to `now` what expired earlier, so that timers missed during a pause run after it.
+    /// Reschedules to `now` what expired earlier, so that timers missed during a pause run after
+    /// it.
     pub fn reschedule_missed(&mut self, now: Micros) {
         let later = self.scheduled.split_off(&TimerKey { at: now, order: 0 });
         let missed = std::mem::replace(&mut self.scheduled, later);
--- a/crates/cluster/tests/datagrams.rs
+++ b/crates/cluster/tests/datagrams.rs
@@ -1,5 +1,6 @@
-//! What members send one another, byte for byte as recorded: a sealed datagram of each kind of message, and all that
-//! three members send in their first seconds. The files under `recorded/` are the wire; they do not change.
+//! What members send one another, byte for byte as recorded: a sealed datagram of each kind of
+//! message, and all that three members send in their first seconds. The files under `recorded/` are
+//! the wire; they do not change.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -294,8 +295,8 @@
     assert_eq!(LeaseId::of("roster/a").0, 2_156_073_173);
 }
 
-/// Three members on a virtual network that delivers all within 3 ms, one of which starts late and leaves early. The
-/// same seeds and times give the same datagrams.
+/// Three members on a virtual network that delivers all within 3 ms, one of which starts late and
+/// leaves early. The same seeds and times give the same datagrams.
 #[test]
 fn three_members_send_the_recorded_datagrams() {
     let address = |n: usize| SocketAddr::from(([127, 0, 0, 1], 7400 + n as u16));
--- a/crates/model/src/lease_history.rs
+++ b/crates/model/src/lease_history.rs
@@ -1,5 +1,5 @@
-//! The true history of leases: which member held which lease when, as the state explorer, the virtual clock and real
-//! processes report it by one clock.
+//! The true history of leases: which member held which lease when, as the state explorer, the
+//! virtual clock and real processes report it by one clock.
 
 use std::collections::BTreeMap;
 
@@ -87,7 +87,8 @@
             .push(holding);
     }
 
-    /// Records that a member held a lease until then at the latest. A holding that has ended stays as it is.
+    /// Records that a member held a lease until then at the latest. A holding that has ended stays
+    /// as it is.
     pub fn lost(
         &mut self,
         until: Micros,
@@ -106,8 +107,8 @@
         }
     }
 
-    /// Records that the process of a member ended, and with it all that it held by then. Deaths may be reported late:
-    /// what was acquired afterwards stays.
+    /// Records that the process of a member ended, and with it all that it held by then. Deaths may
+    /// be reported late: what was acquired afterwards stays.
     pub fn killed(&mut self, now: Micros, member: usize) {
         let is_open = |holding: &&mut Holding| {
             holding.member == member && holding.to.is_none() && holding.from <= now
@@ -161,7 +162,8 @@
 }
 
 impl LeaseFindings {
-    /// Adds the holdings of a lease in the order of their beginnings. Returns the times at which the holder changed.
+    /// Adds the holdings of a lease in the order of their beginnings. Returns the times at which
+    /// the holder changed.
     fn add_holdings(&mut self, lease: &str, holdings: &[&Holding], now: Micros) -> Vec<Micros> {
         let mut changes = Vec::new();
         // The holding that ends last so far: a later one may lie within it.
--- a/crates/model/src/process_history.rs
+++ b/crates/model/src/process_history.rs
@@ -1,5 +1,6 @@
-//! The true history of processes, against which the views of balancers are checked: which process ran, left or died
-//! when. A view on the virtual clock is of one moment; one of a real process was true at some moment of a span.
+//! The true history of processes, against which the views of balancers are checked: which process
+//! ran, left or died when. A view on the virtual clock is of one moment; one of a real process was
+//! true at some moment of a span.
 
 use std::collections::BTreeSet;
 use std::ops::RangeInclusive;
@@ -104,8 +105,8 @@
         }
     }
 
-    /// Records that a member noticed the death of a process. Returns when the process died, once for each member;
-    /// nothing if it runs or left in order.
+    /// Records that a member noticed the death of a process. Returns when the process died, once
+    /// for each member; nothing if it runs or left in order.
     pub fn death_noticed(&mut self, member: usize, incarnation: &Id) -> Option<Micros> {
         let process = self
             .processes
@@ -143,8 +144,9 @@
         })
     }
 
-    /// Checks a view that a member had at some moment of a span. Returns an error for each process that served
-    /// throughout and is claimed to have stopped, forgotten, or not among the `counted` that may serve.
+    /// Checks a view that a member had at some moment of a span. Returns an error for each process
+    /// that served throughout and is claimed to have stopped, forgotten, or not among the `counted`
+    /// that may serve.
     pub fn check_view(
         &mut self,
         member: usize,
--- a/crates/proxy/src/cluster/node.rs
+++ b/crates/proxy/src/cluster/node.rs
@@ -20,10 +20,12 @@
 #[cfg(test)]
 mod tests;
 
-/// The largest number of datagrams received in one loop iteration, so that a flood does not hold up requests.
+/// The largest number of datagrams received in one loop iteration, so that a flood does not hold up
+/// requests.
 const MAX_DATAGRAMS_PER_ITERATION: usize = 128;
 
-/// The time of a clock that runs on while the process is stopped and while the machine sleeps, and is never set.
+/// The time of a clock that runs on while the process is stopped and while the machine sleeps, and
+/// is never set.
 pub fn now() -> Micros {
     let now = clock_gettime(ClockId::Boottime);
     now.tv_sec as Micros * 1_000_000 + now.tv_nsec as Micros / 1_000
@@ -60,8 +62,8 @@
 }
 
 impl ClusterNode {
-    /// Binds the socket for the whole life of the process: that another process uses its address later shows the others
-    /// that this one has ended.
+    /// Binds the socket for the whole life of the process: that another process uses its address
+    /// later shows the others that this one has ended.
     pub fn open<D: 'static>(
         handle: &LoopHandle<'static, D>,
         mut settings: FleetSettings,
@@ -105,7 +107,8 @@
             match self.socket.recv_from(&mut bytes) {
                 Ok((length, _)) => self.cluster.receive(now(), &bytes[..length]),
                 Err(problem) if problem.kind() == io::ErrorKind::WouldBlock => break,
-                // The report of an earlier datagram that was refused; the next one may be a datagram.
+                // The report of an earlier datagram that was refused; the next one may be a
+                // datagram.
                 Err(_) => {}
             }
         }
@@ -159,7 +162,8 @@
         self.process_output();
     }
 
-    /// Applies a reloaded operator file. Returns the fields that changed and take effect only at the next start.
+    /// Applies a reloaded operator file. Returns the fields that changed and take effect only at
+    /// the next start.
     pub fn reload(&mut self, new: FleetSettings) -> Vec<&'static str> {
         let unapplied = unapplied_changes(&self.settings, &new);
         self.cluster.update_config(&new.member, new.key.clone());
@@ -239,7 +243,8 @@
 }
 
 fn new_cluster(settings: &FleetSettings, seed: u64) -> Cluster {
-    // Processes with one configuration, and successive ones of one balancer, must differ in their random choices.
+    // Processes with one configuration, and successive ones of one balancer, must differ in their
+    // random choices.
     let process = u64::from(std::process::id()).rotate_left(32);
     let seed = seed ^ settings.member.started_at_us ^ process;
     let mut cluster = Cluster::new(settings.member.clone(), settings.key.clone(), seed, now());
--- a/crates/proxy/src/cluster/node/tests.rs
+++ b/crates/proxy/src/cluster/node/tests.rs
@@ -112,7 +112,8 @@
     assert!(first.borrow().fleet_page().contains("\"hash\":50"));
 }
 
-/// One follows discovery, the other is told the list whole and then its changes, and asks nothing while that goes on.
+/// One follows discovery, the other is told the list whole and then its changes, and asks nothing
+/// while that goes on.
 #[test]
 fn lease_holder_publishes_the_shared_list() {
     let mut event_loop = EventLoop::try_new().unwrap();
@@ -156,7 +157,8 @@
         (Some(4), 40, 1)
     );
     assert!(holder.borrow().list_fresh_for().is_none());
-    // Its discovery fails it: nobody is told any more that the list is fresh, and each asks for itself.
+    // Its discovery fails it: nobody is told any more that the list is fresh, and each asks for
+    // itself.
     holder.borrow_mut().record_poll_failure();
     until(&mut event_loop, &all, || {
         reader.borrow().list_fresh_for().is_none()
--- a/crates/proxy/src/cluster/operator_file/mod.rs
+++ b/crates/proxy/src/cluster/operator_file/mod.rs
@@ -1,5 +1,6 @@
-//! The operator file: what an installation configures beside the balancer's own configuration. TOML with a table for
-//! each subsystem. Unknown fields are refused, and each error names file, line and field.
+//! The operator file: what an installation configures beside the balancer's own configuration. TOML
+//! with a table for each subsystem. Unknown fields are refused, and each error names file, line and
+//! field.
 
 mod error;
 mod fields;
--- a/crates/proxy/src/cluster/operator_file/tests.rs
+++ b/crates/proxy/src/cluster/operator_file/tests.rs
@@ -119,7 +119,8 @@
     );
 }
 
-/// The file as it is delivered, its key file replaced by the test's own; with `uncommented`, commented settings too.
+/// The file as it is delivered, its key file replaced by the test's own; with `uncommented`,
+/// commented settings too.
 fn delivered(key: &KeyFile, uncommented: bool) -> String {
     let text = include_str!("../../../../../deploy/operator.toml");
     let line = |line: &str| match line.strip_prefix("# ") {
--- a/crates/proxy/src/cluster/pages.rs
+++ b/crates/proxy/src/cluster/pages.rs
@@ -148,8 +148,8 @@
         })
     }
 
-    /// Status and body of `GET /duty/NAME`: 200 where the lease is held here, 409 where it is not, 404 where no file
-    /// names it.
+    /// Status and body of `GET /duty/NAME`: 200 where the lease is held here, 409 where it is not,
+    /// 404 where no file names it.
     pub fn lease_page(&self, name: &str) -> (u16, String) {
         let Some(status) = self.lease_status(name) else {
             return (404, "no such duty\n".into());
--- a/crates/proxy/src/cluster/pages/tests.rs
+++ b/crates/proxy/src/cluster/pages/tests.rs
@@ -1,5 +1,5 @@
-//! `GET /fleet` and `GET /duty/NAME` as recorded. Masked are the process's own address and life and what depends on
-//! the clock, each by its key.
+//! `GET /fleet` and `GET /duty/NAME` as recorded. Masked are the process's own address and life and
+//! what depends on the clock, each by its key.
 
 use std::cell::RefCell;
 use std::net::{SocketAddr, UdpSocket};
--- a/crates/proxy/src/cluster/shared_lists.rs
+++ b/crates/proxy/src/cluster/shared_lists.rs
@@ -1,5 +1,5 @@
-//! The endpoint list shared within a zone: the balancer that polls discovery publishes it to the others of its zone,
-//! which then poll nothing.
+//! The endpoint list shared within a zone: the balancer that polls discovery publishes it to the
+//! others of its zone, which then poll nothing.
 
 use std::rc::Rc;
 
@@ -71,7 +71,8 @@
         std::mem::take(&mut self.received_pages)
     }
 
-    /// Whether the full list is to be polled; true once for each time this balancer becomes the publisher.
+    /// Whether the full list is to be polled; true once for each time this balancer becomes the
+    /// publisher.
     pub fn take_full_list_request(&mut self) -> bool {
         std::mem::take(&mut self.needs_full_list)
     }
@@ -92,7 +93,8 @@
         }
     }
 
-    /// Sends messages to all members of the zones whose lease is held; nothing where it is not, or not for long enough.
+    /// Sends messages to all members of the zones whose lease is held; nothing where it is not, or
+    /// not for long enough.
     fn send_to_zones(&self, now: Micros, cluster: &mut Cluster, messages: &[ListMessage]) {
         let bodies: Vec<_> = messages.iter().filter_map(ListMessage::encode).collect();
         for (lease, zone) in &self.zones {
--- a/crates/testbed/src/cluster/checker.rs
+++ b/crates/testbed/src/cluster/checker.rs
@@ -1,4 +1,5 @@
-//! Checks the views of all members against the true history of their processes, at every moment and at the end.
+//! Checks the views of all members against the true history of their processes, at every moment and
+//! at the end.
 
 use std::collections::BTreeSet;
 
@@ -95,7 +96,8 @@
         self.arrived[member].insert(id.to_vec());
     }
 
-    /// Checks the events of a member. `has_resumed` is set for those right after a pause of its process.
+    /// Checks the events of a member. `has_resumed` is set for those right after a pause of its
+    /// process.
     pub fn check_events(
         &mut self,
         now: Micros,
@@ -165,7 +167,8 @@
         if record.state != MemberState::Dead {
             return;
         }
-        // What others declared before is theirs; a process that resumes must not declare anybody dead by itself.
+        // What others declared before is theirs; a process that resumes must not declare anybody
+        // dead by itself.
         let is_first = self.declared_dead.insert(version(record));
         let runs = self.process_history.runs(&record.incarnation);
         if is_first && runs && has_resumed && self.kind == PlanKind::Pause {
--- a/crates/testbed/src/cluster/fault_plan.rs
+++ b/crates/testbed/src/cluster/fault_plan.rs
@@ -1,4 +1,5 @@
-//! The faults of one seed: which members are stopped, killed, restarted or cut off when, and the faults of the network.
+//! The faults of one seed: which members are stopped, killed, restarted or cut off when, and the
+//! faults of the network.
 
 use pinefront_model::network::{LinkFault, NetworkLinks};
 use pinefront_model::random::RandomSource;
@@ -233,7 +234,8 @@
         }
     }
 
-    /// The first member is paused while it suspects the second, which resumes and refutes meanwhile.
+    /// The first member is paused while it suspects the second, which resumes and refutes
+    /// meanwhile.
     fn draw_pause(&mut self, random: &mut RandomSource, members: usize, from: Micros) {
         let pair = random.some_of(2, members);
         let (member, suspected) = (pair[0], pair[1]);
@@ -268,7 +270,8 @@
         }
     }
 
-    /// Draws one fault of any kind; none where it would pause or end a process that another fault does.
+    /// Draws one fault of any kind; none where it would pause or end a process that another fault
+    /// does.
     fn draw_one_fault(&mut self, random: &mut RandomSource, members: usize) {
         let from = FAULTS_FROM + random.span(FAULTS_TO - FAULTS_FROM);
         let to = from + 200_000 + random.span(10 * SECOND);
--- a/crates/testbed/src/cluster/lease_checks.rs
+++ b/crates/testbed/src/cluster/lease_checks.rs
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Ends all holdings at the end of the run, and checks their history. A lease not reported as lost is held until it
-    /// expires, since a paused process cannot report.
+    /// Ends all holdings at the end of the run, and checks their history. A lease not reported as
+    /// lost is held until it expires, since a paused process cannot report.
     pub(super) fn finish_leases(&mut self) {
         for (member, process) in self.processes.iter().enumerate() {
             let leases = process
--- a/crates/testbed/src/cluster/mod.rs
+++ b/crates/testbed/src/cluster/mod.rs
@@ -1,4 +1,5 @@
-//! `pinefront-testbed accord`: the cluster protocol of many members on a virtual clock, under faults drawn from seeds.
+//! `pinefront-testbed accord`: the cluster protocol of many members on a virtual clock, under
+//! faults drawn from seeds.
 
 mod checker;
 pub mod fault_plan;
--- a/crates/testbed/src/cluster/report.rs
+++ b/crates/testbed/src/cluster/report.rs
@@ -58,7 +58,8 @@
     pub lease_changes_per_hour: f64,
     #[serde(rename = "duty_changes_most_a_minute")]
     pub max_lease_changes_per_minute: usize,
-    /// Holdings under an earlier term than the one before, which is harmless, since their commands are rejected.
+    /// Holdings under an earlier term than the one before, which is harmless, since their commands
+    /// are rejected.
     #[serde(rename = "terms_fallen")]
     pub decreased_terms: usize,
     /// Leases that nobody held at the end of a seed.
--- a/crates/testbed/src/cluster/simulation.rs
+++ b/crates/testbed/src/cluster/simulation.rs
@@ -1,5 +1,5 @@
-//! A run of many members on one virtual clock, each with a clock of its own, in a simulated network. One seed gives one
-//! run.
+//! A run of many members on one virtual clock, each with a clock of its own, in a simulated
+//! network. One seed gives one run.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
--- a/crates/testbed/src/cluster/tests.rs
+++ b/crates/testbed/src/cluster/tests.rs
@@ -33,7 +33,8 @@
     );
 }
 
-/// Four of the eight; all eight: `cargo run --release -p pinefront-testbed --features planted -- accord --plant NAME`.
+/// Four of the eight; all eight: `cargo run --release -p pinefront-testbed --features planted --
+/// accord --plant NAME`.
 #[rstest]
 #[case::incarnation(InjectedFault::RefutationCounterDecreases)]
 #[case::silent(InjectedFault::UnresponsiveCountsAsStopped)]
@@ -63,7 +64,8 @@
     assert_eq!(trace(), trace());
 }
 
-/// No two hold one duty and no act of an older term is taken, whatever fails; and every duty has a holder at the end.
+/// No two hold one duty and no act of an older term is taken, whatever fails; and every duty has a
+/// holder at the end.
 #[test]
 fn leases_have_one_holder_at_most() {
     let report = run(
--- a/crates/testbed/src/commands/agreement.rs
+++ b/crates/testbed/src/commands/agreement.rs
@@ -1,4 +1,5 @@
-//! The commands `accord` and `explore`: the cluster protocol on a virtual clock and in every order of events.
+//! The commands `accord` and `explore`: the cluster protocol on a virtual clock and in every order
+//! of events.
 
 use std::path::PathBuf;
 use std::sync::Arc;
--- a/crates/testbed/src/explore/mod.rs
+++ b/crates/testbed/src/explore/mod.rs
@@ -1,6 +1,7 @@
-//! Exploration of the lease protocol in every order of events, for a few members and one lease up to a given depth: the
-//! state machines as they ship, with loss, repetition, reordering, restarts without memory, pauses, and clocks at the
-//! bounds of their rates. States are told apart by a hash of all that they hold.
+//! Exploration of the lease protocol in every order of events, for a few members and one lease up
+//! to a given depth: the state machines as they ship, with loss, repetition, reordering, restarts
+//! without memory, pauses, and clocks at the bounds of their rates. States are told apart by a hash
+//! of all that they hold.
 
 mod search;
 mod state;
@@ -50,8 +51,9 @@
     pub violations: Vec<String>,
 }
 
-/// Tries every order of steps from the start and from where a candidate holds the lease, to increasing depths, so that
-/// the first violation found is a shortest one; then random walks, whose violations are shortened.
+/// Tries every order of steps from the start and from where a candidate holds the lease, to
+/// increasing depths, so that the first violation found is a shortest one; then random walks, whose
+/// violations are shortened.
 pub fn explore(options: &Options) -> Findings {
     let mut findings = Findings {
         depth: options.depth,
--- a/crates/testbed/src/explore/search.rs
+++ b/crates/testbed/src/explore/search.rs
@@ -13,10 +13,12 @@
 const WALK_STEPS: u64 = 400;
 /// After so many steps of a walk, restarts and repeats are allowed anew.
 const ALLOWANCE_STEPS: u64 = 40;
-/// The probability of a step without faults where there is one; otherwise hardly any round would end.
+/// The probability of a step without faults where there is one; otherwise hardly any round would
+/// end.
 const USUAL_STEP_PROBABILITY: f64 = 0.85;
 
-/// The hashes of the states seen, each with the depth that was left; seen with no more left, nothing new follows.
+/// The hashes of the states seen, each with the depth that was left; seen with no more left,
+/// nothing new follows.
 type SeenStates = HashMap<u64, u8>;
 
 /// The result of an exhaustive search.
--- a/crates/testbed/src/explore/state.rs
+++ b/crates/testbed/src/explore/state.rs
@@ -105,7 +105,8 @@
             duration: LEASE_DURATION_US,
         };
         let at = now * rate / 1_000;
-        // All members agree on the time of day to the millisecond, so that terms never decrease, whoever forgets.
+        // All members agree on the time of day to the millisecond, so that terms never decrease,
+        // whoever forgets.
         let wall_clock_offset_ms = 1_000_000 + now / 1_000 - at / 1_000;
         let own_id = process_id(member, process);
         let mut leases = Leases::new(at, config, Rc::clone(&name), own_id, wall_clock_offset_ms)
@@ -132,8 +133,8 @@
 }
 
 impl State {
-    /// Voters that started long ago, and candidates that start now. The clock of the first candidate is as slow as
-    /// allowed, all others as fast.
+    /// Voters that started long ago, and candidates that start now. The clock of the first
+    /// candidate is as slow as allowed, all others as fast.
     pub fn first(options: &Options) -> Self {
         let rate = |member: usize| {
             if member == VOTERS {
--- a/crates/testbed/src/fleet/addresses.rs
+++ b/crates/testbed/src/fleet/addresses.rs
@@ -19,7 +19,8 @@
     pub socket: UdpSocket,
 }
 
-/// The addresses at which balancers receive, and those of the relays that pass on what one sends to another.
+/// The addresses at which balancers receive, and those of the relays that pass on what one sends to
+/// another.
 pub struct Addresses {
     pub members: Vec<SocketAddr>,
     /// By sender, the relay's address for each receiver's.
@@ -27,8 +28,8 @@
     pub relay_sockets: Vec<RelaySocket>,
 }
 
-/// An address that only this process uses: a port of 127.0.0.1 that is released here could be given to any other
-/// process before a balancer binds it.
+/// An address that only this process uses: a port of 127.0.0.1 that is released here could be given
+/// to any other process before a balancer binds it.
 pub fn own_address() -> Ipv4Addr {
     const NUMBERS: u32 = 250;
     let id = std::process::id();
--- a/crates/testbed/src/fleet/drawn.rs
+++ b/crates/testbed/src/fleet/drawn.rs
@@ -23,7 +23,8 @@
     FaultKind::BalancerHurt,
 ];
 
-/// Replaces the faults of a scenario by drawn ones. No balancer is hit by two faults that end or pause its process.
+/// Replaces the faults of a scenario by drawn ones. No balancer is hit by two faults that end or
+/// pause its process.
 pub fn draw(scenario: &mut Scenario, seed: u64) {
     let mut random = RandomSource::split(seed, "fleet faults", 0);
     let balancers = *scenario.balancers.get_ref();
--- a/crates/testbed/src/fleet/leases.rs
+++ b/crates/testbed/src/fleet/leases.rs
@@ -1,5 +1,5 @@
-//! The history of leases as balancers log it. Their clock (CLOCK_BOOTTIME) is one for all processes of a machine, so that
-//! times of different processes compare to the microsecond.
+//! The history of leases as balancers log it. Their clock (CLOCK_BOOTTIME) is one for all processes
+//! of a machine, so that times of different processes compare to the microsecond.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -84,7 +84,8 @@
     },
 }
 
-/// The log lines of all balancers about leases, and the deaths of their processes, in order of arrival.
+/// The log lines of all balancers about leases, and the deaths of their processes, in order of
+/// arrival.
 #[derive(Clone, Default)]
 pub struct LeaseLog(Arc<Mutex<Vec<BalancerEntry>>>);
 
@@ -132,8 +133,8 @@
     }
 }
 
-/// Builds the history. Lines of one balancer are in order, those of several in any: acquisitions are added first in
-/// order of time, then losses, then deaths.
+/// Builds the history. Lines of one balancer are in order, those of several in any: acquisitions
+/// are added first in order of time, then losses, then deaths.
 fn history_of(entries: &[BalancerEntry]) -> LeaseHistory {
     let mut history = LeaseHistory::default();
     let mut acquired = Vec::new();
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! The harness for several real balancers: a relay on each network link between two of them, checks of their views of
-//! one another against the truth, and faults drawn from a seed.
+//! The harness for several real balancers: a relay on each network link between two of them, checks
+//! of their views of one another against the truth, and faults drawn from a seed.
 
 mod addresses;
 pub mod drawn;
@@ -17,9 +17,11 @@
 /// What was found of the balancers' knowledge of each other.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Known {
-    /// From the last fault's end until all views were right and stayed so; nothing where they never were.
+    /// From the last fault's end until all views were right and stayed so; nothing where they never
+    /// were.
     pub views_agree_after_ms: Option<f64>,
-    /// Times that a balancer that served was claimed to have stopped, or not counted among those that may serve.
+    /// Times that a balancer that served was claimed to have stopped, or not counted among those
+    /// that may serve.
     pub wrongly_gone: u64,
     /// From each death or long pause to each other balancer's noticing it.
     pub detected_ms: Vec<f64>,
--- a/crates/testbed/src/fleet/relays.rs
+++ b/crates/testbed/src/fleet/relays.rs
@@ -1,5 +1,5 @@
-//! Relays between balancers: every datagram passes through one, which applies the faults of that network link; and
-//! datagrams sent from outside the fleet.
+//! Relays between balancers: every datagram passes through one, which applies the faults of that
+//! network link; and datagrams sent from outside the fleet.
 
 use std::collections::VecDeque;
 use std::io;
@@ -144,8 +144,9 @@
         .filter(|fault| fault.kind == FaultKind::LinkFlood)
 }
 
-/// Sends datagrams from outside to the balancers that the scenario names, each from a socket of its own, until the
-/// runtime ends: a third random bytes, a third replayed ones, a third replayed ones with a flipped bit.
+/// Sends datagrams from outside to the balancers that the scenario names, each from a socket of its
+/// own, until the runtime ends: a third random bytes, a third replayed ones, a third replayed ones
+/// with a flipped bit.
 pub fn flood(
     world: &Arc<World>,
     addresses: &[SocketAddr],
--- a/crates/testbed/src/fleet/simulated_members.rs
+++ b/crates/testbed/src/fleet/simulated_members.rs
@@ -1,5 +1,5 @@
-//! Cluster members within this process, each on a socket of its own, to measure what a fleet of any size costs a
-//! balancer.
+//! Cluster members within this process, each on a socket of its own, to measure what a fleet of any
+//! size costs a balancer.
 
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
--- a/crates/testbed/src/fleet/views.rs
+++ b/crates/testbed/src/fleet/views.rs
@@ -1,5 +1,5 @@
-//! Requests each balancer's view of the others again and again, and checks it against the truth at the moment of each
-//! response: which process ran, was paused or was killed.
+//! Requests each balancer's view of the others again and again, and checks it against the truth at
+//! the moment of each response: which process ran, was paused or was killed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -288,7 +288,8 @@
                 self.known.held_gone_while_running += 1;
             }
         }
-        // A process that is away is known by its former incarnation, which was forgotten with its death.
+        // A process that is away is known by its former incarnation, which was forgotten with its
+        // death.
         let is_noticed =
             member.is_some_and(|member| matches!(member.state.as_str(), "gone" | "left"));
         if let Some(away_since) = truth
