--- a/crates/cluster/src/cluster/tests.rs
+++ b/crates/cluster/src/cluster/tests.rs
@@ -40,7 +40,7 @@
     )
 }
 
-/// Carries all that is sent for a span, a millisecond a way, past who is named as not heard.
+/// Delivers all datagrams of a span after a millisecond, but those from and to the members cut off.
 fn carry(all: &mut [Cluster], from: Micros, to: Micros, unheard: &[usize]) {
     for now in (from..to).step_by(MS as usize) {
         let sent: Vec<_> = all
@@ -132,7 +132,7 @@
         (all[1].is_reachable(), all[1].pause_count()),
         (!pauses_seen, u64::from(pauses_seen))
     );
-    // Nobody hears it: however long it waits, it judges nobody.
+    // It receives nothing: however long it waits, it suspects nobody.
     for at in 0..100 {
         all[1].run_timers(3 * SECOND + lasted + at * 100 * MS);
     }
@@ -210,8 +210,8 @@
     assert_eq!(all[0].table.may_serve(all[0].table.named("b1").unwrap()), 2);
 }
 
-/// A machine that died for good would be counted for ever; the operators may say so, and may be
-/// wrong.
+/// A machine that died for good would count forever; the operators may confirm its death, and may
+/// be wrong.
 #[test]
 fn confirmation_of_death_holds_until_a_datagram_arrives() {
     let mut all: Vec<Cluster> = (0..3).map(cluster).collect();
@@ -263,7 +263,7 @@
             .contains(&MembershipEvent::ConfirmedDeadAlive("b2".into()))
     );
     carry(&mut all, 17 * SECOND, 25 * SECOND, &[2]);
-    // Said once more of the same process: it was heard after the first time, and counts.
+    // Confirmed once more: a datagram arrived after the first time, so it still counts.
     all[0]
         .table
         .set_confirmed_dead([(Rc::from("b2"), incarnation)].into());
@@ -305,7 +305,7 @@
     );
 }
 
-/// A file without voters and then with them again: what was let go is taken anew, by a later term.
+/// A file without voters and then with them again: released leases are acquired under a later term.
 #[test]
 fn disabled_leases_are_acquired_again() {
     let mut all: Vec<Cluster> = (0..3).map(cluster).collect();
@@ -337,8 +337,8 @@
     assert!(second.len() == 1 && second > first, "{first:?} {second:?}");
 }
 
-/// Names as long as may be and numbers as great: a frame that does not fit would never be sent, and
-/// its duties never held.
+/// The longest names and greatest numbers: a message that does not fit would never be sent, and its
+/// leases never held.
 #[test]
 fn largest_reply_of_a_voter_fits_into_a_datagram() {
     let long = "n".repeat(crate::messages::MAX_NAME_BYTES);
@@ -365,8 +365,8 @@
         statuses,
     };
     one.sequence_number = u64::MAX - 1;
-    // With the record of whom it is sent to, who is doubted.
-    let doubted = MemberRecord {
+    // With the record of the receiver, which is suspected.
+    let suspected = MemberRecord {
         state: MemberState::Suspected,
         suspected_by: u64::MAX,
         ..one.table.own.clone()
@@ -374,7 +374,7 @@
     one.send(
         "127.0.0.1:7001".parse().unwrap(),
         Message::Lease(message),
-        vec![doubted],
+        vec![suspected],
     );
     assert_eq!(one.take_datagrams().len(), 1);
 }
--- a/crates/cluster/src/leases/tests.rs
+++ b/crates/cluster/src/leases/tests.rs
@@ -13,12 +13,12 @@
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
 
-/// Members with voters among them, and all that lies between them.
+/// Members with voters among them, and the network between them.
 struct Fleet {
     now: Micros,
     all: Vec<Leases>,
     names: Vec<Rc<str>>,
-    /// Nobody hears these, and they hear nobody.
+    /// These members neither send nor receive.
     cut: Vec<usize>,
     alive: Vec<usize>,
     events: Vec<(usize, LeaseEvent)>,
@@ -166,7 +166,7 @@
             .iter()
             .any(|(_, event)| *event == LeaseEvent::QuorumLost)
     );
-    // Both come back with nothing kept: silent at first, then one holds it, by a later term.
+    // Both restart without memory: silent at first, then one holds it under a later term.
     let before = fleet.all[2].known_term(LeaseId::of("a")).unwrap();
     for n in [0, 1] {
         fleet.all[n] = Leases::new(
@@ -259,7 +259,7 @@
     assert_eq!(bid.map_err(|_| ()), granted);
 }
 
-/// A voter after one grant of a lease at time 10 s, and what it then says to a claim.
+/// A voter after one grant of a lease at time 10 s, and its vote on a further bid.
 #[rstest]
 #[case::renewed(9, 7, 100 * MS, true)]
 #[case::another_while_it_runs(10, 8, 100 * MS, false)]
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -5,7 +5,7 @@
 //! the time of its next timer. The same inputs and seed give the same datagrams to the byte.
 //!
 //! - [`membership`] tells which members are alive, and which processes may still serve although
-//!   nobody hears them.
+//!   they are unresponsive.
 //! - [`leases`] grants work that must be done once in a fleet to one member at a time.
 //! - [`shared_list`] passes the endpoint list from the member that polls discovery to the others of
 //!   its zone.
--- a/crates/cluster/src/membership/table/tests.rs
+++ b/crates/cluster/src/membership/table/tests.rs
@@ -72,7 +72,7 @@
     );
 }
 
-/// A cold budget or a limit must not grow because somebody fell silent.
+/// A slow-start budget or a limit must not grow because a member is unresponsive.
 #[rstest]
 #[case::alive(MemberState::Alive, 1)]
 #[case::doubted(MemberState::Suspected, 1)]
--- a/crates/cluster/src/shared_list/tests.rs
+++ b/crates/cluster/src/shared_list/tests.rs
@@ -30,7 +30,7 @@
         .collect()
 }
 
-/// Hears all that is said but for what is lost, and has what it then wants said again.
+/// Delivers all messages but the lost ones, and the answers to the subscriber's request.
 fn carry(
     subscriber: &mut ListSubscriber,
     publisher: &mut ListPublisher,
@@ -96,7 +96,7 @@
         (names(&taken), subscriber.applied_page()),
         (vec![3, 1, 1, 1, 1], 5)
     );
-    // One that comes later is told as much by one list.
+    // A later subscriber gets the same from one full list.
     let mut late = ListSubscriber::default();
     let told: Vec<_> = publisher.answer(&ListRequest::FullList);
     let taken: Vec<_> = told
@@ -131,7 +131,7 @@
     );
 }
 
-/// A watch that broke is said by the beat; a holder that is cut off says nothing at all.
+/// The heartbeat tells that the watch is closed; a holder that is cut off sends none.
 #[test]
 fn list_is_not_fresh_without_an_open_watch_of_the_holder() {
     let (mut publisher, mut subscriber) = (ListPublisher::default(), ListSubscriber::default());
@@ -164,7 +164,7 @@
         (pages.len(), subscriber.is_fresh(600 * MS)),
         (usize::from(taken), taken)
     );
-    // A later holder is heard at once.
+    // A later holder is followed at once.
     let later = Term {
         number: 2,
         incarnation_id: 1,
--- a/crates/proxy/src/cluster/node/tests.rs
+++ b/crates/proxy/src/cluster/node/tests.rs
@@ -18,7 +18,7 @@
     open_with(event_loop, name, seeds, false)
 }
 
-/// With a roster of zone a where wanted, on which b0 alone votes.
+/// Opens a member, with a shared list of zone a where wanted, on whose lease b0 alone votes.
 fn open_with(
     event_loop: &EventLoop<'static, ()>,
     name: &str,
@@ -112,8 +112,8 @@
     assert!(first.borrow().fleet_page().contains("\"hash\":50"));
 }
 
-/// One follows discovery, the other is told the list whole and then its changes, and asks nothing
-/// while that goes on.
+/// One member follows discovery; the other receives the full list and then its changes, and polls
+/// nothing meanwhile.
 #[test]
 fn lease_holder_publishes_the_shared_list() {
     let mut event_loop = EventLoop::try_new().unwrap();
@@ -157,8 +157,7 @@
         (Some(4), 40, 1)
     );
     assert!(holder.borrow().list_fresh_for().is_none());
-    // Its discovery fails it: nobody is told any more that the list is fresh, and each asks for
-    // itself.
+    // A failed poll: heartbeats no longer say that the list is fresh, and each member polls itself.
     holder.borrow_mut().record_poll_failure();
     until(&mut event_loop, &all, || {
         reader.borrow().list_fresh_for().is_none()
--- a/crates/proxy/src/cluster/operator_file/leases.rs
+++ b/crates/proxy/src/cluster/operator_file/leases.rs
@@ -12,7 +12,7 @@
 use super::schema::LeaseTable;
 use super::{FileReader, FleetLeases, SharedListZones};
 
-/// What the table says; empty where there is none.
+/// The contents of the table; empty where there is none.
 #[derive(Default)]
 pub struct LeaseSettings {
     pub leases: Option<FleetLeases>,
--- a/crates/proxy/src/cluster/operator_file/tests.rs
+++ b/crates/proxy/src/cluster/operator_file/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// A key file of the test's own, gone with it.
+/// A key file of the test, deleted with the value.
 struct KeyFile(std::path::PathBuf);
 
 impl KeyFile {
--- a/crates/proxy/src/cluster/pages/tests.rs
+++ b/crates/proxy/src/cluster/pages/tests.rs
@@ -1,5 +1,5 @@
-//! `GET /fleet` and `GET /duty/NAME` as recorded. Masked are the process's own address and life and
-//! what depends on the clock, each by its key.
+//! `GET /fleet` and `GET /duty/NAME` as recorded. Masked are the process's own address and
+//! incarnation and what depends on the clock, each by its key.
 
 use std::cell::RefCell;
 use std::net::{SocketAddr, UdpSocket};
@@ -30,8 +30,8 @@
     "unsent",
 ];
 
-/// Opens a fleet of one on a free port; with duties, it is the only voter.
-fn open(event_loop: &EventLoop<'static, ()>, with_duties: bool) -> Rc<RefCell<ClusterNode>> {
+/// Opens a fleet of one on a free port; with leases, it is the only voter.
+fn open(event_loop: &EventLoop<'static, ()>, with_leases: bool) -> Rc<RefCell<ClusterNode>> {
     let free = UdpSocket::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
@@ -59,11 +59,11 @@
         listen: free,
         member: config,
         key: Key::new(KEY).unwrap(),
-        leases: with_duties.then_some(FleetLeases {
+        leases: with_leases.then_some(FleetLeases {
             config: lease_config,
             leases,
         }),
-        shared_list_zones: with_duties
+        shared_list_zones: with_leases
             .then(|| (shared_list.id, Rc::from("a")))
             .into_iter()
             .collect(),
--- a/crates/testbed/src/cluster/mod.rs
+++ b/crates/testbed/src/cluster/mod.rs
@@ -25,7 +25,7 @@
     pub members: usize,
     pub injected_fault: Option<InjectedFault>,
     pub kind: Option<fault_plan::PlanKind>,
-    /// The rate of loss of all datagrams, in place of what the seed says.
+    /// The rate of loss of all datagrams, in place of that of the seed.
     pub loss: Option<f64>,
     /// The number of leases; none where 0.
     pub leases: usize,
--- a/crates/testbed/src/cluster/tests.rs
+++ b/crates/testbed/src/cluster/tests.rs
@@ -64,8 +64,8 @@
     assert_eq!(trace(), trace());
 }
 
-/// No two hold one duty and no act of an older term is taken, whatever fails; and every duty has a
-/// holder at the end.
+/// No two members hold one lease and no stale command is accepted, whatever fails; and every lease
+/// has a holder at the end.
 #[test]
 fn leases_have_one_holder_at_most() {
     let report = run(
