--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -11,6 +11,15 @@
 //!   its zone.
 //! - [`datagram`] seals and opens what is sent; [`messages`] are its contents.
 
+#![cfg_attr(
+    test,
+    // A test that lists its cases in a row reads better whole.
+    allow(
+        clippy::default_trait_access,
+        clippy::needless_for_each,
+        clippy::too_many_lines
+    )
+)]
 #![warn(missing_docs)]
 
 mod cluster;
