--- a/crates/cluster/src/cluster/tests.rs
+++ b/crates/cluster/src/cluster/tests.rs
@@ -40,7 +40,7 @@
     )
 }
 
-/// Carries all that is sent for a span, a millisecond a way, past who is named as not heard.
+/// Delivers all datagrams of a span after a millisecond, but those from and to the members cut off.
 fn carry(all: &mut [Cluster], from: Micros, to: Micros, unheard: &[usize]) {
     for now in (from..to).step_by(MS as usize) {
         let sent: Vec<_> = all
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn all_know_each_other_by_one_seed() {
+fn members_discover_each_other_through_one_seed() {
     let mut all: Vec<Cluster> = (0..5).map(cluster).collect();
     carry(&mut all, 0, 3 * SECOND, &[]);
     assert!(all.iter().all(|one| states(one) == [MemberState::Alive; 4]));
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn who_is_silent_is_gone_after_a_doubt_and_back_when_heard() {
+fn unresponsive_member_is_suspected_then_dead_and_recovers() {
     let mut all: Vec<Cluster> = (0..4).map(cluster).collect();
     carry(&mut all, 0, 3 * SECOND, &[]);
     all[0].take_events();
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn who_leaves_is_proven_gone_at_once() {
+fn member_that_leaves_is_proven_stopped_at_once() {
     let mut all: Vec<Cluster> = (0..4).map(cluster).collect();
     carry(&mut all, 0, 3 * SECOND, &[]);
     all[2].leave(3 * SECOND);
@@ -120,7 +120,10 @@
 #[rstest]
 #[case::stopped(20 * SECOND, true)]
 #[case::a_little_late(200 * MS, false)]
-fn who_slept_doubts_nobody_until_it_is_heard(#[case] lasted: Micros, #[case] pauses_seen: bool) {
+fn paused_process_suspects_nobody_until_reachable(
+    #[case] lasted: Micros,
+    #[case] pauses_seen: bool,
+) {
     let mut all: Vec<Cluster> = (0..4).map(cluster).collect();
     carry(&mut all, 0, 3 * SECOND, &[]);
     all[1].take_events();
@@ -129,7 +132,7 @@
         (all[1].is_reachable(), all[1].pause_count()),
         (!pauses_seen, u64::from(pauses_seen))
     );
-    // Nobody hears it: however long it waits, it judges nobody.
+    // It receives nothing: however long it waits, it suspects nobody.
     for at in 0..100 {
         all[1].run_timers(3 * SECOND + lasted + at * 100 * MS);
     }
@@ -142,9 +145,9 @@
     assert_eq!(judged, !pauses_seen);
 }
 
-/// The carrier's clock goes on by itself; a wall clock that jumps is seen only as `born`.
+/// Times come from the caller's clock; a wall clock that jumps is seen only as `started_at_us`.
 #[test]
-fn time_that_seems_to_go_back_changes_nothing() {
+fn decreasing_time_changes_nothing() {
     let mut all: Vec<Cluster> = (0..2).map(cluster).collect();
     carry(&mut all, 0, 2 * SECOND, &[]);
     all[0].run_timers(SECOND);
@@ -152,7 +155,7 @@
 }
 
 #[test]
-fn who_comes_back_without_memory_and_with_its_clock_set_back_is_taken_in() {
+fn restarted_process_with_an_earlier_clock_is_accepted() {
     let mut all: Vec<Cluster> = (0..3).map(cluster).collect();
     carry(&mut all, 0, 3 * SECOND, &[]);
     all[2] = Cluster::new(
@@ -181,7 +184,7 @@
 }
 
 #[test]
-fn of_two_processes_of_one_name_the_later_keeps_quiet() {
+fn later_of_two_processes_with_one_name_stays_silent() {
     let mut all: Vec<Cluster> = (0..3).map(cluster).collect();
     let elsewhere = MemberConfig {
         address: SocketAddr::from(([127, 0, 0, 1], 7_003)),
@@ -207,9 +210,10 @@
     assert_eq!(all[0].table.may_serve(all[0].table.named("b1").unwrap()), 2);
 }
 
-/// A machine that died for good would be counted for ever; the operators may say so, and may be wrong.
+/// A machine that died for good would count forever; the operators may confirm its death, and may
+/// be wrong.
 #[test]
-fn the_operators_word_goes_for_who_is_silent_until_it_is_heard() {
+fn confirmation_of_death_holds_until_a_datagram_arrives() {
     let mut all: Vec<Cluster> = (0..3).map(cluster).collect();
     carry(&mut all, 0, 3 * SECOND, &[]);
     let (incarnation, own) = (all[2].incarnation(), all[0].config.clone());
@@ -259,7 +263,7 @@
             .contains(&MembershipEvent::ConfirmedDeadAlive("b2".into()))
     );
     carry(&mut all, 17 * SECOND, 25 * SECOND, &[2]);
-    // Said once more of the same process: it was heard after the first time, and counts.
+    // Confirmed once more: a datagram arrived after the first time, so it still counts.
     all[0]
         .table
         .set_confirmed_dead([(Rc::from("b2"), incarnation)].into());
@@ -271,7 +275,7 @@
 
 /// Ten thousand a second from a stranger: each costs a hash, and nothing else happens.
 #[test]
-fn strangers_and_listeners_change_nothing() {
+fn corrupted_and_replayed_datagrams_change_nothing() {
     let mut all: Vec<Cluster> = (0..3).map(cluster).collect();
     carry(&mut all, 0, 2 * SECOND, &[]);
     all[0].take_datagrams();
@@ -301,9 +305,9 @@
     );
 }
 
-/// A file without voters and then with them again: what was let go is taken anew, by a later term.
+/// A file without voters and then with them again: released leases are acquired under a later term.
 #[test]
-fn duties_that_were_left_are_taken_again() {
+fn disabled_leases_are_acquired_again() {
     let mut all: Vec<Cluster> = (0..3).map(cluster).collect();
     let terms = || LeaseConfig {
         voters: vec!["b0".into(), "b1".into(), "b2".into()],
@@ -333,9 +337,10 @@
     assert!(second.len() == 1 && second > first, "{first:?} {second:?}");
 }
 
-/// Names as long as may be and numbers as great: a frame that does not fit would never be sent, and its duties never held.
+/// The longest names and greatest numbers: a message that does not fit would never be sent, and its
+/// leases never held.
 #[test]
-fn what_a_voter_tells_of_as_many_duties_as_it_may_fits_into_a_datagram() {
+fn largest_reply_of_a_voter_fits_into_a_datagram() {
     let long = "n".repeat(crate::messages::MAX_NAME_BYTES);
     let config = MemberConfig {
         fleet: long.clone(),
@@ -360,8 +365,8 @@
         statuses,
     };
     one.sequence_number = u64::MAX - 1;
-    // With the record of whom it is sent to, who is doubted.
-    let doubted = MemberRecord {
+    // With the record of the receiver, which is suspected.
+    let suspected = MemberRecord {
         state: MemberState::Suspected,
         suspected_by: u64::MAX,
         ..one.table.own.clone()
@@ -369,13 +374,13 @@
     one.send(
         "127.0.0.1:7001".parse().unwrap(),
         Message::Lease(message),
-        vec![doubted],
+        vec![suspected],
     );
     assert_eq!(one.take_datagrams().len(), 1);
 }
 
 #[test]
-fn few_members_hold_many_duties() {
+fn few_members_hold_many_leases() {
     let mut all: Vec<Cluster> = (0..3).map(cluster).collect();
     for one in &mut all {
         let terms = LeaseConfig {
--- a/crates/cluster/tests/datagrams.rs
+++ b/crates/cluster/tests/datagrams.rs
@@ -1,5 +1,6 @@
-//! What members send one another, byte for byte as recorded: a sealed datagram of each kind of message, and all that
-//! three members send in their first seconds. The files under `recorded/` are the wire; they do not change.
+//! What members send one another, byte for byte as recorded: a sealed datagram of each kind of
+//! message, and all that three members send in their first seconds. The files under `recorded/` are
+//! the wire; they do not change.
 
 #![allow(clippy::pedantic)] // As it was when the recording was made.
 
@@ -267,7 +268,7 @@
 }
 
 #[test]
-fn bodies_of_the_roster_are_read_back() {
+fn bodies_of_the_shared_list_are_read_back() {
     for (name, message) in list_messages() {
         match message {
             LeaseMessage::Command { body, .. } => {
@@ -290,14 +291,14 @@
 }
 
 #[test]
-fn texts_of_lives_and_names_of_duties_stay() {
+fn texts_of_incarnations_and_identifiers_of_leases_stay() {
     assert_eq!(LIFE.to_string(), "60a2418202240-00c0ffee00c0ffee");
     assert_eq!("60a2418202240-00c0ffee00c0ffee".parse(), Ok(LIFE));
     assert_eq!(LeaseId::of("roster/a").0, 2_156_073_173);
 }
 
-/// Three members on a virtual network that delivers all within 3 ms, one of which starts late and leaves early. The
-/// same seeds and times give the same datagrams.
+/// Three members on a virtual network that delivers all within 3 ms, one of which starts late and
+/// leaves early. The same seeds and times give the same datagrams.
 #[test]
 fn three_members_send_the_recorded_datagrams() {
     let address = |n: usize| SocketAddr::from(([127, 0, 0, 1], 7400 + n as u16));
