--- a/crates/cluster/src/cluster/mod.rs
+++ b/crates/cluster/src/cluster/mod.rs
@@ -101,7 +101,7 @@
         let own =
             MemberRecord::of_new_process(&config.name, &config.zone, config.address, incarnation);
         let mut table = MemberTable::new(own);
-        table.set_confirmed_dead(config.confirmed_dead.clone());
+        table.set_confirmed_dead(&config.confirmed_dead);
         let mut cluster = Self {
             config,
             key,
@@ -257,7 +257,7 @@
         self.config.probe_interval = config.probe_interval;
         self.config.probe_timeout = config.probe_timeout;
         self.config.min_suspicion = config.min_suspicion;
-        self.table.set_confirmed_dead(config.confirmed_dead.clone());
+        self.table.set_confirmed_dead(&config.confirmed_dead);
     }
 
     /// Announces that this process has stopped serving, and releases its leases.
--- a/crates/cluster/src/cluster/tests.rs
+++ b/crates/cluster/src/cluster/tests.rs
@@ -249,7 +249,7 @@
     carry(&mut all, 8 * SECOND, 15 * SECOND, &[2]);
     all[0]
         .table
-        .set_confirmed_dead([(Rc::from("b2"), incarnation)].into());
+        .set_confirmed_dead(&[(Rc::from("b2"), incarnation)].into());
     assert_eq!(
         (serving_status(&all[0]), all[0].table.count_may_serve()),
         (ServingStatus::ProvenStopped(StopProof::ConfirmedDead), 1)
@@ -266,7 +266,7 @@
     // Confirmed once more: a datagram arrived after the first time, so it still counts.
     all[0]
         .table
-        .set_confirmed_dead([(Rc::from("b2"), incarnation)].into());
+        .set_confirmed_dead(&[(Rc::from("b2"), incarnation)].into());
     assert_eq!(
         (serving_status(&all[0]), all[0].table.count_may_serve()),
         (ServingStatus::MayServe(MayServeReason::Unresponsive), 2)
--- a/crates/cluster/src/datagram.rs
+++ b/crates/cluster/src/datagram.rs
@@ -40,9 +40,10 @@
     /// Fails if fewer than [`MIN_KEY_BYTES`] are left.
     pub fn new(bytes: &[u8]) -> Result<Self, KeyTooShort> {
         let bytes = bytes.trim_ascii();
-        match bytes.len() >= MIN_KEY_BYTES {
-            true => Ok(Self(blake3::derive_key(KEY_CONTEXT, bytes))),
-            false => Err(KeyTooShort(bytes.len())),
+        if bytes.len() >= MIN_KEY_BYTES {
+            Ok(Self(blake3::derive_key(KEY_CONTEXT, bytes)))
+        } else {
+            Err(KeyTooShort(bytes.len()))
         }
     }
 }
--- a/crates/cluster/src/leases/assignment/tests.rs
+++ b/crates/cluster/src/leases/assignment/tests.rs
@@ -22,7 +22,9 @@
     let mut loads = vec![0; 30];
     before.iter().for_each(|order| loads[order[0]] += 1);
     assert!(
-        loads.iter().all(|&load| load as f64 <= 1.3 * 200.0 / 30.0),
+        loads
+            .iter()
+            .all(|&load| f64::from(load) <= 1.3 * 200.0 / 30.0),
         "{loads:?}"
     );
     let after = assign(&leases, &indices(0..31));
--- a/crates/cluster/src/leases/mod.rs
+++ b/crates/cluster/src/leases/mod.rs
@@ -1,6 +1,6 @@
 //! Leases: work that must be done once in a fleet. Each lease is held by at most one member at
 //! every instant, granted by a majority of named voters (as in Gray and Cheriton's leases, 1989,
-//! made safe without a disk as in PaxosLease, Trencseni, Gazso, Reinhardt, 2012).
+//! made safe without a disk as in `PaxosLease`, Trencseni, Gazso, Reinhardt, 2012).
 //!
 //! Why two members never hold one lease: a holder needs grants of its term from a majority, and
 //! counts the lease from before it sent its bid. A voter grants another term only when the grant
--- a/crates/cluster/src/membership/merge.rs
+++ b/crates/cluster/src/membership/merge.rs
@@ -152,12 +152,13 @@
         let address = self.record.address;
         let has_ended = before.state == MemberState::Left || address == before.address;
         if !has_ended {
-            match self.earlier.len() < MAX_EARLIER_INCARNATIONS {
-                true => self.earlier.push(EarlierIncarnation {
+            if self.earlier.len() < MAX_EARLIER_INCARNATIONS {
+                self.earlier.push(EarlierIncarnation {
                     incarnation: before.incarnation,
                     address: before.address,
-                }),
-                false => self.earlier_uncounted += 1,
+                });
+            } else {
+                self.earlier_uncounted += 1;
             }
         }
         // Only of this name: of two names nobody knows whose record is the later one.
--- a/crates/cluster/src/membership/table.rs
+++ b/crates/cluster/src/membership/table.rs
@@ -104,7 +104,7 @@
 
     /// Replaces the processes that the operators confirmed dead. Revoked confirmations are not
     /// accepted again.
-    pub fn set_confirmed_dead(&mut self, processes: BTreeSet<(Rc<str>, Incarnation)>) {
+    pub fn set_confirmed_dead(&mut self, processes: &BTreeSet<(Rc<str>, Incarnation)>) {
         self.confirmed_dead = processes
             .difference(&self.revoked_confirmations)
             .cloned()
@@ -169,9 +169,10 @@
         let member = self.named(name)?;
         if member.record.incarnation == incarnation {
             let is_ignored = self.counted_may_serve(member) == 0 && self.may_serve(member) > 0;
-            return Some(match is_ignored {
-                true => ServingStatus::ProvenStopped(StopProof::Announced),
-                false => self.serving_status_of(member),
+            return Some(if is_ignored {
+                ServingStatus::ProvenStopped(StopProof::Announced)
+            } else {
+                self.serving_status_of(member)
             });
         }
         member
@@ -179,9 +180,10 @@
             .iter()
             .find(|earlier| earlier.incarnation == incarnation)?;
         Some(
-            match self.is_confirmed_dead(&member.record.name, incarnation) {
-                true => ServingStatus::ProvenStopped(StopProof::ConfirmedDead),
-                false => ServingStatus::MayServe(MayServeReason::Superseded),
+            if self.is_confirmed_dead(&member.record.name, incarnation) {
+                ServingStatus::ProvenStopped(StopProof::ConfirmedDead)
+            } else {
+                ServingStatus::MayServe(MayServeReason::Superseded)
             },
         )
     }
--- a/crates/cluster/src/membership/table/tests.rs
+++ b/crates/cluster/src/membership/table/tests.rs
@@ -189,13 +189,13 @@
 
 #[test]
 fn suspicions_are_counted_once_for_each_process() {
+    use MergeOutcome::{Changed, SuspicionConfirmed, Unchanged};
     let mut table = table();
     let suspicion = |by| MemberRecord {
         suspected_by: by,
         ..record(FIRST, 10, MemberState::Suspected)
     };
     let merged = [5, 5, 6, 7, 8].map(|by| table.merge(0, &suspicion(by)));
-    use MergeOutcome::{Changed, SuspicionConfirmed, Unchanged};
     assert_eq!(
         merged,
         [
--- a/crates/cluster/src/shared_list/publisher.rs
+++ b/crates/cluster/src/shared_list/publisher.rs
@@ -80,9 +80,10 @@
             return Vec::new();
         }
         self.last_page += 1;
-        let page = match is_full {
-            true => self.full_page(),
-            false => Page {
+        let page = if is_full {
+            self.full_page()
+        } else {
+            Page {
                 number: self.last_page,
                 is_full: false,
                 version,
@@ -91,7 +92,7 @@
                     false,
                     entries.iter().map(|entry| entry.text.as_str()),
                 ),
-            },
+            }
         };
         if page.text.len() > MAX_CHUNK_BYTES * usize::from(MAX_CHUNKS) {
             return Vec::new();
--- a/crates/cluster/src/shared_list/subscriber.rs
+++ b/crates/cluster/src/shared_list/subscriber.rs
@@ -138,9 +138,10 @@
         match message {
             ListMessage::Chunk(chunk) => {
                 self.last_page = self.last_page.max(chunk.page);
-                let pages = match self.store_chunk(now, chunk) {
-                    true => self.apply_pages(now),
-                    false => Vec::new(),
+                let pages = if self.store_chunk(now, chunk) {
+                    self.apply_pages(now)
+                } else {
+                    Vec::new()
                 };
                 ListUpdate {
                     pages,
--- a/crates/proxy/src/cluster/operator_file/fields.rs
+++ b/crates/proxy/src/cluster/operator_file/fields.rs
@@ -73,7 +73,7 @@
     /// A span in microseconds, or the default where none is given.
     pub(super) fn span(
         &self,
-        value: &Option<Spanned<String>>,
+        value: Option<&Spanned<String>>,
         field: &str,
         default: Micros,
     ) -> Result<Micros> {
--- a/crates/proxy/src/cluster/operator_file/leases.rs
+++ b/crates/proxy/src/cluster/operator_file/leases.rs
@@ -23,7 +23,7 @@
     pub(super) fn lease_settings(&self, table: &LeaseTable) -> Result<LeaseSettings> {
         let config = LeaseConfig {
             voters: self.voters(&table.voters)?,
-            duration: self.lease_duration(&table.duration)?,
+            duration: self.lease_duration(table.duration.as_ref())?,
         };
         let mut leases = self.own_leases(&table.own)?;
         let mut shared_list_zones = SharedListZones::new();
@@ -61,7 +61,7 @@
         Ok(voters)
     }
 
-    fn lease_duration(&self, value: &Option<Spanned<String>>) -> Result<Micros> {
+    fn lease_duration(&self, value: Option<&Spanned<String>>) -> Result<Micros> {
         let field = "duties.lease";
         let duration = self.span(value, field, DEFAULT_LEASE_US)?;
         match value {
--- a/crates/proxy/src/cluster/operator_file/mod.rs
+++ b/crates/proxy/src/cluster/operator_file/mod.rs
@@ -134,17 +134,17 @@
             seeds: self.seeds(table)?,
             started_at_us: 0,
             probe_interval: self.span(
-                &table.probe_interval,
+                table.probe_interval.as_ref(),
                 "fleet.probe_every",
                 MemberConfig::DEFAULT_PROBE_INTERVAL,
             )?,
             probe_timeout: self.span(
-                &table.probe_timeout,
+                table.probe_timeout.as_ref(),
                 "fleet.answer_within",
                 MemberConfig::DEFAULT_PROBE_TIMEOUT,
             )?,
             min_suspicion: self.span(
-                &table.min_suspicion,
+                table.min_suspicion.as_ref(),
                 "fleet.doubt_least",
                 MemberConfig::DEFAULT_MIN_SUSPICION,
             )?,
--- a/crates/testbed/src/cluster/checker.rs
+++ b/crates/testbed/src/cluster/checker.rs
@@ -189,9 +189,10 @@
             }
         }
         let agrees = now >= self.last_fault_end && self.disagreement(processes).is_none();
-        self.agreed_since = match agrees {
-            true => self.agreed_since.or(Some(now)),
-            false => None,
+        self.agreed_since = if agrees {
+            self.agreed_since.or(Some(now))
+        } else {
+            None
         };
     }
 
--- a/crates/testbed/src/cluster/lease_checks.rs
+++ b/crates/testbed/src/cluster/lease_checks.rs
@@ -63,7 +63,10 @@
                 .cluster
                 .as_ref()
                 .and_then(|cluster| cluster.leases());
-            for held in leases.into_iter().flat_map(|leases| leases.unreported()) {
+            for held in leases
+                .into_iter()
+                .flat_map(pinefront_cluster::leases::Leases::unreported)
+            {
                 let until = process.true_time(held.until);
                 let name = &held.lease.name;
                 self.lease_history
--- a/crates/testbed/src/cluster/simulation.rs
+++ b/crates/testbed/src/cluster/simulation.rs
@@ -1,7 +1,7 @@
 //! A run of many members on one virtual clock, each with a clock of its own, in a simulated
 //! network. One seed gives one run.
 
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
 use pinefront_cluster::datagram::Key;
@@ -399,7 +399,7 @@
         probe_interval: MemberConfig::DEFAULT_PROBE_INTERVAL,
         probe_timeout: MemberConfig::DEFAULT_PROBE_TIMEOUT,
         min_suspicion: MemberConfig::DEFAULT_MIN_SUSPICION,
-        confirmed_dead: Default::default(),
+        confirmed_dead: BTreeSet::default(),
     }
 }
 
--- a/crates/testbed/src/commands/agreement.rs
+++ b/crates/testbed/src/commands/agreement.rs
@@ -109,9 +109,10 @@
 }
 
 fn outcome(is_sound: bool) -> Result<(), Failure> {
-    match is_sound {
-        true => Ok(()),
-        false => Err(Failure::Failed("a promise was broken; see above".into())),
+    if is_sound {
+        Ok(())
+    } else {
+        Err(Failure::Failed("a promise was broken; see above".into()))
     }
 }
 
--- a/crates/testbed/src/commands/measuring.rs
+++ b/crates/testbed/src/commands/measuring.rs
@@ -18,7 +18,7 @@
 
 #[derive(Args)]
 pub struct LoadAt {
-    /// Such as http://127.0.0.1:8080/look/1
+    /// Such as <http://127.0.0.1:8080/look/1>
     url: String,
     /// Requests a second
     #[arg(long, default_value_t = 1000.0)]
--- a/crates/testbed/src/commands/scenarios.rs
+++ b/crates/testbed/src/commands/scenarios.rs
@@ -236,15 +236,14 @@
 
 /// Runs stand-ins without load.
 pub fn stand(options: &StandAlone, stop: &Arc<AtomicBool>) -> Result<(), Failure> {
-    let scenario = match &options.scenario {
-        Some(path) => read_scenario(path)?,
-        None => {
-            let servers = options.servers;
-            let text = format!(
-                "name = \"stand\"\nlength = \"24h\"\nbalancers = 1\n[fleet]\nservers = {servers}\n"
-            );
-            parse_scenario(&text, "stand")?
-        }
+    let scenario = if let Some(path) = &options.scenario {
+        read_scenario(path)?
+    } else {
+        let servers = options.servers;
+        let text = format!(
+            "name = \"stand\"\nlength = \"24h\"\nbalancers = 1\n[fleet]\nservers = {servers}\n"
+        );
+        parse_scenario(&text, "stand")?
     };
     let addresses = stand_alone::Addresses {
         page: options.page,
--- a/crates/testbed/src/discovery_stand_in/mod.rs
+++ b/crates/testbed/src/discovery_stand_in/mod.rs
@@ -26,7 +26,7 @@
 use crate::world::{World, locked};
 
 /// The longest wait of a watch, whatever the call asks for.
-const MAX_WATCH_WAIT: Duration = Duration::from_secs(60);
+const MAX_WATCH_WAIT: Duration = Duration::from_mins(1);
 /// The longest sleep of a watch. The list may change by itself when a fault starts or ends.
 const MAX_WATCH_SLEEP: Duration = Duration::from_secs(1);
 /// The largest number of pieces of a response.
@@ -282,12 +282,11 @@
             .fault_strikes(FaultKind::ListsCut)
             .then(|| 1 + world.draw_below(response.bytes.len() - 1));
         let length = truncated_at.unwrap_or(response.bytes.len());
-        match self.draw_fault_duration(FaultKind::ListsInPieces) {
-            Some(over) => self.write_in_pieces(&response, &list, length, over).await?,
-            None => {
-                self.record_entries(&response, &list, 0..length);
-                self.stream.write_all(&response.bytes[..length]).await?;
-            }
+        if let Some(over) = self.draw_fault_duration(FaultKind::ListsInPieces) {
+            self.write_in_pieces(&response, &list, length, over).await?;
+        } else {
+            self.record_entries(&response, &list, 0..length);
+            self.stream.write_all(&response.bytes[..length]).await?;
         }
         if truncated_at.is_none() {
             self.record_missing(&list);
--- a/crates/testbed/src/fleet/drawn.rs
+++ b/crates/testbed/src/fleet/drawn.rs
@@ -32,7 +32,7 @@
     let available = length.saturating_sub(START_TIME + END_TIME).max(SECOND);
     scenario.faults.clear();
     let mut hit = Vec::new();
-    for _ in 0..1 + random.below(MAX_FAULTS) {
+    for _ in 0..=random.below(MAX_FAULTS) {
         let kind = KINDS[random.below(KINDS.len())];
         let at = START_TIME + random.span(available * 2 / 3);
         let duration = MIN_FAULT_DURATION_US + random.span(available / 2);
--- a/crates/testbed/src/fleet/leases.rs
+++ b/crates/testbed/src/fleet/leases.rs
@@ -1,4 +1,4 @@
-//! The history of leases as balancers log it. Their clock (CLOCK_BOOTTIME) is one for all processes
+//! The history of leases as balancers log it. Their clock (`CLOCK_BOOTTIME`) is one for all processes
 //! of a machine, so that times of different processes compare to the microsecond.
 
 use std::collections::BTreeMap;
--- a/crates/testbed/src/fleet/simulated_members.rs
+++ b/crates/testbed/src/fleet/simulated_members.rs
@@ -1,6 +1,7 @@
 //! Cluster members within this process, each on a socket of its own, to measure what a fleet of any
 //! size costs a balancer.
 
+use std::collections::BTreeSet;
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
 use std::path::{Path, PathBuf};
@@ -127,7 +128,7 @@
         probe_interval: MemberConfig::DEFAULT_PROBE_INTERVAL,
         probe_timeout: MemberConfig::DEFAULT_PROBE_TIMEOUT,
         min_suspicion: MemberConfig::DEFAULT_MIN_SUSPICION,
-        confirmed_dead: Default::default(),
+        confirmed_dead: BTreeSet::default(),
     }
 }
 
--- a/crates/testbed/src/fleet/views.rs
+++ b/crates/testbed/src/fleet/views.rs
@@ -299,13 +299,15 @@
             self.record_noticed(number, other, now - away_since);
         }
         let state = member.map_or("unknown", |member| member.state.as_str());
-        let is_right = match truth.is_responsive() {
-            true => current.is_some() && state == "present",
-            false => state != "present",
+        let is_right = if truth.is_responsive() {
+            current.is_some() && state == "present"
+        } else {
+            state != "present"
         };
-        match is_right {
-            true => Ok(()),
-            false => Err(format!("b{number} holds b{other} for {state}")),
+        if is_right {
+            Ok(())
+        } else {
+            Err(format!("b{number} holds b{other} for {state}"))
         }
     }
 
@@ -329,9 +331,10 @@
         let all_right = (0..self.truth.len())
             .filter(|number| self.truth[*number].is_responsive())
             .all(|number| self.last_views[number].is_ok());
-        self.right_since = match all_right {
-            true => self.right_since.or(Some(now)),
-            false => None,
+        self.right_since = if all_right {
+            self.right_since.or(Some(now))
+        } else {
+            None
         };
     }
 
--- a/crates/testbed/src/load/tests.rs
+++ b/crates/testbed/src/load/tests.rs
@@ -12,7 +12,7 @@
 fn only_this_machine_is_loaded(#[case] url: &str, #[case] wanted: Result<(&str, &str), &str>) {
     match (parse_url(url), wanted) {
         (Ok((address, path)), Ok(wanted)) => {
-            assert_eq!((address.to_string().as_str(), path.as_str()), wanted)
+            assert_eq!((address.to_string().as_str(), path.as_str()), wanted);
         }
         (Err(problem), Err(wanted)) => assert!(problem.to_string().contains(wanted), "{problem}"),
         (found, _) => panic!("{found:?}"),
--- a/crates/testbed/src/report/mod.rs
+++ b/crates/testbed/src/report/mod.rs
@@ -160,7 +160,7 @@
 fn attempts(runs: &[&Figures]) -> Result<String, Error> {
     let mut section = "<h2>Attempts by server</h2>\n".to_owned();
     for (number, run) in runs.iter().enumerate() {
-        let svg = draw_bars(&run.attempts_by_server, colour(number))?;
+        let svg = draw_bars(&run.attempts_by_server, *colour(number))?;
         let (who, seed) = (escape(&run.who), run.seed);
         // Writing to a string cannot fail.
         let _ = write!(section, "<p>{who} (seed {seed})</p>\n{svg}\n");
--- a/crates/testbed/src/report/plots.rs
+++ b/crates/testbed/src/report/plots.rs
@@ -157,7 +157,7 @@
 }
 
 /// Draws a bar for each server.
-pub(super) fn draw_bars(counts: &[u64], colour: &RGBColor) -> Result<String, Error> {
+pub(super) fn draw_bars(counts: &[u64], colour: RGBColor) -> Result<String, Error> {
     let mut svg = String::new();
     let area = SVGBackend::with_string(&mut svg, (WIDTH_PX, BARS_HEIGHT_PX)).into_drawing_area();
     area.fill(&WHITE).map_err(error)?;
--- a/crates/testbed/src/soak/coverage.rs
+++ b/crates/testbed/src/soak/coverage.rs
@@ -44,11 +44,7 @@
     let mut pairs: BTreeMap<[String; 2], Pair> = BTreeMap::new();
     for PlayedScenario { scenario, requests } in played {
         let length = scenario.length.get_ref().0.max(1);
-        let faults: Vec<&Fault> = scenario
-            .faults
-            .iter()
-            .map(|fault| fault.get_ref())
-            .collect();
+        let faults: Vec<&Fault> = scenario.faults.iter().map(toml::Spanned::get_ref).collect();
         for (index, first) in faults.iter().enumerate() {
             for second in &faults[..index] {
                 let overlap = overlap(first, second);
--- a/crates/testbed/src/world/servers.rs
+++ b/crates/testbed/src/world/servers.rs
@@ -223,7 +223,7 @@
         let Some(host) = self.server(number) else {
             return;
         };
-        self.change_server(&host, |server, now, finished| server.kill(now, finished));
+        self.change_server(&host, pinefront_model::server::Server::kill);
         host.end_incarnation();
     }
 
