--- a/crates/proxy/src/discovery/polling_schedule/mod.rs
+++ b/crates/proxy/src/discovery/polling_schedule/mod.rs
@@ -428,11 +428,8 @@
             self.idle = None;
             return false;
         }
-        let Some(taken) = self
-            .polls
-            .take(connection)
-            .filter(|taken| taken.was_current)
-        else {
+        let taken = self.polls.take(connection);
+        let Some(taken) = taken.filter(|taken| taken.was_current) else {
             return false;
         };
         let is_watch_lost = failure == PollFailure::ConnectionLost && taken.poll.is_watch;
