--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -38,15 +38,14 @@
 pinefront: a load-balancing proxy for fleets of HTTP servers
 
   pinefront serve [--config FILE] [--operator FILE]   serves until SIGTERM or SIGINT
-  pinefront check [--config FILE] [--operator FILE]   says whether it could start with these
-  pinefront fleet --at ADDRESS [--watch] [--json]     what a balancer knows of the others
+  pinefront check [--config FILE] [--operator FILE]   checks whether it could start with these
+  pinefront fleet --at ADDRESS [--watch] [--json]     shows a balancer's view of its cluster
   pinefront version                                   prints the version
   pinefront help                                      prints this
 
-FILE is what BALANCER_CONFIG names where it is not given. BALANCER_NAME, BALANCER_LISTEN and
-BALANCER_DISCOVERY go before what the file says. SIGUSR1 writes the counters to the log; GET /stats
-answers with them. The operator file (TOML) switches on what an installation wants beside: see
-deploy/operator.toml.
+Without --config, BALANCER_CONFIG names the file. BALANCER_NAME, BALANCER_LISTEN and
+BALANCER_DISCOVERY override it. SIGUSR1 writes the counters to the log; GET /stats answers with them.
+The operator file (TOML) enables optional subsystems: see deploy/operator.toml.
 ";
 
 /// Why a command fails.
