--- a/crates/proxy/src/cluster/view_command.rs
+++ b/crates/proxy/src/cluster/view_command.rs
@@ -106,12 +106,12 @@
 
 fn format_summary(page: &Value) -> String {
     let warning = if page["heard"] == Value::Bool(false) {
-        "; not heard since it slept, so its view may be old"
+        "; unreachable since its process was paused, so its view may be stale"
     } else {
         ""
     };
     format!(
-        "fleet {}, seen by {} ({}): {} present, {} may be serving{warning}",
+        "fleet {}, seen by {} ({}): {} alive, {} may be serving{warning}",
         text(&page["fleet"]),
         text(&page["member"]),
         text(&page["zone"]),
@@ -123,7 +123,7 @@
 fn format_members(page: &Value) -> Vec<String> {
     let mut lines = vec![format!(
         "{:<20} {:<10} {:<22} {:<9} {:>9} {:>9}  {}",
-        "member", "zone", "address", "state", "for s", "heard s", "standing"
+        "member", "zone", "address", "state", "for s", "last s", "serving"
     )];
     for member in page["members"].as_array().into_iter().flatten() {
         let standing = member["standing"]
@@ -151,7 +151,7 @@
         if lines.is_empty() {
             lines.push(format!(
                 "{:<30} {:<20} {:>9}  {}",
-                "duty", "last holder", "left ms", "term"
+                "lease", "last holder", "left ms", "term"
             ));
         }
         lines.push(format!(
--- a/crates/testbed/src/commands/agreement.rs
+++ b/crates/testbed/src/commands/agreement.rs
@@ -166,7 +166,7 @@
         );
     }
     println!(
-        "wrong doubts an hour: {:.1}",
+        "false suspicions an hour: {:.1}",
         report.wrong_suspicions_per_hour
     );
 }
@@ -174,12 +174,12 @@
 fn print_leases(report: &Report) {
     for (cause, times) in &report.without_holder_ms {
         println!(
-            "a duty {cause}: without a holder for {:.0} ms (median), p99 {:.0}, worst {:.0} of {}",
+            "a lease {cause}: without a holder for {:.0} ms (median), p99 {:.0}, worst {:.0} of {}",
             times.p50, times.p99, times.worst, times.count
         );
     }
     println!(
-        "a duty changes hands {:.1} times an hour, {} times in a minute at most; {} vacant at an end, {} terms fell",
+        "a lease changes hands {:.1} times an hour, {} times in a minute at most; {} vacant at the end, {} terms decreased",
         report.lease_changes_per_hour,
         report.max_lease_changes_per_minute,
         report.vacant_leases,
