--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -25,8 +25,8 @@
 use crate::{AttemptOutcome, Host, Micros, Settings};
 
 /// Bounds of a request's work relative to an average one.
-const MIN_WORK: f64 = 0.1;
-const MAX_WORK: f64 = 10.0;
+const MIN_RELATIVE_WORK: f64 = 0.1;
+const MAX_RELATIVE_WORK: f64 = 10.0;
 
 /// A request as it arrives.
 #[derive(Clone, Copy, Debug)]
@@ -125,7 +125,7 @@
             fleet: FleetStatistics::default(),
             settings,
         };
-        balancer.start_polling_list();
+        balancer.schedule_first_list_poll();
         balancer
     }
 
@@ -169,7 +169,7 @@
         let work = self.relative_work(now, arrival.class, arrival.work_hint);
         let within_quota = self
             .admission
-            .within_quota(now, arrival.tenant, &self.settings);
+            .count_against_quota(now, arrival.tenant, &self.settings);
         let (id, deadline) = (Rc::from(arrival.id), arrival.deadline);
         let request = Request {
             tenant: arrival.tenant,
@@ -183,7 +183,7 @@
                 within_quota,
             )
         };
-        if self.admits(now, &request) {
+        if self.admit(now, &request) {
             self.enter_key_queue(now, request);
         } else {
             self.reject_or_fail(now, request);
@@ -197,7 +197,7 @@
         };
         let average = &mut self.class_latency[class].work_hint;
         average.add(now, LONG_TERM_US, hint, 1.0);
-        (hint / average.read().unwrap_or(1.0).max(1.0)).clamp(MIN_WORK, MAX_WORK)
+        (hint / average.read().unwrap_or(1.0).max(1.0)).clamp(MIN_RELATIVE_WORK, MAX_RELATIVE_WORK)
     }
 
     /// An endpoint reported its load; the report may be late.
@@ -228,7 +228,7 @@
     /// An attempt of a request ended.
     pub fn attempt_ended(&mut self, now: Micros, id: &str, end: AttemptEnd) {
         let Some(mut request) = self.requests.remove(id) else {
-            return self.trailing_attempt_ended(now, id, end.outcome);
+            return self.closed_request_attempt_ended(now, id, end.outcome);
         };
         request.outcome_pending = false;
         if let Some(key) = request.order_key {
@@ -239,7 +239,7 @@
             self.close(now, request);
         } else if request.attempt_in_flight().is_some() {
             self.requests.insert(Rc::clone(&request.id), request);
-        } else if self.may_be_attempted(now, &request) {
+        } else if self.may_attempt(now, &request) {
             self.place_or_queue(now, request);
         } else {
             self.reject_or_fail(now, request);
--- a/crates/policy/src/decisions/admission.rs
+++ b/crates/policy/src/decisions/admission.rs
@@ -9,7 +9,7 @@
 impl<H: Host> Balancer<H> {
     /// Whether a request is admitted, by the admitted share and unless it belongs to an outlier
     /// group.
-    pub(crate) fn admits(&mut self, now: Micros, request: &Request) -> bool {
+    pub(crate) fn admit(&mut self, now: Micros, request: &Request) -> bool {
         self.admission.update(now, &self.fleet.pressure);
         let endpoints = if self.settings.polls_loads() {
             usize::MAX
--- a/crates/policy/src/decisions/attempt_end.rs
+++ b/crates/policy/src/decisions/attempt_end.rs
@@ -12,15 +12,15 @@
 use super::latency::AttemptLatency;
 
 /// Latency relative to the shortest from which on it counts as late.
-const LATE_PER_SHORTEST: f64 = 2.5;
+const LATE_TO_MIN_LATENCY_RATIO: f64 = 2.5;
 /// Bounds of that latency as fractions of the latency objective, as a fleet may never be seen
 /// without load.
-const MIN_LATE_FRACTION: f64 = 0.4;
-const MAX_LATE_FRACTION: f64 = 0.7;
+const MIN_LATE_OBJECTIVE_FRACTION: f64 = 0.4;
+const MAX_LATE_OBJECTIVE_FRACTION: f64 = 0.7;
 /// Fraction of a class's latency for which an endpoint is avoided after it did not run a request.
-const BACKOFF_FRACTION: f64 = 0.5;
+const BACKOFF_LATENCY_FRACTION: f64 = 0.5;
 /// Latency that a failure counts as, relative to the fleet's: a fast failure must not look quick.
-const FAILURE_LATENCY: f64 = 3.0;
+const FAILURE_LATENCY_RATIO: f64 = 3.0;
 
 /// An attempt that has ended.
 struct EndedAttempt {
@@ -50,7 +50,7 @@
     }
 
     /// Whether this side ended it, so that it says nothing of the endpoint.
-    fn by_this_side(&self) -> bool {
+    fn ended_by_balancer(&self) -> bool {
         matches!(
             self.outcome,
             AttemptOutcome::Cancelled | AttemptOutcome::NotSent
@@ -96,10 +96,10 @@
         if ended.is_late() || ended.succeeded() {
             self.record_outcome(now, request, ended.elapsed);
         }
-        let of_outlier = ended.is_late() && self.outlier_group(now, request).is_some();
+        let is_of_outlier = ended.is_late() && self.outlier_group(now, request).is_some();
         // Neither an outlier nor a client that disconnected early says anything of the endpoint.
-        if of_outlier || ended.by_this_side() {
-            return self.endpoints[ended.endpoint].forget_unanswered_if_idle();
+        if is_of_outlier || ended.ended_by_balancer() {
+            return self.endpoints[ended.endpoint].clear_unanswered_if_idle();
         }
         self.record_pressure(now, request, &ended);
         let reward = self.record_latency(now, request, &ended);
@@ -147,7 +147,7 @@
         let (elapsed, objective) = (ended.elapsed, ended.latency_objective);
         if !self
             .idle_drops
-            .shows_new_drop(now, idle_for, elapsed, objective)
+            .indicates_new_drop(now, idle_for, elapsed, objective)
         {
             return;
         }
@@ -164,7 +164,7 @@
     fn record_overdue(&mut self, now: Micros, class: usize, ended: &EndedAttempt) {
         let overdue = ended.elapsed as f64 > self.unresponsive_after()
             && (ended.timed_out() || ended.succeeded());
-        let [lost, weight] = [ended.timed_out(), overdue].map(|is| f64::from(u8::from(is)));
+        let [lost, weight] = [ended.timed_out(), overdue].map(|flag| f64::from(u8::from(flag)));
         self.class_latency[class]
             .overdue
             .add(now, RECENT_US, lost, weight);
@@ -174,11 +174,13 @@
     /// of the load.
     fn record_pressure(&mut self, now: Micros, request: &Request, ended: &EndedAttempt) {
         let objective = ended.latency_objective as f64;
-        let shortest = self.class_latency[request.class].shortest;
-        let late = (LATE_PER_SHORTEST * shortest.unwrap_or(f64::INFINITY))
-            .clamp(MIN_LATE_FRACTION * objective, MAX_LATE_FRACTION * objective);
+        let minimum = self.class_latency[request.class].minimum;
+        let late_from = (LATE_TO_MIN_LATENCY_RATIO * minimum.unwrap_or(f64::INFINITY)).clamp(
+            MIN_LATE_OBJECTIVE_FRACTION * objective,
+            MAX_LATE_OBJECTIVE_FRACTION * objective,
+        );
         let pressure = match ended.outcome {
-            AttemptOutcome::Succeeded => (ended.latency / late).min(MAX_PRESSURE),
+            AttemptOutcome::Succeeded => (ended.latency / late_from).min(MAX_PRESSURE),
             AttemptOutcome::Rejected => REJECTION_PRESSURE,
             _ => return,
         };
@@ -212,7 +214,7 @@
         self.back_off(now, request.class, ended);
         // How long a lost response was waited for says nothing of the endpoint's speed.
         let measured = if ended.timed_out() { 0.0 } else { normalized };
-        let as_failure = measured.max(FAILURE_LATENCY * fleet_latency);
+        let as_failure = measured.max(FAILURE_LATENCY_RATIO * fleet_latency);
         self.record_endpoint_latency(now, request.work, ended, as_failure);
         0.0
     }
@@ -220,7 +222,11 @@
     /// Avoids an endpoint for a while after an attempt that did not run there.
     fn back_off(&mut self, now: Micros, class: usize, ended: &EndedAttempt) {
         let not_run = ended.outcome.proves_not_run();
-        let fraction = if not_run { BACKOFF_FRACTION } else { 0.0 };
+        let fraction = if not_run {
+            BACKOFF_LATENCY_FRACTION
+        } else {
+            0.0
+        };
         let class_latency = self.class_latency[class].recent.read().unwrap_or(0.0);
         let backoff = (fraction * class_latency) as Micros;
         self.endpoints[ended.endpoint].backoff_until = now + backoff;
--- a/crates/policy/src/decisions/concurrency.rs
+++ b/crates/policy/src/decisions/concurrency.rs
@@ -12,17 +12,17 @@
 
 /// Expected latencies without any response after which an endpoint is unresponsive: beyond the
 /// spread of work.
-const UNRESPONSIVE_LATENCIES: f64 = 4.0;
+const UNRESPONSIVE_LATENCY_MULTIPLE: f64 = 4.0;
 /// In-flight work allowed, relative to what the served rate needs at the shortest latency.
-pub(crate) const LIMIT_PER_SHORTEST_LATENCY: f64 = 1.5;
+pub(crate) const LIMIT_FACTOR: f64 = 1.5;
 /// Requests that all balancers together may always have in flight at an endpoint.
 const MIN_LIMIT_PER_ENDPOINT: f64 = 2.0;
 /// Requests that this balancer may always have in flight.
 const MIN_SUBSET_LIMIT: f64 = 2.0;
 /// Roots of the subset's limit that random variation may take beyond it while latencies are low.
-const VARIATION_ROOTS: f64 = 6.0;
+const VARIATION_STANDARD_DEVIATIONS: f64 = 6.0;
 /// From this part on a limit allows one request more; at a half, a limit of one could never grow.
-const LIMIT_ROUNDING: f64 = 0.4;
+const LIMIT_ROUND_UP_FRACTION: f64 = 0.4;
 
 impl<H: Host> Balancer<H> {
     /// Time in microseconds without any response after which an endpoint is unresponsive. Attempts
@@ -32,7 +32,7 @@
         let configured =
             (0..self.class_latency.len()).filter(|&class| classes[class].priority_weight > 0.0);
         let expected = configured.map(|class| self.expected_latency(class));
-        UNRESPONSIVE_LATENCIES * expected.fold(0.0, f64::max)
+        UNRESPONSIVE_LATENCY_MULTIPLE * expected.fold(0.0, f64::max)
     }
 
     /// Attempts sent before this time are lost: they take up no capacity.
@@ -45,10 +45,10 @@
     pub(crate) fn concurrency_limit(&self, now: Micros, index: usize) -> f64 {
         let endpoint = &self.endpoints[index];
         let concurrency = endpoint.busy_time.read(now, RECENT_US) / self.recent_span(now);
-        let latencies = endpoint.shortest_latency.zip(endpoint.latency(now));
-        let ratio = latencies.map_or(1.0, |(shortest, present)| (shortest / present).min(1.0));
+        let latencies = endpoint.min_latency.zip(endpoint.latency(now));
+        let ratio = latencies.map_or(1.0, |(minimum, present)| (minimum / present).min(1.0));
         let least = MIN_LIMIT_PER_ENDPOINT / self.subset_size().sharing_balancers;
-        least.max(LIMIT_PER_SHORTEST_LATENCY * concurrency * ratio)
+        least.max(LIMIT_FACTOR * concurrency * ratio)
     }
 
     /// Whether an endpoint may be sent another request now.
@@ -58,7 +58,7 @@
         endpoint.backoff_until <= now
             && (self.settings.polls_loads()
                 || in_flight == 0.0
-                || in_flight + LIMIT_ROUNDING < self.concurrency_limit(now, index))
+                || in_flight + LIMIT_ROUND_UP_FRACTION < self.concurrency_limit(now, index))
     }
 
     /// Whether the limits of the subset together allow another request. Each alone may be less than
@@ -79,8 +79,8 @@
             .take(self.subset_size().endpoints)
             .map(|&index| self.concurrency_limit(now, index))
             .sum();
-        let roots = VARIATION_ROOTS * self.admission.headroom.max(0.0)
+        let deviations = VARIATION_STANDARD_DEVIATIONS * self.admission.headroom.max(0.0)
             + (1.0 / self.settings.balancers as f64).sqrt();
-        total < MIN_SUBSET_LIMIT.max(limit + roots * limit.sqrt())
+        total < MIN_SUBSET_LIMIT.max(limit + deviations * limit.sqrt())
     }
 }
--- a/crates/policy/src/decisions/endpoint_list.rs
+++ b/crates/policy/src/decisions/endpoint_list.rs
@@ -11,12 +11,12 @@
 use crate::{Host, Micros};
 
 /// Fraction of the longest poll interval over which a very large fleet spreads its first polls.
-const MAX_SPREAD_FRACTION: f64 = 0.8;
+const MAX_POLL_SPREAD_FRACTION: f64 = 0.8;
 /// Other balancers at which half of that spread is used.
 const BALANCERS_AT_HALF_SPREAD: f64 = 32.0;
 /// Part of the longest poll interval that the first retry waits; each further one waits twice as
 /// long.
-const INTERVAL_PER_FIRST_RETRY: Micros = 64;
+const FIRST_RETRY_INTERVAL_DIVISOR: Micros = 64;
 /// Retries that double the wait.
 const MAX_RETRY_DOUBLINGS: u32 = 4;
 /// What an earlier weight counts beside a new one: lists may be late, and balancers that follow
@@ -43,7 +43,7 @@
 
 impl<H: Host> Balancer<H> {
     /// Polls the endpoint list for the first time, where it is not pushed.
-    pub(crate) fn start_polling_list(&mut self) {
+    pub(crate) fn schedule_first_list_poll(&mut self) {
         match self.list_poll_spread() {
             Some(0) => self.host.poll_endpoint_list(),
             Some(spread) => {
@@ -59,7 +59,8 @@
     pub(crate) fn list_poll_spread(&self) -> Option<Micros> {
         let interval = self.settings.max_poll_interval? as f64;
         let others = self.settings.balancers as f64 - 1.0;
-        let spread = MAX_SPREAD_FRACTION * interval * others / (others + BALANCERS_AT_HALF_SPREAD);
+        let spread =
+            MAX_POLL_SPREAD_FRACTION * interval * others / (others + BALANCERS_AT_HALF_SPREAD);
         Some(spread as Micros)
     }
 
@@ -71,7 +72,7 @@
             return;
         };
         let doublings = self.failed_list_polls.min(MAX_RETRY_DOUBLINGS);
-        let backoff = (interval / INTERVAL_PER_FIRST_RETRY) << doublings;
+        let backoff = (interval / FIRST_RETRY_INTERVAL_DIVISOR) << doublings;
         let longest = spread.max(backoff) as f64;
         self.failed_list_polls += 1;
         let fraction = 0.5 + self.random.generate::<f64>() / 2.0;
@@ -80,7 +81,7 @@
     }
 
     /// A list begins. Endpoints that a complete one does not name are removed.
-    pub fn endpoint_list_begins(&mut self, now: Micros, complete: bool) {
+    pub fn endpoint_list_started(&mut self, now: Micros, complete: bool) {
         if complete {
             let stays_usable = self.settings.unlisted_stay_usable;
             for endpoint in self.endpoints.iter_mut() {
@@ -125,7 +126,7 @@
     }
 
     /// A list has ended: its changes take effect.
-    pub fn endpoint_list_ends(&mut self, now: Micros) {
+    pub fn endpoint_list_ended(&mut self, now: Micros) {
         self.failed_list_polls = 0;
         self.endpoints.evict_unlisted(now);
         self.rebuild_preference_order();
--- a/crates/policy/src/decisions/features.rs
+++ b/crates/policy/src/decisions/features.rs
@@ -12,9 +12,9 @@
 /// Added to a reported utilisation, which may be 0.
 const UTILISATION_OFFSET: f64 = 0.1;
 /// Fraction of the capacity's logarithm that is taken off the load's.
-const CAPACITY_IN_LOAD: f64 = 0.5;
+const LOAD_CAPACITY_EXPONENT: f64 = 0.5;
 /// Decay of a report with its age, for each latency horizon.
-const REPORT_DECAY: f64 = -2.0;
+const REPORT_DECAY_EXPONENT: f64 = -2.0;
 
 impl<H: Host> Balancer<H> {
     /// The feature rows of the candidates.
@@ -40,7 +40,7 @@
                 1.0,
                 latency[i],
                 utilisation[i] * freshness[i],
-                load[i] - capacity[i] * CAPACITY_IN_LOAD,
+                load[i] - capacity[i] * LOAD_CAPACITY_EXPONENT,
                 capacity[i],
                 f64::from(u8::from(same_zone)),
                 queue[i] * freshness[i],
@@ -55,7 +55,7 @@
         let horizon = self.latency_horizon(now);
         let freshness = |index: &usize| {
             let age = now.saturating_sub(self.endpoints[*index].reported_at) as f64;
-            (REPORT_DECAY * age / horizon).exp()
+            (REPORT_DECAY_EXPONENT * age / horizon).exp()
         };
         candidates.iter().map(freshness).collect()
     }
--- a/crates/policy/src/decisions/key_order.rs
+++ b/crates/policy/src/decisions/key_order.rs
@@ -93,7 +93,7 @@
             queue.holder = None;
             if request.outcome_pending {
                 let id = Rc::clone(&request.id);
-                self.key_queues.trailing.insert(id, key);
+                self.key_queues.keys_of_closed_requests.insert(id, key);
             }
             self.schedule_key_check(now, key, now);
         }
@@ -118,13 +118,13 @@
     }
 
     /// An attempt of a request that has its answer ended.
-    pub(crate) fn trailing_attempt_ended(
+    pub(crate) fn closed_request_attempt_ended(
         &mut self,
         now: Micros,
         id: &str,
         outcome: AttemptOutcome,
     ) {
-        if let Some(key) = self.key_queues.trailing.remove(id) {
+        if let Some(key) = self.key_queues.keys_of_closed_requests.remove(id) {
             self.key_attempt_ended(now, key, outcome);
         }
     }
--- a/crates/policy/src/decisions/latency.rs
+++ b/crates/policy/src/decisions/latency.rs
@@ -1,7 +1,7 @@
 //! Latency estimates from the responses that this balancer received.
 
 use crate::balancer::Balancer;
-use crate::state::class_latency::follow_shortest;
+use crate::state::class_latency::track_min_latency;
 use crate::state::decaying::{LONG_TERM_US, RECENT_US};
 use crate::state::request::Request;
 use crate::{Host, Micros};
@@ -9,13 +9,13 @@
 /// Responses that describe the present state of an endpoint.
 const RESPONSES_PER_HORIZON: f64 = 4.0;
 /// Lowest arrival rate that the horizon is computed with, in requests per microsecond.
-const MIN_ARRIVAL_RATE: f64 = 1e-9;
+const MIN_ARRIVALS_PER_US: f64 = 1e-9;
 /// Assumed responses beside the measured ones, or one slow response would close every endpoint.
 const PRIOR_RESPONSES: f64 = 3.0;
 /// Latency of an assumed response, as a fraction of the shortest latency objective.
 const PRIOR_LATENCY_FRACTION: f64 = 0.2;
 /// Shortest span that sums over `RECENT_US` are read with, relative to it.
-const MIN_SPAN_DIVISOR: f64 = 4.0;
+const MIN_RECENT_SPAN_DIVISOR: f64 = 4.0;
 
 /// Latency of a succeeded attempt, in microseconds.
 pub(crate) struct AttemptLatency {
@@ -54,7 +54,7 @@
         let arrivals = self.fleet.arrivals.read(now, LONG_TERM_US);
         let rate = arrivals / self.long_term_span(now);
         let endpoints = self.subset_size().endpoints as f64;
-        (RESPONSES_PER_HORIZON * endpoints / rate.max(MIN_ARRIVAL_RATE))
+        (RESPONSES_PER_HORIZON * endpoints / rate.max(MIN_ARRIVALS_PER_US))
             .clamp(RECENT_US, LONG_TERM_US)
     }
 
@@ -68,7 +68,7 @@
     pub(crate) fn recent_span(&self, now: Micros) -> f64 {
         RECENT_US
             .min(now.saturating_sub(self.started_at) as f64)
-            .max(RECENT_US / MIN_SPAN_DIVISOR)
+            .max(RECENT_US / MIN_RECENT_SPAN_DIVISOR)
     }
 
     /// Latency in microseconds that is expected at present for an average request of the class.
@@ -104,8 +104,8 @@
         self.class_latency[request.class].record(now, latency, work);
         let endpoint = &mut self.endpoints[attempt.endpoint];
         let average = endpoint.long_term_latency.read();
-        follow_shortest(
-            &mut endpoint.shortest_latency,
+        track_min_latency(
+            &mut endpoint.min_latency,
             average.unwrap_or(measured.normalized),
         );
         endpoint.busy_time.add(now, RECENT_US, latency * work);
--- a/crates/policy/src/decisions/load_probing.rs
+++ b/crates/policy/src/decisions/load_probing.rs
@@ -12,15 +12,15 @@
 use crate::{Host, Micros};
 
 /// Endpoints whose load is requested for each request.
-const PROBED_ENDPOINTS: usize = 5;
+const POLLED_ENDPOINTS_PER_REQUEST: usize = 5;
 /// Part of the latency objective to wait for loads, and for which a load counts as fresh.
-const OBJECTIVE_PER_WAIT: Micros = 20;
+const LOAD_WAIT_OBJECTIVE_DIVISOR: Micros = 20;
 /// Waits for which loads stay fresh after a request found no endpoint, so that retries do not flood
 /// the balancers.
-const WAITS_FRESH_UNDER_LOAD: Micros = 4;
+const OVERLOAD_FRESHNESS_WAITS: Micros = 4;
 /// Fraction of its remaining time that a request of the lowest priority weight may take; the
 /// highest may take all.
-const MIN_TIME_FRACTION: f64 = 0.3;
+const MIN_REMAINING_TIME_FRACTION: f64 = 0.3;
 
 impl<H: Host> Balancer<H> {
     /// Requests the loads of some candidates. The request is placed when they were received.
@@ -30,11 +30,12 @@
             self.load_polls.last_unplaced_at = now;
             return self.reject_or_fail(now, request);
         }
-        let wait = self.settings.classes[request.class].latency_objective / OBJECTIVE_PER_WAIT;
+        let wait =
+            self.settings.classes[request.class].latency_objective / LOAD_WAIT_OBJECTIVE_DIVISOR;
         let fresh_for = self.loads_fresh_for(now, wait);
         (request.pending_loads, request.known_loads) = candidates
             .into_iter()
-            .take(PROBED_ENDPOINTS)
+            .take(POLLED_ENDPOINTS_PER_REQUEST)
             .partition(|&index| !self.has_fresh_load(now, index, fresh_for));
         for &index in &request.pending_loads {
             self.request_load(index);
@@ -50,7 +51,7 @@
 
     /// Time in microseconds for which a load counts as fresh.
     fn loads_fresh_for(&self, now: Micros, wait: Micros) -> Micros {
-        let long = WAITS_FRESH_UNDER_LOAD * wait;
+        let long = OVERLOAD_FRESHNESS_WAITS * wait;
         let under_load = now < self.load_polls.last_unplaced_at + long;
         if !self.settings.load_from_probes && under_load {
             long
@@ -104,7 +105,7 @@
             candidates = std::mem::take(&mut request.pending_loads);
         }
         candidates.retain(|&index| {
-            self.attempt_permitted(now, &request, index)
+            self.is_attempt_permitted(now, &request, index)
                 && self.meets_objective(now, &request, index)
         });
         if !candidates.is_empty() && self.select_and_send(now, &mut request, &candidates) {
@@ -125,10 +126,10 @@
         let remaining = request.answer_by().saturating_sub(now) as f64;
         let weight = self.settings.classes[request.class].priority_weight;
         let priority = weight / self.settings.highest_priority_weight();
-        let fraction = MIN_TIME_FRACTION + (1.0 - MIN_TIME_FRACTION) * priority;
+        let fraction = MIN_REMAINING_TIME_FRACTION + (1.0 - MIN_REMAINING_TIME_FRACTION) * priority;
         // A request without a work hint may be a long one; once it was sent there is less to lose.
         let margin = if request.is_unsent() {
-            self.class_latency[request.class].spread_margin()
+            self.class_latency[request.class].latency_margin()
         } else {
             0.0
         };
--- a/crates/policy/src/decisions/outliers.rs
+++ b/crates/policy/src/decisions/outliers.rs
@@ -6,7 +6,7 @@
 use crate::{Host, Micros};
 
 /// Latency objectives between two trials of an outlier group.
-const OBJECTIVES_PER_TRIAL: u64 = 4;
+const TRIAL_INTERVAL_OBJECTIVES: u64 = 4;
 
 impl<H: Host> Balancer<H> {
     /// The groups of a request: its class and its tenant.
@@ -31,7 +31,7 @@
         let counts = &mut self.outliers.groups[group];
         let excluded = now < counts.next_trial_at;
         if !excluded {
-            counts.next_trial_at = now + OBJECTIVES_PER_TRIAL * objective;
+            counts.next_trial_at = now + TRIAL_INTERVAL_OBJECTIVES * objective;
         }
         excluded
     }
--- a/crates/policy/src/decisions/placement.rs
+++ b/crates/policy/src/decisions/placement.rs
@@ -33,10 +33,10 @@
         self.warm_endpoints = self.count_warm_endpoints(now);
         let unresponsive_after = self.unresponsive_after();
         let open = |index: &usize| {
-            !self.on_trial(now, *index, unresponsive_after)
+            !self.has_pending_trial(now, *index, unresponsive_after)
                 && !request.attempts.iter().any(|sent| sent.endpoint == *index)
                 && self.has_capacity(now, *index)
-                && self.attempt_permitted(now, request, *index)
+                && self.is_attempt_permitted(now, request, *index)
         };
         let order = self.subset.current_order(now).iter().copied();
         let size = self.subset_size().endpoints;
@@ -55,7 +55,7 @@
     }
 
     /// Whether an endpoint is unresponsive and was sent a trial request already.
-    fn on_trial(&self, now: Micros, index: usize, unresponsive_after: f64) -> bool {
+    fn has_pending_trial(&self, now: Micros, index: usize, unresponsive_after: f64) -> bool {
         let endpoint = &self.endpoints[index];
         endpoint.unanswered_for(now) > unresponsive_after
             && endpoint
@@ -108,12 +108,12 @@
         index: usize,
         sample: Option<DecisionSample>,
     ) -> bool {
-        if !self.attempt_permitted(now, request, index) {
+        if !self.is_attempt_permitted(now, request, index) {
             return false;
         }
         let budget = self.slow_start_budget(now, index);
         let attempt = self.open_attempt(now, request, index, sample);
-        self.endpoints[index].slow_start_spent = budget.spend(request.work);
+        self.endpoints[index].slow_start_usage = budget.usage_after(request.work);
         if let Some(idle_for) = attempt.idle_for
             && self.idle_drops.affects(now, idle_for)
         {
--- a/crates/policy/src/decisions/queueing.rs
+++ b/crates/policy/src/decisions/queueing.rs
@@ -12,7 +12,7 @@
 use crate::{Host, Micros};
 
 /// Time between two looks at the queue.
-pub(crate) const QUEUE_INTERVAL_US: Micros = 10_000;
+pub(crate) const QUEUE_CHECK_INTERVAL_US: Micros = 10_000;
 /// Fewest endpoints per balancer at which requests are queued: with fewer, freed capacity goes to
 /// other balancers.
 const MIN_ENDPOINTS_PER_BALANCER: usize = 3;
@@ -21,18 +21,18 @@
 /// The same for a request beyond its tenant's quota.
 const MAX_WAIT_FRACTION_BEYOND_QUOTA: f64 = 0.04;
 /// Lowest service rate that waiting times are computed with, in requests per microsecond.
-const MIN_SERVICE_RATE: f64 = 1.0 / SECOND_US;
+const MIN_SERVED_REQUESTS_PER_US: f64 = 1.0 / SECOND_US;
 /// Expected latencies that a request needs when it is sent.
-const LATENCIES_NEEDED: f64 = 2.0;
+const START_MARGIN_LATENCIES: f64 = 2.0;
 
 impl<H: Host> Balancer<H> {
     /// The time after which a response would probably come too late.
     pub(crate) fn latest_start(&self, request: &Request) -> Micros {
         let needed =
-            LATENCIES_NEEDED * self.expected_latency(request.class) * request.work.max(1.0);
+            START_MARGIN_LATENCIES * self.expected_latency(request.class) * request.work.max(1.0);
         request
             .objective_at
-            .min(request.deadline.saturating_sub(QUEUE_INTERVAL_US))
+            .min(request.deadline.saturating_sub(QUEUE_CHECK_INTERVAL_US))
             .saturating_sub(needed as Micros)
     }
 
@@ -43,14 +43,14 @@
         }
         // Requests that were sent before may only go to some endpoints, and do not block the
         // others.
-        let first = self.queue.all_sent_before();
+        let first = self.queue.has_only_retries();
         if first && self.subset_has_capacity(now) && self.place(now, &mut request) {
             self.requests.insert(Rc::clone(&request.id), request);
             return;
         }
         self.subset.zone_crowded_until = now + LONG_TERM_US as Micros;
         let position = self.queue.position(request.objective_at);
-        if !self.worth_queueing(now, &request, position) {
+        if !self.should_queue(now, &request, position) {
             return self.reject_or_fail(now, request);
         }
         self.queue.requests.insert(position, request);
@@ -58,9 +58,9 @@
     }
 
     /// Whether a request would be sent in time from that position of the queue.
-    fn worth_queueing(&self, now: Micros, request: &Request, position: usize) -> bool {
+    fn should_queue(&self, now: Micros, request: &Request, position: usize) -> bool {
         let rate = self.fleet.succeeded.read(now, RECENT_US) / self.recent_span(now);
-        let wait = self.queue.unsent_before(position) as f64 / rate.max(MIN_SERVICE_RATE);
+        let wait = self.queue.unsent_before(position) as f64 / rate.max(MIN_SERVED_REQUESTS_PER_US);
         let spare = self.latest_start(request) as f64 - now as f64;
         let fraction = if request.within_quota {
             MAX_WAIT_FRACTION
@@ -75,7 +75,7 @@
     fn schedule_queue_timer(&mut self) {
         if !self.queue.timer_scheduled && !self.queue.requests.is_empty() {
             self.queue.timer_scheduled = true;
-            self.host.set_timer(QUEUE_INTERVAL_US, QUEUE_TIMER);
+            self.host.set_timer(QUEUE_CHECK_INTERVAL_US, QUEUE_TIMER);
         }
     }
 
@@ -83,7 +83,7 @@
     /// that are too late.
     pub(crate) fn process_queue(&mut self, now: Micros) {
         for mut request in std::mem::take(&mut self.queue.requests) {
-            if self.latest_start(&request) < now || !self.may_be_attempted(now, &request) {
+            if self.latest_start(&request) < now || !self.may_attempt(now, &request) {
                 self.reject_or_fail(now, request);
             } else if self.subset_has_capacity(now) && self.place(now, &mut request) {
                 self.requests.insert(Rc::clone(&request.id), request);
--- a/crates/policy/src/decisions/retry.rs
+++ b/crates/policy/src/decisions/retry.rs
@@ -6,10 +6,10 @@
 
 use crate::balancer::Balancer;
 use crate::state::request::{Attempt, Request};
-use crate::time_margin::begin_before;
+use crate::time_margin::start_deadline;
 use crate::{Host, Idempotency, IdempotencyScope, Micros};
 
-use super::queueing::QUEUE_INTERVAL_US;
+use super::queueing::QUEUE_CHECK_INTERVAL_US;
 
 /// Endpoints that may lose their connections under a request: it may be the cause, so there is no
 /// third.
@@ -19,24 +19,32 @@
 /// Percentage of failed attempts at an endpoint beyond which responses count as lost.
 pub(crate) const MAX_FAILURE_PERCENT: u64 = 10;
 /// Where responses are lost: expected latencies that an attempt may take.
-const LATENCIES_PER_ATTEMPT: f64 = 3.0;
+const ATTEMPT_TIMEOUT_LATENCIES: f64 = 3.0;
 /// Least and greatest fraction of the time to the objective that such an attempt may take.
-const MIN_ATTEMPT_FRACTION: f64 = 0.5;
-const MAX_ATTEMPT_FRACTION: f64 = 0.85;
+const MIN_ATTEMPT_TIME_FRACTION: f64 = 0.5;
+const MAX_ATTEMPT_TIME_FRACTION: f64 = 0.85;
 
 impl<H: Host> Balancer<H> {
     /// Whether one more attempt of a request may be sent to this endpoint.
-    pub(crate) fn attempt_permitted(&self, now: Micros, request: &Request, index: usize) -> bool {
-        let lost = request.attempts.iter().filter(|sent| self.seems_down(sent));
+    pub(crate) fn is_attempt_permitted(
+        &self,
+        now: Micros,
+        request: &Request,
+        index: usize,
+    ) -> bool {
+        let lost = request
+            .attempts
+            .iter()
+            .filter(|sent| self.appears_down(sent));
         self.endpoints[index].ready
             && self.slow_start_budget(now, index).allows(request.work)
             && lost.count() < MAX_LOST_CONNECTIONS
             && self.in_idempotency_scope(request, index)
-            && self.may_be_attempted(now, request)
+            && self.may_attempt(now, request)
     }
 
     /// Whether the endpoint of an attempt lost its connection and has not answered anybody since.
-    fn seems_down(&self, attempt: &Attempt) -> bool {
+    fn appears_down(&self, attempt: &Attempt) -> bool {
         attempt
             .connection_lost_at
             .is_some_and(|lost_at| self.endpoints[attempt.endpoint].last_success <= lost_at)
@@ -61,7 +69,7 @@
     }
 
     /// Whether a request may be attempted at all, now or later.
-    pub(crate) fn may_be_attempted(&self, now: Micros, request: &Request) -> bool {
+    pub(crate) fn may_attempt(&self, now: Micros, request: &Request) -> bool {
         let max_attempts = self.settings.max_attempts.min(request.max_attempts);
         self.may_run_again(now, request)
             && now < request.deadline
@@ -77,7 +85,7 @@
             Idempotency::Idempotent => true,
             Idempotency::NonIdempotent => earlier.next().is_none(),
             Idempotency::IdempotencyKey { window, .. } => {
-                earlier.all(|attempt| now < begin_before(attempt.sent_at, window))
+                earlier.all(|attempt| now < start_deadline(attempt.sent_at, window))
             }
         }
     }
@@ -85,18 +93,22 @@
     /// Time at which an attempt times out. Where responses are lost, it leaves time for another
     /// attempt.
     pub(crate) fn attempt_deadline(&self, now: Micros, request: &Request, index: usize) -> Micros {
-        let endpoint_loses = self.endpoints[index].failure_percent > MAX_FAILURE_PERCENT
+        let endpoint_is_lossy = self.endpoints[index].failure_percent > MAX_FAILURE_PERCENT
             && !self.settings.can_cancel;
-        let loses = endpoint_loses || self.class_latency[request.class].loses_attempts(now);
-        if !loses || !self.settings.classes[request.class].idempotency.repeats() {
+        let is_lossy = endpoint_is_lossy || self.class_latency[request.class].is_lossy(now);
+        if !is_lossy
+            || !self.settings.classes[request.class]
+                .idempotency
+                .allows_repeat()
+        {
             return request.deadline;
         }
         let remaining = request.objective_at.saturating_sub(now) as f64;
-        let least = MIN_ATTEMPT_FRACTION * remaining;
-        let most = MAX_ATTEMPT_FRACTION * remaining;
-        let usual = LATENCIES_PER_ATTEMPT * self.expected_latency(request.class);
+        let least = MIN_ATTEMPT_TIME_FRACTION * remaining;
+        let most = MAX_ATTEMPT_TIME_FRACTION * remaining;
+        let usual = ATTEMPT_TIMEOUT_LATENCIES * self.expected_latency(request.class);
         let timeout = usual.clamp(least, most) as Micros;
-        (now + timeout.max(QUEUE_INTERVAL_US)).min(request.deadline)
+        (now + timeout.max(QUEUE_CHECK_INTERVAL_US)).min(request.deadline)
     }
 
     /// Answers a request that is not served: rejects it where a retry by the client is harmless,
--- a/crates/policy/src/decisions/slow_start.rs
+++ b/crates/policy/src/decisions/slow_start.rs
@@ -49,11 +49,11 @@
         // add up.
         let instance_hash = hash_pair(self.instance_seed, endpoint.hash);
         let rounding = hash_pair(instance_hash, interval) as f64 / u64::MAX as f64;
-        let spent = endpoint.slow_start_spent;
+        let usage = endpoint.slow_start_usage;
         SlowStartBudget {
             interval,
-            spent: if spent.interval == interval {
-                spent.work
+            used: if usage.interval == interval {
+                usage.work
             } else {
                 0.0
             },
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -34,7 +34,7 @@
 impl Idempotency {
     /// Whether a request that may have run may be sent again at all.
     #[must_use]
-    pub fn repeats(self) -> bool {
+    pub fn allows_repeat(self) -> bool {
         self != Self::NonIdempotent
     }
 }
--- a/crates/policy/src/state/admission.rs
+++ b/crates/policy/src/state/admission.rs
@@ -9,13 +9,13 @@
 pub(crate) const INITIAL_ADMITTED_SHARE: f64 = 0.5;
 const MIN_ADMITTED_SHARE: f64 = 0.1;
 /// How fast one arrival moves the share.
-const SHARE_STEP: f64 = 0.3;
+const ADMITTED_SHARE_GAIN: f64 = 0.3;
 /// Most that a late response counts as pressure.
 pub(crate) const MAX_PRESSURE: f64 = 3.0;
 /// Pressure of a rejection.
 pub(crate) const REJECTION_PRESSURE: f64 = 3.0 * MAX_PRESSURE;
 /// Responses of neutral pressure that are assumed beside the measured ones.
-const PRESSURE_PRIOR: f64 = 0.5;
+const PRIOR_RESPONSES: f64 = 0.5;
 
 /// The admitted share and its inputs.
 pub(crate) struct Admission {
@@ -39,8 +39,8 @@
     pub(crate) fn update(&mut self, now: Micros, pressure: &DecayingAverage) {
         let late = pressure.total.read(now, SECOND_US);
         let responses = pressure.weight.read(now, SECOND_US);
-        self.headroom = 1.0 - (late + PRESSURE_PRIOR) / (responses + PRESSURE_PRIOR);
-        self.admitted_share = (self.admitted_share * (1.0 + SHARE_STEP * self.headroom))
+        self.headroom = 1.0 - (late + PRIOR_RESPONSES) / (responses + PRIOR_RESPONSES);
+        self.admitted_share = (self.admitted_share * (1.0 + ADMITTED_SHARE_GAIN * self.headroom))
             .clamp(MIN_ADMITTED_SHARE, 1.0);
     }
 
@@ -57,7 +57,12 @@
     }
 
     /// Whether a request is within this balancer's part of its tenant's quota.
-    pub(crate) fn within_quota(&mut self, now: Micros, tenant: usize, settings: &Settings) -> bool {
+    pub(crate) fn count_against_quota(
+        &mut self,
+        now: Micros,
+        tenant: usize,
+        settings: &Settings,
+    ) -> bool {
         let Some(admitted) = self.tenants.get_mut(tenant) else {
             return true;
         };
--- a/crates/policy/src/state/endpoint.rs
+++ b/crates/policy/src/state/endpoint.rs
@@ -5,7 +5,7 @@
 use crate::Micros;
 use crate::state::decaying::{DecayingAverage, DecayingSum};
 use crate::state::load_ledger::LoadLedger;
-use crate::state::slow_start_budget::SlowStartSpent;
+use crate::state::slow_start_budget::SlowStartUsage;
 
 /// Bits of an endpoint's hash that do not fit into its short name.
 const GOSSIP_ID_SHIFT: u32 = 40;
@@ -43,7 +43,7 @@
     pub(crate) in_flight: Vec<InFlightAttempt>,
     pub(crate) recent_latency: DecayingAverage,
     pub(crate) long_term_latency: DecayingAverage,
-    pub(crate) shortest_latency: Option<f64>,
+    pub(crate) min_latency: Option<f64>,
     /// Time that succeeded attempts were in flight.
     pub(crate) busy_time: DecayingSum,
     /// Start of the oldest attempt since which nothing was received.
@@ -64,7 +64,7 @@
     pub(crate) last_used: Option<Micros>,
     /// Reports of other balancers, where this balancer owns the ledger.
     pub(crate) ledger: LoadLedger,
-    pub(crate) slow_start_spent: SlowStartSpent,
+    pub(crate) slow_start_usage: SlowStartUsage,
 }
 
 impl Endpoint {
@@ -109,7 +109,7 @@
     }
 
     /// Forgets since when it has not answered, unless attempts are in flight.
-    pub(crate) fn forget_unanswered_if_idle(&mut self) {
+    pub(crate) fn clear_unanswered_if_idle(&mut self) {
         if !self.has_in_flight() {
             self.unanswered_since = None;
         }
--- a/crates/policy/src/state/endpoint_table.rs
+++ b/crates/policy/src/state/endpoint_table.rs
@@ -12,7 +12,7 @@
 
 /// How long an unlisted endpoint is remembered: one that comes back from a crash is as fast as
 /// before.
-const REMEMBERED_FOR_US: Micros = 60_000_000;
+const UNLISTED_RETENTION_US: Micros = 60_000_000;
 
 /// All endpoints. Reads as a slice; free slots have an empty id.
 #[derive(Default)]
@@ -92,9 +92,9 @@
         for endpoint in &mut self.slots {
             endpoint.ready &= endpoint
                 .unlisted_since
-                .is_none_or(|since| now < since + REMEMBERED_FOR_US);
+                .is_none_or(|since| now < since + UNLISTED_RETENTION_US);
             let known = !endpoint.id.is_empty();
-            let old = endpoint.latest_deadline + REMEMBERED_FOR_US < now;
+            let old = endpoint.latest_deadline + UNLISTED_RETENTION_US < now;
             if known && !endpoint.ready && !endpoint.has_in_flight() && old {
                 self.index_by_id.remove(&endpoint.id);
                 *endpoint = Endpoint::default();
--- a/crates/policy/src/state/idle_drops.rs
+++ b/crates/policy/src/state/idle_drops.rs
@@ -4,28 +4,28 @@
 use crate::Micros;
 
 /// How long drops are assumed after one was seen.
-const ASSUMED_FOR_US: Micros = 15_000_000;
+const DROP_ASSUMPTION_US: Micros = 15_000_000;
 /// Shortest idle time of a connection that can have been dropped for it.
-const MIN_IDLE_US: Micros = 200_000;
+const MIN_DROPPED_IDLE_US: Micros = 200_000;
 /// Part of the latency objective within which a dropped connection shows: a crash takes longer.
-const OBJECTIVE_PER_DROP: Micros = 100;
+const DROP_OBJECTIVE_DIVISOR: Micros = 100;
 
 /// The idle time from which on connections are taken to be dropped.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct IdleDrops {
-    pub(crate) idle_for: Micros,
+    pub(crate) min_idle: Micros,
     pub(crate) assumed_until: Micros,
 }
 
 impl IdleDrops {
     /// Whether a connection that was idle for so long is taken to be dropped.
     pub(crate) fn affects(&self, now: Micros, idle_for: Micros) -> bool {
-        now < self.assumed_until && idle_for >= self.idle_for
+        now < self.assumed_until && idle_for >= self.min_idle
     }
 
     /// Whether an attempt that lost its connection after `elapsed` shows a drop that is not assumed
     /// yet.
-    pub(crate) fn shows_new_drop(
+    pub(crate) fn indicates_new_drop(
         &self,
         now: Micros,
         idle_for: Micros,
@@ -33,17 +33,17 @@
         latency_objective: Micros,
     ) -> bool {
         !self.affects(now, idle_for)
-            && elapsed < latency_objective / OBJECTIVE_PER_DROP
-            && idle_for >= MIN_IDLE_US
+            && elapsed < latency_objective / DROP_OBJECTIVE_DIVISOR
+            && idle_for >= MIN_DROPPED_IDLE_US
     }
 
     /// Assumes for a while that connections idle for that long are dropped.
     pub(crate) fn assume(&mut self, now: Micros, idle_for: Micros) {
-        self.idle_for = if now < self.assumed_until {
-            self.idle_for.min(idle_for)
+        self.min_idle = if now < self.assumed_until {
+            self.min_idle.min(idle_for)
         } else {
             idle_for
         };
-        self.assumed_until = now + ASSUMED_FOR_US;
+        self.assumed_until = now + DROP_ASSUMPTION_US;
     }
 }
--- a/crates/policy/src/state/key_queue.rs
+++ b/crates/policy/src/state/key_queue.rs
@@ -56,5 +56,5 @@
 pub(crate) struct KeyQueues {
     pub(crate) queues: BTreeMap<u64, KeyQueue>,
     /// Keys of requests that have their answer, but an attempt whose end was not reported.
-    pub(crate) trailing: HashMap<Rc<str>, u64>,
+    pub(crate) keys_of_closed_requests: HashMap<Rc<str>, u64>,
 }
--- a/crates/policy/src/state/request_queue.rs
+++ b/crates/policy/src/state/request_queue.rs
@@ -27,7 +27,7 @@
     }
 
     /// Whether no request waits that was never sent.
-    pub(crate) fn all_sent_before(&self) -> bool {
+    pub(crate) fn has_only_retries(&self) -> bool {
         self.requests.iter().all(|waiting| !waiting.is_unsent())
     }
 
--- a/crates/policy/src/state/slow_start_budget.rs
+++ b/crates/policy/src/state/slow_start_budget.rs
@@ -5,7 +5,7 @@
 
 /// Work sent to an endpoint in one interval of its slow start.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct SlowStartSpent {
+pub(crate) struct SlowStartUsage {
     /// Number of the interval since the endpoint's start.
     pub(crate) interval: u64,
     pub(crate) work: f64,
@@ -17,7 +17,7 @@
     /// Number of the interval since the endpoint's start.
     pub(crate) interval: u64,
     /// Work already sent in it.
-    pub(crate) spent: f64,
+    pub(crate) used: f64,
     /// Work that may be sent in it, in whole requests.
     pub(crate) limit: f64,
 }
@@ -26,21 +26,21 @@
     /// The budget of an endpoint that is not in slow start.
     pub(crate) const UNLIMITED: Self = Self {
         interval: u64::MAX,
-        spent: 0.0,
+        used: 0.0,
         limit: f64::INFINITY,
     };
 
     /// Whether a request of that work fits. Without any budget the overrun is not granted either:
     /// those of many balancers would add up.
     pub(crate) fn allows(&self, work: f64) -> bool {
-        self.limit >= 1.0 && self.spent + work <= self.limit + MAX_BUDGET_OVERRUN
+        self.limit >= 1.0 && self.used + work <= self.limit + MAX_BUDGET_OVERRUN
     }
 
     /// What is spent after a request of that work.
-    pub(crate) fn spend(&self, work: f64) -> SlowStartSpent {
-        SlowStartSpent {
+    pub(crate) fn usage_after(&self, work: f64) -> SlowStartUsage {
+        SlowStartUsage {
             interval: self.interval,
-            work: self.spent + work,
+            work: self.used + work,
         }
     }
 }
--- a/crates/policy/src/state/subset.rs
+++ b/crates/policy/src/state/subset.rs
@@ -14,7 +14,7 @@
 /// Fewest endpoints in a subset where loads are polled before each choice.
 const MIN_POLLED_SUBSET_SIZE: usize = 6;
 /// Number of balancers for which one more shares each endpoint.
-const BALANCERS_PER_EXTRA_SHARE: usize = 4;
+const EXTRA_SHARING_FLEET_SIZE: usize = 4;
 /// Fraction of the ring between the starts of neighbouring balancers: the golden ratio.
 const RING_START_STEP: f64 = 0.618_033_988_749_895;
 /// An irrational step spreads evenly on a ring of any size.
@@ -64,7 +64,7 @@
         } else {
             MIN_SUBSET_SIZE
         };
-        let shares = MIN_SHARING_BALANCERS * balancers + BALANCERS_PER_EXTRA_SHARE;
+        let shares = MIN_SHARING_BALANCERS * balancers + EXTRA_SHARING_FLEET_SIZE;
         let size = (shares * ready).div_ceil(balancers * balancers);
         let endpoints = size.max(least).min(ready);
         SubsetSize {
--- a/crates/policy/src/tests.rs
+++ b/crates/policy/src/tests.rs
@@ -100,12 +100,12 @@
     }
 }
 
-const CELL: Idempotency = Idempotency::IdempotencyKey {
+const CELL_SCOPED_KEY: Idempotency = Idempotency::IdempotencyKey {
     scope: IdempotencyScope::Cell,
     window: 2_000 * MS,
 };
 
-const ALL: Idempotency = Idempotency::IdempotencyKey {
+const ALL_SCOPED_KEY: Idempotency = Idempotency::IdempotencyKey {
     scope: IdempotencyScope::All,
     window: 2_000 * MS,
 };
@@ -148,7 +148,7 @@
     for u in 0..endpoints {
         balancer.endpoint_listed(listed(&format!("u{u}"), 0, u as u64 % 2, 0));
     }
-    balancer.endpoint_list_ends(START_AT);
+    balancer.endpoint_list_ended(START_AT);
     balancer.admission.admitted_share = 1.0;
     (balancer, recorder)
 }
@@ -160,7 +160,7 @@
     for u in 0..endpoints {
         balancer.endpoint_listed(listed(&format!("u{u}"), 0, 0, 0));
     }
-    balancer.endpoint_list_ends(START_AT);
+    balancer.endpoint_list_ended(START_AT);
     balancer
 }
 
--- a/crates/policy/src/tests/attempt_end.rs
+++ b/crates/policy/src/tests/attempt_end.rs
@@ -19,9 +19,9 @@
 }
 
 #[rstest]
-fn one_fast_response_does_not_set_the_shortest_latency() {
+fn one_fast_response_does_not_set_the_minimum_latency() {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 1);
-    balancer.endpoints[0].shortest_latency = Some(100_000.0);
+    balancer.endpoints[0].min_latency = Some(100_000.0);
     balancer.endpoints[0]
         .long_term_latency
         .add(START_AT, LONG_TERM_US, 100_000.0, 20.0);
@@ -32,7 +32,7 @@
         &mut sent,
         attempt_end(0, false, AttemptOutcome::Succeeded, 5_000),
     );
-    assert!(balancer.endpoints[0].shortest_latency > Some(99_000.0));
+    assert!(balancer.endpoints[0].min_latency > Some(99_000.0));
 }
 
 /// Its duration says nothing of the speed of the endpoint.
@@ -87,7 +87,7 @@
     #[case] after: u64,
     #[case] lost: Option<f64>,
 ) {
-    let (mut balancer, _) = balancer(CELL, 2);
+    let (mut balancer, _) = balancer(CELL_SCOPED_KEY, 2);
     balancer.class_latency[0]
         .recent
         .add(START_AT, RECENT_US, 25_000.0, 1.0);
--- a/crates/policy/src/tests/concurrency.rs
+++ b/crates/policy/src/tests/concurrency.rs
@@ -1,7 +1,7 @@
 //! Tests of concurrency limits.
 
 use super::*;
-use crate::decisions::concurrency::LIMIT_PER_SHORTEST_LATENCY;
+use crate::decisions::concurrency::LIMIT_FACTOR;
 use crate::state::endpoint::InFlightLoad;
 
 #[rstest]
@@ -146,15 +146,15 @@
 }
 
 #[rstest]
-#[case::quick(1.0, 20.0 * LIMIT_PER_SHORTEST_LATENCY)]
-#[case::slowed(5.0, 4.0 * LIMIT_PER_SHORTEST_LATENCY)]
-fn limit_follows_shortest_over_present_latency(#[case] latency: f64, #[case] limit: f64) {
+#[case::quick(1.0, 20.0 * LIMIT_FACTOR)]
+#[case::slowed(5.0, 4.0 * LIMIT_FACTOR)]
+fn limit_follows_minimum_over_present_latency(#[case] latency: f64, #[case] limit: f64) {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 4);
     balancer.started_at = 0;
     balancer.endpoints[0]
         .busy_time
         .add(START_AT, RECENT_US, 20.0 * RECENT_US);
-    balancer.endpoints[0].shortest_latency = Some(1.0);
+    balancer.endpoints[0].min_latency = Some(1.0);
     balancer.endpoints[0]
         .recent_latency
         .add(START_AT, RECENT_US, latency, 1.0);
--- a/crates/policy/src/tests/endpoint_list.rs
+++ b/crates/policy/src/tests/endpoint_list.rs
@@ -7,14 +7,14 @@
 #[case::unlisted(true)]
 fn nothing_is_sent_to_draining_or_removed_endpoints(#[case] complete: bool) {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 2);
-    balancer.endpoint_list_begins(START_AT, complete);
+    balancer.endpoint_list_started(START_AT, complete);
     if complete {
         balancer.endpoint_listed(listed("u0", 0, 0, 0));
     } else {
         balancer.endpoint_draining("u1");
     }
-    assert!(!balancer.attempt_permitted(START_AT, &request(&[], false), 1));
-    assert!(balancer.attempt_permitted(START_AT, &request(&[], false), 0));
+    assert!(!balancer.is_attempt_permitted(START_AT, &request(&[], false), 1));
+    assert!(balancer.is_attempt_permitted(START_AT, &request(&[], false), 0));
 }
 
 /// The list's server does not grow with the fleet.
@@ -69,9 +69,9 @@
 ) {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 1);
     balancer.endpoints[0].latest_deadline = START_AT;
-    balancer.endpoint_list_begins(START_AT, true);
+    balancer.endpoint_list_started(START_AT, true);
     (0..entries).for_each(|_| balancer.endpoint_listed(listed("u0", 0, 0, 0)));
-    balancer.endpoint_list_ends(START_AT + ago * MS);
+    balancer.endpoint_list_ended(START_AT + ago * MS);
     assert_eq!(balancer.endpoints.index_by_id.len(), known);
     balancer.endpoint_listed(listed("new", 0, 0, 0));
     assert_eq!(balancer.endpoints.index_by_id["new"], known);
@@ -86,10 +86,10 @@
 ) {
     let (mut balancer, recorder) = balancer(Idempotency::Idempotent, 2);
     balancer.settings.unlisted_stay_usable = stays_usable;
-    balancer.endpoint_list_begins(START_AT, true);
+    balancer.endpoint_list_started(START_AT, true);
     balancer.endpoint_listed(listed("u0", 0, 0, 0));
     balancer.endpoint_removed(START_AT, "u0");
-    balancer.endpoint_list_ends(START_AT);
+    balancer.endpoint_list_ended(START_AT);
     arrive(&mut balancer, START_AT, "a");
     assert_eq!(recorder.count("attempt"), sent);
     balancer.endpoint_draining("u0");
--- a/crates/policy/src/tests/key_order.rs
+++ b/crates/policy/src/tests/key_order.rs
@@ -126,7 +126,7 @@
     assert_eq!(
         (
             recorder.count("attempt b"),
-            balancer.key_queues.trailing.len()
+            balancer.key_queues.keys_of_closed_requests.len()
         ),
         (1, 0)
     );
@@ -165,7 +165,10 @@
         balancer.attempt_ended(now + 2 * MS, &id, attempt_end(0, true, outcome, MS));
     }
     expire_timers(&mut balancer, START_AT + 10_000 * MS);
-    assert!(balancer.key_queues.queues.is_empty() && balancer.key_queues.trailing.is_empty());
+    assert!(
+        balancer.key_queues.queues.is_empty()
+            && balancer.key_queues.keys_of_closed_requests.is_empty()
+    );
 }
 
 /// A cooldown that outlasts its time rejects it at once; it must not be sent during the cooldown.
--- a/crates/policy/src/tests/retry.rs
+++ b/crates/policy/src/tests/retry.rs
@@ -8,9 +8,9 @@
 #[case::idempotent(Idempotency::Idempotent, true, true)]
 #[case::not_idempotent(Idempotency::NonIdempotent, true, false)]
 #[case::not_idempotent_not_run(Idempotency::NonIdempotent, false, true)]
-#[case::key_of_cell(CELL, true, false)]
-#[case::key_not_run(CELL, false, true)]
-#[case::key_of_all(ALL, true, true)]
+#[case::key_of_cell(CELL_SCOPED_KEY, true, false)]
+#[case::key_not_run(CELL_SCOPED_KEY, false, true)]
+#[case::key_of_all(ALL_SCOPED_KEY, true, true)]
 fn rejected_only_where_a_retry_is_harmless(
     #[case] idempotency: Idempotency,
     #[case] ran: bool,
@@ -25,10 +25,10 @@
 }
 
 #[rstest]
-#[case::other_cell(CELL, &[0], 1, 100, false)]
-#[case::same_cell(CELL, &[0], 2, 100, true)]
-#[case::after_the_window(CELL, &[0], 2, 2_000, false)]
-#[case::different_cells(CELL, &[0, 1], 2, 100, false)]
+#[case::other_cell(CELL_SCOPED_KEY, &[0], 1, 100, false)]
+#[case::same_cell(CELL_SCOPED_KEY, &[0], 2, 100, true)]
+#[case::after_the_window(CELL_SCOPED_KEY, &[0], 2, 2_000, false)]
+#[case::different_cells(CELL_SCOPED_KEY, &[0, 1], 2, 100, false)]
 #[case::not_idempotent(Idempotency::NonIdempotent, &[0], 1, 100, false)]
 #[case::idempotent(Idempotency::Idempotent, &[0], 1, 100, true)]
 #[case::no_attempts_left(Idempotency::Idempotent, &[0, 1, 2], 3, 100, false)]
@@ -42,7 +42,7 @@
 ) {
     let (balancer, _) = balancer(idempotency, 4);
     assert_eq!(
-        balancer.attempt_permitted(START_AT + after * MS, &request(attempted, true), next),
+        balancer.is_attempt_permitted(START_AT + after * MS, &request(attempted, true), next),
         permitted
     );
 }
@@ -53,7 +53,7 @@
 #[case::within_the_margin(1_900, 1)]
 #[case::after_the_window(2_100, 1)]
 fn request_beyond_its_idempotency_window_fails_at_once(#[case] after: u64, #[case] failed: usize) {
-    let (mut balancer, recorder) = balancer(CELL, 8);
+    let (mut balancer, recorder) = balancer(CELL_SCOPED_KEY, 8);
     let mut sent = request(&[0], true);
     sent.deadline = START_AT + 60_000 * MS;
     sent.objective_at = sent.deadline;
@@ -186,7 +186,7 @@
     #[case] served: f64,
     #[case] early: bool,
 ) {
-    let (mut balancer, _) = balancer(CELL, 4);
+    let (mut balancer, _) = balancer(CELL_SCOPED_KEY, 4);
     let latency = &mut balancer.class_latency[0];
     latency.recent.add(START_AT, RECENT_US, 25_000.0, served);
     latency.overdue.add(START_AT, RECENT_US, 1.0, lost);
@@ -196,13 +196,13 @@
     let until = balancer.host.first_attempt_deadline();
     assert_eq!(until, Some(if early { 200 * MS } else { 5_000 * MS }));
     // The attempt ends before the next one starts: two are never in flight.
-    assert!(!balancer.attempt_permitted(START_AT, &sent, 2));
+    assert!(!balancer.is_attempt_permitted(START_AT, &sent, 2));
     balancer.record_attempt_end(
         START_AT + 200 * MS,
         &mut sent,
         attempt_end(0, false, AttemptOutcome::TimedOut, 200 * MS),
     );
-    assert!(balancer.attempt_permitted(START_AT + 200 * MS, &sent, 2));
+    assert!(balancer.is_attempt_permitted(START_AT + 200 * MS, &sent, 2));
     assert!(balancer.class_latency[0].overdue.weight.sum > lost + slow - 1.0);
 }
 
@@ -243,12 +243,12 @@
         ..balancer.settings.clone()
     });
     let mut open = balancer.requests.remove("t").unwrap();
-    assert!(!balancer.attempt_permitted(START_AT + MS, &open, 1));
+    assert!(!balancer.is_attempt_permitted(START_AT + MS, &open, 1));
     open.attempts[0].in_flight = false;
-    assert!(balancer.attempt_permitted(START_AT + MS, &open, 1));
+    assert!(balancer.is_attempt_permitted(START_AT + MS, &open, 1));
     open.attempts.push(Attempt {
         in_flight: false,
         ..Attempt::new(1, START_AT, None)
     });
-    assert!(!balancer.attempt_permitted(START_AT + MS, &open, 2));
+    assert!(!balancer.is_attempt_permitted(START_AT + MS, &open, 2));
 }
--- a/crates/policy/src/tests/slow_start.rs
+++ b/crates/policy/src/tests/slow_start.rs
@@ -6,7 +6,7 @@
 fn lone_endpoint_in_slow_start_gets_few_requests() {
     let (mut balancer, recorder) = balancer(Idempotency::Idempotent, 0);
     balancer.endpoint_listed(listed("new", 0, 0, START_AT));
-    balancer.endpoint_list_ends(START_AT);
+    balancer.endpoint_list_ended(START_AT);
     for n in 0..200 {
         balancer.place(START_AT + n * 10 * MS, &mut request(&[], false));
     }
@@ -18,7 +18,7 @@
 fn without_a_budget_even_a_small_request_is_not_sent() {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 1);
     balancer.endpoint_listed(listed("new", 0, 0, START_AT));
-    balancer.endpoint_list_ends(START_AT);
+    balancer.endpoint_list_ended(START_AT);
     let new = balancer.endpoints.index_by_id["new"];
     let times = (0..40).map(|n| START_AT + n * 200 * MS);
     let without = times
@@ -29,8 +29,8 @@
         work: 0.2,
         ..request(&[], false)
     };
-    assert!(!balancer.attempt_permitted(without, &small, new));
-    assert!(balancer.attempt_permitted(without, &small, balancer.endpoints.index_by_id["u0"]));
+    assert!(!balancer.is_attempt_permitted(without, &small, new));
+    assert!(balancer.is_attempt_permitted(without, &small, balancer.endpoints.index_by_id["u0"]));
 }
 
 #[rstest]
--- a/crates/policy/src/tests/slow_start_fleet.rs
+++ b/crates/policy/src/tests/slow_start_fleet.rs
@@ -8,7 +8,7 @@
 use nanorand::{Rng, WyRand};
 
 use super::*;
-use crate::decisions::queueing::QUEUE_INTERVAL_US;
+use crate::decisions::queueing::QUEUE_CHECK_INTERVAL_US;
 
 const ENDPOINTS: usize = 12;
 const NEW_ENDPOINT: usize = 0;
@@ -76,7 +76,7 @@
         // Clocks differ by some milliseconds.
         let skew = self.random.generate_range(0..=20 * MS);
         balancer.endpoint_listed(listed("u0", 0, 0, START_AT - skew));
-        balancer.endpoint_list_ends(now);
+        balancer.endpoint_list_ended(now);
         balancer.started_at = now;
         if served {
             balancer.started_at = START_AT - 20_000 * MS;
@@ -183,7 +183,7 @@
             self.end_attempts(now);
             self.arrivals(now, usual * burst);
             for number in 0..self.balancers.len() {
-                if since.is_multiple_of(QUEUE_INTERVAL_US) {
+                if since.is_multiple_of(QUEUE_CHECK_INTERVAL_US) {
                     self.balancers[number].timer_expired(now, QUEUE_TIMER);
                     self.collect_attempts(now, number);
                 }
--- a/crates/policy/src/tests/subset.rs
+++ b/crates/policy/src/tests/subset.rs
@@ -33,7 +33,7 @@
     for u in 0..9 {
         balancer.endpoint_listed(listed(&format!("u{u}"), u64::from(u > 2), 0, 0));
     }
-    balancer.endpoint_list_ends(START_AT);
+    balancer.endpoint_list_ended(START_AT);
     let mut first: Vec<usize> = balancer.subset.current_order(START_AT)[..3].to_vec();
     first.sort_unstable();
     assert_eq!(first == [0, 1, 2], own_zone_first, "{first:?}");
--- a/crates/policy/src/time_margin.rs
+++ b/crates/policy/src/time_margin.rs
@@ -9,7 +9,7 @@
 /// The time before which an action has to begin so that it happens within `span` microseconds of
 /// `from` even if the process is paused. The margin takes at most half of the span.
 #[must_use]
-pub fn begin_before(from: Micros, span: Micros) -> Micros {
+pub fn start_deadline(from: Micros, span: Micros) -> Micros {
     from.saturating_add(span - MAX_PROCESS_PAUSE_US.min(span / 2))
 }
 
--- a/crates/policy/src/time_margin/tests.rs
+++ b/crates/policy/src/time_margin/tests.rs
@@ -10,5 +10,5 @@
 #[case::short(200_000, 100_000)]
 #[case::none(0, 0)]
 fn margin_takes_at_most_half_of_the_span(#[case] span: Micros, #[case] before: Micros) {
-    assert_eq!(begin_before(1_000_000, span), 1_000_000 + before);
+    assert_eq!(start_deadline(1_000_000, span), 1_000_000 + before);
 }
--- a/crates/proxy/src/connections/send_guard.rs
+++ b/crates/proxy/src/connections/send_guard.rs
@@ -5,7 +5,7 @@
 //! refused is proven not sent.
 
 use bytes::Bytes;
-use pinefront_policy::{Idempotency, Micros, begin_before};
+use pinefront_policy::{Idempotency, Micros, start_deadline};
 use slog::{info, warn};
 
 use crate::state::clock::US_PER_MS;
@@ -158,7 +158,7 @@
     match request.idempotency {
         Idempotency::Idempotent => Ok(()),
         Idempotency::NonIdempotent => Err(SendRefusal::MayHaveRun),
-        Idempotency::IdempotencyKey { window, .. } if now >= begin_before(first, window) => {
+        Idempotency::IdempotencyKey { window, .. } if now >= start_deadline(first, window) => {
             Err(SendRefusal::IdempotencyWindowPassed)
         }
         Idempotency::IdempotencyKey { .. } => Ok(()),
--- a/crates/proxy/src/discovery/list_update.rs
+++ b/crates/proxy/src/discovery/list_update.rs
@@ -54,7 +54,7 @@
             let stays_usable = self.balancer.settings().unlisted_stay_usable;
             self.state.borrow_mut().mark_all_removed(now, stays_usable);
         }
-        self.balancer.endpoint_list_begins(now, is_complete);
+        self.balancer.endpoint_list_started(now, is_complete);
         let starts = self.state.borrow_mut().start_times(now, entries);
         for entry in entries {
             if let Err(error) = self.apply_entry(now, entry, starts) {
@@ -65,7 +65,7 @@
                 }
             }
         }
-        self.balancer.endpoint_list_ends(now);
+        self.balancer.endpoint_list_ended(now);
         let mut state = self.state.borrow_mut();
         state.remove_departed_endpoints();
         state.discovery.last_list_at = now;
@@ -148,14 +148,14 @@
             return;
         }
         let now = self.state.borrow().now();
-        self.balancer.endpoint_list_begins(now, false);
+        self.balancer.endpoint_list_started(now, false);
         for entry in &departing {
             match entry.state.as_deref() {
                 Some("left") => self.mark_removed(now, &entry.id),
                 _ => self.mark_draining(now, &entry.id),
             }
         }
-        self.balancer.endpoint_list_ends(now);
+        self.balancer.endpoint_list_ended(now);
         let mut state = self.state.borrow_mut();
         // An endpoint whose state was cut off may be used again: what is known of it stays.
         for entry in departing.iter().filter(|entry| entry.state.is_some()) {
--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -88,7 +88,7 @@
         balancer.endpoint_list_failed();
         return Ok(());
     }
-    balancer.endpoint_list_begins(now, scope == ListScope::Complete);
+    balancer.endpoint_list_started(now, scope == ListScope::Complete);
     for entry in event.endpoints()? {
         match entry.state()? {
             EndpointState::Listed(endpoint) => balancer.endpoint_listed(endpoint),
@@ -96,7 +96,7 @@
             EndpointState::Removed(id) => balancer.endpoint_removed(now, id),
         }
     }
-    balancer.endpoint_list_ends(now);
+    balancer.endpoint_list_ended(now);
     Ok(())
 }
 
