--- a/crates/policy/src/attempt_outcome.rs
+++ b/crates/policy/src/attempt_outcome.rs
@@ -1,4 +1,4 @@
-//! How attempts end.
+//! Outcomes of attempts.
 
 /// Outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -17,12 +17,12 @@
     Rejected,
     /// No connection could be opened, so the request did not run.
     Unreachable,
-    /// The request never left the balancer.
+    /// The balancer did not send the request.
     NotSent,
 }
 
 impl AttemptOutcome {
-    /// Whether the request is known not to have run at the endpoint.
+    /// Returns whether the outcome proves that the request did not run at the endpoint.
     #[must_use]
     pub fn proves_not_run(self) -> bool {
         matches!(self, Self::Rejected | Self::Unreachable | Self::NotSent)
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -1,5 +1,5 @@
-//! A balancer and the events that it handles, in the order in which a request meets them. Each
-//! event is a few calls of the modules in `decisions`. The events of the endpoint list are in
+//! A balancer and its event handlers, in the order in which a request triggers them. Each handler
+//! makes a few calls to the modules in `decisions`. The handlers for the endpoint list are in
 //! `decisions/endpoint_list.rs`.
 
 use std::collections::HashMap;
@@ -11,7 +11,7 @@
 use crate::scoring::learning::Learning;
 use crate::state::admission::Admission;
 use crate::state::class_latency::ClassLatency;
-use crate::state::decaying::{DecayingSum, LONG_TERM_US};
+use crate::state::decaying::{DecayingSum, LONG_TERM_HORIZON_US};
 use crate::state::endpoint_table::EndpointTable;
 use crate::state::fleet_statistics::FleetStatistics;
 use crate::state::idle_drops::IdleDrops;
@@ -24,70 +24,73 @@
 use crate::state::timers::{LIST_POLL_TIMER, QUEUE_TIMER, TimerPurpose, Timers};
 use crate::{AttemptOutcome, Host, Micros, Settings};
 
-/// Bounds of a request's work relative to an average one.
+/// Lower bound of a request's work relative to the average of its class.
 const MIN_RELATIVE_WORK: f64 = 0.1;
+/// Upper bound of a request's work relative to the average of its class.
 const MAX_RELATIVE_WORK: f64 = 10.0;
 
-/// A request as it arrives.
+/// An arriving request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestArrival<'a> {
     /// Unique name of the request.
     pub id: &'a str,
     /// Index of its class in [`Settings::classes`].
     pub class: usize,
-    /// Index of its tenant in [`Settings::tenant_quotas`]; one beyond the list has no quota.
+    /// Index of its tenant in [`Settings::tenant_quotas`]; an index beyond the end of that list has
+    /// no quota.
     pub tenant: usize,
-    /// Time after which the client no longer waits.
+    /// Time in microseconds at which the client stops waiting.
     pub deadline: Micros,
-    /// Expected time in microseconds to serve it, where the client gives one.
+    /// Expected service time in microseconds, if the client gives one.
     pub work_hint: Option<Micros>,
-    /// Key by which it is ordered, where its class asks for that.
+    /// Key by which the request is ordered if its class has
+    /// [`RequestClass::ordered_by_key`](crate::RequestClass::ordered_by_key) set.
     pub key: Option<u64>,
 }
 
 /// The end of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnd {
-    /// Position of the attempt among those of its request, counted from 0.
+    /// Position of the attempt among the attempts of its request, counted from 0.
     pub number: usize,
-    /// Whether the request has its answer.
+    /// Whether the request is complete, so that no attempt follows.
     pub is_final: bool,
-    /// How the attempt ended.
+    /// Outcome of the attempt.
     pub outcome: AttemptOutcome,
     /// Duration of the attempt in microseconds.
     pub elapsed: Micros,
 }
 
-/// Load of an endpoint as it reports it.
+/// Load of an endpoint as reported by the endpoint itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Busy fraction of its capacity.
+    /// Busy fraction of the endpoint's capacity.
     pub utilisation: Option<f64>,
-    /// Requests that wait there.
+    /// Number of requests queued at the endpoint.
     pub queue: Option<f64>,
-    /// Requests in flight there.
+    /// Number of requests in flight at the endpoint.
     pub in_flight: Option<f64>,
 }
 
-/// A balancer: the decisions of one instance of the proxy.
+/// Load balancer of one proxy instance.
 pub struct Balancer<H: Host> {
     pub(crate) host: H,
     pub(crate) settings: Settings,
     pub(crate) random: WyRand,
-    /// Random number of this instance, constant for its whole run.
+    /// Random number of this instance, constant until the process ends.
     pub(crate) instance_seed: u64,
     pub(crate) started_at: Micros,
     pub(crate) endpoints: EndpointTable,
     pub(crate) subset: Subset,
-    /// Ready endpoints that are not in slow start, when last counted.
+    /// Number of ready endpoints outside slow start, as of the last count.
     pub(crate) warm_endpoints: usize,
-    /// Polls of the endpoint list that failed since the last success.
+    /// Number of failed polls of the endpoint list since the last successful one.
     pub(crate) failed_list_polls: u32,
     /// Requests with an attempt in flight.
     pub(crate) requests: HashMap<Rc<str>, Request>,
     /// Requests that wait for capacity.
     pub(crate) queue: RequestQueue,
-    /// Requests that wait for the loads of endpoints.
+    /// Requests that wait for the loads of endpoints to be reported.
     pub(crate) load_polls: LoadPolls,
     pub(crate) key_queues: KeyQueues,
     pub(crate) timers: Timers,
@@ -95,13 +98,14 @@
     pub(crate) learning: Learning,
     pub(crate) outliers: Outliers,
     pub(crate) idle_drops: IdleDrops,
-    /// Latency by class.
+    /// Latency statistics by class index.
     pub(crate) class_latency: Vec<ClassLatency>,
     pub(crate) fleet: FleetStatistics,
 }
 
 impl<H: Host> Balancer<H> {
-    /// Starts a balancer that knows no endpoints. `seed` makes its random decisions reproducible.
+    /// Starts a balancer with an empty endpoint list. `seed` makes its random decisions
+    /// reproducible.
     pub fn start(host: H, seed: u64, settings: Settings, now: Micros) -> Self {
         let mut balancer = Self {
             host,
@@ -129,16 +133,16 @@
         balancer
     }
 
-    /// The settings in force.
+    /// Returns the current settings.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Puts new settings in force. Open requests keep their class and objective, and the lower
-    /// limit of attempts.
+    /// Applies new settings. Open requests keep their class and latency objective, and the lower of
+    /// the old and the new limit of attempts.
     ///
-    /// Classes keep their indices: the earlier ones come first, unchanged, stricter, or with a
-    /// priority weight of 0 if clients can no longer request them.
+    /// Classes keep their indices: the existing classes come first, and each is unchanged,
+    /// stricter, or has a priority weight of 0 if clients can no longer request it.
     pub fn settings_changed(&mut self, settings: Settings) {
         let max_attempts = self.settings.max_attempts;
         for request in self.waiting_lists().flatten() {
@@ -157,15 +161,15 @@
         self.rebuild_preference_order();
     }
 
-    /// A request arrived: it is shed, queued behind others of its key, queued for capacity, or
-    /// sent.
+    /// Handles an arriving request: sheds it, queues it behind others with its key, queues it for
+    /// capacity, or sends it.
     pub fn request_arrived(&mut self, now: Micros, arrival: RequestArrival<'_>) {
         let Some(class) = self.settings.classes.get(arrival.class) else {
             return self.host.reject(arrival.id, 0);
         };
         let objective_at = now + class.latency_objective;
         let order_key = arrival.key.filter(|_| class.ordered_by_key);
-        self.fleet.arrivals.add(now, LONG_TERM_US, 1.0);
+        self.fleet.arrivals.add(now, LONG_TERM_HORIZON_US, 1.0);
         let work = self.relative_work(now, arrival.class, arrival.work_hint);
         let within_quota = self
             .admission
@@ -190,17 +194,17 @@
         }
     }
 
-    /// Work of a request relative to the average of its class; 1 without a hint.
+    /// Returns the work of a request relative to the average of its class; 1 without a hint.
     fn relative_work(&mut self, now: Micros, class: usize, hint: Option<Micros>) -> f64 {
         let Some(hint) = hint.map(|hint| hint as f64) else {
             return 1.0;
         };
         let average = &mut self.class_latency[class].work_hint;
-        average.add(now, LONG_TERM_US, hint, 1.0);
+        average.add(now, LONG_TERM_HORIZON_US, hint, 1.0);
         (hint / average.read().unwrap_or(1.0).max(1.0)).clamp(MIN_RELATIVE_WORK, MAX_RELATIVE_WORK)
     }
 
-    /// An endpoint reported its load; the report may be late.
+    /// Handles a load report of an endpoint. The report may be late.
     pub fn load_reported(&mut self, now: Micros, id: &str, report: LoadReport) {
         let valid = |value: Option<f64>| value.filter(|value| *value >= 0.0);
         if let Some(endpoint) = self.endpoints.find_mut(id) {
@@ -211,21 +215,21 @@
         }
     }
 
-    /// A probe of an endpoint ended, with an answer or without.
+    /// Handles the end of a probe; `answered` is false if the endpoint did not respond.
     pub fn probe_completed(&mut self, now: Micros, id: &str, answered: bool) {
         if let Some(index) = self.endpoints.index_of(id) {
             self.load_received(now, index, answered);
         }
     }
 
-    /// The response of a request has started: no further attempt may follow.
+    /// Handles the start of a response, after which no further attempt of the request may follow.
     pub fn response_started(&mut self, id: &str) {
         if let Some(request) = self.requests.get_mut(id) {
             request.response_started = true;
         }
     }
 
-    /// An attempt of a request ended.
+    /// Handles the end of an attempt.
     pub fn attempt_ended(&mut self, now: Micros, id: &str, end: AttemptEnd) {
         let Some(mut request) = self.requests.remove(id) else {
             return self.closed_request_attempt_ended(now, id, end.outcome);
@@ -247,7 +251,7 @@
         self.process_queue(now);
     }
 
-    /// The client of a request disconnected.
+    /// Handles the disconnection of a request's client.
     pub fn client_disconnected(&mut self, now: Micros, id: &str) {
         let waiting = self
             .waiting_lists()
@@ -259,7 +263,7 @@
         }
     }
 
-    /// A timer of [`Host::set_timer`] expired.
+    /// Handles the expiry of a timer set by [`Host::set_timer`].
     pub fn timer_expired(&mut self, now: Micros, timer: u64) {
         match timer {
             LIST_POLL_TIMER => self.host.poll_endpoint_list(),
@@ -267,15 +271,15 @@
                 self.queue.timer_scheduled = false;
                 self.process_queue(now);
             }
-            _ => match self.timers.expired(timer) {
-                Some(TimerPurpose::LoadsPolled(id)) => self.load_poll_timed_out(now, &id),
+            _ => match self.timers.take_expired(timer) {
+                Some(TimerPurpose::LoadPollTimeout(id)) => self.load_poll_timed_out(now, &id),
                 Some(TimerPurpose::KeyQueue(key)) => self.advance_key_queue(now, key),
                 None => {}
             },
         }
     }
 
-    /// The lists of requests that wait for capacity, for loads or for their key.
+    /// Returns the lists of requests that wait for capacity, for loads or for their key.
     fn waiting_lists(&mut self) -> impl Iterator<Item = &mut Vec<Request>> {
         let key_queues = self.key_queues.queues.values_mut();
         [&mut self.queue.requests, &mut self.load_polls.requests]
--- a/crates/policy/src/decisions.rs
+++ b/crates/policy/src/decisions.rs
@@ -1,4 +1,4 @@
-//! The decisions of a balancer, each concern in a module of its own.
+//! The decisions of a balancer, one module for each concern.
 
 pub(crate) mod admission;
 pub(crate) mod attempt_end;
--- a/crates/policy/src/decisions/admission.rs
+++ b/crates/policy/src/decisions/admission.rs
@@ -1,4 +1,4 @@
-//! Load shedding: whether an arriving request is admitted.
+//! Load shedding: the decision whether an arriving request is admitted.
 
 use nanorand::Rng;
 
@@ -7,8 +7,8 @@
 use crate::{Host, Micros};
 
 impl<H: Host> Balancer<H> {
-    /// Whether a request is admitted, by the admitted share and unless it belongs to an outlier
-    /// group.
+    /// Decides whether a request is admitted, by the admitted share and unless it belongs to an
+    /// outlier group.
     pub(crate) fn admit(&mut self, now: Micros, request: &Request) -> bool {
         self.admission.update(now, &self.fleet.pressure);
         let endpoints = if self.settings.polls_loads() {
--- a/crates/policy/src/decisions/attempt_end.rs
+++ b/crates/policy/src/decisions/attempt_end.rs
@@ -1,41 +1,44 @@
-//! The end of an attempt: what its outcome says of the endpoint, the class, the fleet and the
-//! decision that chose it.
+//! The end of an attempt: the effect of its outcome on the statistics of the endpoint, the class
+//! and the fleet, and on the learning of decisions.
 
 use crate::balancer::{AttemptEnd, Balancer};
 use crate::gossip_message::GossipMessage;
 use crate::scoring::learning::MAX_REWARD;
 use crate::state::admission::{MAX_PRESSURE, REJECTION_PRESSURE};
-use crate::state::decaying::{LONG_TERM_US, RECENT_US, SECOND_US};
+use crate::state::decaying::{LONG_TERM_HORIZON_US, MICROS_PER_SECOND, RECENT_HORIZON_US};
 use crate::state::request::Request;
 use crate::{AttemptOutcome, Host, Micros};
 
 use super::latency::AttemptLatency;
 
-/// Latency relative to the shortest from which on it counts as late.
+/// Ratio of a latency to the minimum latency of its class from which a response counts as late.
 const LATE_TO_MIN_LATENCY_RATIO: f64 = 2.5;
-/// Bounds of that latency as fractions of the latency objective, as a fleet may never be seen
-/// without load.
+/// Lower bound of the latency that counts as late, as a fraction of the latency objective. The
+/// minimum latency alone is not sufficient, because a fleet may never be observed without load.
 const MIN_LATE_OBJECTIVE_FRACTION: f64 = 0.4;
+/// Upper bound of the latency that counts as late, as a fraction of the latency objective.
 const MAX_LATE_OBJECTIVE_FRACTION: f64 = 0.7;
-/// Fraction of a class's latency for which an endpoint is avoided after it did not run a request.
+/// Time for which an endpoint is avoided after it did not run a request, as a fraction of the
+/// recent latency of the request's class.
 const BACKOFF_LATENCY_FRACTION: f64 = 0.5;
-/// Latency that a failure counts as, relative to the fleet's: a fast failure must not look quick.
+/// Latency that a failure counts as, relative to the fleet's average latency: a fast failure must
+/// not count as a fast response.
 const FAILURE_LATENCY_RATIO: f64 = 3.0;
 
 /// An attempt that has ended.
 struct EndedAttempt {
-    /// Position among the attempts of its request.
+    /// Position of the attempt among the attempts of its request.
     number: usize,
     /// Index of the endpoint.
     endpoint: usize,
     outcome: AttemptOutcome,
     elapsed: Micros,
-    /// Latency scaled to a request of average work.
+    /// Latency in microseconds, scaled to a request of average work.
     latency: f64,
-    /// How long the endpoint had been idle when it was sent.
+    /// Time in microseconds for which the endpoint had been idle when the attempt was sent.
     idle_for: Option<Micros>,
     latency_objective: Micros,
-    /// Horizon of the endpoint's recent latency.
+    /// Horizon of the endpoint's recent latency, in microseconds.
     latency_horizon: f64,
     in_slow_start: bool,
 }
@@ -49,7 +52,8 @@
         self.outcome == AttemptOutcome::TimedOut
     }
 
-    /// Whether this side ended it, so that it says nothing of the endpoint.
+    /// Returns whether the attempt was ended by the balancer, in which case its outcome provides no
+    /// information about the endpoint.
     fn ended_by_balancer(&self) -> bool {
         matches!(
             self.outcome,
@@ -63,7 +67,7 @@
 }
 
 impl<H: Host> Balancer<H> {
-    /// Cancels the attempt in flight of a request that has its answer, and releases its key.
+    /// Closes a request: cancels its attempt in flight, and releases its key.
     pub(crate) fn close(&mut self, now: Micros, mut request: Request) {
         if let Some(number) = request.attempt_in_flight() {
             if self.settings.can_cancel {
@@ -80,7 +84,7 @@
         self.release_key(now, &request);
     }
 
-    /// Records how an attempt ended.
+    /// Records the end of an attempt.
     pub(crate) fn record_attempt_end(
         &mut self,
         now: Micros,
@@ -97,7 +101,8 @@
             self.record_outcome(now, request, ended.elapsed);
         }
         let is_of_outlier = ended.is_late() && self.outlier_group(now, request).is_some();
-        // Neither an outlier nor a client that disconnected early says anything of the endpoint.
+        // The latency of an outlier, or of an attempt whose client disconnected early, provides no
+        // information about the endpoint.
         if is_of_outlier || ended.ended_by_balancer() {
             return self.endpoints[ended.endpoint].clear_unanswered_if_idle();
         }
@@ -107,7 +112,7 @@
         self.learning.record(now, sample, reward);
     }
 
-    /// Ends an attempt in its request and at its endpoint; `None` if it is not in flight.
+    /// Ends an attempt in its request and at its endpoint; returns `None` if it is not in flight.
     fn release_attempt(
         &mut self,
         now: Micros,
@@ -137,8 +142,8 @@
         Some(ended)
     }
 
-    /// A connection lost at once after a time without use shows that the network drops idle
-    /// connections.
+    /// Detects that the network drops idle connections, from a connection that is lost immediately
+    /// after an idle time.
     fn detect_idle_drop(&mut self, now: Micros, ended: &EndedAttempt) {
         let lost = ended.outcome == AttemptOutcome::ConnectionLost;
         let Some(idle_for) = ended.idle_for.filter(|_| lost) else {
@@ -151,7 +156,8 @@
         {
             return;
         }
-        // The drop came some time before it showed.
+        // The connection was dropped some time before the loss was detected, so a shorter idle time
+        // is assumed.
         let idle_for = idle_for / 2;
         self.idle_drops.assume(now, idle_for);
         if self.settings.gossip_allowed {
@@ -160,42 +166,42 @@
         }
     }
 
-    /// Records whether an attempt that took longer than `unresponsive_after` was answered.
+    /// Records whether an attempt that took longer than `unresponsive_after` received a response.
     fn record_overdue(&mut self, now: Micros, class: usize, ended: &EndedAttempt) {
         let overdue = ended.elapsed as f64 > self.unresponsive_after()
             && (ended.timed_out() || ended.succeeded());
         let [lost, weight] = [ended.timed_out(), overdue].map(|flag| f64::from(u8::from(flag)));
         self.class_latency[class]
             .overdue
-            .add(now, RECENT_US, lost, weight);
+            .add(now, RECENT_HORIZON_US, lost, weight);
     }
 
-    /// Records how late a response came. Other outcomes are no pressure: a hung endpoint says nothing
-    /// of the load.
+    /// Records the pressure of a response or a rejection. Other outcomes are ignored, because a
+    /// hung endpoint provides no information about the load.
     fn record_pressure(&mut self, now: Micros, request: &Request, ended: &EndedAttempt) {
         let objective = ended.latency_objective as f64;
         let minimum = self.class_latency[request.class].minimum;
-        let late_from = (LATE_TO_MIN_LATENCY_RATIO * minimum.unwrap_or(f64::INFINITY)).clamp(
+        let late_threshold = (LATE_TO_MIN_LATENCY_RATIO * minimum.unwrap_or(f64::INFINITY)).clamp(
             MIN_LATE_OBJECTIVE_FRACTION * objective,
             MAX_LATE_OBJECTIVE_FRACTION * objective,
         );
         let pressure = match ended.outcome {
-            AttemptOutcome::Succeeded => (ended.latency / late_from).min(MAX_PRESSURE),
+            AttemptOutcome::Succeeded => (ended.latency / late_threshold).min(MAX_PRESSURE),
             AttemptOutcome::Rejected => REJECTION_PRESSURE,
             _ => return,
         };
         self.fleet
             .pressure
-            .add(now, SECOND_US, pressure, request.work);
+            .add(now, MICROS_PER_SECOND, pressure, request.work);
     }
 
     /// Records the latency of an attempt for its endpoint, and returns the reward of the decision.
     fn record_latency(&mut self, now: Micros, request: &Request, ended: &EndedAttempt) -> f64 {
         let latency = ended.latency;
         let fleet_latency = self.fleet.latency.read().unwrap_or(latency);
-        // The classes' usual latencies put all requests on one scale.
-        let usual = self.class_latency[request.class].long_term.read();
-        let normalized = latency * fleet_latency / usual.unwrap_or(latency).max(1.0);
+        // Division by the long-term latency of the class puts all requests on one scale.
+        let class_average = self.class_latency[request.class].long_term.read();
+        let normalized = latency * fleet_latency / class_average.unwrap_or(latency).max(1.0);
         let endpoint = &mut self.endpoints[ended.endpoint];
         if !ended.timed_out() {
             endpoint.unanswered_since = None;
@@ -212,14 +218,14 @@
             return (fleet_latency / normalized).min(MAX_REWARD);
         }
         self.back_off(now, request.class, ended);
-        // How long a lost response was waited for says nothing of the endpoint's speed.
+        // The duration of an attempt that timed out does not measure the endpoint's speed.
         let measured = if ended.timed_out() { 0.0 } else { normalized };
         let as_failure = measured.max(FAILURE_LATENCY_RATIO * fleet_latency);
         self.record_endpoint_latency(now, request.work, ended, as_failure);
         0.0
     }
 
-    /// Avoids an endpoint for a while after an attempt that did not run there.
+    /// Sets the time for which an endpoint is avoided after an attempt that did not run there.
     fn back_off(&mut self, now: Micros, class: usize, ended: &EndedAttempt) {
         let not_run = ended.outcome.proves_not_run();
         let fraction = if not_run {
@@ -245,6 +251,6 @@
             .add(now, ended.latency_horizon, latency, work);
         endpoint
             .long_term_latency
-            .add(now, LONG_TERM_US, latency, work);
+            .add(now, LONG_TERM_HORIZON_US, latency, work);
     }
 }
--- a/crates/policy/src/decisions/concurrency.rs
+++ b/crates/policy/src/decisions/concurrency.rs
@@ -1,32 +1,37 @@
-//! Concurrency limits: how many requests this balancer may have in flight at an endpoint, and at
-//! its whole subset.
+//! Concurrency limits: the number of requests that this balancer may have in flight at an endpoint,
+//! and in its whole subset.
 //!
-//! Invariant: an attempt in flight for longer than [`Balancer::unresponsive_after`] is lost and
-//! takes up no capacity; its endpoint gets one request at a time, which shows whether it responds
-//! again.
+//! Invariant: an attempt in flight for longer than [`Balancer::unresponsive_after`] counts as lost
+//! and takes up no capacity. Its endpoint receives one request at a time, which tests whether it
+//! responds again.
 
 use crate::balancer::Balancer;
-use crate::state::decaying::RECENT_US;
+use crate::state::decaying::RECENT_HORIZON_US;
 use crate::state::endpoint::Endpoint;
 use crate::{Host, Micros};
 
-/// Expected latencies without any response after which an endpoint is unresponsive: beyond the
-/// spread of work.
+/// Time without a response after which an endpoint is unresponsive, as a multiple of the expected
+/// latency. Variation of the work among requests explains less.
 const UNRESPONSIVE_LATENCY_MULTIPLE: f64 = 4.0;
-/// In-flight work allowed, relative to what the served rate needs at the shortest latency.
-pub(crate) const LIMIT_FACTOR: f64 = 1.5;
-/// Requests that all balancers together may always have in flight at an endpoint.
+/// Ratio of the concurrency limit to the concurrency that the served rate requires at the minimum
+/// latency.
+pub(crate) const CONCURRENCY_LIMIT_FACTOR: f64 = 1.5;
+/// Minimum number of requests that all balancers together may have in flight at an endpoint.
 const MIN_LIMIT_PER_ENDPOINT: f64 = 2.0;
-/// Requests that this balancer may always have in flight.
+/// Minimum number of requests that this balancer may have in flight.
 const MIN_SUBSET_LIMIT: f64 = 2.0;
-/// Roots of the subset's limit that random variation may take beyond it while latencies are low.
+/// Number of standard deviations by which requests in flight may exceed the subset's limit at full
+/// headroom, to allow for random variation while latencies are low. One standard deviation is the
+/// square root of the limit.
 const VARIATION_STANDARD_DEVIATIONS: f64 = 6.0;
-/// From this part on a limit allows one request more; at a half, a limit of one could never grow.
+/// Fraction of a request by which a limit must exceed the requests in flight to allow one more.
+/// With one half, a limit of one request could never grow.
 const LIMIT_ROUND_UP_FRACTION: f64 = 0.4;
 
 impl<H: Host> Balancer<H> {
-    /// Time in microseconds without any response after which an endpoint is unresponsive. Attempts
-    /// in flight may be of the slowest class.
+    /// Returns the time in microseconds without any response after which an endpoint is
+    /// unresponsive. It is that of the slowest class, because attempts in flight may be of any
+    /// class.
     pub(crate) fn unresponsive_after(&self) -> f64 {
         let classes = &self.settings.classes;
         let configured =
@@ -35,23 +40,25 @@
         UNRESPONSIVE_LATENCY_MULTIPLE * expected.fold(0.0, f64::max)
     }
 
-    /// Attempts sent before this time are lost: they take up no capacity.
+    /// Returns the time before which an attempt must have been sent to count as lost; lost attempts
+    /// take up no capacity.
     pub(crate) fn lost_before(&self, now: Micros) -> Micros {
         now.saturating_sub(self.unresponsive_after() as Micros)
     }
 
-    /// Requests that this balancer may have in flight at an endpoint: what its served rate needs,
-    /// times shortest over present latency.
+    /// Returns the number of requests that this balancer may have in flight at an endpoint: the
+    /// concurrency that its served rate requires, times the ratio of the minimum to the current
+    /// latency, times `CONCURRENCY_LIMIT_FACTOR`.
     pub(crate) fn concurrency_limit(&self, now: Micros, index: usize) -> f64 {
         let endpoint = &self.endpoints[index];
-        let concurrency = endpoint.busy_time.read(now, RECENT_US) / self.recent_span(now);
+        let concurrency = endpoint.busy_time.read(now, RECENT_HORIZON_US) / self.recent_span(now);
         let latencies = endpoint.min_latency.zip(endpoint.latency(now));
-        let ratio = latencies.map_or(1.0, |(minimum, present)| (minimum / present).min(1.0));
+        let ratio = latencies.map_or(1.0, |(minimum, current)| (minimum / current).min(1.0));
         let least = MIN_LIMIT_PER_ENDPOINT / self.subset_size().sharing_balancers;
-        least.max(LIMIT_FACTOR * concurrency * ratio)
+        least.max(CONCURRENCY_LIMIT_FACTOR * concurrency * ratio)
     }
 
-    /// Whether an endpoint may be sent another request now.
+    /// Returns whether an endpoint may receive another request now.
     pub(crate) fn has_capacity(&self, now: Micros, index: usize) -> bool {
         let endpoint = &self.endpoints[index];
         let in_flight = endpoint.in_flight_since(self.lost_before(now)).attempts;
@@ -61,8 +68,8 @@
                 || in_flight + LIMIT_ROUND_UP_FRACTION < self.concurrency_limit(now, index))
     }
 
-    /// Whether the limits of the subset together allow another request. Each alone may be less than
-    /// one request, so their root is added for random variation.
+    /// Returns whether the limits of the subset together allow another request. Each limit alone
+    /// may be less than one request, so the square root of their sum is added for random variation.
     pub(crate) fn subset_has_capacity(&self, now: Micros) -> bool {
         let lost_before = self.lost_before(now);
         let order = self.subset.current_order(now);
--- a/crates/policy/src/decisions/endpoint_list.rs
+++ b/crates/policy/src/decisions/endpoint_list.rs
@@ -1,7 +1,8 @@
-//! The endpoint list: when it is polled, and its events.
+//! The endpoint list: the schedule of its polls, and the handling of its events.
 //!
-//! Invariant: an endpoint that drains, or that a complete list does not name, is sent nothing more.
-//! Where only draining binds, an unlisted one stays usable for a time.
+//! Invariant: nothing more is sent to an endpoint that is draining or that is missing from a
+//! complete list. If `unlisted_stay_usable` is set, an endpoint that is missing from the list
+//! remains usable for a time.
 
 use nanorand::Rng;
 
@@ -10,17 +11,18 @@
 use crate::state::timers::LIST_POLL_TIMER;
 use crate::{Host, Micros};
 
-/// Fraction of the longest poll interval over which a very large fleet spreads its first polls.
+/// Upper bound of the time over which a very large fleet spreads its first polls, as a fraction of
+/// the longest poll interval.
 const MAX_POLL_SPREAD_FRACTION: f64 = 0.8;
-/// Other balancers at which half of that spread is used.
+/// Number of other balancers at which half of the maximum spread is used.
 const BALANCERS_AT_HALF_SPREAD: f64 = 32.0;
-/// Part of the longest poll interval that the first retry waits; each further one waits twice as
-/// long.
+/// Divisor of the longest poll interval that gives the delay of the first retry; each further delay
+/// is twice as long.
 const FIRST_RETRY_INTERVAL_DIVISOR: Micros = 64;
-/// Retries that double the wait.
+/// Maximum number of times that the delay doubles.
 const MAX_RETRY_DOUBLINGS: u32 = 4;
-/// What an earlier weight counts beside a new one: lists may be late, and balancers that follow
-/// each would oscillate.
+/// Factor applied to the earlier weights in the average when a new weight is listed. Lists may be
+/// late, and balancers that follow each list would oscillate.
 const WEIGHT_RETENTION: f64 = 0.9;
 
 /// An endpoint on the list.
@@ -28,21 +30,22 @@
 pub struct ListedEndpoint<'a> {
     /// Unique name of the endpoint.
     pub id: &'a str,
-    /// Its zone.
+    /// Zone of the endpoint.
     pub zone: u64,
-    /// Its machine type; no decision uses it at present.
+    /// Machine type of the endpoint; no decision uses it at present.
     pub machine_type: u64,
-    /// Its cell.
+    /// Cell of the endpoint.
     pub cell: u64,
-    /// Its listed weight; used where [`Settings::weights_listed`](crate::Settings::weights_listed)
-    /// is set.
+    /// Weight on the list; used if [`Settings::weights_listed`](crate::Settings::weights_listed) is
+    /// set.
     pub weight: f64,
-    /// Start of its process; 0 if it is not known.
+    /// Start time of its process in microseconds; 0 if it is not known.
     pub started_at: Micros,
 }
 
 impl<H: Host> Balancer<H> {
-    /// Polls the endpoint list for the first time, where it is not pushed.
+    /// Polls the endpoint list for the first time, or sets the timer for that poll, unless the list
+    /// is pushed.
     pub(crate) fn schedule_first_list_poll(&mut self) {
         match self.list_poll_spread() {
             Some(0) => self.host.poll_endpoint_list(),
@@ -54,8 +57,8 @@
         }
     }
 
-    /// Time in microseconds over which the balancers spread their polls, as the list's server does
-    /// not grow with them.
+    /// Returns the time in microseconds over which the balancers spread their polls, because the
+    /// list's server does not grow with the fleet; `None` if the list is pushed.
     pub(crate) fn list_poll_spread(&self) -> Option<Micros> {
         let interval = self.settings.max_poll_interval? as f64;
         let others = self.settings.balancers as f64 - 1.0;
@@ -64,8 +67,8 @@
         Some(spread as Micros)
     }
 
-    /// A poll failed or its subscription was lost: the list stays, and the next poll follows after
-    /// a random backoff.
+    /// Handles a failed poll or a lost subscription: the list remains in use, and the next poll
+    /// follows after a random backoff.
     pub fn endpoint_list_failed(&mut self) {
         let interval = self.settings.max_poll_interval;
         let Some((interval, spread)) = interval.zip(self.list_poll_spread()) else {
@@ -80,7 +83,7 @@
         self.host.set_timer(after, LIST_POLL_TIMER);
     }
 
-    /// A list begins. Endpoints that a complete one does not name are removed.
+    /// Handles the start of a list. Endpoints that are missing from a complete list are removed.
     pub fn endpoint_list_started(&mut self, now: Micros, complete: bool) {
         if complete {
             let stays_usable = self.settings.unlisted_stay_usable;
@@ -90,16 +93,16 @@
         }
     }
 
-    /// The list names an endpoint.
+    /// Handles an endpoint on the list.
     pub fn endpoint_listed(&mut self, listed: ListedEndpoint<'_>) {
-        let slot = self.endpoints.slot(listed.id);
+        let slot = self.endpoints.find_or_add(listed.id);
         let endpoint = &mut self.endpoints[slot.index];
         endpoint.zone = listed.zone;
         endpoint.cell = listed.cell;
         endpoint.ready = true;
         endpoint.unlisted_since = None;
         if listed.started_at > endpoint.started_at && !slot.added {
-            // The failures of an earlier process say nothing of the new one.
+            // Failures of an earlier process provide no information about the new one.
             endpoint.recent_latency = DecayingAverage::default();
             endpoint.unanswered_since = None;
             endpoint.backoff_until = 0;
@@ -110,7 +113,7 @@
         average.weight.sum = average.weight.sum * WEIGHT_RETENTION + 1.0;
     }
 
-    /// The list reports that an endpoint is gone.
+    /// Handles the removal of an endpoint from the list.
     pub fn endpoint_removed(&mut self, now: Micros, id: &str) {
         let stays_usable = self.settings.unlisted_stay_usable;
         if let Some(endpoint) = self.endpoints.find_mut(id) {
@@ -118,14 +121,14 @@
         }
     }
 
-    /// An endpoint is draining: it is sent nothing more.
+    /// Handles the start of an endpoint's drain, after which nothing more is sent to it.
     pub fn endpoint_draining(&mut self, id: &str) {
         if let Some(endpoint) = self.endpoints.find_mut(id) {
             endpoint.ready = false;
         }
     }
 
-    /// A list has ended: its changes take effect.
+    /// Handles the end of a list: applies its changes.
     pub fn endpoint_list_ended(&mut self, now: Micros) {
         self.failed_list_polls = 0;
         self.endpoints.evict_unlisted(now);
--- a/crates/policy/src/decisions/features.rs
+++ b/crates/policy/src/decisions/features.rs
@@ -1,23 +1,24 @@
-//! Features of the candidates for a request, as the score weighs them (see `scoring/score.rs`).
+//! Features of the candidates for a request, which are the input of the score (see
+//! `scoring/score.rs`).
 
 use crate::balancer::Balancer;
 use crate::scoring::score::{FeatureRow, MAX_LOG_RATIO, log_ratios};
 use crate::state::endpoint::Endpoint;
 use crate::{Host, Micros};
 
-/// Load of an endpoint that reports nothing in flight.
+/// Load of an endpoint that reports no requests in flight, in requests.
 const IDLE_REPORTED_LOAD: f64 = 0.2;
-/// Load of an endpoint that has none of this balancer's requests in flight.
+/// Load of an endpoint without requests of this balancer in flight, in requests of average work.
 const IDLE_OWN_LOAD: f64 = 0.5;
-/// Added to a reported utilisation, which may be 0.
+/// Offset added to a reported utilisation, which may be 0.
 const UTILISATION_OFFSET: f64 = 0.1;
-/// Fraction of the capacity's logarithm that is taken off the load's.
+/// Exponent of the capacity by which the load is divided.
 const LOAD_CAPACITY_EXPONENT: f64 = 0.5;
-/// Decay of a report with its age, for each latency horizon.
+/// Exponent of the decay of a report at an age of one latency horizon.
 const REPORT_DECAY_EXPONENT: f64 = -2.0;
 
 impl<H: Host> Balancer<H> {
-    /// The feature rows of the candidates.
+    /// Returns the feature rows of the candidates.
     pub(crate) fn feature_rows(&self, now: Micros, candidates: &[usize]) -> Vec<FeatureRow> {
         let freshness = self.report_freshness(now, candidates);
         let log_ratios_of = |value: &dyn Fn(&Endpoint) -> Option<f64>| {
@@ -49,8 +50,8 @@
         candidates.iter().enumerate().map(row).collect()
     }
 
-    /// How much the latest report of each candidate counts: an old one describes a load that is
-    /// gone.
+    /// Returns the weight of each candidate's latest report, from 0 to 1: an old report describes a
+    /// past load.
     fn report_freshness(&self, now: Micros, candidates: &[usize]) -> Vec<f64> {
         let horizon = self.latency_horizon(now);
         let freshness = |index: &usize| {
@@ -60,8 +61,8 @@
         candidates.iter().map(freshness).collect()
     }
 
-    /// Log ratios of the load: own work in flight and, of the reported queue, the part of the other
-    /// balancers.
+    /// Returns the log ratios of the candidates' loads: own work in flight and the other balancers'
+    /// part of the reported queue or, if loads are polled, the reported requests in flight.
     fn loads(&self, now: Micros, candidates: &[usize], freshness: &[f64]) -> Vec<f64> {
         let lost_before = self.lost_before(now);
         let sharing_balancers = self.subset_size().sharing_balancers;
@@ -82,8 +83,8 @@
         log_ratios(&loads, MAX_LOG_RATIO)
     }
 
-    /// The listed weight; without weights the served rate per own request in flight, the inverse of
-    /// the latency.
+    /// Returns the listed weight or, without weights, the served rate per own request in flight,
+    /// which is the inverse of the latency.
     fn capacity_estimate(&self, endpoint: &Endpoint) -> Option<f64> {
         if self.settings.weights_listed {
             endpoint.weight.read()
--- a/crates/policy/src/decisions/gossip.rs
+++ b/crates/policy/src/decisions/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip between balancers: each endpoint has one balancer that owns its load ledger. The others
+//! Gossip between balancers. The load ledger of each endpoint is owned by one balancer; the others
 //! report their attempts to the owner and request the endpoint's load from it.
 
 use crate::balancer::Balancer;
@@ -7,7 +7,7 @@
 use crate::{AttemptOutcome, Host, Micros};
 
 impl<H: Host> Balancer<H> {
-    /// A gossip message of another balancer was received. A malformed one is ignored.
+    /// Handles a gossip message of another balancer. A malformed message is ignored.
     pub fn gossip_received(&mut self, now: Micros, from: usize, message: &str) {
         let Some(message) = GossipMessage::parse(message) else {
             return;
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Sends the load of an endpoint by this balancer's ledger.
+    /// Sends the load of an endpoint according to this balancer's ledger.
     fn report_load(&mut self, now: Micros, to: usize, index: usize, endpoint: u64) {
         let in_flight = self.endpoints[index].refresh_from_ledger(now) as u64;
         let message = GossipMessage::LoadReport {
@@ -50,7 +50,7 @@
         self.host.send_gossip(Some(to), &message.to_text());
     }
 
-    /// Reports a started attempt to the owner of the endpoint's ledger.
+    /// Reports the start of an attempt to the owner of the endpoint's ledger.
     pub(crate) fn report_attempt_started(&mut self, now: Micros, index: usize) {
         if !self.settings.gossip_allowed || !self.settings.load_unreported {
             return;
@@ -65,7 +65,7 @@
         self.host.send_gossip(Some(owner), &message.to_text());
     }
 
-    /// Reports an attempt that has ended to the owner of the endpoint's ledger.
+    /// Reports the end of an attempt to the owner of the endpoint's ledger.
     pub(crate) fn report_attempt_ended(
         &mut self,
         now: Micros,
@@ -90,7 +90,8 @@
         self.host.send_gossip(Some(owner), &message.to_text());
     }
 
-    /// The balancer that owns the ledger of an endpoint. All balancers compute the same one.
+    /// Returns the balancer that owns the ledger of an endpoint. All balancers compute the same
+    /// owner.
     pub(crate) fn ledger_owner(&self, index: usize) -> usize {
         (hash_pair(self.endpoints[index].hash, 0) % self.settings.balancers as u64) as usize
     }
--- a/crates/policy/src/decisions/key_order.rs
+++ b/crates/policy/src/decisions/key_order.rs
@@ -1,5 +1,5 @@
-//! Order by key: requests with one key, of classes that ask for it, run one at a time in the order
-//! of their arrival. See `state/key_queue.rs` for the invariant.
+//! Ordering by key: requests with the same key, in classes that are ordered by key, run one at a
+//! time in the order of their arrival. See `state/key_queue.rs` for the invariant.
 
 use std::rc::Rc;
 
@@ -10,8 +10,8 @@
 use crate::{AttemptOutcome, Host, Micros};
 
 impl<H: Host> Balancer<H> {
-    /// Places a request, or queues it behind others of its key. One that would wait too long is
-    /// answered at once.
+    /// Places a request, or queues it behind others with its key. A request that would wait too
+    /// long is answered immediately.
     pub(crate) fn enter_key_queue(&mut self, now: Micros, request: Request) {
         let Some(key) = request.order_key else {
             return self.place_or_queue(now, request);
@@ -23,7 +23,7 @@
             queue.holder = Some(Rc::clone(&request.id));
             return self.place_or_queue(now, request);
         }
-        let wait = (queue.length() as f64 * expected) as Micros;
+        let wait = (queue.requests_ahead() as f64 * expected) as Micros;
         if now.max(queue.cooldown_until) + wait >= latest_start {
             return self.reject_or_fail(now, request);
         }
@@ -31,7 +31,7 @@
         self.schedule_key_check(now, key, latest_start);
     }
 
-    /// Sets the timer of a key queue, unless one expires earlier.
+    /// Sets the timer of a key queue, unless its timer expires earlier.
     fn schedule_key_check(&mut self, now: Micros, key: u64, at: Micros) {
         let Some(queue) = self.key_queues.queues.get_mut(&key) else {
             return;
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Places the next request of a key if nothing of an earlier one can be running, and answers
-    /// those that waited too long.
+    /// Places the next request of a key if no attempt of an earlier request can be running, and
+    /// answers the requests that waited too long.
     pub(crate) fn advance_key_queue(&mut self, now: Micros, key: u64) {
         let Some(mut queue) = self.key_queues.queues.remove(&key) else {
             return;
@@ -55,7 +55,7 @@
             .extract_if(.., |request| self.latest_start(request) <= now)
             .collect();
         let next = queue.take_next(now);
-        // The queue of a key with nothing open is removed.
+        // The queue of a key without open requests or attempts is removed.
         if !queue.is_free(now) {
             self.restore_key_queue(now, key, queue);
         }
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Puts a key queue back, and sets the timer for the next time at which something can change.
+    /// Reinserts a key queue, and sets the timer for the next time at which its state can change.
     fn restore_key_queue(&mut self, now: Micros, key: u64, mut queue: KeyQueue) {
         let cooldown = Some(queue.cooldown_until).filter(|_| queue.is_idle());
         let latest_starts = queue
@@ -82,8 +82,7 @@
         }
     }
 
-    /// Releases the key of a request that has its answer. An attempt in flight goes on blocking the
-    /// key.
+    /// Releases the key of a closed request. An attempt in flight continues to block the key.
     pub(crate) fn release_key(&mut self, now: Micros, request: &Request) {
         let Some(key) = request.order_key else { return };
         let Some(queue) = self.key_queues.queues.get_mut(&key) else {
@@ -99,7 +98,8 @@
         }
     }
 
-    /// An attempt of a key ended. After one that may still run, the key has a cooldown.
+    /// Handles the end of an attempt for a key. An attempt that may still run starts a cooldown of
+    /// the key.
     pub(crate) fn key_attempt_ended(&mut self, now: Micros, key: u64, outcome: AttemptOutcome) {
         let Some(queue) = self.key_queues.queues.get_mut(&key) else {
             return;
@@ -117,7 +117,7 @@
         }
     }
 
-    /// An attempt of a request that has its answer ended.
+    /// Handles the end of an attempt whose request is already closed.
     pub(crate) fn closed_request_attempt_ended(
         &mut self,
         now: Micros,
--- a/crates/policy/src/decisions/outliers.rs
+++ b/crates/policy/src/decisions/outliers.rs
@@ -1,28 +1,28 @@
-//! Requests of outlier groups are rejected but for trials: one that is slow at every endpoint says
-//! nothing against any, and takes capacity from the others.
+//! Rejection of requests of outlier groups, except trials. A request that is slow at every endpoint
+//! provides no information about any of them, and takes capacity from the others.
 
 use crate::balancer::Balancer;
 use crate::state::request::Request;
 use crate::{Host, Micros};
 
-/// Latency objectives between two trials of an outlier group.
+/// Time between two trials of an outlier group, as a multiple of the latency objective.
 const TRIAL_INTERVAL_OBJECTIVES: u64 = 4;
 
 impl<H: Host> Balancer<H> {
-    /// The groups of a request: its class and its tenant.
+    /// Returns the groups of a request: its class and its tenant.
     fn outlier_group_indices(&self, request: &Request) -> [usize; 2] {
         [request.class, self.settings.classes.len() + request.tenant]
     }
 
-    /// The first of a request's groups that is an outlier.
+    /// Returns the first of a request's groups that is an outlier.
     pub(crate) fn outlier_group(&self, now: Micros, request: &Request) -> Option<usize> {
         self.outlier_group_indices(request)
             .into_iter()
             .find(|&group| self.outliers.is_outlier(now, group))
     }
 
-    /// Whether a request is rejected for its group. Now and then one passes, to see whether the
-    /// group recovered.
+    /// Returns whether a request is rejected because of its group. At intervals one request passes
+    /// as a trial, to detect that the group has recovered.
     pub(crate) fn excluded_as_outlier(&mut self, now: Micros, request: &Request) -> bool {
         let Some(group) = self.outlier_group(now, request) else {
             return false;
--- a/crates/policy/src/decisions/placement.rs
+++ b/crates/policy/src/decisions/placement.rs
@@ -1,17 +1,17 @@
-//! Placement of a request: the candidates, the choice among them, and the attempt.
+//! Placement of a request: its candidates, the selection of one of them, and the attempt.
 
 use std::rc::Rc;
 
 use nanorand::Rng;
 
 use crate::balancer::Balancer;
-use crate::scoring::projection::{project, selectable};
+use crate::scoring::projection::{project, selectable_count};
 use crate::scoring::score::{DecisionSample, FeatureRow, dot, softplus};
 use crate::state::request::{Attempt, Request};
 use crate::{Host, Micros};
 
-/// Candidates up to which every outcome is learned from; beyond it samples would grow with the
-/// fleet.
+/// Number of candidates up to which every decision is a sample for learning. With more candidates
+/// only some decisions are; otherwise the memory for samples would grow with the fleet.
 pub(crate) const MAX_SAMPLED_CANDIDATES: usize = 32;
 
 /// A candidate of a decision and its priority.
@@ -22,13 +22,13 @@
 }
 
 impl<H: Host> Balancer<H> {
-    /// Sends a request to one of the candidates; `false` where none is open.
+    /// Sends a request to one of the candidates; returns `false` if there is none.
     pub(crate) fn place(&mut self, now: Micros, request: &mut Request) -> bool {
         let candidates = self.candidates(now, request);
         self.select_and_send(now, request, &candidates)
     }
 
-    /// The first endpoints of the preference order that may be sent the request now.
+    /// Returns the first endpoints of the preference order that may receive the request now.
     pub(crate) fn candidates(&mut self, now: Micros, request: &Request) -> Vec<usize> {
         self.warm_endpoints = self.count_warm_endpoints(now);
         let unresponsive_after = self.unresponsive_after();
@@ -41,7 +41,7 @@
         let order = self.subset.current_order(now).iter().copied();
         let size = self.subset_size().endpoints;
         let mut candidates: Vec<_> = order.filter(open).take(size).collect();
-        // Rotated at random, as ties go to the first.
+        // The candidates are rotated at random, because the first one wins ties.
         let first = self.random.generate_range(0..candidates.len().max(1));
         candidates.rotate_left(first);
         candidates
@@ -54,7 +54,7 @@
             .count()
     }
 
-    /// Whether an endpoint is unresponsive and was sent a trial request already.
+    /// Returns whether an endpoint is unresponsive and has already received a trial request.
     fn has_pending_trial(&self, now: Micros, index: usize, unresponsive_after: f64) -> bool {
         let endpoint = &self.endpoints[index];
         endpoint.unanswered_for(now) > unresponsive_after
@@ -63,7 +63,7 @@
                 .is_some_and(|used_at| now < used_at + unresponsive_after as Micros)
     }
 
-    /// Selects one of the candidates at random by their scores, and sends the request there.
+    /// Selects one of the candidates at random by their scores, and sends the request to it.
     pub(crate) fn select_and_send(
         &mut self,
         now: Micros,
@@ -73,7 +73,7 @@
         let rows = self.feature_rows(now, candidates);
         let ranked = self.rank(&rows);
         let priorities: Vec<f64> = ranked.iter().map(|ranked| ranked.priority).collect();
-        let probabilities = project(&priorities, selectable(priorities.len()));
+        let probabilities = project(&priorities, selectable_count(priorities.len()));
         let selected = select(&probabilities, self.random.generate::<f64>());
         let Some(probability) = probabilities.get(selected).copied() else {
             return false;
@@ -89,7 +89,7 @@
         self.send(now, request, index, sample)
     }
 
-    /// The candidates by falling priority.
+    /// Returns the candidates in descending priority.
     fn rank(&self, rows: &[FeatureRow]) -> Vec<RankedCandidate> {
         let rank = |(position, row)| RankedCandidate {
             priority: softplus(dot(&self.learning.weights, row)),
@@ -100,7 +100,8 @@
         ranked
     }
 
-    /// Starts an attempt, if the rules permit it: the only place where attempts start.
+    /// Starts an attempt, if it is permitted; returns whether it was started. No other function
+    /// starts attempts.
     pub(crate) fn send(
         &mut self,
         now: Micros,
@@ -115,9 +116,9 @@
         let attempt = self.open_attempt(now, request, index, sample);
         self.endpoints[index].slow_start_usage = budget.usage_after(request.work);
         if let Some(idle_for) = attempt.idle_for
-            && self.idle_drops.affects(now, idle_for)
+            && self.idle_drops.is_assumed_dropped(now, idle_for)
         {
-            // A request on a connection that was dropped would be lost.
+            // A request on a dropped connection would be lost.
             let id = &self.endpoints[index].id;
             self.host.close_idle_connections(id);
         }
@@ -134,7 +135,7 @@
         true
     }
 
-    /// Counts a new attempt at its endpoint.
+    /// Records a new attempt at its endpoint.
     fn open_attempt(
         &mut self,
         now: Micros,
@@ -157,7 +158,7 @@
     }
 }
 
-/// The position that a random number from 0 to 1 selects by the probabilities.
+/// Returns the position that a random number from 0 to 1 selects by the probabilities.
 fn select(probabilities: &[f64], random: f64) -> usize {
     let mut remaining = random;
     let selects = |probability: &f64| {
--- a/crates/policy/src/decisions/queueing.rs
+++ b/crates/policy/src/decisions/queueing.rs
@@ -1,32 +1,36 @@
 //! The queue of requests that wait for capacity.
 //!
 //! Invariant: a request waits only while an attempt could still be in time; otherwise it is
-//! answered at once.
+//! answered immediately.
 
 use std::rc::Rc;
 
 use crate::balancer::Balancer;
-use crate::state::decaying::{LONG_TERM_US, RECENT_US, SECOND_US};
+use crate::state::decaying::{LONG_TERM_HORIZON_US, MICROS_PER_SECOND, RECENT_HORIZON_US};
 use crate::state::request::Request;
 use crate::state::timers::QUEUE_TIMER;
 use crate::{Host, Micros};
 
-/// Time between two looks at the queue.
+/// Time between two checks of the queue, in microseconds.
 pub(crate) const QUEUE_CHECK_INTERVAL_US: Micros = 10_000;
-/// Fewest endpoints per balancer at which requests are queued: with fewer, freed capacity goes to
-/// other balancers.
+/// Minimum number of endpoints per balancer at which requests are queued; with fewer, other
+/// balancers take the freed capacity.
 const MIN_ENDPOINTS_PER_BALANCER: usize = 3;
-/// Fraction of a request's spare time that the queue ahead of it may take.
+/// Maximum expected wait in the queue, as a fraction of the time until a request's latest start.
 const MAX_WAIT_FRACTION: f64 = 0.15;
-/// The same for a request beyond its tenant's quota.
+/// Maximum expected wait in the queue for a request beyond its tenant's quota, as a fraction of the
+/// time until its latest start.
 const MAX_WAIT_FRACTION_BEYOND_QUOTA: f64 = 0.04;
-/// Lowest service rate that waiting times are computed with, in requests per microsecond.
-const MIN_SERVED_REQUESTS_PER_US: f64 = 1.0 / SECOND_US;
-/// Expected latencies that a request needs when it is sent.
+/// Lower bound of the service rate in the computation of waiting times, in requests per
+/// microsecond.
+const MIN_SERVED_REQUESTS_PER_US: f64 = 1.0 / MICROS_PER_SECOND;
+/// Time to its objective that a request needs when it is sent, as a multiple of the expected
+/// latency.
 const START_MARGIN_LATENCIES: f64 = 2.0;
 
 impl<H: Host> Balancer<H> {
-    /// The time after which a response would probably come too late.
+    /// Returns the time after which it is too late to send a request, because its response would
+    /// probably be late.
     pub(crate) fn latest_start(&self, request: &Request) -> Micros {
         let needed =
             START_MARGIN_LATENCIES * self.expected_latency(request.class) * request.work.max(1.0);
@@ -36,20 +40,21 @@
             .saturating_sub(needed as Micros)
     }
 
-    /// Sends a request, queues it if it would be sent soon, or answers it at once.
+    /// Sends a request, queues it if it would be sent soon, or answers it immediately as not
+    /// served.
     pub(crate) fn place_or_queue(&mut self, now: Micros, mut request: Request) {
         if self.settings.polls_loads() {
             return self.poll_loads(now, request);
         }
-        // Requests that were sent before may only go to some endpoints, and do not block the
-        // others.
+        // Waiting requests that were sent before may only go to some endpoints, and do not block
+        // the others.
         let first = self.queue.has_only_retries();
         if first && self.subset_has_capacity(now) && self.place(now, &mut request) {
             self.requests.insert(Rc::clone(&request.id), request);
             return;
         }
-        self.subset.zone_crowded_until = now + LONG_TERM_US as Micros;
-        let position = self.queue.position(request.objective_at);
+        self.subset.zone_saturated_until = now + LONG_TERM_HORIZON_US as Micros;
+        let position = self.queue.insert_position(request.objective_at);
         if !self.should_queue(now, &request, position) {
             return self.reject_or_fail(now, request);
         }
@@ -57,9 +62,9 @@
         self.schedule_queue_timer();
     }
 
-    /// Whether a request would be sent in time from that position of the queue.
+    /// Returns whether a request would be sent in time from this position of the queue.
     fn should_queue(&self, now: Micros, request: &Request, position: usize) -> bool {
-        let rate = self.fleet.succeeded.read(now, RECENT_US) / self.recent_span(now);
+        let rate = self.fleet.succeeded.read(now, RECENT_HORIZON_US) / self.recent_span(now);
         let wait = self.queue.unsent_before(position) as f64 / rate.max(MIN_SERVED_REQUESTS_PER_US);
         let spare = self.latest_start(request) as f64 - now as f64;
         let fraction = if request.within_quota {
--- a/crates/policy/src/decisions/retry.rs
+++ b/crates/policy/src/decisions/retry.rs
@@ -1,8 +1,9 @@
-//! Whether a request may be attempted (again), how long an attempt may take, and the answer to a
-//! request that is not served.
+//! Conditions of attempts and retries, timeouts of attempts, and the answer to a request that is
+//! not served.
 //!
-//! Invariants: never two attempts of a request in flight; no second run where idempotency forbids
-//! it; a rejection only where a retry by the client is harmless.
+//! Invariants: two attempts of a request are never in flight at the same time; a request does not
+//! run a second time if its idempotency forbids it; a request is rejected only if a retry by the
+//! client is safe.
 
 use crate::balancer::Balancer;
 use crate::state::request::{Attempt, Request};
@@ -11,21 +12,24 @@
 
 use super::queueing::QUEUE_CHECK_INTERVAL_US;
 
-/// Endpoints that may lose their connections under a request: it may be the cause, so there is no
-/// third.
+/// Maximum number of endpoints that may lose their connection during attempts of a request. The
+/// request may be the cause, so a third attempt is not made.
 const MAX_LOST_CONNECTIONS: usize = 2;
-/// Expected latencies after which a rejected request may be retried.
+/// Time after which a rejected request may be retried, as a multiple of the expected latency.
 const RETRY_AFTER_LATENCIES: f64 = 0.5;
-/// Percentage of failed attempts at an endpoint beyond which responses count as lost.
+/// Percentage of failed attempts at an endpoint above which responses count as lost.
 pub(crate) const MAX_FAILURE_PERCENT: u64 = 10;
-/// Where responses are lost: expected latencies that an attempt may take.
+/// Timeout of an attempt if responses are lost, as a multiple of the expected latency.
 const ATTEMPT_TIMEOUT_LATENCIES: f64 = 3.0;
-/// Least and greatest fraction of the time to the objective that such an attempt may take.
+/// Lower bound of the timeout of an attempt if responses are lost, as a fraction of the time to the
+/// objective.
 const MIN_ATTEMPT_TIME_FRACTION: f64 = 0.5;
+/// Upper bound of the timeout of an attempt if responses are lost, as a fraction of the time to the
+/// objective.
 const MAX_ATTEMPT_TIME_FRACTION: f64 = 0.85;
 
 impl<H: Host> Balancer<H> {
-    /// Whether one more attempt of a request may be sent to this endpoint.
+    /// Returns whether one more attempt of a request may be sent to this endpoint.
     pub(crate) fn is_attempt_permitted(
         &self,
         now: Micros,
@@ -43,14 +47,16 @@
             && self.may_attempt(now, request)
     }
 
-    /// Whether the endpoint of an attempt lost its connection and has not answered anybody since.
+    /// Returns whether the endpoint of an attempt lost its connection and has served no request
+    /// since.
     fn appears_down(&self, attempt: &Attempt) -> bool {
         attempt
             .connection_lost_at
             .is_some_and(|lost_at| self.endpoints[attempt.endpoint].last_success <= lost_at)
     }
 
-    /// Whether this endpoint discards a second run, where the request may have run elsewhere.
+    /// Returns whether this endpoint may receive a request that may have run elsewhere: with an
+    /// idempotency key, only an endpoint that discards a second run.
     fn in_idempotency_scope(&self, request: &Request, index: usize) -> bool {
         let Idempotency::IdempotencyKey { scope, .. } =
             self.settings.classes[request.class].idempotency
@@ -68,7 +74,7 @@
         })
     }
 
-    /// Whether a request may be attempted at all, now or later.
+    /// Returns whether a request may be attempted at all, now or later.
     pub(crate) fn may_attempt(&self, now: Micros, request: &Request) -> bool {
         let max_attempts = self.settings.max_attempts.min(request.max_attempts);
         self.may_run_again(now, request)
@@ -78,7 +84,7 @@
             && request.attempt_in_flight().is_none()
     }
 
-    /// Whether idempotency allows another run now.
+    /// Returns whether idempotency allows another run now.
     fn may_run_again(&self, now: Micros, request: &Request) -> bool {
         let mut earlier = request.attempts_that_may_have_run();
         match self.settings.classes[request.class].idempotency {
@@ -90,8 +96,8 @@
         }
     }
 
-    /// Time at which an attempt times out. Where responses are lost, it leaves time for another
-    /// attempt.
+    /// Returns the time at which an attempt times out. If responses are lost, the timeout leaves
+    /// time for another attempt.
     pub(crate) fn attempt_deadline(&self, now: Micros, request: &Request, index: usize) -> Micros {
         let endpoint_is_lossy = self.endpoints[index].failure_percent > MAX_FAILURE_PERCENT
             && !self.settings.can_cancel;
@@ -111,8 +117,8 @@
         (now + timeout.max(QUEUE_CHECK_INTERVAL_US)).min(request.deadline)
     }
 
-    /// Answers a request that is not served: rejects it where a retry by the client is harmless,
-    /// else fails it.
+    /// Answers a request that is not served: rejects it if a retry by the client is safe, and fails
+    /// it otherwise.
     pub(crate) fn reject_or_fail(&mut self, now: Micros, request: Request) {
         let may_have_run = request.attempts_that_may_have_run().next().is_some();
         let discarded_everywhere = matches!(
--- a/crates/policy/src/decisions/slow_start.rs
+++ b/crates/policy/src/decisions/slow_start.rs
@@ -1,25 +1,26 @@
-//! Slow start: the budget of work for an endpoint whose process has just started.
+//! Slow start: the work budget of an endpoint whose process has just started.
 //!
-//! Invariant: the budgets of all balancers for one endpoint sum to less than the load that would
-//! overload it, in each overload window of its slow start.
+//! Invariant: in each overload window of an endpoint's slow start, the budgets of all balancers sum
+//! to less than the load that would overload the endpoint.
 
 use crate::balancer::Balancer;
 use crate::hashing::hash_pair;
-use crate::state::decaying::LONG_TERM_US;
+use crate::state::decaying::LONG_TERM_HORIZON_US;
 use crate::state::slow_start_budget::SlowStartBudget;
 use crate::{Host, Micros};
 
-/// Fraction of an endpoint's budget that is used, as its capacity is an estimate.
+/// Fraction of an endpoint's budget that is used, because its capacity is an estimate.
 const BUDGET_FRACTION: f64 = 0.5;
 
 impl<H: Host> Balancer<H> {
-    /// Whether an endpoint is in slow start.
+    /// Returns whether an endpoint is in slow start.
     pub(crate) fn in_slow_start(&self, now: Micros, index: usize) -> bool {
         let started_at = self.endpoints[index].started_at;
         started_at > 0 && now < started_at + self.settings.slow_start.duration
     }
 
-    /// Least capacity of an endpoint, as a fraction of its full capacity; 1 after slow start.
+    /// Returns the minimum capacity of an endpoint, as a fraction of its full capacity; 1 after
+    /// slow start.
     pub(crate) fn slow_start_capacity(&self, now: Micros, index: usize) -> f64 {
         if !self.in_slow_start(now, index) {
             return 1.0;
@@ -30,8 +31,8 @@
             + (1.0 - slow_start.initial_capacity) * age as f64 / slow_start.duration as f64
     }
 
-    /// The budget of an endpoint in the present interval of its slow start. What is not spent
-    /// expires.
+    /// Returns the budget of an endpoint in the current interval of its slow start. Unused work of
+    /// an interval expires.
     pub(crate) fn slow_start_budget(&self, now: Micros, index: usize) -> SlowStartBudget {
         if !self.in_slow_start(now, index) {
             return SlowStartBudget::UNLIMITED;
@@ -45,8 +46,8 @@
             * self.slow_start_capacity(now, index)
             * self.warm_throughput(now)
             * slow_start.overload_window as f64;
-        // A budget of part of a request is granted to some of the balancers, so lone requests never
-        // add up.
+        // A budget of a fraction of a request is rounded up at some of the balancers and down at
+        // the others, so that single requests of many balancers do not add up.
         let instance_hash = hash_pair(self.instance_seed, endpoint.hash);
         let rounding = hash_pair(instance_hash, interval) as f64 / u64::MAX as f64;
         let usage = endpoint.slow_start_usage;
@@ -61,23 +62,24 @@
         }
     }
 
-    /// Work per microsecond that each warm endpoint serves for this balancer. The capacity of a new
-    /// endpoint is not known: it is taken to be the same, or the initial part of the arrivals where
-    /// no endpoint is warm.
+    /// Returns the work per microsecond that each warm endpoint serves for this balancer. The
+    /// capacity of a new endpoint is not known: it is assumed to be the same or, if no endpoint is
+    /// warm, the initial fraction of the arrivals.
     fn warm_throughput(&self, now: Micros) -> f64 {
         let served = match self.warm_endpoints {
             0 => {
-                let arrivals = self.fleet.arrivals.read(now, LONG_TERM_US);
+                let arrivals = self.fleet.arrivals.read(now, LONG_TERM_HORIZON_US);
                 self.settings.slow_start.initial_capacity * arrivals
             }
-            _ => self.fleet.served_work.read(now, LONG_TERM_US),
+            _ => self.fleet.served_work.read(now, LONG_TERM_HORIZON_US),
         };
         let endpoints = self.subset_size().endpoints.min(self.warm_endpoints);
         served / self.long_term_span(now) / endpoints.max(1) as f64
     }
 
-    /// Fraction of the budget that this balancer has: the balancers with the endpoint in their
-    /// subset share one half of what it bears, all the others the other half.
+    /// Returns the fraction of the budget that is available to this balancer: the balancers with
+    /// the endpoint in their subset share one half of its load limit, and all others share the
+    /// other half.
     fn subset_fraction(&self, index: usize) -> f64 {
         let (size, order) = (self.subset_size().endpoints, &self.subset.preference_order);
         let in_subset = || order.iter().take(size).any(|&member| member == index);
--- a/crates/policy/src/decisions/subset.rs
+++ b/crates/policy/src/decisions/subset.rs
@@ -5,12 +5,12 @@
 use crate::state::subset::SubsetSize;
 
 impl<H: Host> Balancer<H> {
-    /// Builds the preference order anew where the ready endpoints have changed.
+    /// Rebuilds the preference order if the ready endpoints have changed.
     pub(crate) fn rebuild_preference_order(&mut self) {
         self.subset.rebuild(&self.endpoints, &self.settings);
     }
 
-    /// The size of this balancer's subset.
+    /// Returns the size of this balancer's subset.
     pub(crate) fn subset_size(&self) -> SubsetSize {
         self.subset.size(&self.settings)
     }
--- a/crates/policy/src/gossip_message.rs
+++ b/crates/policy/src/gossip_message.rs
@@ -1,10 +1,10 @@
-//! Gossip messages between balancers, short lines of text. An endpoint is named by the first bits
-//! of its hash, which are the same at all balancers. Messages may be lost, late or corrupted; a
-//! malformed one is ignored.
+//! Gossip messages between balancers, encoded as short lines of text. A message identifies an
+//! endpoint by the leading bits of its hash, which is the same at all balancers. Messages may be
+//! lost, late or corrupted; a malformed message is ignored.
 
 use crate::{AttemptOutcome, Micros};
 
-/// What the outcome of an attempt says of its endpoint.
+/// Outcome of an attempt as it counts in the failure rate of its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PeerOutcome {
     Neutral,
@@ -46,7 +46,7 @@
     }
 }
 
-/// A message.
+/// A gossip message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum GossipMessage {
     /// The sender started an attempt at the endpoint.
@@ -57,9 +57,10 @@
         class: usize,
         outcome: PeerOutcome,
     },
-    /// Requests the load of the endpoint by the receiver's ledger.
+    /// Requests the endpoint's load according to the receiver's ledger.
     LoadRequest { endpoint: u64 },
-    /// The load by the sender's ledger, and the percentage of attempts that failed.
+    /// Load of the endpoint according to the sender's ledger, and the percentage of attempts that
+    /// failed.
     LoadReport {
         endpoint: u64,
         in_flight: u64,
@@ -70,7 +71,7 @@
 }
 
 impl GossipMessage {
-    /// Parses a message; `None` for a malformed one.
+    /// Parses a message; returns `None` if it is malformed.
     pub(crate) fn parse(text: &str) -> Option<Self> {
         let mut parts = text.split(' ');
         let kind = parts.next()?;
@@ -93,7 +94,7 @@
         })
     }
 
-    /// The message as text.
+    /// Returns the message as text.
     pub(crate) fn to_text(self) -> String {
         match self {
             Self::AttemptStarted { endpoint } => format!("+ {endpoint:x}"),
@@ -112,7 +113,7 @@
         }
     }
 
-    /// The endpoint that the message is about.
+    /// Returns the gossip ID of the endpoint that the message refers to.
     pub(crate) fn endpoint(self) -> Option<u64> {
         match self {
             Self::AttemptStarted { endpoint }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,12 +1,13 @@
 //! Load-balancing decisions of a proxy. A [`Balancer`] receives events and acts through a [`Host`];
 //! it reads no clock and opens no sockets.
 //!
-//! `balancer.rs` holds the events in the order in which a request meets them, `decisions` what they
-//! decide, `scoring` the learned choice of an endpoint, and `state` what a balancer remembers.
+//! `balancer.rs` holds the event handlers in the order in which a request triggers them,
+//! `decisions` the decisions that they make, `scoring` the learned selection of an endpoint, and
+//! `state` the state of a balancer.
 
 #![cfg_attr(
     test,
-    // A test that lists its cases in a row reads better whole.
+    // Test functions may contain long tables of cases.
     allow(
         clippy::default_trait_access,
         clippy::needless_for_each,
--- a/crates/policy/src/scoring/learning.rs
+++ b/crates/policy/src/scoring/learning.rs
@@ -1,25 +1,25 @@
-//! Online learning of the score's weights: a clipped policy step over the latest rewards (equations
-//! 5, 6 and 9 of the paper in `docs/design.md`).
+//! Online learning of the score's weights by a clipped policy-gradient step over the latest rewards
+//! (equations 5, 6 and 9 of the paper in `docs/design.md`).
 //!
-//! Invariant: no weight changes its sign, and each stays within `MIN_WEIGHT_RATIO` and its inverse
-//! of its initial value.
+//! Invariant: no weight changes its sign, and the ratio of each weight to its initial value stays
+//! between `MIN_WEIGHT_RATIO` and the inverse of `MIN_WEIGHT_RATIO`.
 
 use crate::Micros;
-use crate::scoring::projection::selectable;
+use crate::scoring::projection::selectable_count;
 use crate::scoring::score::{
     DecisionSample, FEATURE_COUNT, FeatureRow, INITIAL_WEIGHTS, dot, softplus,
 };
-use crate::state::decaying::{DecayingAverage, LONG_TERM_US};
+use crate::state::decaying::{DecayingAverage, LONG_TERM_HORIZON_US};
 
 /// Lower bound of a weight relative to its initial value; the upper bound is the inverse.
 pub(crate) const MIN_WEIGHT_RATIO: f64 = 0.4;
-/// Upper bound of a reward, so that no single response decides.
+/// Upper bound of a reward, so that no single response dominates an update.
 pub(crate) const MAX_REWARD: f64 = 3.0;
 const LEARNING_RATE: f64 = 0.1;
-/// The paper's ε.
+/// Clipping range of the probability ratio; ε in the paper.
 const CLIP_RATIO: f64 = 0.2;
 const EPOCHS_PER_UPDATE: usize = 2;
-/// Fraction of the way back to the initial weights in each step, against drift.
+/// Fraction of the difference to the initial weights that each step removes, to limit drift.
 const WEIGHT_DECAY: f64 = 0.02;
 const SAMPLES_PER_UPDATE: usize = 256;
 const UPDATE_INTERVAL_US: Micros = 2_000_000;
@@ -30,7 +30,7 @@
     pub(crate) reward: f64,
 }
 
-/// Probability of the selected candidate, and its gradient by weight.
+/// Probability of the selected candidate, and its gradient with respect to the weights.
 pub(crate) struct SelectionGradient {
     pub(crate) probability: f64,
     pub(crate) gradient: FeatureRow,
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Records the reward of a decision, and updates the weights when enough were recorded or time
-    /// has passed.
+    /// Records the reward of a decision, and updates the weights once `SAMPLES_PER_UPDATE` samples
+    /// were recorded or `UPDATE_INTERVAL_US` has passed.
     pub(crate) fn record(&mut self, now: Micros, sample: Option<DecisionSample>, reward: f64) {
         self.samples
             .extend(sample.map(|sample| RewardedSample { sample, reward }));
@@ -65,12 +65,14 @@
         }
     }
 
-    /// Takes the clipped policy step over the samples since the last update.
+    /// Updates the weights by the clipped policy-gradient step over the samples since the last
+    /// update.
     pub(crate) fn update_weights(&mut self, now: Micros) {
         self.updated_at = now;
         let samples = std::mem::take(&mut self.samples);
         for rewarded in &samples {
-            self.rewards.add(now, LONG_TERM_US, rewarded.reward, 1.0);
+            self.rewards
+                .add(now, LONG_TERM_HORIZON_US, rewarded.reward, 1.0);
         }
         let Some(baseline) = self.rewards.read() else {
             return;
@@ -88,8 +90,8 @@
     }
 }
 
-/// Gradient of the selected candidate's probability under the present weights, through softplus,
-/// normalisation and projection; `None` where the candidate is no longer selectable.
+/// Returns the selected candidate's probability under the current weights and its gradient, through
+/// softplus, normalisation and projection; `None` if the candidate is no longer selectable.
 pub(crate) fn selection_gradient(
     weights: &FeatureRow,
     sample: &DecisionSample,
@@ -135,12 +137,13 @@
     })
 }
 
-/// The clipped policy step. A reward equal to `baseline` has no advantage.
+/// Returns the clipped policy-gradient step. The advantage of a sample is its reward minus
+/// `baseline`.
 fn clipped_step(weights: &FeatureRow, samples: &[RewardedSample], baseline: f64) -> FeatureRow {
     let mut step = [0.0; FEATURE_COUNT];
     for RewardedSample { sample, reward } in samples {
         let advantage = reward - baseline;
-        let selectable = selectable(sample.rows.len());
+        let selectable = selectable_count(sample.rows.len());
         let Some(selection) = selection_gradient(weights, sample, selectable) else {
             continue;
         };
--- a/crates/policy/src/scoring/projection.rs
+++ b/crates/policy/src/scoring/projection.rs
@@ -1,15 +1,17 @@
 //! Projection of the candidates' priorities to selection probabilities (equation 4 of the paper in
 //! `docs/design.md`).
 //!
-//! Invariant: the probabilities sum to 1, and only the best [`selectable`] candidates have any.
+//! Invariant: the probabilities sum to 1, and only the best [`selectable_count`] candidates have a
+//! probability above 0.
 
-/// Number of candidates that may be selected: all but the worst quarter.
-pub(crate) fn selectable(candidates: usize) -> usize {
+/// Returns the number of candidates that may be selected: the best three quarters, and at least two
+/// if there are as many.
+pub(crate) fn selectable_count(candidates: usize) -> usize {
     (3 * candidates).div_ceil(4).max(2).min(candidates)
 }
 
-/// Euclidean projection of descending priorities to the selection probabilities of the first
-/// `selectable`.
+/// Returns the Euclidean projection of priorities, in descending order, to the selection
+/// probabilities of the first `selectable` candidates.
 pub(crate) fn project(priorities: &[f64], selectable: usize) -> Vec<f64> {
     let sum: f64 = priorities.iter().sum();
     let selectable_sum: f64 = priorities.iter().take(selectable).sum();
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -3,7 +3,7 @@
 
 use crate::Micros;
 
-/// The endpoints that discard a repeated request with the same idempotency key.
+/// Set of endpoints that discard a repeated request with the same idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdempotencyScope {
     /// All endpoints share one set of keys.
@@ -17,14 +17,14 @@
 /// The effect of running a request a second time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// A second run does no harm.
+    /// A second run has no further effect.
     Idempotent,
-    /// Endpoints within `scope` discard a second run that begins within `window` microseconds of
+    /// Endpoints within `scope` discard a second run that starts within `window` microseconds of
     /// the first.
     IdempotencyKey {
         /// The endpoints that share the key.
         scope: IdempotencyScope,
-        /// Time in microseconds during which the key is remembered.
+        /// Time in microseconds for which the endpoints store the key.
         window: Micros,
     },
     /// A second run repeats the effect.
@@ -32,7 +32,7 @@
 }
 
 impl Idempotency {
-    /// Whether a request that may have run may be sent again at all.
+    /// Returns whether a request that may have run may ever be sent again.
     #[must_use]
     pub fn allows_repeat(self) -> bool {
         self != Self::NonIdempotent
@@ -49,22 +49,22 @@
     /// Value of one unit of work relative to the other classes; 0 for a class that is no longer
     /// configured.
     pub priority_weight: f64,
-    /// Requests with the same key run one at a time, in the order of their arrival at this
+    /// Whether requests with the same key run one at a time, in the order of their arrival at this
     /// balancer.
     pub ordered_by_key: bool,
 }
 
-/// Slow start of an endpoint whose process has just started, and the overload that would bring it
-/// down.
+/// Slow start of an endpoint whose process has just started, and the overload that would make the
+/// endpoint fail.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SlowStart {
     /// Capacity at the start, as a fraction of the full capacity.
     pub initial_capacity: f64,
     /// Time in microseconds until the full capacity is reached.
     pub duration: Micros,
-    /// Load, as a multiple of the present capacity, that overloads the endpoint.
+    /// Load, as a multiple of the current capacity, that overloads the endpoint.
     pub overload_multiple: f64,
-    /// Time in microseconds over which that load is measured.
+    /// Time in microseconds over which an overload is measured.
     pub overload_window: Micros,
 }
 
@@ -77,27 +77,28 @@
     pub own_index: usize,
     /// Zone of this balancer.
     pub zone: u64,
-    /// Longest time in microseconds between two polls of the endpoint list; `None` where it is
+    /// Longest time in microseconds between two polls of the endpoint list; `None` if the list is
     /// pushed.
     pub max_poll_interval: Option<Micros>,
-    /// The endpoint list holds weights.
+    /// Whether the endpoint list contains weights.
     pub weights_listed: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub can_cancel: bool,
-    /// Endpoints report their load in answers to probes, and only there.
+    /// Whether endpoints report their load in responses to probes, and only there.
     pub load_from_probes: bool,
-    /// Endpoints report their load neither with responses nor to probes.
+    /// Whether endpoints report their load neither with responses nor to probes.
     pub load_unreported: bool,
-    /// Balancers may send gossip to one another.
+    /// Whether balancers may send gossip to one another.
     pub gossip_allowed: bool,
-    /// Most attempts for one request.
+    /// Maximum number of attempts of one request.
     pub max_attempts: usize,
-    /// Longest `retry_after` of a rejection, in microseconds.
+    /// Maximum `retry_after` of a rejection, in microseconds.
     pub max_retry_after: Micros,
-    /// Time in microseconds that a key is blocked after an attempt that may still run though it
-    /// ended here.
+    /// Time in microseconds for which a key is blocked after an attempt that ended at the balancer
+    /// but may still run at the endpoint.
     pub key_cooldown: Micros,
-    /// Endpoints stay usable after the list drops them, unless they drain.
+    /// Whether endpoints remain usable after they are removed from the list, unless they are
+    /// draining.
     pub unlisted_stay_usable: bool,
     /// Slow start of endpoints.
     pub slow_start: SlowStart,
@@ -108,7 +109,7 @@
 }
 
 impl Settings {
-    /// The classes that clients can request.
+    /// Returns the classes that clients can request.
     fn configured_classes(&self) -> impl Iterator<Item = &RequestClass> {
         self.classes
             .iter()
@@ -128,13 +129,14 @@
             .fold(f64::MIN_POSITIVE, f64::max)
     }
 
-    /// Number of outlier groups: one for each class and each tenant.
+    /// Returns the number of outlier groups: one for each class and each tenant.
     pub(crate) fn outlier_groups(&self) -> usize {
         self.classes.len() + self.tenant_quotas.len()
     }
 
-    /// Whether loads are polled before each choice, from the endpoints or from the owners of their
-    /// ledgers: a balancer with a request or two per second cannot know them itself.
+    /// Returns whether loads are polled before each selection, from the endpoints or from the
+    /// owners of their ledgers. A balancer with one or two requests per second cannot estimate the
+    /// loads from its own responses.
     pub(crate) fn polls_loads(&self) -> bool {
         self.load_from_probes || (self.load_unreported && self.gossip_allowed)
     }
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -1,4 +1,5 @@
-//! The parts of a balancer's state. Each changes only itself; `decisions` combines them.
+//! The parts of a balancer's state. Each module changes only its own state; the modules in
+//! `decisions` combine them.
 
 pub(crate) mod admission;
 pub(crate) mod class_latency;
--- a/crates/policy/src/state/class_latency.rs
+++ b/crates/policy/src/state/class_latency.rs
@@ -1,21 +1,25 @@
-//! Latency of a class of requests, scaled to a request of average work.
+//! Latency statistics of a class of requests, scaled to a request of average work.
 
 use crate::Micros;
-use crate::state::decaying::{DecayingAverage, LONG_TERM_US, RECENT_US};
+use crate::state::decaying::{DecayingAverage, LONG_TERM_HORIZON_US, RECENT_HORIZON_US};
 
-/// Fraction of the latency objective that is expected before the first response.
+/// Expected latency before the first response, as a fraction of the latency objective.
 const INITIAL_LATENCY_FRACTION: f64 = 0.25;
-/// Overdue attempts that were never answered, before losses are assumed.
+/// Number of overdue attempts without a response above which attempts may count as lost.
 const MIN_LOST_ATTEMPTS: f64 = 2.0;
-/// Least fraction of the overdue attempts that were never answered: others are only slow.
+/// Fraction of the overdue attempts without a response above which attempts may count as lost;
+/// below it the others show that attempts are only slow.
 const MIN_LOST_FRACTION: f64 = 0.7;
-/// Most lost attempts relative to the answered ones: beyond it retries would add to an overload.
+/// Upper bound of lost attempts relative to answered ones; above it retries would add to an
+/// overload.
 const MAX_LOST_PER_ANSWERED: f64 = 0.1;
-/// Most standard deviations over the mean to allow for.
+/// Upper bound of the latency margin, as a fraction of the mean latency.
 const MAX_LATENCY_MARGIN: f64 = 2.0;
-/// How fast the shortest latency follows a lower average.
+/// Fraction of the difference by which the minimum latency moves to a lower average at each
+/// response.
 const MIN_LATENCY_FALL_RATE: f64 = 0.1;
-/// How fast it follows a higher one: slowly, so that a jam is not taken for normal.
+/// Fraction of the difference by which the minimum latency moves to a higher average at each
+/// response; small, so that congestion does not count as normal.
 const MIN_LATENCY_RISE_RATE: f64 = 0.0003;
 
 /// Latency statistics of one class.
@@ -23,42 +27,46 @@
 pub(crate) struct ClassLatency {
     pub(crate) recent: DecayingAverage,
     pub(crate) long_term: DecayingAverage,
-    /// Squares of the latencies in `long_term`.
+    /// Average of the squares of the latencies in `long_term`.
     squares: DecayingAverage,
+    /// Slowly rising minimum of the long-term average, in microseconds.
     pub(crate) minimum: Option<f64>,
-    /// Work hints of its requests.
+    /// Average work hint of its requests, in microseconds.
     pub(crate) work_hint: DecayingAverage,
-    /// Of the attempts in flight for longer than `unresponsive_after`, the fraction that was never
-    /// answered.
+    /// Fraction of the attempts in flight for longer than `unresponsive_after` that received no
+    /// response.
     pub(crate) overdue: DecayingAverage,
 }
 
 impl ClassLatency {
     /// Records the latency of a succeeded attempt.
     pub(crate) fn record(&mut self, now: Micros, latency: f64, work: f64) {
-        self.recent.add(now, RECENT_US, latency, work);
-        self.long_term.add(now, LONG_TERM_US, latency, work);
-        self.squares.add(now, LONG_TERM_US, latency * latency, work);
+        self.recent.add(now, RECENT_HORIZON_US, latency, work);
+        self.long_term.add(now, LONG_TERM_HORIZON_US, latency, work);
+        self.squares
+            .add(now, LONG_TERM_HORIZON_US, latency * latency, work);
         let average = self.long_term.read().unwrap_or(latency);
         track_min_latency(&mut self.minimum, average);
     }
 
-    /// Latency in microseconds that is expected at present.
+    /// Returns the currently expected latency in microseconds.
     pub(crate) fn expected(&self, latency_objective: Micros) -> f64 {
         let unknown = latency_objective as f64 * INITIAL_LATENCY_FRACTION;
         self.recent.read().unwrap_or(unknown)
     }
 
-    /// Whether overdue attempts are lost, not slow, and few of all.
+    /// Returns whether overdue attempts are lost rather than slow, and few relative to the answered
+    /// ones.
     pub(crate) fn is_lossy(&self, now: Micros) -> bool {
-        let lost = self.overdue.total.read(now, RECENT_US);
-        let answered = self.recent.weight.read(now, RECENT_US);
+        let lost = self.overdue.total.read(now, RECENT_HORIZON_US);
+        let answered = self.recent.weight.read(now, RECENT_HORIZON_US);
         lost > MIN_LOST_ATTEMPTS
             && self.overdue.read() > Some(MIN_LOST_FRACTION)
             && lost < MAX_LOST_PER_ANSWERED * answered
     }
 
-    /// Standard deviation over the mean of the latency; infinite before the first response.
+    /// Returns the standard deviation of the latency divided by its mean; infinite before the first
+    /// response.
     fn coefficient_of_variation(&self) -> f64 {
         let known = self.squares.read().zip(self.long_term.read());
         known.map_or(f64::INFINITY, |(squares, mean)| {
@@ -66,8 +74,9 @@
         })
     }
 
-    /// The spread to allow for where no hint tells the work of requests. There is none before the
-    /// first response, or a new balancer would never send and never learn.
+    /// Returns the margin for the spread of latencies if no hint gives the work of requests, as a
+    /// fraction of the mean latency. It is 0 before the first response; otherwise a new balancer
+    /// would never send a request and never measure a latency.
     pub(crate) fn latency_margin(&self) -> f64 {
         let unhinted = self.work_hint.read().is_none() && self.long_term.read().is_some();
         if unhinted {
@@ -78,7 +87,7 @@
     }
 }
 
-/// Moves the shortest latency towards the present average.
+/// Moves the minimum latency towards the current average.
 pub(crate) fn track_min_latency(minimum: &mut Option<f64>, average: f64) {
     let minimum = minimum.get_or_insert(average);
     let rate = if average < *minimum {
--- a/crates/policy/src/state/decaying.rs
+++ b/crates/policy/src/state/decaying.rs
@@ -3,13 +3,14 @@
 use crate::Micros;
 
 /// One second in microseconds.
-pub(crate) const SECOND_US: f64 = 1e6;
-/// Horizon of statistics that describe the present.
-pub(crate) const RECENT_US: f64 = 2.0 * SECOND_US;
-/// Horizon of statistics that describe a machine or a class.
-pub(crate) const LONG_TERM_US: f64 = 15.0 * SECOND_US;
-
-/// A sum that decays with time. Decay is applied when the sum is read or added to.
+pub(crate) const MICROS_PER_SECOND: f64 = 1e6;
+/// Horizon of statistics on the current state, in microseconds.
+pub(crate) const RECENT_HORIZON_US: f64 = 2.0 * MICROS_PER_SECOND;
+/// Horizon of statistics on a machine or a class, in microseconds.
+pub(crate) const LONG_TERM_HORIZON_US: f64 = 15.0 * MICROS_PER_SECOND;
+
+/// A sum that decays exponentially with time. The decay is applied when the sum is read or added
+/// to.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct DecayingSum {
     /// The sum as of the last addition.
@@ -18,9 +19,10 @@
 }
 
 impl DecayingSum {
-    /// The sum at `now`, decayed by 1/e for each `horizon` microseconds since the last addition.
+    /// Returns the sum at `now`, decayed by 1/e for each `horizon` microseconds since the last
+    /// addition.
     pub(crate) fn read(&self, now: Micros, horizon: f64) -> f64 {
-        // Most sums are empty, and exp() dominates the cost of reading a large fleet.
+        // Most sums are 0, and `exp` dominates the cost of reading the sums of a large fleet.
         if self.sum == 0.0 || now <= self.updated_at {
             return self.sum;
         }
@@ -34,7 +36,8 @@
     }
 }
 
-/// A weighted average that decays with time. Both sums decay alike, so reading it needs no time.
+/// A weighted average that decays exponentially with time. Both sums decay equally, so the average
+/// does not depend on the time at which it is read.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct DecayingAverage {
     pub(crate) total: DecayingSum,
@@ -48,7 +51,7 @@
         self.weight.add(now, horizon, weight);
     }
 
-    /// The average, or `None` before the first value.
+    /// Returns the average, or `None` before the first value.
     pub(crate) fn read(&self) -> Option<f64> {
         (self.weight.sum > 0.0).then(|| self.total.sum / self.weight.sum)
     }
--- a/crates/policy/src/state/endpoint.rs
+++ b/crates/policy/src/state/endpoint.rs
@@ -1,4 +1,4 @@
-//! What this balancer knows of one endpoint. Latencies are scaled to a request of average work.
+//! State and statistics of one endpoint. Latencies are scaled to a request of average work.
 
 use std::rc::Rc;
 
@@ -7,7 +7,7 @@
 use crate::state::load_ledger::LoadLedger;
 use crate::state::slow_start_budget::SlowStartUsage;
 
-/// Bits of an endpoint's hash that do not fit into its short name.
+/// Number of low bits of an endpoint's hash that its gossip ID omits.
 const GOSSIP_ID_SHIFT: u32 = 40;
 
 /// One of this balancer's attempts in flight at an endpoint.
@@ -24,51 +24,54 @@
     pub(crate) work: f64,
 }
 
-/// One endpoint.
+/// An endpoint.
 #[derive(Default)]
 pub(crate) struct Endpoint {
-    /// Empty for a slot that is free.
+    /// Name of the endpoint; empty for a free slot.
     pub(crate) id: Rc<str>,
     pub(crate) hash: u64,
     pub(crate) zone: u64,
     pub(crate) cell: u64,
     pub(crate) ready: bool,
-    /// When the list dropped it, where an unlisted endpoint stays usable.
+    /// Time at which the endpoint was removed from the list, if unlisted endpoints remain usable.
     pub(crate) unlisted_since: Option<Micros>,
-    /// Weight on the list.
+    /// Average of the listed weights.
     pub(crate) weight: DecayingAverage,
-    /// Start of its process.
+    /// Start time of its process; 0 if it is not known.
     pub(crate) started_at: Micros,
     /// This balancer's attempts in flight.
     pub(crate) in_flight: Vec<InFlightAttempt>,
     pub(crate) recent_latency: DecayingAverage,
     pub(crate) long_term_latency: DecayingAverage,
+    /// Slowly rising minimum of the long-term latency, in microseconds.
     pub(crate) min_latency: Option<f64>,
-    /// Time that succeeded attempts were in flight.
+    /// Decaying sum of the time in flight of succeeded attempts, in microseconds.
     pub(crate) busy_time: DecayingSum,
-    /// Start of the oldest attempt since which nothing was received.
+    /// Time of the first attempt since the endpoint last responded; `None` if every attempt was
+    /// followed by a response.
     pub(crate) unanswered_since: Option<Micros>,
-    /// Deadline of the latest request that was sent here.
+    /// Latest deadline of the requests that were sent to the endpoint.
     pub(crate) latest_deadline: Micros,
-    /// Nothing is sent before then, after a failure or a rejection.
+    /// Time before which nothing is sent to the endpoint, after a failure or a rejection.
     pub(crate) backoff_until: Micros,
     pub(crate) reported_utilisation: Option<f64>,
     pub(crate) reported_queue: Option<f64>,
-    /// Requests of all balancers in flight, as last reported, and this balancer's since.
+    /// Number of requests of all balancers in flight as last reported, plus the attempts that this
+    /// balancer has started since.
     pub(crate) reported_in_flight: Option<f64>,
     /// Percentage of all balancers' recent attempts that failed, as last reported.
     pub(crate) failure_percent: u64,
     pub(crate) reported_at: Micros,
     pub(crate) last_success: Micros,
-    /// When something was last sent to it or received from it.
+    /// Time at which something was last sent to the endpoint or received from it.
     pub(crate) last_used: Option<Micros>,
-    /// Reports of other balancers, where this balancer owns the ledger.
+    /// Reports of other balancers, if this balancer owns the endpoint's ledger.
     pub(crate) ledger: LoadLedger,
     pub(crate) slow_start_usage: SlowStartUsage,
 }
 
 impl Endpoint {
-    /// Records that the list no longer names the endpoint.
+    /// Records that the endpoint is no longer on the list.
     pub(crate) fn unlist(&mut self, now: Micros, stays_usable: bool) {
         if stays_usable {
             self.unlisted_since.get_or_insert(now);
@@ -77,12 +80,12 @@
         }
     }
 
-    /// Whether attempts of this balancer are in flight.
+    /// Returns whether attempts of this balancer are in flight.
     pub(crate) fn has_in_flight(&self) -> bool {
         !self.in_flight.is_empty()
     }
 
-    /// Load of the attempts sent since then.
+    /// Returns the load of the attempts in flight that were sent at `since` or later.
     pub(crate) fn in_flight_since(&self, since: Micros) -> InFlightLoad {
         let none = InFlightLoad {
             attempts: 0.0,
@@ -103,38 +106,39 @@
         }
     }
 
-    /// Whether nothing was received since an attempt that was sent before then.
+    /// Returns whether the endpoint has not responded since an attempt that was sent before `time`.
     pub(crate) fn unanswered_since_before(&self, time: Micros) -> bool {
         self.unanswered_since.is_some_and(|sent_at| sent_at < time)
     }
 
-    /// Forgets since when it has not answered, unless attempts are in flight.
+    /// Clears the start of the time without a response, unless attempts are in flight.
     pub(crate) fn clear_unanswered_if_idle(&mut self) {
         if !self.has_in_flight() {
             self.unanswered_since = None;
         }
     }
 
-    /// Time in microseconds since the first unanswered attempt; 0 where there is none.
+    /// Returns the time in microseconds since the first unanswered attempt; 0 if there is none.
     pub(crate) fn unanswered_for(&self, now: Micros) -> f64 {
         self.unanswered_since
             .map_or(0.0, |since| now.saturating_sub(since) as f64)
     }
 
-    /// Recent latency, or the time without an answer if that is longer, so that a hung endpoint
-    /// does not look idle.
+    /// Returns the recent latency in microseconds, or the time without a response if that is
+    /// longer, so that a hung endpoint does not appear idle.
     pub(crate) fn latency(&self, now: Micros) -> Option<f64> {
         self.recent_latency
             .read()
             .map(|latency| latency.max(self.unanswered_for(now)))
     }
 
-    /// Its name in gossip messages: the first bits of its hash.
+    /// Returns the endpoint's ID in gossip messages: the leading bits of its hash.
     pub(crate) fn gossip_id(&self) -> u64 {
         self.hash >> GOSSIP_ID_SHIFT
     }
 
-    /// Takes the load from the ledger as a report, and returns the attempts in flight.
+    /// Applies the load in the ledger like a load report, and returns the number of attempts in
+    /// flight.
     pub(crate) fn refresh_from_ledger(&mut self, now: Micros) -> usize {
         let in_flight = self.ledger.in_flight(now);
         self.reported_in_flight = Some(in_flight as f64);
--- a/crates/policy/src/state/endpoint_table.rs
+++ b/crates/policy/src/state/endpoint_table.rs
@@ -1,6 +1,6 @@
-//! The endpoints that this balancer knows, by index and by name.
+//! Table of the endpoints, by index and by name.
 //!
-//! Invariant: an index stays the same endpoint's until its slot is freed.
+//! Invariant: an index refers to the same endpoint until its slot is freed.
 
 use std::collections::HashMap;
 use std::ops::{Deref, DerefMut};
@@ -10,21 +10,21 @@
 use crate::hashing::hash_name;
 use crate::state::endpoint::Endpoint;
 
-/// How long an unlisted endpoint is remembered: one that comes back from a crash is as fast as
-/// before.
+/// Time in microseconds for which the state of an unlisted endpoint is kept: an endpoint that
+/// restarts after a crash is as fast as before.
 const UNLISTED_RETENTION_US: Micros = 60_000_000;
 
-/// All endpoints. Reads as a slice; free slots have an empty id.
+/// All endpoints. The table dereferences to a slice, in which free slots have an empty `id`.
 #[derive(Default)]
 pub(crate) struct EndpointTable {
     slots: Vec<Endpoint>,
     pub(crate) index_by_id: HashMap<Rc<str>, usize>,
 }
 
-/// A slot for an endpoint.
+/// Slot of an endpoint in the table.
 pub(crate) struct EndpointSlot {
     pub(crate) index: usize,
-    /// Whether the endpoint was added just now.
+    /// Whether the endpoint was added by this call.
     pub(crate) added: bool,
 }
 
@@ -43,26 +43,26 @@
 }
 
 impl EndpointTable {
-    /// The index of an endpoint.
+    /// Returns the index of an endpoint.
     pub(crate) fn index_of(&self, id: &str) -> Option<usize> {
         self.index_by_id.get(id).copied()
     }
 
-    /// The endpoint of that name.
+    /// Returns the endpoint with this name.
     pub(crate) fn find_mut(&mut self, id: &str) -> Option<&mut Endpoint> {
         let index = self.index_of(id)?;
         self.slots.get_mut(index)
     }
 
-    /// The index of the endpoint with this name in gossip messages.
+    /// Returns the index of the endpoint with this gossip ID.
     pub(crate) fn index_of_gossip_id(&self, gossip_id: u64) -> Option<usize> {
         self.slots
             .iter()
             .position(|endpoint| endpoint.gossip_id() == gossip_id && !endpoint.id.is_empty())
     }
 
-    /// The slot of an endpoint, which is added if it is not known.
-    pub(crate) fn slot(&mut self, id: &str) -> EndpointSlot {
+    /// Returns the slot of an endpoint, which is added if it is not in the table.
+    pub(crate) fn find_or_add(&mut self, id: &str) -> EndpointSlot {
         if let Some(index) = self.index_of(id) {
             let added = false;
             return EndpointSlot { index, added };
@@ -86,8 +86,8 @@
         })
     }
 
-    /// Frees the slots of endpoints that were unlisted long ago and that no open request can have
-    /// been sent to.
+    /// Frees the slots of endpoints that were unlisted long ago and to which no open request can
+    /// have been sent.
     pub(crate) fn evict_unlisted(&mut self, now: Micros) {
         for endpoint in &mut self.slots {
             endpoint.ready &= endpoint
--- a/crates/policy/src/state/fleet_statistics.rs
+++ b/crates/policy/src/state/fleet_statistics.rs
@@ -6,9 +6,10 @@
 #[derive(Default)]
 pub(crate) struct FleetStatistics {
     pub(crate) latency: DecayingAverage,
-    /// Latency relative to what counts as late; a rejection counts as very late.
+    /// Ratio of latency to the latency that counts as late; a rejection counts as very late.
     pub(crate) pressure: DecayingAverage,
-    /// Latency for each request in flight at an endpoint of weight 1, the measured one included.
+    /// Latency in microseconds per request in flight at an endpoint of weight 1, including the
+    /// measured request.
     pub(crate) latency_per_request: DecayingAverage,
     pub(crate) succeeded: DecayingSum,
     pub(crate) arrivals: DecayingSum,
--- a/crates/policy/src/state/idle_drops.rs
+++ b/crates/policy/src/state/idle_drops.rs
@@ -1,16 +1,18 @@
-//! Idle connections that the network drops without notice, as seen from attempts that lost theirs
-//! at once.
+//! Detection of idle connections that the network drops without notice, from attempts that lose
+//! their connection immediately.
 
 use crate::Micros;
 
-/// How long drops are assumed after one was seen.
+/// Time in microseconds for which drops are assumed after one was detected.
 const DROP_ASSUMPTION_US: Micros = 15_000_000;
-/// Shortest idle time of a connection that can have been dropped for it.
+/// Shortest idle time in microseconds after which the loss of a connection can be an idle drop.
 const MIN_DROPPED_IDLE_US: Micros = 200_000;
-/// Part of the latency objective within which a dropped connection shows: a crash takes longer.
+/// Divisor of the latency objective that gives the time within which a connection must be lost to
+/// count as an idle drop. A connection lost by a crash takes longer.
 const DROP_OBJECTIVE_DIVISOR: Micros = 100;
 
-/// The idle time from which on connections are taken to be dropped.
+/// Idle time in microseconds from which connections are assumed to be dropped, and the end of that
+/// assumption.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct IdleDrops {
     pub(crate) min_idle: Micros,
@@ -18,13 +20,14 @@
 }
 
 impl IdleDrops {
-    /// Whether a connection that was idle for so long is taken to be dropped.
-    pub(crate) fn affects(&self, now: Micros, idle_for: Micros) -> bool {
+    /// Returns whether a connection that was idle for `idle_for` microseconds is assumed to be
+    /// dropped.
+    pub(crate) fn is_assumed_dropped(&self, now: Micros, idle_for: Micros) -> bool {
         now < self.assumed_until && idle_for >= self.min_idle
     }
 
-    /// Whether an attempt that lost its connection after `elapsed` shows a drop that is not assumed
-    /// yet.
+    /// Returns whether an attempt that lost its connection after `elapsed` microseconds indicates a
+    /// drop that is not assumed yet.
     pub(crate) fn indicates_new_drop(
         &self,
         now: Micros,
@@ -32,12 +35,13 @@
         elapsed: Micros,
         latency_objective: Micros,
     ) -> bool {
-        !self.affects(now, idle_for)
+        !self.is_assumed_dropped(now, idle_for)
             && elapsed < latency_objective / DROP_OBJECTIVE_DIVISOR
             && idle_for >= MIN_DROPPED_IDLE_US
     }
 
-    /// Assumes for a while that connections idle for that long are dropped.
+    /// Assumes for `DROP_ASSUMPTION_US` that connections idle for `idle_for` microseconds or longer
+    /// are dropped.
     pub(crate) fn assume(&mut self, now: Micros, idle_for: Micros) {
         self.min_idle = if now < self.assumed_until {
             self.min_idle.min(idle_for)
--- a/crates/policy/src/state/load_ledger.rs
+++ b/crates/policy/src/state/load_ledger.rs
@@ -1,17 +1,18 @@
 //! Load of an endpoint as reported by the other balancers to the owner of its ledger.
 //!
-//! Invariant: gossip may be lost, so an entry and an outcome count only for `GOSSIP_HORIZON_US`.
+//! Invariant: gossip may be lost, so an entry expires after `GOSSIP_HORIZON_US`, and outcomes decay
+//! with that horizon.
 
 use crate::Micros;
 use crate::gossip_message::PeerOutcome;
-use crate::state::decaying::{DecayingSum, SECOND_US};
+use crate::state::decaying::{DecayingSum, MICROS_PER_SECOND};
 
-/// How long other balancers' reports count: longer than requests take.
-const GOSSIP_HORIZON_US: f64 = 4.0 * SECOND_US;
-/// Most attempts in one ledger.
+/// Time in microseconds for which reports of other balancers count; longer than requests take.
+const GOSSIP_HORIZON_US: f64 = 4.0 * MICROS_PER_SECOND;
+/// Maximum number of attempts in one ledger.
 const MAX_LEDGER_ENTRIES: usize = 1024;
 
-/// An attempt that a balancer has reported as started and not as ended.
+/// An attempt that a balancer reported as started and has not reported as ended.
 struct LedgerEntry {
     balancer: usize,
     started_at: Micros,
@@ -49,15 +50,15 @@
         }
     }
 
-    /// Percentage of the reported attempts that failed. The added 1 keeps one failure among few
-    /// from counting.
+    /// Returns the percentage of the reported attempts that failed. The added 1 limits the effect
+    /// of one failure among few attempts.
     pub(crate) fn failure_percent(&self, now: Micros) -> u64 {
         let failed = self.failed.read(now, GOSSIP_HORIZON_US);
         let succeeded = self.succeeded.read(now, GOSSIP_HORIZON_US);
         (100.0 * failed / (failed + succeeded + 1.0)) as u64
     }
 
-    /// Number of attempts in flight, without those whose end may have been lost.
+    /// Returns the number of attempts in flight, without those whose end report may have been lost.
     pub(crate) fn in_flight(&mut self, now: Micros) -> usize {
         self.entries
             .retain(|entry| entry.started_at + GOSSIP_HORIZON_US as Micros > now);
--- a/crates/policy/src/state/load_polls.rs
+++ b/crates/policy/src/state/load_polls.rs
@@ -1,20 +1,21 @@
-//! Requests that wait for the loads of endpoints.
+//! Requests that wait for the loads of endpoints to be reported.
 
 use crate::Micros;
 use crate::state::request::Request;
 
-/// The waiting requests, and the last one that found no endpoint.
+/// The waiting requests, and the time of the last request without a suitable endpoint.
 #[derive(Default)]
 pub(crate) struct LoadPolls {
-    /// Requests whose loads were not all received yet.
+    /// Requests with polled loads that were not received yet.
     pub(crate) requests: Vec<Request>,
-    /// When a request last found no endpoint that would meet its objective by the polled loads.
+    /// Time at which a request last found no endpoint that would meet its objective according to
+    /// the polled loads.
     pub(crate) last_unplaced_at: Micros,
 }
 
 impl LoadPolls {
-    /// Records that the load of an endpoint was received, or cannot be.
-    pub(crate) fn received(&mut self, endpoint: usize, answered: bool) {
+    /// Records that the load of an endpoint was received, or that it is unavailable.
+    pub(crate) fn record_received(&mut self, endpoint: usize, answered: bool) {
         for request in &mut self.requests {
             let mut pending = request.pending_loads.iter();
             if let Some(position) = pending.position(|&pending| pending == endpoint) {
@@ -29,7 +30,7 @@
         self.take(|request| request.pending_loads.is_empty())
     }
 
-    /// Takes a request whose wait is over.
+    /// Takes the request whose wait has timed out.
     pub(crate) fn take_timed_out(&mut self, id: &str) -> Option<Request> {
         self.take(|request| *request.id == *id)
     }
--- a/crates/policy/src/state/outliers.rs
+++ b/crates/policy/src/state/outliers.rs
@@ -4,19 +4,19 @@
 use crate::Micros;
 use crate::state::decaying::DecayingSum;
 
-/// How long outcomes count.
+/// Horizon of outcome counts, in microseconds.
 const OUTCOME_HORIZON_US: f64 = 4e6;
-/// Fewest late attempts of an outlier.
+/// Minimum number of late attempts of an outlier.
 const MIN_LATE_ATTEMPTS: f64 = 2.0;
-/// Fraction of late attempts that makes an outlier where no others are late.
+/// Fraction of late attempts above which a group is an outlier if no other requests are late.
 const MIN_LATE_FRACTION: f64 = 0.5;
 
-/// How the attempts of a group ended.
+/// Counts of the late attempts and of all attempts of a group.
 #[derive(Clone, Default)]
 pub(crate) struct OutcomeCounts {
     late: DecayingSum,
     total: DecayingSum,
-    /// When the next request is admitted as a trial.
+    /// Time at which the next request is admitted as a trial.
     pub(crate) next_trial_at: Micros,
 }
 
@@ -29,7 +29,7 @@
 
 /// Outcome counts of the groups, and of all requests together.
 pub(crate) struct Outliers {
-    /// Classes, then tenants.
+    /// Outcome counts by group: first the classes, then the tenants.
     pub(crate) groups: Vec<OutcomeCounts>,
     all: OutcomeCounts,
 }
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Forgets the groups after a change of settings; the counts of all requests stay.
+    /// Clears the groups after a change of settings; the counts of all requests remain.
     pub(crate) fn reset_groups(&mut self, groups: usize) {
         self.groups = vec![OutcomeCounts::default(); groups];
     }
@@ -58,7 +58,7 @@
         self.all.record(now, late);
     }
 
-    /// Whether a group is late far more often than the requests outside it.
+    /// Returns whether a group is late far more often than the requests outside it.
     pub(crate) fn is_outlier(&self, now: Micros, group: usize) -> bool {
         let Some(counts) = self.groups.get(group) else {
             return false;
@@ -70,7 +70,8 @@
         let total = counts.total.read(now, OUTCOME_HORIZON_US);
         let all_late = self.all.late.read(now, OUTCOME_HORIZON_US);
         let all = self.all.total.read(now, OUTCOME_HORIZON_US);
-        // Where nothing is known of the others, they may be as late.
+        // Without outcomes outside the group the fraction is 1, because the other requests may be
+        // late as often.
         let others = (all_late - late + 1.0) / (all - total + 1.0);
         late / total > MIN_LATE_FRACTION + (1.0 - MIN_LATE_FRACTION) * others
     }
--- a/crates/policy/src/state/request.rs
+++ b/crates/policy/src/state/request.rs
@@ -6,20 +6,20 @@
 use crate::state::endpoint::InFlightAttempt;
 use crate::{AttemptOutcome, Micros};
 
-/// One attempt of a request.
+/// An attempt of a request.
 pub(crate) struct Attempt {
     /// Index of the endpoint.
     pub(crate) endpoint: usize,
     pub(crate) sent_at: Micros,
     pub(crate) in_flight: bool,
     pub(crate) may_have_run: bool,
-    /// When its connection was lost.
+    /// Time at which its connection was lost.
     pub(crate) connection_lost_at: Option<Micros>,
-    /// How long the endpoint had been idle when it was sent.
+    /// Time in microseconds for which the endpoint had been idle when the attempt was sent.
     pub(crate) idle_for: Option<Micros>,
-    /// Requests that the endpoint was reported to have in flight when it was sent.
+    /// Number of requests reported in flight at the endpoint when the attempt was sent.
     pub(crate) load_before: Option<f64>,
-    /// The decision that chose the endpoint, where learning takes it in.
+    /// The decision that selected the endpoint, if it is a sample for learning.
     pub(crate) sample: Option<DecisionSample>,
 }
 
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Takes in how the attempt ended.
+    /// Records the end of the attempt.
     pub(crate) fn end(&mut self, now: Micros, outcome: AttemptOutcome) {
         self.in_flight = false;
         self.may_have_run = !outcome.proves_not_run();
@@ -53,25 +53,26 @@
     pub(crate) class: usize,
     /// Index of its tenant.
     pub(crate) tenant: usize,
-    /// Time by which the latency objective asks for an answer.
+    /// Time by which the request should be answered to meet its latency objective.
     pub(crate) objective_at: Micros,
-    /// Time after which the client no longer waits.
+    /// Time at which the client stops waiting.
     pub(crate) deadline: Micros,
     /// Work relative to an average request of its class.
     pub(crate) work: f64,
     pub(crate) within_quota: bool,
-    /// Part of the response was received: no attempt may follow.
+    /// Whether part of the response was received, after which no attempt may follow.
     pub(crate) response_started: bool,
-    /// Most attempts by the strictest settings that held since its arrival.
+    /// Lowest limit of attempts in earlier settings since the request arrived.
     pub(crate) max_attempts: usize,
     pub(crate) attempts: Vec<Attempt>,
-    /// The key by which it is ordered, where its class asks for that.
+    /// Key by which the request is ordered, if its class is ordered by key.
     pub(crate) order_key: Option<u64>,
-    /// The end of its last attempt was not reported yet. Two attempts are never in flight at once.
+    /// Whether the end of its last attempt was not reported yet. Two attempts are never in flight
+    /// at the same time.
     pub(crate) outcome_pending: bool,
     /// Endpoints whose load was requested and not received yet.
     pub(crate) pending_loads: Vec<usize>,
-    /// Endpoints whose load is known.
+    /// Endpoints whose load was received or was already fresh.
     pub(crate) known_loads: Vec<usize>,
 }
 
@@ -102,22 +103,22 @@
         }
     }
 
-    /// Whether nothing was ever sent for it.
+    /// Returns whether the request was never sent.
     pub(crate) fn is_unsent(&self) -> bool {
         self.attempts.is_empty()
     }
 
-    /// The position of the attempt in flight.
+    /// Returns the position of the attempt in flight.
     pub(crate) fn attempt_in_flight(&self) -> Option<usize> {
         self.attempts.iter().position(|attempt| attempt.in_flight)
     }
 
-    /// The attempts that may have run at an endpoint.
+    /// Returns the attempts that may have run at an endpoint.
     pub(crate) fn attempts_that_may_have_run(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts.iter().filter(|attempt| attempt.may_have_run)
     }
 
-    /// One of its attempts as the endpoint counts it.
+    /// Returns an attempt of the request as recorded at its endpoint.
     pub(crate) fn in_flight_attempt(&self, sent_at: Micros) -> InFlightAttempt {
         InFlightAttempt {
             sent_at,
@@ -125,7 +126,7 @@
         }
     }
 
-    /// The earlier of latency objective and deadline.
+    /// Returns the earlier of latency objective and deadline.
     pub(crate) fn answer_by(&self) -> Micros {
         self.objective_at.min(self.deadline)
     }
--- a/crates/policy/src/state/request_queue.rs
+++ b/crates/policy/src/state/request_queue.rs
@@ -1,4 +1,4 @@
-//! The queue of requests that wait for capacity, by latency objective.
+//! The queue of requests that wait for capacity, in the order of their latency objectives.
 
 use crate::Micros;
 use crate::state::request::Request;
@@ -11,14 +11,14 @@
 }
 
 impl RequestQueue {
-    /// The position at which a request with this objective enters the queue.
-    pub(crate) fn position(&self, objective_at: Micros) -> usize {
+    /// Returns the position at which a request with this objective enters the queue.
+    pub(crate) fn insert_position(&self, objective_at: Micros) -> usize {
         self.requests
             .partition_point(|waiting| waiting.objective_at <= objective_at)
     }
 
-    /// Number of requests before a position that were never sent. Others may only go to some
-    /// endpoints.
+    /// Returns the number of requests before a position that were never sent. Requests that were
+    /// sent before may only go to some endpoints.
     pub(crate) fn unsent_before(&self, position: usize) -> usize {
         self.requests[..position]
             .iter()
@@ -26,7 +26,7 @@
             .count()
     }
 
-    /// Whether no request waits that was never sent.
+    /// Returns whether every waiting request was sent before.
     pub(crate) fn has_only_retries(&self) -> bool {
         self.requests.iter().all(|waiting| !waiting.is_unsent())
     }
--- a/crates/policy/src/state/subset.rs
+++ b/crates/policy/src/state/subset.rs
@@ -1,36 +1,42 @@
-//! The subset of endpoints that this balancer sends to: the first of its own preference order.
+//! The subset of endpoints to which this balancer sends: the first endpoints of its preference
+//! order.
 //!
-//! The order picks endpoints from a hash ring common to all balancers, in irrational steps from a
-//! start that follows from the balancer's index.
-//! Invariant: every endpoint is in about as many balancers' subsets as any other.
+//! The order takes endpoints from a hash ring common to all balancers, in irrational steps from a
+//! start that depends on the balancer's index.
+//!
+//! Invariant: every endpoint is in the subsets of about the same number of balancers.
 
 use crate::state::endpoint::Endpoint;
 use crate::{Micros, Settings};
 
-/// Fewest balancers that share an endpoint.
+/// Minimum number of balancers that share an endpoint.
 const MIN_SHARING_BALANCERS: usize = 2;
-/// Fewest endpoints in a subset.
+/// Minimum number of endpoints in a subset.
 const MIN_SUBSET_SIZE: usize = 2;
-/// Fewest endpoints in a subset where loads are polled before each choice.
+/// Minimum number of endpoints in a subset if loads are polled before each selection.
 const MIN_POLLED_SUBSET_SIZE: usize = 6;
-/// Number of balancers for which one more shares each endpoint.
+/// Number of balancers at which each endpoint is shared by one balancer more than the minimum. The
+/// excess is inversely proportional to the number of balancers.
 const EXTRA_SHARING_FLEET_SIZE: usize = 4;
-/// Fraction of the ring between the starts of neighbouring balancers: the golden ratio.
+/// Distance between the starts of neighbouring balancers as a fraction of the ring: the inverse of
+/// the golden ratio.
 const RING_START_STEP: f64 = 0.618_033_988_749_895;
-/// An irrational step spreads evenly on a ring of any size.
+/// Step between endpoints as a fraction of the ring. An irrational step spreads evenly on a ring of
+/// any size.
 const RING_STEP: f64 = std::f64::consts::SQRT_2;
-/// Endpoints of the own zone for each of another zone while the own zone is crowded.
+/// Number of endpoints of the own zone for each endpoint of another zone while the own zone has no
+/// capacity left.
 const SAME_ZONE_PER_REMOTE: usize = 2;
 
 /// This balancer's order of preference over the ready endpoints.
 #[derive(Default)]
 pub(crate) struct Subset {
-    /// All ready endpoints, those of other zones mixed in.
+    /// All ready endpoints, with those of other zones interleaved.
     pub(crate) preference_order: Vec<usize>,
     /// All ready endpoints, those of the own zone first.
     pub(crate) zone_first_order: Vec<usize>,
-    /// Time until which the own zone is taken to have no capacity left.
-    pub(crate) zone_crowded_until: Micros,
+    /// Time until which the own zone counts as having no capacity left.
+    pub(crate) zone_saturated_until: Micros,
 }
 
 /// Size of a subset.
@@ -41,22 +47,23 @@
 }
 
 impl Subset {
-    /// The order to go by now.
+    /// Returns the preference order in use at `now`.
     pub(crate) fn current_order(&self, now: Micros) -> &[usize] {
-        if now < self.zone_crowded_until {
+        if now < self.zone_saturated_until {
             &self.preference_order
         } else {
             &self.zone_first_order
         }
     }
 
-    /// Makes the next rebuild start from nothing, as after a change of settings.
+    /// Clears both orders, which forces the next rebuild even if the ready endpoints are the same,
+    /// as after a change of settings.
     pub(crate) fn clear(&mut self) {
         self.preference_order.clear();
         self.zone_first_order.clear();
     }
 
-    /// The size of the subset.
+    /// Returns the size of the subset.
     pub(crate) fn size(&self, settings: &Settings) -> SubsetSize {
         let (ready, balancers) = (self.preference_order.len(), settings.balancers);
         let least = if settings.polls_loads() {
@@ -73,7 +80,7 @@
         }
     }
 
-    /// Builds both orders anew where the set of ready endpoints has changed.
+    /// Rebuilds both orders if the set of ready endpoints has changed.
     pub(crate) fn rebuild(&mut self, endpoints: &[Endpoint], settings: &Settings) {
         let mut ring: Vec<usize> = (0..endpoints.len())
             .filter(|&index| endpoints[index].ready)
@@ -83,7 +90,8 @@
             return;
         }
         ring.sort_by_key(|&index| (endpoints[index].hash, index));
-        // Where loads are polled, the score weighs the zone against the load.
+        // If loads are polled, all zones count as the own one, because the score weighs the zone
+        // against the load.
         let same_zone =
             |index: &usize| settings.polls_loads() || endpoints[*index].zone == settings.zone;
         let (same, remote): (Vec<_>, Vec<_>) = ring.into_iter().partition(same_zone);
@@ -94,7 +102,7 @@
     }
 }
 
-/// Some endpoints of the own zone for each remote one.
+/// Returns an order with `SAME_ZONE_PER_REMOTE` endpoints of the own zone before each remote one.
 fn interleave(same_zone: Vec<usize>, remote: Vec<usize>) -> Vec<usize> {
     let mut order = Vec::new();
     let (mut same_zone, mut remote) = (same_zone.into_iter(), remote.into_iter());
@@ -105,7 +113,7 @@
     order
 }
 
-/// The ring from a starting point on, in irrational steps.
+/// Returns the endpoints of the ring from a starting point on, in irrational steps.
 fn order_from(ring: &[usize], start: f64) -> Vec<usize> {
     let mut remaining: Vec<Option<usize>> = ring.iter().map(|&index| Some(index)).collect();
     let position = |n: usize| ((start + n as f64 * RING_STEP).fract() * ring.len() as f64) as usize;
--- a/crates/policy/src/tests.rs
+++ b/crates/policy/src/tests.rs
@@ -1,5 +1,5 @@
-//! Tests of the decisions, a file for each module, and what they share: a recording host, balancers
-//! and requests. Most tests build the state they need and call one function.
+//! Tests of the decisions, one file for each module, and their common helpers: a recording host,
+//! balancers and requests. Most tests build the state that they need and call one function.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -8,7 +8,7 @@
 
 use crate::balancer::Balancer;
 use crate::hashing::hash_pair;
-use crate::state::decaying::{LONG_TERM_US, RECENT_US, SECOND_US};
+use crate::state::decaying::{LONG_TERM_HORIZON_US, MICROS_PER_SECOND, RECENT_HORIZON_US};
 use crate::state::endpoint::InFlightAttempt;
 use crate::state::request::{Attempt, Request};
 use crate::state::timers::QUEUE_TIMER;
@@ -45,7 +45,7 @@
 }
 
 impl RecordingHost {
-    /// Number of calls whose line starts so.
+    /// Returns the number of calls whose line starts with `prefix`.
     fn count(&self, prefix: &str) -> usize {
         let calls = self.calls.borrow();
         calls.iter().filter(|call| call.starts_with(prefix)).count()
@@ -55,7 +55,7 @@
         self.calls.borrow_mut().push(call);
     }
 
-    /// Time at which the first attempt times out, from the start of the test.
+    /// Returns the time at which the first attempt times out, relative to the start of the test.
     fn first_attempt_deadline(&self) -> Option<Micros> {
         let calls = self.calls.borrow();
         calls
@@ -110,7 +110,7 @@
     window: 2_000 * MS,
 };
 
-/// A balancer of two, with warm endpoints in two cells.
+/// Creates one of two balancers, with warm endpoints in two cells.
 fn balancer(
     idempotency: Idempotency,
     endpoints: usize,
@@ -153,7 +153,7 @@
     (balancer, recorder)
 }
 
-/// One of many balancers, with endpoints in one cell.
+/// Creates one of many balancers, with endpoints in one cell.
 fn one_of_many(number: usize, balancers: usize, endpoints: usize) -> Balancer<RecordingHost> {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 0);
     (balancer.settings.own_index, balancer.settings.balancers) = (number, balancers);
@@ -164,7 +164,7 @@
     balancer
 }
 
-/// An endpoint on the list, of weight 1.
+/// Creates a list entry for an endpoint of weight 1.
 fn listed(id: &str, zone: u64, cell: u64, started_at: Micros) -> ListedEndpoint<'_> {
     ListedEndpoint {
         id,
@@ -176,7 +176,7 @@
     }
 }
 
-/// A request of the first class and tenant.
+/// Creates the arrival of a request of the first class and tenant.
 fn arrival(id: &str, deadline: Micros) -> RequestArrival<'_> {
     RequestArrival {
         id,
@@ -213,12 +213,12 @@
     balancer.request_arrived(now, arrival(id, now + 1_000 * MS));
 }
 
-/// An attempt of average work.
+/// Creates an attempt in flight of average work.
 fn in_flight(sent_at: Micros) -> InFlightAttempt {
     InFlightAttempt { sent_at, work: 1.0 }
 }
 
-/// A request that was attempted at these endpoints.
+/// Creates a request that was attempted at these endpoints.
 fn request(endpoints: &[usize], may_have_run: bool) -> Request {
     let sent = |&index| Attempt {
         in_flight: false,
--- a/crates/policy/src/tests/admission.rs
+++ b/crates/policy/src/tests/admission.rs
@@ -3,7 +3,8 @@
 use super::*;
 use crate::state::admission::INITIAL_ADMITTED_SHARE;
 
-/// No concurrency limit of less than one request could hold them back.
+/// Concurrency limits cannot hold back a large fleet, because no balancer's limit is less than one
+/// request.
 #[rstest]
 #[case::late(3.0, true)]
 #[case::early(0.3, false)]
@@ -14,7 +15,7 @@
         balancer
             .fleet
             .pressure
-            .add(START_AT, SECOND_US, pressure, 1.0);
+            .add(START_AT, MICROS_PER_SECOND, pressure, 1.0);
         arrive(&mut balancer, START_AT + n, &n.to_string());
     }
     assert_eq!(
--- a/crates/policy/src/tests/attempt_end.rs
+++ b/crates/policy/src/tests/attempt_end.rs
@@ -6,12 +6,12 @@
 #[rstest]
 #[case::error(AttemptOutcome::Failed)]
 #[case::unreachable(AttemptOutcome::Unreachable)]
-fn fast_failure_counts_as_slow(#[case] outcome: AttemptOutcome) {
+fn fast_failure_counts_as_a_slow_response(#[case] outcome: AttemptOutcome) {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 1);
     balancer
         .fleet
         .latency
-        .add(START_AT, LONG_TERM_US, 100_000.0, 1.0);
+        .add(START_AT, LONG_TERM_HORIZON_US, 100_000.0, 1.0);
     let mut sent = request(&[0], true);
     sent.attempts[0].in_flight = true;
     balancer.record_attempt_end(START_AT, &mut sent, attempt_end(0, false, outcome, 10));
@@ -24,7 +24,7 @@
     balancer.endpoints[0].min_latency = Some(100_000.0);
     balancer.endpoints[0]
         .long_term_latency
-        .add(START_AT, LONG_TERM_US, 100_000.0, 20.0);
+        .add(START_AT, LONG_TERM_HORIZON_US, 100_000.0, 20.0);
     let mut sent = request(&[0], true);
     sent.attempts[0].in_flight = true;
     balancer.record_attempt_end(
@@ -35,14 +35,14 @@
     assert!(balancer.endpoints[0].min_latency > Some(99_000.0));
 }
 
-/// Its duration says nothing of the speed of the endpoint.
+/// The duration of a lost attempt does not measure the endpoint's speed.
 #[rstest]
-fn lost_attempt_counts_as_a_failure_however_long_it_took() {
+fn lost_attempt_counts_as_a_failure_whatever_its_duration() {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 1);
     balancer
         .fleet
         .latency
-        .add(START_AT, LONG_TERM_US, 25_000.0, 1.0);
+        .add(START_AT, LONG_TERM_HORIZON_US, 25_000.0, 1.0);
     let mut sent = request(&[0], true);
     sent.attempts[0].in_flight = true;
     balancer.record_attempt_end(
@@ -54,9 +54,9 @@
     assert!((latency - 75_000.0).abs() < 1.0, "{latency}");
 }
 
-/// A request on a dropped connection is lost, and may not be sent again.
+/// A request on a dropped connection is lost, and may not be sent again if it is not idempotent.
 #[rstest]
-#[case::at_once(MS, true)]
+#[case::immediately(MS, true)]
 #[case::during_the_attempt(900 * MS, false)]
 fn idle_connections_are_closed_after_an_idle_drop(#[case] elapsed: Micros, #[case] dropped: bool) {
     let (mut balancer, recorder) = probing_balancer(Idempotency::NonIdempotent, false);
@@ -76,13 +76,14 @@
     );
 }
 
-/// Responses in time say nothing of overdue attempts; late ones show that work is slow.
+/// A response in time does not count among overdue attempts; a late one shows that the work is
+/// slow.
 #[rstest]
 #[case::in_time(AttemptOutcome::Succeeded, 20, None)]
 #[case::slow(AttemptOutcome::Succeeded, 200, Some(0.0))]
 #[case::lost(AttemptOutcome::TimedOut, 200, Some(1.0))]
 #[case::client_disconnected(AttemptOutcome::Cancelled, 200, None)]
-fn lost_fraction_of_overdue_attempts(
+fn only_timed_out_attempts_count_as_lost_among_overdue_ones(
     #[case] outcome: AttemptOutcome,
     #[case] after: u64,
     #[case] lost: Option<f64>,
@@ -90,7 +91,7 @@
     let (mut balancer, _) = balancer(CELL_SCOPED_KEY, 2);
     balancer.class_latency[0]
         .recent
-        .add(START_AT, RECENT_US, 25_000.0, 1.0);
+        .add(START_AT, RECENT_HORIZON_US, 25_000.0, 1.0);
     let mut sent = request(&[0], true);
     sent.attempts[0].in_flight = true;
     balancer.record_attempt_end(
--- a/crates/policy/src/tests/concurrency.rs
+++ b/crates/policy/src/tests/concurrency.rs
@@ -1,11 +1,11 @@
 //! Tests of concurrency limits.
 
 use super::*;
-use crate::decisions::concurrency::LIMIT_FACTOR;
+use crate::decisions::concurrency::CONCURRENCY_LIMIT_FACTOR;
 use crate::state::endpoint::InFlightLoad;
 
 #[rstest]
-fn many_balancers_do_not_send_one_request_each() {
+fn new_balancer_of_a_large_fleet_sends_two_requests() {
     let (mut balancer, recorder) = balancer(Idempotency::Idempotent, 6);
     balancer.settings.balancers = 20;
     (0..6).for_each(|n| arrive(&mut balancer, START_AT, &n.to_string()));
@@ -13,11 +13,11 @@
 }
 
 #[rstest]
-fn rejecting_endpoint_is_avoided_for_a_while() {
+fn endpoint_is_avoided_for_a_time_after_a_rejection() {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 1);
     balancer.class_latency[0]
         .recent
-        .add(START_AT, RECENT_US, 80_000.0, 1.0);
+        .add(START_AT, RECENT_HORIZON_US, 80_000.0, 1.0);
     let mut sent = request(&[0], true);
     sent.attempts[0].in_flight = true;
     balancer.record_attempt_end(
@@ -31,7 +31,7 @@
     );
 }
 
-/// Lost attempts must not fill the limit of the subset either.
+/// Lost attempts must not use up the concurrency limit of the subset either.
 #[rstest]
 fn unresponsive_endpoint_gets_one_request_at_a_time() {
     let (mut balancer, _) = balancer(Idempotency::NonIdempotent, 4);
@@ -53,19 +53,20 @@
     );
 }
 
-/// Refused connections come at once, and each retry there would cost a request its time.
+/// Connections are refused immediately, and each retry at such an endpoint would cost a request
+/// some of its time.
 #[rstest]
 #[case::refused(AttemptOutcome::Unreachable, true)]
 #[case::served(AttemptOutcome::Succeeded, false)]
 #[case::connection_reset(AttemptOutcome::ConnectionLost, false)]
-fn endpoint_that_ran_nothing_is_avoided_for_half_a_latency(
+fn endpoint_that_did_not_run_a_request_is_avoided_for_half_a_latency(
     #[case] outcome: AttemptOutcome,
     #[case] avoided: bool,
 ) {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 1);
     balancer.class_latency[0]
         .recent
-        .add(START_AT, RECENT_US, 100_000.0, 1.0);
+        .add(START_AT, RECENT_HORIZON_US, 100_000.0, 1.0);
     let mut sent = request(&[0], true);
     sent.attempts[0].in_flight = true;
     balancer.record_attempt_end(START_AT, &mut sent, attempt_end(0, false, outcome, 10));
@@ -79,7 +80,8 @@
     );
 }
 
-/// Where the limit is one, nothing could be sent that shows whether the endpoint responds.
+/// With a limit of one, a lost attempt that took up capacity would block the request that tests
+/// whether the endpoint responds.
 #[rstest]
 #[case::lost(900, true, 0.0)]
 #[case::not_lost_yet(10, false, 1.0)]
@@ -93,7 +95,7 @@
     let now = START_AT + 1_000 * MS;
     balancer.class_latency[0]
         .recent
-        .add(now, RECENT_US, 25_000.0, 1.0);
+        .add(now, RECENT_HORIZON_US, 25_000.0, 1.0);
     balancer.send(now - earlier * MS, &mut request(&[], false), 0, None);
     assert_eq!(
         (
@@ -113,7 +115,7 @@
         balancer.candidates(now, &request(&[], false)),
         if has_capacity { vec![0] } else { vec![] }
     );
-    // One request at a time shows whether it responds again.
+    // One request at a time tests whether the endpoint responds again.
     if balancer.send(now, &mut request(&[], false), 0, None) {
         assert!(
             balancer
@@ -130,33 +132,34 @@
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 1);
     balancer.class_latency[0]
         .recent
-        .add(START_AT, RECENT_US, 25_000.0, 1.0);
+        .add(START_AT, RECENT_HORIZON_US, 25_000.0, 1.0);
     let mut sent = 0;
     for at in (0..2_000).map(|ms| START_AT + ms * MS) {
         balancer.class_latency[0]
             .recent
-            .add(at, RECENT_US, 25_000.0, 1.0);
+            .add(at, RECENT_HORIZON_US, 25_000.0, 1.0);
         if !balancer.candidates(at, &request(&[], false)).is_empty() {
             balancer.send(at, &mut request(&[], false), 0, None);
             sent += 1;
         }
     }
-    // Two within the limit before it is unresponsive, then one every 100 ms.
+    // The limit allows two attempts before the endpoint is unresponsive; then one follows every 100
+    // ms.
     assert!((18..=22).contains(&sent), "{sent}");
 }
 
 #[rstest]
-#[case::quick(1.0, 20.0 * LIMIT_FACTOR)]
-#[case::slowed(5.0, 4.0 * LIMIT_FACTOR)]
-fn limit_follows_minimum_over_present_latency(#[case] latency: f64, #[case] limit: f64) {
+#[case::at_minimum_latency(1.0, 20.0 * CONCURRENCY_LIMIT_FACTOR)]
+#[case::at_five_times_the_minimum(5.0, 4.0 * CONCURRENCY_LIMIT_FACTOR)]
+fn limit_follows_the_ratio_of_minimum_to_current_latency(#[case] latency: f64, #[case] limit: f64) {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 4);
     balancer.started_at = 0;
     balancer.endpoints[0]
         .busy_time
-        .add(START_AT, RECENT_US, 20.0 * RECENT_US);
+        .add(START_AT, RECENT_HORIZON_US, 20.0 * RECENT_HORIZON_US);
     balancer.endpoints[0].min_latency = Some(1.0);
     balancer.endpoints[0]
         .recent_latency
-        .add(START_AT, RECENT_US, latency, 1.0);
+        .add(START_AT, RECENT_HORIZON_US, latency, 1.0);
     assert!((balancer.concurrency_limit(START_AT, 0) - limit).abs() < 1e-6);
 }
--- a/crates/policy/src/tests/endpoint_list.rs
+++ b/crates/policy/src/tests/endpoint_list.rs
@@ -17,7 +17,8 @@
     assert!(balancer.is_attempt_permitted(START_AT, &request(&[], false), 0));
 }
 
-/// The list's server does not grow with the fleet.
+/// The list's server does not grow with the fleet, so a large fleet must not send its first polls
+/// at the same time.
 #[rstest]
 fn large_fleet_spreads_its_first_polls() {
     let spreads =
@@ -27,7 +28,7 @@
 }
 
 #[rstest]
-fn list_is_polled_again_with_backoff_and_jitter() {
+fn failed_list_poll_is_retried_with_backoff_and_jitter() {
     let (mut balancer, recorder) = balancer(Idempotency::Idempotent, 0);
     for _ in 0..9 {
         balancer.endpoint_list_failed();
@@ -62,7 +63,7 @@
 #[case::long_ago(120_000, 0, 0)]
 #[case::just_now(1, 0, 1)]
 #[case::listed_again(120_000, 1, 1)]
-fn slot_of_an_unlisted_endpoint_is_used_again(
+fn slot_of_an_endpoint_unlisted_long_ago_is_reused(
     #[case] ago: u64,
     #[case] entries: usize,
     #[case] known: usize,
@@ -78,9 +79,9 @@
 }
 
 #[rstest]
-#[case::unlisting_binds(false, 0)]
-#[case::only_draining_binds(true, 1)]
-fn unlisted_endpoint_stays_usable_where_only_draining_binds(
+#[case::removed_when_unlisted(false, 0)]
+#[case::removed_only_when_draining(true, 1)]
+fn unlisted_endpoint_stays_usable_if_only_draining_removes_it(
     #[case] stays_usable: bool,
     #[case] sent: usize,
 ) {
--- a/crates/policy/src/tests/gossip.rs
+++ b/crates/policy/src/tests/gossip.rs
@@ -58,7 +58,7 @@
 }
 
 #[rstest]
-fn no_gossip_where_it_is_not_allowed() {
+fn no_gossip_is_sent_if_it_is_not_allowed() {
     let (mut balancer, recorder) = balancer(Idempotency::Idempotent, 4);
     balancer.settings.balancers = 1;
     for n in 0..20 {
@@ -75,7 +75,11 @@
 
 proptest! {
     #[test]
-    fn messages_are_parsed_as_they_were_sent(endpoint in any::<u64>(), number in any::<u64>(), class in 0usize..9) {
+    fn parsed_message_equals_the_sent_one(
+        endpoint in any::<u64>(),
+        number in any::<u64>(),
+        class in 0usize..9,
+    ) {
         let outcomes = [PeerOutcome::Neutral, PeerOutcome::Succeeded, PeerOutcome::Failed];
         let outcome = outcomes[class % 3];
         for message in [
--- a/crates/policy/src/tests/key_order.rs
+++ b/crates/policy/src/tests/key_order.rs
@@ -1,4 +1,4 @@
-//! Order by key: each test builds a balancer whose only class is ordered by key.
+//! Tests of ordering by key. Each test builds a balancer whose only class is ordered by key.
 
 use super::*;
 use crate::state::timers::TimerPurpose;
@@ -19,7 +19,7 @@
     balancer.request_arrived(now, arrival);
 }
 
-/// Expires all timers of key queues, also those that are not due: that must change nothing.
+/// Expires all timers of key queues, including those that are not due, which must have no effect.
 fn expire_timers(balancer: &mut Balancer<RecordingHost>, now: Micros) {
     for timer in 0..=balancer.timers.last_id {
         if let Some(TimerPurpose::KeyQueue(_)) = balancer.timers.pending.get(&timer) {
@@ -55,11 +55,11 @@
 }
 
 #[rstest]
-fn requests_of_one_key_run_by_arrival() {
+fn requests_of_one_key_run_in_the_order_of_arrival() {
     let (mut balancer, recorder) = ordered_by_key(Idempotency::Idempotent);
     balancer.class_latency[0]
         .recent
-        .add(START_AT, RECENT_US, 20.0 * MS as f64, 1.0);
+        .add(START_AT, RECENT_HORIZON_US, 20.0 * MS as f64, 1.0);
     for id in ["a", "b", "c"] {
         arrive(&mut balancer, START_AT, id, Some(KEY));
     }
@@ -79,7 +79,7 @@
     assert_eq!(sent, ["a", "b", "c"]);
 }
 
-/// An attempt that timed out or lost its connection may still run, also after its request was
+/// An attempt that timed out or lost its connection may still run, even after its request was
 /// answered.
 #[rstest]
 #[case::reset(AttemptOutcome::ConnectionLost, true)]
@@ -106,8 +106,8 @@
     assert_eq!(recorder.count("attempt b"), 1);
 }
 
-/// The client of the first one disconnected: its attempt is cancelled, but its end was not
-/// reported.
+/// The client of the first request disconnects: its attempt is cancelled, but the end of the
+/// attempt is not reported yet.
 #[rstest]
 fn attempt_in_flight_of_a_closed_request_blocks_its_key() {
     let (mut balancer, recorder) = ordered_by_key(Idempotency::NonIdempotent);
@@ -132,7 +132,8 @@
     );
 }
 
-/// On arrival by the expected wait, later by the time left.
+/// A request is rejected on arrival because of its expected wait, or later because of its remaining
+/// time.
 #[rstest]
 fn request_that_cannot_be_in_time_is_rejected() {
     let (mut balancer, recorder) = ordered_by_key(Idempotency::Idempotent);
@@ -149,7 +150,7 @@
     );
 }
 
-/// Clients may name any number of keys.
+/// Clients may send any number of keys, so a key without open requests must be removed.
 #[rstest]
 fn key_without_open_requests_takes_no_memory() {
     let (mut balancer, _) = ordered_by_key(Idempotency::NonIdempotent);
@@ -171,9 +172,10 @@
     );
 }
 
-/// A cooldown that outlasts its time rejects it at once; it must not be sent during the cooldown.
+/// A request whose time runs out during the cooldown is rejected immediately; it must not be sent
+/// during the cooldown.
 #[rstest]
-fn request_of_a_key_in_cooldown_waits_or_is_rejected() {
+fn request_is_rejected_if_the_cooldown_of_its_key_is_too_long() {
     let (mut balancer, recorder) = ordered_by_key(Idempotency::NonIdempotent);
     arrive(&mut balancer, START_AT, "a", Some(KEY));
     balancer.settings.max_attempts = 1;
--- a/crates/policy/src/tests/learning.rs
+++ b/crates/policy/src/tests/learning.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::decisions::placement::MAX_SAMPLED_CANDIDATES;
 use crate::scoring::learning::{Learning, MIN_WEIGHT_RATIO, RewardedSample, selection_gradient};
-use crate::scoring::projection::selectable;
+use crate::scoring::projection::selectable_count;
 use crate::scoring::score::{DecisionSample, FEATURE_COUNT, INITIAL_WEIGHTS};
 
 #[rstest]
@@ -20,10 +20,10 @@
         selected,
         probability: 0.5,
     };
-    let at = selection_gradient(&weights, &sample, selectable(3)).unwrap();
+    let at = selection_gradient(&weights, &sample, selectable_count(3)).unwrap();
     for (f, derivative) in at.gradient.iter().enumerate() {
         weights[f] += STEP;
-        let moved = selection_gradient(&weights, &sample, selectable(3)).unwrap();
+        let moved = selection_gradient(&weights, &sample, selectable_count(3)).unwrap();
         assert!(((moved.probability - at.probability) / STEP - derivative).abs() < 1e-5);
         weights[f] -= STEP;
     }
@@ -39,7 +39,9 @@
         selected: 0,
         probability: 0.5,
     };
-    learning.rewards.add(START_AT, LONG_TERM_US, 0.0, 1e12);
+    learning
+        .rewards
+        .add(START_AT, LONG_TERM_HORIZON_US, 0.0, 1e12);
     learning.samples.push(RewardedSample { sample, reward });
     learning.update_weights(START_AT);
     for (weight, initial) in learning.weights.iter().zip(INITIAL_WEIGHTS) {
@@ -47,7 +49,7 @@
     }
 }
 
-/// The memory for samples must not grow with the square of the fleet.
+/// The memory for samples must not grow with the square of the fleet size.
 #[test]
 fn only_some_outcomes_are_sampled_with_many_candidates() {
     let count_sampled = |endpoints| {
@@ -63,5 +65,8 @@
     let all = MAX_SAMPLED_CANDIDATES;
     assert_eq!(count_sampled(all), all);
     let sampled = count_sampled(40 * all);
-    assert!(sampled < all / 4, "{sampled} of {all}, expected a fortieth");
+    assert!(
+        sampled < all / 4,
+        "{sampled} of {all} decisions were sampled, expected a fortieth"
+    );
 }
--- a/crates/policy/src/tests/load_probing.rs
+++ b/crates/policy/src/tests/load_probing.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// One of a thousand balancers that polls loads by probes or by gossip.
+/// Creates one of 1,000 balancers, which polls loads by probes or by gossip.
 pub(super) fn probing_balancer(
     idempotency: Idempotency,
     by_probes: bool,
@@ -17,7 +17,7 @@
     (balancer, recorder)
 }
 
-/// Receives the load of an endpoint from a probe or from its ledger owner.
+/// Delivers the load of an endpoint from a probe or from its ledger owner.
 fn receive_load(balancer: &mut Balancer<RecordingHost>, now: Micros, index: usize, in_flight: u64) {
     let (id, gossip_id) = (
         Rc::clone(&balancer.endpoints[index].id),
@@ -56,7 +56,7 @@
 #[rstest]
 #[case::by_probes(true, 0, 1)]
 #[case::by_gossip(false, 1, 0)]
-fn request_is_answered_where_no_load_is_received(
+fn request_is_answered_if_no_load_is_received(
     #[case] by_probes: bool,
     #[case] attempted: usize,
     #[case] rejected: usize,
@@ -76,7 +76,7 @@
     assert!(balancer.load_polls.requests.is_empty() && balancer.queue.requests.is_empty());
 }
 
-/// Clients that retry at once must not flood the balancers with gossip.
+/// Clients that retry immediately must not flood the balancers with gossip.
 #[rstest]
 fn loads_stay_fresh_longer_under_overload() {
     let (mut balancer, recorder) = probing_balancer(Idempotency::Idempotent, false);
@@ -87,7 +87,7 @@
             (0..4).for_each(|u| receive_load(&mut balancer, now + MS, u, 90));
         }
     }
-    // In a quarter of a second: four endpoints every 80 ms, not every 20.
+    // In 250 ms the loads of four endpoints are requested every 80 ms, not every 20 ms.
     assert!(
         recorder.count("gossip") <= 16 && recorder.count("attempt") == 0,
         "{}",
@@ -96,12 +96,12 @@
 }
 
 #[rstest]
-fn one_long_response_does_not_close_a_quiet_balancer() {
+fn one_slow_response_does_not_block_a_balancer_with_little_traffic() {
     let (mut balancer, recorder) = probing_balancer(Idempotency::Idempotent, true);
     balancer
         .fleet
         .latency_per_request
-        .add(START_AT, LONG_TERM_US, 450.0 * MS as f64, 1.0);
+        .add(START_AT, LONG_TERM_HORIZON_US, 450.0 * MS as f64, 1.0);
     let now = START_AT + 30_000 * MS;
     arrive(&mut balancer, now, "a");
     (0..4).for_each(|u| receive_load(&mut balancer, now + MS, u, 0));
@@ -134,11 +134,11 @@
     balancer
         .fleet
         .latency_per_request
-        .add(START_AT, LONG_TERM_US, 60.0 * MS as f64, 1e6);
+        .add(START_AT, LONG_TERM_HORIZON_US, 60.0 * MS as f64, 1e6);
     balancer.endpoints[1].reported_in_flight = Some(3.0);
     balancer.class_latency[0]
         .work_hint
-        .add(START_AT, LONG_TERM_US, 60.0, 1.0);
+        .add(START_AT, LONG_TERM_HORIZON_US, 60.0, 1.0);
     let waiting = Request {
         within_quota,
         ..request(&[], false)
@@ -149,11 +149,11 @@
     );
 }
 
-/// A balancer that sends nothing learns nothing.
+/// A balancer that sends no requests never measures a latency.
 #[rstest]
 #[case::by_probes(true)]
 #[case::by_gossip(false)]
-fn balancer_without_any_response_sends(#[case] by_probes: bool) {
+fn balancer_sends_requests_before_its_first_response(#[case] by_probes: bool) {
     let (mut balancer, recorder) = probing_balancer(Idempotency::NonIdempotent, by_probes);
     arrive(&mut balancer, START_AT, "a");
     (0..4).for_each(|u| receive_load(&mut balancer, START_AT + MS, u, 2));
--- a/crates/policy/src/tests/outliers.rs
+++ b/crates/policy/src/tests/outliers.rs
@@ -1,8 +1,8 @@
-//! Outlier groups: each test records different latencies for two tenants.
+//! Tests of outlier groups. Each test records different latencies for two tenants.
 
 use super::*;
 
-/// A balancer that has recorded these latencies for its two tenants.
+/// Creates a balancer that has recorded these latencies for its two tenants.
 fn balancer_of_two_tenants(first: Micros, others: Micros) -> Balancer<RecordingHost> {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 4);
     balancer.settings.tenant_quotas = vec![1e6, 1e6];
@@ -18,12 +18,13 @@
     balancer
 }
 
-/// Where all are late the cause lies elsewhere, and excluding one tenant would not help the others.
+/// If all tenants are late the cause is elsewhere, and excluding one tenant would not help the
+/// others.
 #[rstest]
 #[case::outlier(900, 20, true)]
 #[case::in_time(300, 20, false)]
 #[case::all_are_late(900, 900, false)]
-fn outlier_is_excluded_but_for_trials(
+fn outlier_is_excluded_except_for_trials(
     #[case] latency: Micros,
     #[case] others: Micros,
     #[case] excluded: bool,
@@ -54,7 +55,7 @@
     assert!(balancer.outlier_group(now, &request(&[], false)).is_none());
 }
 
-/// A request that is slow everywhere says nothing of its endpoint.
+/// A request that is slow at every endpoint provides no information about its endpoint.
 #[rstest]
 fn outlier_changes_no_estimate_of_its_endpoint() {
     let mut balancer = balancer_of_two_tenants(900 * MS, 20 * MS);
--- a/crates/policy/src/tests/queueing.rs
+++ b/crates/policy/src/tests/queueing.rs
@@ -13,18 +13,21 @@
 }
 
 #[rstest]
-fn request_without_spare_time_is_rejected_at_once() {
+fn request_without_spare_time_is_rejected_immediately() {
     let (mut balancer, recorder) = balancer(Idempotency::Idempotent, 0);
     balancer.request_arrived(START_AT, arrival("a", START_AT + 5 * MS));
     assert_eq!(recorder.count("reject"), 1);
 }
 
-/// Numbers of queued and of rejected requests when one arrives behind another that waits, with so
-/// many recently admitted of its tenant.
+/// Returns the numbers of queued and of rejected requests after one arrives behind another that
+/// waits. `admitted` is the number of recently admitted requests of its tenant.
 fn queued_and_rejected(endpoints: usize, admitted: f64) -> (usize, usize) {
     let (mut balancer, recorder) = balancer(Idempotency::Idempotent, endpoints);
-    balancer.admission.tenants[0].add(START_AT, RECENT_US, admitted);
-    balancer.fleet.succeeded.add(START_AT, RECENT_US, 80.0);
+    balancer.admission.tenants[0].add(START_AT, RECENT_HORIZON_US, admitted);
+    balancer
+        .fleet
+        .succeeded
+        .add(START_AT, RECENT_HORIZON_US, 80.0);
     balancer.started_at = 0;
     balancer.queue.requests.push(request(&[], false));
     arrive(&mut balancer, START_AT, "a");
@@ -38,7 +41,8 @@
     assert_eq!(queued_and_rejected(6, admitted), (queued, 1 - queued));
 }
 
-/// With fewer, freed capacity goes to the requests of other balancers.
+/// With fewer than three endpoints per balancer, freed capacity goes to the requests of other
+/// balancers.
 #[rstest]
 #[case::own_capacity(6, 1)]
 #[case::shared_capacity(5, 0)]
@@ -49,7 +53,8 @@
     assert_eq!(queued_and_rejected(endpoints, 0.0), (queued, 1 - queued));
 }
 
-/// A retry that may only go to its own cell must not hold back requests that may go anywhere.
+/// A retry that may only go to its own cell must not hold back requests that may go to any
+/// endpoint.
 #[rstest]
 #[case::sent_before(&[0], 1)]
 #[case::never_sent(&[], 0)]
@@ -71,7 +76,10 @@
 #[case::sent_before(&[0], 1)]
 fn queued_retry_does_not_count_as_a_queue_ahead(#[case] sent: &[usize], #[case] queued: usize) {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 6);
-    balancer.fleet.succeeded.add(START_AT, RECENT_US, 30.0);
+    balancer
+        .fleet
+        .succeeded
+        .add(START_AT, RECENT_HORIZON_US, 30.0);
     balancer.started_at = 0;
     for u in 0..6 {
         balancer.endpoints[u].in_flight = vec![in_flight(START_AT); 9];
--- a/crates/policy/src/tests/retry.rs
+++ b/crates/policy/src/tests/retry.rs
@@ -11,7 +11,7 @@
 #[case::key_of_cell(CELL_SCOPED_KEY, true, false)]
 #[case::key_not_run(CELL_SCOPED_KEY, false, true)]
 #[case::key_of_all(ALL_SCOPED_KEY, true, true)]
-fn rejected_only_where_a_retry_is_harmless(
+fn request_is_rejected_only_if_a_retry_is_safe(
     #[case] idempotency: Idempotency,
     #[case] ran: bool,
     #[case] rejected: bool,
@@ -47,12 +47,15 @@
     );
 }
 
-/// Nothing can be sent for it any more, so waiting would only delay its answer.
+/// No further attempt of the request is allowed, so waiting would only delay its answer.
 #[rstest]
 #[case::in_its_window(1_000, 0)]
 #[case::within_the_margin(1_900, 1)]
 #[case::after_the_window(2_100, 1)]
-fn request_beyond_its_idempotency_window_fails_at_once(#[case] after: u64, #[case] failed: usize) {
+fn request_beyond_its_idempotency_window_fails_immediately(
+    #[case] after: u64,
+    #[case] failed: usize,
+) {
     let (mut balancer, recorder) = balancer(CELL_SCOPED_KEY, 8);
     let mut sent = request(&[0], true);
     sent.deadline = START_AT + 60_000 * MS;
@@ -68,7 +71,7 @@
     assert_eq!(recorder.count("fail"), failed);
 }
 
-/// The request may be what brings its endpoints down.
+/// The request may be the cause of the failure of its endpoints.
 #[rstest]
 #[case::first_lost(0, AttemptOutcome::ConnectionLost, 2)]
 #[case::second_lost(1, AttemptOutcome::ConnectionLost, 2)]
@@ -99,9 +102,9 @@
     );
 }
 
-/// Lost connections alone, at endpoints that are up, must not end a request.
+/// Lost connections at endpoints that are still up must not end a request.
 #[rstest]
-fn request_is_retried_once_an_endpoint_that_lost_its_connection_answers() {
+fn request_is_retried_once_an_endpoint_that_lost_its_connection_responds() {
     let (mut balancer, recorder) = balancer(Idempotency::Idempotent, 60);
     arrive(&mut balancer, START_AT, "a");
     balancer.attempt_ended(
@@ -157,7 +160,8 @@
     assert!(retry_after > Some(0) && retry_after < Some(400 * MS));
 }
 
-/// It cannot be cancelled, and lasting until the deadline it would leave no time.
+/// The attempt cannot be cancelled, and a timeout at the deadline would leave no time for another
+/// attempt.
 #[rstest]
 #[case::idempotent(Idempotency::Idempotent, true)]
 #[case::not_idempotent(Idempotency::NonIdempotent, false)]
@@ -174,7 +178,7 @@
     assert_eq!(until < Some(sent.objective_at - START_AT), early);
 }
 
-/// Retries would add to the overload where work is only slow, or where much is lost.
+/// Retries would add to an overload if work is only slow, or if many attempts are lost.
 #[rstest]
 #[case::lost(6.0, 0.0, 100.0, true)]
 #[case::single_loss(1.0, 0.0, 100.0, false)]
@@ -188,14 +192,17 @@
 ) {
     let (mut balancer, _) = balancer(CELL_SCOPED_KEY, 4);
     let latency = &mut balancer.class_latency[0];
-    latency.recent.add(START_AT, RECENT_US, 25_000.0, served);
-    latency.overdue.add(START_AT, RECENT_US, 1.0, lost);
-    latency.overdue.add(START_AT, RECENT_US, 0.0, slow);
+    latency
+        .recent
+        .add(START_AT, RECENT_HORIZON_US, 25_000.0, served);
+    latency.overdue.add(START_AT, RECENT_HORIZON_US, 1.0, lost);
+    latency.overdue.add(START_AT, RECENT_HORIZON_US, 0.0, slow);
     let mut sent = request(&[], false);
     balancer.send(START_AT, &mut sent, 0, None);
     let until = balancer.host.first_attempt_deadline();
     assert_eq!(until, Some(if early { 200 * MS } else { 5_000 * MS }));
-    // The attempt ends before the next one starts: two are never in flight.
+    // Two attempts are never in flight at the same time: the next one is permitted after the first
+    // has ended.
     assert!(!balancer.is_attempt_permitted(START_AT, &sent, 2));
     balancer.record_attempt_end(
         START_AT + 200 * MS,
@@ -206,19 +213,16 @@
     assert!(balancer.class_latency[0].overdue.weight.sum > lost + slow - 1.0);
 }
 
-/// A balancer with little traffic sees no losses itself: the ledger owner reports them.
+/// A balancer with little traffic cannot detect losses itself, so the ledger owner reports them.
 #[rstest]
 #[case::few_lost(10, 5_000)]
 #[case::a_quarter_lost(25, 200)]
-fn attempt_times_out_earlier_where_the_ledger_reports_losses(
-    #[case] lost: u64,
-    #[case] until: u64,
-) {
+fn attempt_times_out_earlier_if_the_ledger_reports_losses(#[case] lost: u64, #[case] until: u64) {
     let (mut balancer, _) = probing_balancer(Idempotency::Idempotent, false);
     balancer.settings.can_cancel = false;
     balancer.class_latency[0]
         .recent
-        .add(START_AT, RECENT_US, 50.0 * MS as f64, 1.0);
+        .add(START_AT, RECENT_HORIZON_US, 50.0 * MS as f64, 1.0);
     let (ledger_owner, gossip_id) = (balancer.ledger_owner(0), balancer.endpoints[0].gossip_id());
     balancer.gossip_received(
         START_AT,
@@ -230,9 +234,9 @@
     assert_eq!(deadline.map(|deadline| deadline / MS), Some(until));
 }
 
-/// The limits before and after a change of settings both hold.
+/// The limits of attempts before and after a change of settings both apply.
 #[rstest]
-fn one_attempt_in_flight_and_the_stricter_limit_of_attempts() {
+fn stricter_limit_and_one_attempt_in_flight_hold_after_a_change_of_settings() {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 4);
     balancer.settings.max_attempts = 2;
     let mut open = request(&[0], true);
--- a/crates/policy/src/tests/slow_start_fleet.rs
+++ b/crates/policy/src/tests/slow_start_fleet.rs
@@ -1,7 +1,8 @@
-//! Requests of many balancers to one endpoint in slow start, on one virtual clock: clock skew, a
-//! burst, restarts of balancers during slow start, and retries. In one overload window N + 2 √N + 2
-//! requests may arrive, where N is what the settings allow at that time (N + 3 √N + 3 for N under
-//! 30).
+//! Requests of many balancers to one endpoint in slow start, on one virtual clock, with clock skew,
+//! a burst, restarts of balancers during slow start, and retries.
+//!
+//! Let N be the number of requests that the settings allow in one overload window at that time. At
+//! most N + 2 √N + 2 requests may arrive in the window, or N + 3 √N + 3 for N below 30.
 
 use std::collections::BTreeMap;
 
@@ -14,18 +15,19 @@
 const NEW_ENDPOINT: usize = 0;
 /// Requests per second that a warm endpoint serves.
 const CAPACITY_PER_SECOND: f64 = 30.0;
-/// Requested fraction of the capacity.
+/// Offered load as a fraction of the capacity of all endpoints.
 const LOAD: f64 = 0.7;
 const TICK_US: Micros = 5 * MS;
 const LATENCY_US: Micros = 60 * MS;
-/// A lower initial capacity than usual: an equal share of the requests would overload the endpoint.
+/// Slow start with an initial capacity that is lower than usual: an equal share of the requests
+/// would overload the endpoint.
 const SLOW_START: SlowStart = SlowStart {
     initial_capacity: 0.05,
     duration: 10_000 * MS,
     overload_multiple: 2.0,
     overload_window: 2_000 * MS,
 };
-/// Fraction of the attempts that are rejected, and retried elsewhere.
+/// Fraction of the attempts that are rejected, and retried at another endpoint.
 const REJECTED_FRACTION: f64 = 0.1;
 const DURATION_US: Micros = 12_000 * MS;
 
@@ -37,14 +39,14 @@
     sent_at: Micros,
 }
 
-/// A fleet of balancers, and the size of the fleet by their settings.
+/// A fleet of balancers, and the size of the fleet in their settings.
 struct Fleet {
     balancers: Vec<Balancer<RecordingHost>>,
     configured: usize,
     random: WyRand,
     in_flight: BTreeMap<(Micros, usize), SentAttempt>,
     attempts: BTreeMap<String, usize>,
-    /// When attempts were sent to the endpoint in slow start.
+    /// Times at which attempts were sent to the endpoint in slow start.
     sent_at: Vec<Micros>,
     next_request: usize,
 }
@@ -67,37 +69,41 @@
         fleet
     }
 
-    /// A balancer that has served for long, or has just started.
+    /// Creates a balancer that has served requests for a long time or, if `served` is false, has
+    /// just started.
     fn balancer(&mut self, number: usize, now: Micros, served: bool) -> Balancer<RecordingHost> {
         let mut balancer = one_of_many(number % self.configured, self.configured, ENDPOINTS);
         balancer.random = WyRand::new_seed(self.random.generate());
         balancer.settings.slow_start = SLOW_START;
         (balancer.instance_seed, balancer.admission.admitted_share) = (self.random.generate(), 1.0);
-        // Clocks differ by some milliseconds.
+        // The clocks differ by up to 20 ms.
         let skew = self.random.generate_range(0..=20 * MS);
         balancer.endpoint_listed(listed("u0", 0, 0, START_AT - skew));
         balancer.endpoint_list_ended(now);
         balancer.started_at = now;
         if served {
             balancer.started_at = START_AT - 20_000 * MS;
-            let rate =
-                LOAD * CAPACITY_PER_SECOND * ENDPOINTS as f64 / self.configured as f64 / SECOND_US;
-            balancer
-                .fleet
-                .served_work
-                .add(START_AT, LONG_TERM_US, rate * LONG_TERM_US);
-            balancer
-                .fleet
-                .arrivals
-                .add(START_AT, LONG_TERM_US, rate * LONG_TERM_US);
+            let rate = LOAD * CAPACITY_PER_SECOND * ENDPOINTS as f64
+                / self.configured as f64
+                / MICROS_PER_SECOND;
+            balancer.fleet.served_work.add(
+                START_AT,
+                LONG_TERM_HORIZON_US,
+                rate * LONG_TERM_HORIZON_US,
+            );
+            balancer.fleet.arrivals.add(
+                START_AT,
+                LONG_TERM_HORIZON_US,
+                rate * LONG_TERM_HORIZON_US,
+            );
         }
         balancer
     }
 
-    fn arrivals(&mut self, now: Micros, rate: f64) {
-        let mut owed = rate * TICK_US as f64 / SECOND_US;
-        while owed > 0.0 {
-            if self.random.generate::<f64>() < owed {
+    fn generate_arrivals(&mut self, now: Micros, rate: f64) {
+        let mut expected = rate * TICK_US as f64 / MICROS_PER_SECOND;
+        while expected > 0.0 {
+            if self.random.generate::<f64>() < expected {
                 let number = self.random.generate_range(0..self.balancers.len());
                 self.next_request += 1;
                 let id = format!("t{}", self.next_request);
@@ -108,11 +114,11 @@
                 self.balancers[number].request_arrived(now, arrival);
                 self.collect_attempts(now, number);
             }
-            owed -= 1.0;
+            expected -= 1.0;
         }
     }
 
-    /// Takes the attempts that a balancer started.
+    /// Collects the attempts that a balancer started.
     fn collect_attempts(&mut self, now: Micros, balancer: usize) {
         let calls = std::mem::take(&mut *self.balancers[balancer].host.calls.borrow_mut());
         for call in calls {
@@ -169,7 +175,7 @@
         let mut now = START_AT;
         while now < START_AT + DURATION_US {
             let since = now - START_AT;
-            // A burst of half as much again, and a restart of a quarter of the balancers.
+            // A burst of 1.5 times the usual rate, and a restart of a quarter of the balancers.
             let burst = if (2_000 * MS..4_000 * MS).contains(&since) {
                 1.5
             } else {
@@ -181,7 +187,7 @@
                 }
             }
             self.end_attempts(now);
-            self.arrivals(now, usual * burst);
+            self.generate_arrivals(now, usual * burst);
             for number in 0..self.balancers.len() {
                 if since.is_multiple_of(QUEUE_CHECK_INTERVAL_US) {
                     self.balancers[number].timer_expired(now, QUEUE_TIMER);
@@ -192,8 +198,8 @@
         }
     }
 
-    /// The most attempts in one overload window, relative to what may arrive.
-    fn worst(&self) -> f64 {
+    /// Returns the highest ratio of attempts in one overload window to the number that may arrive.
+    fn max_load_ratio(&self) -> f64 {
         let slow_start = SLOW_START;
         let allowed = |at: Micros| {
             let age = (at - START_AT) as f64 / slow_start.duration as f64;
@@ -203,7 +209,7 @@
                 * slow_start_capacity
                 * CAPACITY_PER_SECOND
                 * slow_start.overload_window as f64
-                / SECOND_US;
+                / MICROS_PER_SECOND;
             if n < 30.0 {
                 n + 3.0 * n.sqrt() + 3.0
             } else {
@@ -231,21 +237,27 @@
     let mut fleet = Fleet::new(balancers, balancers, seed);
     fleet.run();
     assert!(
-        fleet.worst() < 1.0,
+        fleet.max_load_ratio() < 1.0,
         "{:.2} of the allowed load",
-        fleet.worst()
+        fleet.max_load_ratio()
+    );
+    assert!(
+        !fleet.sent_at.is_empty(),
+        "the endpoint in slow start received no requests and cannot warm up"
     );
-    assert!(!fleet.sent_at.is_empty(), "it needs requests to warm up");
 }
 
-/// The test can fail: each balancer takes the whole budget, as if it were alone.
+/// Checks that the test detects an overload: each balancer takes the whole budget, as if it were
+/// the only one.
 #[rstest]
-fn balancers_that_each_take_the_whole_budget_overload_it(#[values(20, 30)] balancers: usize) {
+fn balancers_that_each_take_the_whole_budget_overload_the_endpoint(
+    #[values(20, 30)] balancers: usize,
+) {
     let mut fleet = Fleet::new(balancers, 1, 1);
     fleet.run();
     assert!(
-        fleet.worst() > 1.0,
+        fleet.max_load_ratio() > 1.0,
         "{:.2} of the allowed load",
-        fleet.worst()
+        fleet.max_load_ratio()
     );
 }
--- a/crates/policy/src/tests/subset.rs
+++ b/crates/policy/src/tests/subset.rs
@@ -20,16 +20,16 @@
 
 #[rstest]
 #[case::with_capacity(false, false, true)]
-#[case::crowded(false, true, false)]
+#[case::saturated(false, true, false)]
 #[case::loads_polled(true, false, false)]
 fn own_zone_comes_first_while_it_has_capacity(
     #[case] by_probes: bool,
-    #[case] crowded: bool,
+    #[case] saturated: bool,
     #[case] own_zone_first: bool,
 ) {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 0);
     balancer.settings.load_from_probes = by_probes;
-    balancer.subset.zone_crowded_until = if crowded { START_AT + 1 } else { 0 };
+    balancer.subset.zone_saturated_until = if saturated { START_AT + 1 } else { 0 };
     for u in 0..9 {
         balancer.endpoint_listed(listed(&format!("u{u}"), u64::from(u > 2), 0, 0));
     }
@@ -40,8 +40,8 @@
 }
 
 #[rstest]
-fn request_without_capacity_opens_other_zones() {
+fn request_without_capacity_includes_other_zones() {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 0);
     arrive(&mut balancer, START_AT, "a");
-    assert!(balancer.subset.zone_crowded_until > START_AT);
+    assert!(balancer.subset.zone_saturated_until > START_AT);
 }
--- a/crates/policy/src/time_margin.rs
+++ b/crates/policy/src/time_margin.rs
@@ -1,13 +1,13 @@
-//! Safety margin of bounds in real time: a process may be paused between reading its clock and
-//! acting.
+//! Safety margin for deadlines in real time, because the process may be paused between reading its
+//! clock and acting.
 
 use crate::Micros;
 
-/// Longest pause of a process between reading its clock and writing.
+/// Longest pause of the process between reading its clock and writing, in microseconds.
 const MAX_PROCESS_PAUSE_US: Micros = 150_000;
 
-/// The time before which an action has to begin so that it happens within `span` microseconds of
-/// `from` even if the process is paused. The margin takes at most half of the span.
+/// Returns the time before which an action must start so that it happens within `span` microseconds
+/// of `from` even if the process is paused. The margin is at most half of `span`.
 #[must_use]
 pub fn start_deadline(from: Micros, span: Micros) -> Micros {
     from.saturating_add(span - MAX_PROCESS_PAUSE_US.min(span / 2))
--- a/crates/policy/src/time_margin/tests.rs
+++ b/crates/policy/src/time_margin/tests.rs
@@ -1,4 +1,4 @@
-//! Safety margin of bounds in real time.
+//! Tests of the safety margin for deadlines in real time.
 
 use rstest::rstest;
 
