--- a/crates/policy/src/tests/endpoint_list.rs
+++ b/crates/policy/src/tests/endpoint_list.rs
@@ -7,17 +7,18 @@
 #[case::unlisted(true)]
 fn nothing_is_sent_to_draining_or_removed_endpoints(#[case] complete: bool) {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 2);
-    balancer.endpoint_list_begins(START_AT, complete);
+    balancer.endpoint_list_started(START_AT, complete);
     if complete {
         balancer.endpoint_listed(listed("u0", 0, 0, 0));
     } else {
         balancer.endpoint_draining("u1");
     }
-    assert!(!balancer.attempt_permitted(START_AT, &request(&[], false), 1));
-    assert!(balancer.attempt_permitted(START_AT, &request(&[], false), 0));
+    assert!(!balancer.is_attempt_permitted(START_AT, &request(&[], false), 1));
+    assert!(balancer.is_attempt_permitted(START_AT, &request(&[], false), 0));
 }
 
-/// The list's server does not grow with the fleet.
+/// The list's server does not grow with the fleet, so a large fleet must not send its first polls
+/// at the same time.
 #[rstest]
 fn large_fleet_spreads_its_first_polls() {
     let spreads =
@@ -27,7 +28,7 @@
 }
 
 #[rstest]
-fn list_is_polled_again_with_backoff_and_jitter() {
+fn failed_list_poll_is_retried_with_backoff_and_jitter() {
     let (mut balancer, recorder) = balancer(Idempotency::Idempotent, 0);
     for _ in 0..9 {
         balancer.endpoint_list_failed();
@@ -62,34 +63,34 @@
 #[case::long_ago(120_000, 0, 0)]
 #[case::just_now(1, 0, 1)]
 #[case::listed_again(120_000, 1, 1)]
-fn slot_of_an_unlisted_endpoint_is_used_again(
+fn slot_of_an_endpoint_unlisted_long_ago_is_reused(
     #[case] ago: u64,
     #[case] entries: usize,
     #[case] known: usize,
 ) {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 1);
     balancer.endpoints[0].latest_deadline = START_AT;
-    balancer.endpoint_list_begins(START_AT, true);
+    balancer.endpoint_list_started(START_AT, true);
     (0..entries).for_each(|_| balancer.endpoint_listed(listed("u0", 0, 0, 0)));
-    balancer.endpoint_list_ends(START_AT + ago * MS);
+    balancer.endpoint_list_ended(START_AT + ago * MS);
     assert_eq!(balancer.endpoints.index_by_id.len(), known);
     balancer.endpoint_listed(listed("new", 0, 0, 0));
     assert_eq!(balancer.endpoints.index_by_id["new"], known);
 }
 
 #[rstest]
-#[case::unlisting_binds(false, 0)]
-#[case::only_draining_binds(true, 1)]
-fn unlisted_endpoint_stays_usable_where_only_draining_binds(
+#[case::removed_when_unlisted(false, 0)]
+#[case::removed_only_when_draining(true, 1)]
+fn unlisted_endpoint_stays_usable_if_only_draining_removes_it(
     #[case] stays_usable: bool,
     #[case] sent: usize,
 ) {
     let (mut balancer, recorder) = balancer(Idempotency::Idempotent, 2);
     balancer.settings.unlisted_stay_usable = stays_usable;
-    balancer.endpoint_list_begins(START_AT, true);
+    balancer.endpoint_list_started(START_AT, true);
     balancer.endpoint_listed(listed("u0", 0, 0, 0));
     balancer.endpoint_removed(START_AT, "u0");
-    balancer.endpoint_list_ends(START_AT);
+    balancer.endpoint_list_ended(START_AT);
     arrive(&mut balancer, START_AT, "a");
     assert_eq!(recorder.count("attempt"), sent);
     balancer.endpoint_draining("u0");
--- a/crates/policy/src/tests/retry.rs
+++ b/crates/policy/src/tests/retry.rs
@@ -8,10 +8,10 @@
 #[case::idempotent(Idempotency::Idempotent, true, true)]
 #[case::not_idempotent(Idempotency::NonIdempotent, true, false)]
 #[case::not_idempotent_not_run(Idempotency::NonIdempotent, false, true)]
-#[case::key_of_cell(CELL, true, false)]
-#[case::key_not_run(CELL, false, true)]
-#[case::key_of_all(ALL, true, true)]
-fn rejected_only_where_a_retry_is_harmless(
+#[case::key_of_cell(CELL_SCOPED_KEY, true, false)]
+#[case::key_not_run(CELL_SCOPED_KEY, false, true)]
+#[case::key_of_all(ALL_SCOPED_KEY, true, true)]
+fn request_is_rejected_only_if_a_retry_is_safe(
     #[case] idempotency: Idempotency,
     #[case] ran: bool,
     #[case] rejected: bool,
@@ -25,10 +25,10 @@
 }
 
 #[rstest]
-#[case::other_cell(CELL, &[0], 1, 100, false)]
-#[case::same_cell(CELL, &[0], 2, 100, true)]
-#[case::after_the_window(CELL, &[0], 2, 2_000, false)]
-#[case::different_cells(CELL, &[0, 1], 2, 100, false)]
+#[case::other_cell(CELL_SCOPED_KEY, &[0], 1, 100, false)]
+#[case::same_cell(CELL_SCOPED_KEY, &[0], 2, 100, true)]
+#[case::after_the_window(CELL_SCOPED_KEY, &[0], 2, 2_000, false)]
+#[case::different_cells(CELL_SCOPED_KEY, &[0, 1], 2, 100, false)]
 #[case::not_idempotent(Idempotency::NonIdempotent, &[0], 1, 100, false)]
 #[case::idempotent(Idempotency::Idempotent, &[0], 1, 100, true)]
 #[case::no_attempts_left(Idempotency::Idempotent, &[0, 1, 2], 3, 100, false)]
@@ -42,18 +42,21 @@
 ) {
     let (balancer, _) = balancer(idempotency, 4);
     assert_eq!(
-        balancer.attempt_permitted(START_AT + after * MS, &request(attempted, true), next),
+        balancer.is_attempt_permitted(START_AT + after * MS, &request(attempted, true), next),
         permitted
     );
 }
 
-/// Nothing can be sent for it any more, so waiting would only delay its answer.
+/// No further attempt of the request is allowed, so waiting would only delay its answer.
 #[rstest]
 #[case::in_its_window(1_000, 0)]
 #[case::within_the_margin(1_900, 1)]
 #[case::after_the_window(2_100, 1)]
-fn request_beyond_its_idempotency_window_fails_at_once(#[case] after: u64, #[case] failed: usize) {
-    let (mut balancer, recorder) = balancer(CELL, 8);
+fn request_beyond_its_idempotency_window_fails_immediately(
+    #[case] after: u64,
+    #[case] failed: usize,
+) {
+    let (mut balancer, recorder) = balancer(CELL_SCOPED_KEY, 8);
     let mut sent = request(&[0], true);
     sent.deadline = START_AT + 60_000 * MS;
     sent.objective_at = sent.deadline;
@@ -68,7 +71,7 @@
     assert_eq!(recorder.count("fail"), failed);
 }
 
-/// The request may be what brings its endpoints down.
+/// The request may be the cause of the failure of its endpoints.
 #[rstest]
 #[case::first_lost(0, AttemptOutcome::ConnectionLost, 2)]
 #[case::second_lost(1, AttemptOutcome::ConnectionLost, 2)]
@@ -99,9 +102,9 @@
     );
 }
 
-/// Lost connections alone, at endpoints that are up, must not end a request.
+/// Lost connections at endpoints that are still up must not end a request.
 #[rstest]
-fn request_is_retried_once_an_endpoint_that_lost_its_connection_answers() {
+fn request_is_retried_once_an_endpoint_that_lost_its_connection_responds() {
     let (mut balancer, recorder) = balancer(Idempotency::Idempotent, 60);
     arrive(&mut balancer, START_AT, "a");
     balancer.attempt_ended(
@@ -157,7 +160,8 @@
     assert!(retry_after > Some(0) && retry_after < Some(400 * MS));
 }
 
-/// It cannot be cancelled, and lasting until the deadline it would leave no time.
+/// The attempt cannot be cancelled, and a timeout at the deadline would leave no time for another
+/// attempt.
 #[rstest]
 #[case::idempotent(Idempotency::Idempotent, true)]
 #[case::not_idempotent(Idempotency::NonIdempotent, false)]
@@ -174,7 +178,7 @@
     assert_eq!(until < Some(sent.objective_at - START_AT), early);
 }
 
-/// Retries would add to the overload where work is only slow, or where much is lost.
+/// Retries would add to an overload if work is only slow, or if many attempts are lost.
 #[rstest]
 #[case::lost(6.0, 0.0, 100.0, true)]
 #[case::single_loss(1.0, 0.0, 100.0, false)]
@@ -186,39 +190,39 @@
     #[case] served: f64,
     #[case] early: bool,
 ) {
-    let (mut balancer, _) = balancer(CELL, 4);
+    let (mut balancer, _) = balancer(CELL_SCOPED_KEY, 4);
     let latency = &mut balancer.class_latency[0];
-    latency.recent.add(START_AT, RECENT_US, 25_000.0, served);
-    latency.overdue.add(START_AT, RECENT_US, 1.0, lost);
-    latency.overdue.add(START_AT, RECENT_US, 0.0, slow);
+    latency
+        .recent
+        .add(START_AT, RECENT_HORIZON_US, 25_000.0, served);
+    latency.overdue.add(START_AT, RECENT_HORIZON_US, 1.0, lost);
+    latency.overdue.add(START_AT, RECENT_HORIZON_US, 0.0, slow);
     let mut sent = request(&[], false);
     balancer.send(START_AT, &mut sent, 0, None);
     let until = balancer.host.first_attempt_deadline();
     assert_eq!(until, Some(if early { 200 * MS } else { 5_000 * MS }));
-    // The attempt ends before the next one starts: two are never in flight.
-    assert!(!balancer.attempt_permitted(START_AT, &sent, 2));
+    // Two attempts are never in flight at the same time: the next one is permitted after the first
+    // has ended.
+    assert!(!balancer.is_attempt_permitted(START_AT, &sent, 2));
     balancer.record_attempt_end(
         START_AT + 200 * MS,
         &mut sent,
         attempt_end(0, false, AttemptOutcome::TimedOut, 200 * MS),
     );
-    assert!(balancer.attempt_permitted(START_AT + 200 * MS, &sent, 2));
+    assert!(balancer.is_attempt_permitted(START_AT + 200 * MS, &sent, 2));
     assert!(balancer.class_latency[0].overdue.weight.sum > lost + slow - 1.0);
 }
 
-/// A balancer with little traffic sees no losses itself: the ledger owner reports them.
+/// A balancer with little traffic cannot detect losses itself, so the ledger owner reports them.
 #[rstest]
 #[case::few_lost(10, 5_000)]
 #[case::a_quarter_lost(25, 200)]
-fn attempt_times_out_earlier_where_the_ledger_reports_losses(
-    #[case] lost: u64,
-    #[case] until: u64,
-) {
+fn attempt_times_out_earlier_if_the_ledger_reports_losses(#[case] lost: u64, #[case] until: u64) {
     let (mut balancer, _) = probing_balancer(Idempotency::Idempotent, false);
     balancer.settings.can_cancel = false;
     balancer.class_latency[0]
         .recent
-        .add(START_AT, RECENT_US, 50.0 * MS as f64, 1.0);
+        .add(START_AT, RECENT_HORIZON_US, 50.0 * MS as f64, 1.0);
     let (ledger_owner, gossip_id) = (balancer.ledger_owner(0), balancer.endpoints[0].gossip_id());
     balancer.gossip_received(
         START_AT,
@@ -230,9 +234,9 @@
     assert_eq!(deadline.map(|deadline| deadline / MS), Some(until));
 }
 
-/// The limits before and after a change of settings both hold.
+/// The limits of attempts before and after a change of settings both apply.
 #[rstest]
-fn one_attempt_in_flight_and_the_stricter_limit_of_attempts() {
+fn stricter_limit_and_one_attempt_in_flight_hold_after_a_change_of_settings() {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 4);
     balancer.settings.max_attempts = 2;
     let mut open = request(&[0], true);
@@ -243,12 +247,12 @@
         ..balancer.settings.clone()
     });
     let mut open = balancer.requests.remove("t").unwrap();
-    assert!(!balancer.attempt_permitted(START_AT + MS, &open, 1));
+    assert!(!balancer.is_attempt_permitted(START_AT + MS, &open, 1));
     open.attempts[0].in_flight = false;
-    assert!(balancer.attempt_permitted(START_AT + MS, &open, 1));
+    assert!(balancer.is_attempt_permitted(START_AT + MS, &open, 1));
     open.attempts.push(Attempt {
         in_flight: false,
         ..Attempt::new(1, START_AT, None)
     });
-    assert!(!balancer.attempt_permitted(START_AT + MS, &open, 2));
+    assert!(!balancer.is_attempt_permitted(START_AT + MS, &open, 2));
 }
--- a/crates/policy/src/tests/subset.rs
+++ b/crates/policy/src/tests/subset.rs
@@ -20,28 +20,28 @@
 
 #[rstest]
 #[case::with_capacity(false, false, true)]
-#[case::crowded(false, true, false)]
+#[case::saturated(false, true, false)]
 #[case::loads_polled(true, false, false)]
 fn own_zone_comes_first_while_it_has_capacity(
     #[case] by_probes: bool,
-    #[case] crowded: bool,
+    #[case] saturated: bool,
     #[case] own_zone_first: bool,
 ) {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 0);
     balancer.settings.load_from_probes = by_probes;
-    balancer.subset.zone_crowded_until = if crowded { START_AT + 1 } else { 0 };
+    balancer.subset.zone_saturated_until = if saturated { START_AT + 1 } else { 0 };
     for u in 0..9 {
         balancer.endpoint_listed(listed(&format!("u{u}"), u64::from(u > 2), 0, 0));
     }
-    balancer.endpoint_list_ends(START_AT);
+    balancer.endpoint_list_ended(START_AT);
     let mut first: Vec<usize> = balancer.subset.current_order(START_AT)[..3].to_vec();
     first.sort_unstable();
     assert_eq!(first == [0, 1, 2], own_zone_first, "{first:?}");
 }
 
 #[rstest]
-fn request_without_capacity_opens_other_zones() {
+fn request_without_capacity_includes_other_zones() {
     let (mut balancer, _) = balancer(Idempotency::Idempotent, 0);
     arrive(&mut balancer, START_AT, "a");
-    assert!(balancer.subset.zone_crowded_until > START_AT);
+    assert!(balancer.subset.zone_saturated_until > START_AT);
 }
