--- a/crates/proxy/src/close_reason.rs
+++ b/crates/proxy/src/close_reason.rs
@@ -110,7 +110,7 @@
     /// Whether the endpoint's other connections may be stale too: after a machine failure all of
     /// them are unresponsive, and when the machine is back, each of them is reset while it carries
     /// a request. A new connection shows immediately whether the endpoint is reachable.
-    pub fn casts_doubt_on_endpoint(self) -> bool {
+    pub fn suggests_stale_connections(self) -> bool {
         matches!(
             self,
             Self::TimedOut | Self::ConnectTimeout | Self::EndpointConnectionLost
--- a/crates/proxy/src/connections/accept.rs
+++ b/crates/proxy/src/connections/accept.rs
@@ -12,7 +12,7 @@
 use crate::state::client_connection::ClientConnection;
 use crate::state::keys::ClientKey;
 use crate::state::proxy::{Proxy, ProxyState};
-use crate::state::socket::{RegisteredSocket, ready};
+use crate::state::socket::{RegisteredSocket, poll_ready};
 use crate::state::timers::TimerEvent;
 
 #[cfg(test)]
@@ -25,7 +25,7 @@
 const MAX_ACCEPTS_PER_ITERATION: usize = 64;
 /// Time after its last activity during which a client that has just connected or is in the middle
 /// of a request is evicted only if no other client can be.
-const ABOUT_TO_SEND_US: Micros = 1_000_000;
+const EVICTION_GRACE_US: Micros = 1_000_000;
 
 /// Classification of an `accept` error.
 #[derive(Debug, PartialEq, Eq)]
@@ -43,7 +43,7 @@
 
 /// Classifies an `accept` error. According to accept(2), network errors belong to the connection
 /// that was to be accepted.
-fn accept_failure(error: &std::io::Error) -> AcceptFailure {
+fn classify_accept_error(error: &std::io::Error) -> AcceptFailure {
     let Some(code) = Errno::from_io_error(error) else {
         return AcceptFailure::SystemLimit;
     };
@@ -70,7 +70,7 @@
     /// Accepts connections from the backlog. Returns whether the backlog may hold more connections
     /// that can be accepted now.
     pub fn accept(&mut self) -> bool {
-        let mut has_freed_descriptor = false;
+        let mut has_evicted = false;
         let mut has_accepted = false;
         for _ in 0..MAX_ACCEPTS_PER_ITERATION {
             let mut state = self.state.borrow_mut();
@@ -78,7 +78,7 @@
                 return false;
             };
             let listener = Rc::clone(&registered.listener);
-            if !state.has_capacity_for_client(&listener) {
+            if !state.make_room_for_client(&listener) {
                 return false;
             }
             let error = match listener.accept() {
@@ -89,7 +89,7 @@
                 }
                 Err(error) => error,
             };
-            let failure = accept_failure(&error);
+            let failure = classify_accept_error(&error);
             if failure == AcceptFailure::WouldBlock {
                 return false;
             }
@@ -100,12 +100,12 @@
             warn!(state.log, "accept failed"; "error" => %error);
             // A connection in the backlog counts as accepted, so an idle connection is closed to
             // make room for it. If closing one did not help, closing more would not help either.
-            let can_help = failure == AcceptFailure::ProcessLimit && !has_freed_descriptor;
-            if !can_help || !state.free_descriptor() {
+            let can_evict = failure == AcceptFailure::ProcessLimit && !has_evicted;
+            if !can_evict || !state.evict_idle_connection() {
                 state.pause_accepting();
                 return false;
             }
-            has_freed_descriptor = true;
+            has_evicted = true;
         }
         has_accepted
     }
@@ -114,7 +114,7 @@
 impl ProxyState {
     /// Returns whether another client connection can be accepted. At the connection limit, closes
     /// an idle client connection if a connection is pending in the backlog.
-    fn has_capacity_for_client(&mut self, listener: &TcpListener) -> bool {
+    fn make_room_for_client(&mut self, listener: &TcpListener) -> bool {
         if self.clients.len() < self.config.max_client_connections {
             return true;
         }
@@ -130,22 +130,22 @@
 
     fn register_client(&mut self, stream: TcpStream, peer: SocketAddr) {
         let now = self.clock.now();
-        let waited = self.loop_iteration.late(now);
-        let made_nonblocking = stream.set_nonblocking(true);
+        let backlog_wait = self.loop_iteration.delay_at(now);
+        let nonblocking_result = stream.set_nonblocking(true);
         // Most responses are sent in one write. Without `TCP_NODELAY`, the rest of a response that
         // needs a second write could be delayed.
         let _ = stream.set_nodelay(true);
-        let registered = made_nonblocking.and_then(|()| {
+        let registered = nonblocking_result.and_then(|()| {
             self.clients.try_insert_with_key(|key| {
                 let ready = move |proxy: &mut Proxy| proxy.client_ready(key);
                 let socket = RegisteredSocket::new(&self.handle, stream, ready)?;
-                Ok(ClientConnection::new(socket, peer, now, waited))
+                Ok(ClientConnection::new(socket, peer, now, backlog_wait))
             })
         });
         match registered {
             Ok(key) => {
                 self.counters.client_connections_accepted += 1;
-                self.client_idle(key);
+                self.start_client_idle_wait(key);
             }
             Err(error) => {
                 self.counters.accepts_failed += 1;
@@ -158,7 +158,7 @@
 
     /// Closes an idle client connection or, if there is none, an idle endpoint connection. Returns
     /// whether a connection was closed.
-    fn free_descriptor(&mut self) -> bool {
+    fn evict_idle_connection(&mut self) -> bool {
         self.close_idle_client() || self.evict_idle_endpoint_connection()
     }
 
@@ -177,21 +177,22 @@
         let mut idle: Vec<_> = self
             .clients
             .iter()
-            .filter(|(_, client)| !client.awaits_response() && !client.has_unread_bytes())
+            .filter(|(_, client)| !client.awaits_response() && !client.has_unparsed_bytes())
             .collect();
         // A client that has just connected or begun a request is likely to send more bytes soon.
-        let is_about_to_send = |client: &ClientConnection| {
-            let has_begun = client.responses_sent == 0 || !client.read_buffer.bytes().is_empty();
-            has_begun && now < client.waiting_since + ABOUT_TO_SEND_US
+        let is_in_grace_period = |client: &ClientConnection| {
+            let expects_request_bytes =
+                client.responses_sent == 0 || !client.read_buffer.bytes().is_empty();
+            expects_request_bytes && now < client.waiting_since + EVICTION_GRACE_US
         };
-        idle.sort_by_key(|(_, client)| (is_about_to_send(client), client.waiting_since));
+        idle.sort_by_key(|(_, client)| (is_in_grace_period(client), client.waiting_since));
         idle.into_iter()
             .find(|(_, client)| !has_bytes_in_socket(client))
             .map(|(key, _)| key)
     }
 
     fn pause_accepting(&mut self) {
-        if self.accept_paused {
+        if self.is_accept_paused {
             return;
         }
         let Some(registered) = &self.listener else {
@@ -200,14 +201,14 @@
         if let Err(error) = self.handle.disable(&registered.token) {
             warn!(self.log, "cannot pause accepting"; "error" => %error);
         }
-        self.accept_paused = true;
+        self.is_accept_paused = true;
         let at = self.clock.now() + ACCEPT_PAUSE_US;
         self.timers.schedule(at, TimerEvent::ResumeAccepting);
     }
 
     /// Resumes accepting connections after a pause.
     pub fn resume_accepting(&mut self) {
-        let was_paused = std::mem::take(&mut self.accept_paused);
+        let was_paused = std::mem::take(&mut self.is_accept_paused);
         if let Some(registered) = self.listener.as_ref().filter(|_| was_paused)
             && let Err(error) = self.handle.enable(&registered.token)
         {
@@ -232,7 +233,7 @@
 
 /// Whether a connection is pending in the backlog.
 fn has_pending_connection(listener: &TcpListener) -> bool {
-    !ready(listener, PollFlags::IN).is_empty()
+    !poll_ready(listener, PollFlags::IN).is_empty()
 }
 
 /// Whether the socket holds unread bytes, which may be a complete request.
--- a/crates/proxy/src/connections/accept/tests.rs
+++ b/crates/proxy/src/connections/accept/tests.rs
@@ -35,7 +35,7 @@
     let mut harness = TestHarness::new();
     let (kept, key) = stands(&mut harness, stays);
     let (ended, _) = stands(&mut harness, gives_way);
-    assert!(harness.proxy.state.borrow_mut().free_descriptor());
+    assert!(harness.proxy.state.borrow_mut().evict_idle_connection());
     harness.expect_close(&ended);
     assert!(harness.proxy.state.borrow().clients.contains_key(key));
     drop(kept);
@@ -54,7 +54,7 @@
             .is_ok()
     };
     while !unread(&harness.proxy) {}
-    assert!(!harness.proxy.state.borrow_mut().free_descriptor());
+    assert!(!harness.proxy.state.borrow_mut().evict_idle_connection());
 }
 
 #[test]
@@ -82,7 +82,7 @@
         .max_client_connections = 0;
     let waiting = TcpStream::connect(harness.address).unwrap();
     harness.run_until(|proxy| {
-        let next = proxy.state.borrow().timers.next();
+        let next = proxy.state.borrow().timers.next_expiry();
         let soon = proxy.state.borrow().now() + 2 * ACCEPT_PAUSE_US;
         next.filter(|at| *at < soon).map(|_| ())
     });
@@ -133,7 +133,7 @@
         let client = &mut state.clients[key];
         let _ = client.read_buffer.fill(&client.socket.stream, 4096);
     }
-    assert!(!state.free_descriptor());
+    assert!(!state.evict_idle_connection());
     drop(state);
     harness.proxy.client_ready(key);
     assert!(
@@ -196,5 +196,5 @@
 #[case::buffers(Errno::NOBUFS, AcceptFailure::SystemLimit)]
 #[case::memory(Errno::NOMEM, AcceptFailure::SystemLimit)]
 fn only_the_process_limit_evicts_connections(#[case] code: Errno, #[case] wanted: AcceptFailure) {
-    assert_eq!(accept_failure(&code.into()), wanted);
+    assert_eq!(classify_accept_error(&code.into()), wanted);
 }
--- a/crates/proxy/src/connections/attempt.rs
+++ b/crates/proxy/src/connections/attempt.rs
@@ -85,7 +85,7 @@
         self.counters.attempts += 1;
         let connection = match self.endpoints.key_of(endpoint) {
             _ if expire_at <= now => Err(AttemptOutcome::NotSent),
-            Some(endpoint) => self.connection_to(endpoint),
+            Some(endpoint) => self.acquire_connection(endpoint),
             None => Err(AttemptOutcome::Unreachable),
         };
         let Some(request) = self.requests.get_mut(key) else {
@@ -178,7 +178,7 @@
     /// the connect timeout, as a later response would report an outdated load.
     fn send_probe(&mut self, endpoint: EndpointKey, now: Micros) -> Option<()> {
         let path = self.config.probe_path.clone()?;
-        let key = self.connection_to(endpoint).ok()?;
+        let key = self.acquire_connection(endpoint).ok()?;
         let address = self.endpoints.get(endpoint)?.address?;
         let expire_at = now + self.config.connect_timeout;
         let connection = self.endpoint_connections.get_mut(key)?;
--- a/crates/proxy/src/connections/attempt/tests.rs
+++ b/crates/proxy/src/connections/attempt/tests.rs
@@ -39,7 +39,7 @@
     assert_eq!(
         state
             .timers
-            .next()
+            .next_expiry()
             .map(|_| state.endpoint_connections.len()),
         Some(0)
     );
--- a/crates/proxy/src/connections/client.rs
+++ b/crates/proxy/src/connections/client.rs
@@ -98,13 +98,13 @@
         let Some(client) = self.clients.get_mut(key) else {
             return ClientRead::Nothing;
         };
-        if client.write_buffer.drain(&client.socket.stream).is_err() {
+        if client.write_buffer.flush(&client.socket.stream).is_err() {
             return ClientRead::Closed(CloseReason::ClientReset);
         }
         if client.is_lingering {
             return self.discard_from_client(key);
         }
-        let outcome = fill_read_buffer(client, self.closing);
+        let outcome = fill_read_buffer(client, self.is_closing_connections);
         classify_read(client, outcome)
     }
 
@@ -146,7 +146,7 @@
 /// completed and answered but no further request is read: a client that always sends another
 /// request would block the shutdown.
 fn fill_read_buffer(client: &mut ClientConnection, closing: bool) -> ReadOutcome {
-    if closing && (client.awaits_response() || client.has_unread_bytes()) {
+    if closing && (client.awaits_response() || client.has_unparsed_bytes()) {
         return if client.request.is_some() && is_hung_up(&client.socket.stream) {
             ReadOutcome::Closed
         } else {
--- a/crates/proxy/src/connections/client_lifetime.rs
+++ b/crates/proxy/src/connections/client_lifetime.rs
@@ -26,7 +26,7 @@
 /// longer are closed to free capacity for active clients.
 pub const MIN_IDLE_US: Micros = 2_100_000;
 /// Fraction of the client connection limit from which on idle connections are closed early.
-const MANY_CONNECTIONS_SHARE: f64 = 0.3;
+const CROWDED_FRACTION: f64 = 0.3;
 /// Time during which bytes that a client sends after the last response are discarded.
 const LINGER_US: Micros = 1_000_000;
 /// Linger time during the shutdown: a few round trips, as clients close their side when they notice
@@ -39,26 +39,26 @@
     /// Starts a wait of `after` microseconds on a client connection and schedules its timer.
     pub fn set_client_timer(&mut self, key: ClientKey, after: Micros) {
         let now = self.clock.now();
-        self.wait_for_client(key, now, now + after);
+        self.start_client_wait(key, now, now + after);
     }
 
-    fn wait_for_client(&mut self, key: ClientKey, waiting_since: Micros, at: Micros) {
+    fn start_client_wait(&mut self, key: ClientKey, waiting_since: Micros, at: Micros) {
         if let Some(client) = self.clients.get_mut(key) {
             client.waiting_since = waiting_since;
             self.timers
-                .move_to(&mut client.timer, at, TimerEvent::ClientConnection(key));
+                .reschedule(&mut client.timer, at, TimerEvent::ClientConnection(key));
         }
     }
 
     /// Marks a connection as idle between requests. Whether it stays open is checked when the
     /// minimum idle time has passed, and repeatedly from then on.
-    pub fn client_idle(&mut self, key: ClientKey) {
+    pub fn start_client_idle_wait(&mut self, key: ClientKey) {
         self.wait_for_next_bytes(key, MIN_IDLE_US);
     }
 
     /// Waits for the rest of a partially received request. The client may stall for a limited time,
     /// and the total time is bounded however slowly the bytes arrive.
-    pub fn wait_for_rest(&mut self, key: ClientKey) {
+    pub fn wait_for_rest_of_request(&mut self, key: ClientKey) {
         let now = self.clock.now();
         let Some(client) = self.clients.get_mut(key) else {
             return;
@@ -91,14 +91,14 @@
         } else {
             now + after
         };
-        self.wait_for_client(key, now, at);
+        self.start_client_wait(key, now, at);
     }
 
     /// Closes a connection whose idle time has expired, or schedules the next check.
     pub fn close_or_keep_idle_client(&mut self, key: ClientKey) {
         let now = self.clock.now();
         let limit = self.config.max_client_connections as f64;
-        let is_crowded = self.clients.len() as f64 >= MANY_CONNECTIONS_SHARE * limit;
+        let is_crowded = self.clients.len() as f64 >= CROWDED_FRACTION * limit;
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
@@ -152,7 +152,7 @@
     /// shutdown has to send it on another connection. A connection on which no response was sent is
     /// closed immediately.
     pub fn shut_down_client(&mut self, key: ClientKey, reason: CloseReason) {
-        let linger = if self.closing {
+        let linger = if self.is_closing_connections {
             SHUTDOWN_LINGER_US
         } else {
             LINGER_US
--- a/crates/proxy/src/connections/client_response.rs
+++ b/crates/proxy/src/connections/client_response.rs
@@ -68,9 +68,9 @@
             return;
         };
         // Requests that were read ahead are answered before the shutdown closes the connection.
-        if self.closing && client.read_buffer.bytes().is_empty() {
+        if self.is_closing_connections && client.read_buffer.bytes().is_empty() {
             client.close_reason.get_or_insert(CloseReason::Shutdown);
-        } else if client.no_keep_alive {
+        } else if client.closes_after_response {
             client
                 .close_reason
                 .get_or_insert(CloseReason::ClientNoKeepAlive);
@@ -82,9 +82,9 @@
         client.write_buffer.extend(response.body);
         client.responses_sent += 1;
         // A lost connection is detected by the next read.
-        let _ = client.write_buffer.drain(&client.socket.stream);
+        let _ = client.write_buffer.flush(&client.socket.stream);
         if client.write_buffer.is_empty() {
-            self.client_idle(key);
+            self.start_client_idle_wait(key);
         } else {
             self.set_client_timer(key, TRANSFER_TIMEOUT_US);
         }
--- a/crates/proxy/src/connections/client_response/tests.rs
+++ b/crates/proxy/src/connections/client_response/tests.rs
@@ -72,7 +72,7 @@
         harness.read_until(&first, "one");
         {
             let mut state = harness.proxy.state.borrow_mut();
-            (state.config.crowd_threshold, state.closing) = (crowd, closing);
+            (state.config.crowd_threshold, state.is_closing_connections) = (crowd, closing);
             assert!(
                 !state.clients[key].read_buffer.bytes().is_empty(),
                 "the second is read ahead"
--- a/crates/proxy/src/connections/endpoint.rs
+++ b/crates/proxy/src/connections/endpoint.rs
@@ -119,7 +119,7 @@
             return EndpointRead::Nothing;
         };
         let stream = &connection.socket.stream;
-        let is_written = connection.write_buffer.drain(stream).is_ok();
+        let is_written = connection.write_buffer.flush(stream).is_ok();
         let outcome = connection.read_buffer.fill(stream, MAX_MESSAGE_BYTES);
         if connection.exchange.is_none() {
             return self.check_idle_connection(key, outcome);
@@ -168,7 +168,7 @@
         };
         let has_bytes = !connection.read_buffer.bytes().is_empty();
         if has_bytes {
-            self.received_unsolicited(connection.endpoint);
+            self.record_unsolicited_bytes(connection.endpoint);
         } else if outcome == ReadOutcome::WouldBlock {
             return EndpointRead::Nothing;
         }
--- a/crates/proxy/src/connections/endpoint_pool.rs
+++ b/crates/proxy/src/connections/endpoint_pool.rs
@@ -20,14 +20,14 @@
 /// Fraction of the configured idle time after which the balancer closes an idle connection, so that
 /// it does so before the endpoint: a request written to a connection that the endpoint is closing
 /// would be lost.
-const IDLE_SHARE: f64 = 0.8;
+const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
 /// Time after a response during which a connection is not reused. A close or further bytes from the
 /// endpoint are noticed in this time; otherwise the next request would be lost or would take these
 /// bytes for its response.
 pub const REUSE_DELAY_US: Micros = 8_000;
 /// Time for which each connection to an endpoint carries only one request after the endpoint sent
 /// unsolicited bytes.
-const SINGLE_USE_US: Micros = 10_000_000;
+const SINGLE_USE_PERIOD_US: Micros = 10_000_000;
 /// Minimum time between two log lines about a shortage of file descriptors.
 const SHORTAGE_LOG_INTERVAL_US: Micros = 1_000_000;
 
@@ -37,12 +37,12 @@
     /// # Errors
     ///
     /// Fails with the outcome of the attempt when no connection can be opened.
-    pub fn connection_to(
+    pub fn acquire_connection(
         &mut self,
         endpoint: EndpointKey,
     ) -> Result<EndpointConnectionKey, AttemptOutcome> {
         while let Some(key) = self.take_idle_connection(endpoint) {
-            if self.is_reusable(key, endpoint) {
+            if self.check_idle_connection_open(key, endpoint) {
                 return Ok(key);
             }
         }
@@ -76,25 +76,29 @@
     fn take_idle_connection(&mut self, endpoint: EndpointKey) -> Option<EndpointConnectionKey> {
         let now = self.now();
         let idle = &mut self.endpoints.get_mut(endpoint)?.idle;
-        let is_rested = |key: &EndpointConnectionKey| {
+        let is_past_reuse_delay = |key: &EndpointConnectionKey| {
             self.endpoint_connections
                 .get(*key)
                 .is_none_or(|connection| connection.last_response_at + REUSE_DELAY_US <= now)
         };
-        let position = idle.iter().rposition(is_rested)?;
+        let position = idle.iter().rposition(is_past_reuse_delay)?;
         Some(idle.remove(position))
     }
 
     /// Returns whether an idle connection is still open and has no unread bytes; closes it
     /// otherwise. A request written to a closed connection would be lost, and a request on one with
     /// unread bytes would take these for its response.
-    fn is_reusable(&mut self, key: EndpointConnectionKey, endpoint: EndpointKey) -> bool {
+    fn check_idle_connection_open(
+        &mut self,
+        key: EndpointConnectionKey,
+        endpoint: EndpointKey,
+    ) -> bool {
         let Some(connection) = self.endpoint_connections.get(key) else {
             return false;
         };
         match connection.socket.stream.peek(&mut [0]) {
             Err(error) if error.kind() == ErrorKind::WouldBlock => return true,
-            Ok(count) if count > 0 => self.received_unsolicited(endpoint),
+            Ok(count) if count > 0 => self.record_unsolicited_bytes(endpoint),
             Ok(_) | Err(_) => {}
         }
         self.close_endpoint_connection(key, CloseReason::EndpointClosed);
@@ -143,7 +147,7 @@
     pub fn set_endpoint_connection_timer(&mut self, key: EndpointConnectionKey, at: Micros) {
         if let Some(connection) = self.endpoint_connections.get_mut(key) {
             let event = TimerEvent::EndpointConnection(key);
-            self.timers.move_to(&mut connection.timer, at, event);
+            self.timers.reschedule(&mut connection.timer, at, event);
         }
     }
 
@@ -153,7 +157,7 @@
         if let Some(connection) = self.endpoint_connections.get_mut(key)
             && connection
                 .write_buffer
-                .drain(&connection.socket.stream)
+                .flush(&connection.socket.stream)
                 .is_err()
         {
             let event = TimerEvent::EndpointConnectionReady(key);
@@ -163,8 +167,8 @@
 
     /// Records that an endpoint sent bytes that do not belong to a response. It may do so again
     /// later than the reuse delay, and the next request would then take them for its response.
-    pub fn received_unsolicited(&mut self, endpoint: EndpointKey) {
-        let until = self.now() + SINGLE_USE_US;
+    pub fn record_unsolicited_bytes(&mut self, endpoint: EndpointKey) {
+        let until = self.now() + SINGLE_USE_PERIOD_US;
         let Some(endpoint) = self.endpoints.get_mut(endpoint) else {
             return;
         };
@@ -174,9 +178,9 @@
 
     /// Keeps a connection for the next request, or closes it if its endpoint must not receive
     /// another request on it.
-    pub fn keep_idle(&mut self, key: EndpointConnectionKey) {
+    pub fn return_to_pool(&mut self, key: EndpointConnectionKey) {
         let now = self.now();
-        let until = now + (self.config.idle as f64 * IDLE_SHARE) as Micros;
+        let until = now + (self.config.idle as f64 * IDLE_TIMEOUT_FRACTION) as Micros;
         let Some(connection) = self.endpoint_connections.get_mut(key) else {
             return;
         };
@@ -235,9 +239,9 @@
             info!(self.log, "endpoint connection closed"; "reason" => reason.code(),
                 "endpoint" => &*endpoint.id, "requests_carried" => connection.requests_carried);
         }
-        let is_doubtful = reason.casts_doubt_on_endpoint()
+        let others_may_be_stale = reason.suggests_stale_connections()
             || (reason == CloseReason::Cancelled && self.is_unresponsive(&connection));
-        if is_doubtful {
+        if others_may_be_stale {
             self.close_idle_endpoint_connections(connection.endpoint, CloseReason::Stale);
         }
     }
--- a/crates/proxy/src/connections/endpoint_pool/tests.rs
+++ b/crates/proxy/src/connections/endpoint_pool/tests.rs
@@ -137,7 +137,7 @@
     {
         let mut state = harness.proxy.state.borrow_mut();
         state.endpoint_connections[idle].exchange = None;
-        state.keep_idle(idle);
+        state.return_to_pool(idle);
         let exchange = state.endpoint_connections[key].exchange.as_mut().unwrap();
         (exchange.started_at, exchange.expire_at) = (exchange.started_at - waited, 0);
     }
@@ -238,7 +238,7 @@
             state.now() - since
         };
         let endpoint = state.endpoints.key_of("s1").unwrap();
-        state.connection_to(endpoint).unwrap();
+        state.acquire_connection(endpoint).unwrap();
     }
     assert_eq!(
         harness.proxy.state.borrow().endpoint_connections.len(),
--- a/crates/proxy/src/connections/http_message.rs
+++ b/crates/proxy/src/connections/http_message.rs
@@ -51,7 +51,7 @@
 /// Error: the message states several framings or a malformed one, so recipients could interpret it
 /// differently.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Conflicting;
+pub struct ConflictingFraming;
 
 /// The extent of a body in the bytes received so far.
 #[derive(Debug, PartialEq, Eq)]
@@ -81,7 +81,10 @@
     }
 }
 
-fn named<'f, 'a>(fields: &'f [Header<'a>], name: &'f str) -> impl Iterator<Item = &'f Header<'a>> {
+fn fields_named<'f, 'a>(
+    fields: &'f [Header<'a>],
+    name: &'f str,
+) -> impl Iterator<Item = &'f Header<'a>> {
     fields
         .iter()
         .filter(move |field| field.name.eq_ignore_ascii_case(name))
@@ -89,25 +92,25 @@
 
 /// Returns the value of the first field with this name, without surrounding blanks; none if it is
 /// not valid UTF-8.
-pub fn field<'a>(fields: &[Header<'a>], name: &str) -> Option<&'a str> {
-    let value = named(fields, name).next()?.value;
+pub fn field_value<'a>(fields: &[Header<'a>], name: &str) -> Option<&'a str> {
+    let value = fields_named(fields, name).next()?.value;
     std::str::from_utf8(value).ok().map(str::trim)
 }
 
 /// Returns the value of a field that must not be repeated; none if it is missing, repeated or not
 /// valid UTF-8.
-pub fn only_field<'a>(fields: &[Header<'a>], name: &str) -> Option<&'a str> {
-    field(fields, name).filter(|_| named(fields, name).count() == 1)
+pub fn unique_field_value<'a>(fields: &[Header<'a>], name: &str) -> Option<&'a str> {
+    field_value(fields, name).filter(|_| fields_named(fields, name).count() == 1)
 }
 
 /// Returns the values of all fields with this name that are valid UTF-8.
-pub fn texts<'f>(fields: &'f [Header], name: &'f str) -> impl Iterator<Item = &'f str> {
-    named(fields, name).filter_map(|field| std::str::from_utf8(field.value).ok())
+pub fn field_values<'f>(fields: &'f [Header], name: &'f str) -> impl Iterator<Item = &'f str> {
+    fields_named(fields, name).filter_map(|field| std::str::from_utf8(field.value).ok())
 }
 
 /// Whether a field with a comma-separated list contains a token, ignoring case.
 pub fn contains_token(fields: &[Header], name: &str, token: &str) -> bool {
-    texts(fields, name)
+    field_values(fields, name)
         .flat_map(|text| text.split(','))
         .any(|listed| listed.trim().eq_ignore_ascii_case(token))
 }
@@ -117,34 +120,34 @@
 /// # Errors
 ///
 /// Fails when the fields contradict each other or are malformed.
-pub fn framing(fields: &[Header]) -> Result<Framing, Conflicting> {
+pub fn framing(fields: &[Header]) -> Result<Framing, ConflictingFraming> {
     let mut found = Framing::UntilClose;
     for field in fields {
         let stated = if field.name.eq_ignore_ascii_case("content-length") {
-            stated_length(field)
+            stated_content_length(field)
         } else if field.name.eq_ignore_ascii_case("transfer-encoding") {
-            stated_coding(field)
+            stated_transfer_coding(field)
         } else {
             continue;
         };
-        let stated = stated.ok_or(Conflicting)?;
+        let stated = stated.ok_or(ConflictingFraming)?;
         let is_repeated = found == stated && stated != Framing::Chunked;
         if found != Framing::UntilClose && !is_repeated {
-            return Err(Conflicting);
+            return Err(ConflictingFraming);
         }
         found = stated;
     }
     Ok(found)
 }
 
-fn stated_length(field: &Header) -> Option<Framing> {
+fn stated_content_length(field: &Header) -> Option<Framing> {
     let digits = std::str::from_utf8(field.value).ok()?.trim();
     let is_number = !digits.is_empty() && digits.bytes().all(|byte| byte.is_ascii_digit());
     // A length that exceeds the integer range is too long, not malformed.
     is_number.then(|| Framing::Length(digits.parse().unwrap_or(usize::MAX)))
 }
 
-fn stated_coding(field: &Header) -> Option<Framing> {
+fn stated_transfer_coding(field: &Header) -> Option<Framing> {
     let coding = std::str::from_utf8(field.value).ok()?.trim();
     coding
         .eq_ignore_ascii_case("chunked")
@@ -161,7 +164,13 @@
 
 /// Finds the body that starts at `from` and has at most `limit` bytes. `is_closed` means that no
 /// more bytes will be received.
-pub fn body(bytes: &[u8], from: usize, framing: Framing, is_closed: bool, limit: usize) -> Body {
+pub fn find_body(
+    bytes: &[u8],
+    from: usize,
+    framing: Framing,
+    is_closed: bool,
+    limit: usize,
+) -> Body {
     match framing {
         Framing::Length(length) if length > limit => Body::TooLong,
         Framing::Length(length) if bytes.len() < from + length => Body::Partial,
@@ -174,18 +183,18 @@
 }
 
 /// Returns the byte ranges of the part of a body that was received, which may be incomplete.
-pub fn body_so_far(bytes: &[u8], from: usize, framing: Framing) -> Vec<Range<usize>> {
+pub fn partial_body(bytes: &[u8], from: usize, framing: Framing) -> Vec<Range<usize>> {
     match framing {
         Framing::Length(length) => {
             let end = bytes.len().min(from.saturating_add(length));
             std::iter::once(from..end).collect()
         }
         Framing::UntilClose => std::iter::once(from..bytes.len()).collect(),
-        Framing::Chunked => chunks_so_far(bytes, from),
+        Framing::Chunked => partial_chunked_body(bytes, from),
     }
 }
 
-fn chunks_so_far(bytes: &[u8], mut at: usize) -> Vec<Range<usize>> {
+fn partial_chunked_body(bytes: &[u8], mut at: usize) -> Vec<Range<usize>> {
     let mut slices = Vec::new();
     while let Some(rest) = bytes.get(at..)
         && let Ok(Status::Complete((line, size))) = httparse::parse_chunk_size(rest)
@@ -205,7 +214,7 @@
     loop {
         let rest = &bytes[at..];
         let (line, size) = match httparse::parse_chunk_size(rest) {
-            Ok(Status::Complete((line, 0))) => return trailers(bytes, at + line, slices),
+            Ok(Status::Complete((line, 0))) => return skip_trailers(bytes, at + line, slices),
             Ok(Status::Complete((line, size))) => (line, usize::try_from(size)),
             Ok(Status::Partial) if rest.len() < MAX_CHUNK_LINE_BYTES => return Body::Partial,
             Ok(Status::Partial) | Err(_) => return Body::Malformed,
@@ -227,7 +236,7 @@
 }
 
 /// Skips the trailer fields after the last chunk.
-fn trailers(bytes: &[u8], at: usize, slices: Vec<Range<usize>>) -> Body {
+fn skip_trailers(bytes: &[u8], at: usize, slices: Vec<Range<usize>>) -> Body {
     let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
     match httparse::parse_headers(&bytes[at..], &mut fields) {
         Ok(Status::Complete((length, _))) => Body::Complete {
@@ -261,7 +270,11 @@
 }
 
 /// Returns the lines of the selected fields, as slices of the message's buffer.
-pub fn lines(message: &Bytes, fields: &[Header], is_selected: impl Fn(&str) -> bool) -> Vec<Bytes> {
+pub fn field_lines(
+    message: &Bytes,
+    fields: &[Header],
+    is_selected: impl Fn(&str) -> bool,
+) -> Vec<Bytes> {
     const SLICES_PER_FIELD: usize = 4;
     let mut slices = Vec::with_capacity(SLICES_PER_FIELD * fields.len());
     for field in fields.iter().filter(|field| is_selected(field.name)) {
@@ -274,7 +287,7 @@
 }
 
 /// Returns the given ranges as slices of the message's buffer.
-pub fn slices(message: &Bytes, ranges: &[Range<usize>]) -> Vec<Bytes> {
+pub fn slice_ranges(message: &Bytes, ranges: &[Range<usize>]) -> Vec<Bytes> {
     let slice = |range: &Range<usize>| message.slice(range.clone());
     ranges.iter().map(slice).collect()
 }
--- a/crates/proxy/src/connections/http_message/tests.rs
+++ b/crates/proxy/src/connections/http_message/tests.rs
@@ -15,18 +15,18 @@
 #[case::length(&[("Content-Length", "12")], Ok(Framing::Length(12)))]
 #[case::repeated(&[("Content-Length", "12"), ("content-length", "12")], Ok(Framing::Length(12)))]
 #[case::chunked(&[("Transfer-Encoding", "Chunked")], Ok(Framing::Chunked))]
-#[case::two_lengths(&[("Content-Length", "12"), ("Content-Length", "13")], Err(Conflicting))]
-#[case::listed_lengths(&[("Content-Length", "12, 12")], Err(Conflicting))]
-#[case::signed(&[("Content-Length", "+12")], Err(Conflicting))]
-#[case::empty(&[("Content-Length", "")], Err(Conflicting))]
-#[case::both(&[("Content-Length", "12"), ("Transfer-Encoding", "chunked")], Err(Conflicting))]
-#[case::both_turned(&[("Transfer-Encoding", "chunked"), ("Content-Length", "12")], Err(Conflicting))]
-#[case::twice(&[("Transfer-Encoding", "chunked"), ("Transfer-Encoding", "chunked")], Err(Conflicting))]
-#[case::unknown_coding(&[("Transfer-Encoding", "gzip, chunked")], Err(Conflicting))]
+#[case::two_lengths(&[("Content-Length", "12"), ("Content-Length", "13")], Err(ConflictingFraming))]
+#[case::listed_lengths(&[("Content-Length", "12, 12")], Err(ConflictingFraming))]
+#[case::signed(&[("Content-Length", "+12")], Err(ConflictingFraming))]
+#[case::empty(&[("Content-Length", "")], Err(ConflictingFraming))]
+#[case::both(&[("Content-Length", "12"), ("Transfer-Encoding", "chunked")], Err(ConflictingFraming))]
+#[case::both_turned(&[("Transfer-Encoding", "chunked"), ("Content-Length", "12")], Err(ConflictingFraming))]
+#[case::twice(&[("Transfer-Encoding", "chunked"), ("Transfer-Encoding", "chunked")], Err(ConflictingFraming))]
+#[case::unknown_coding(&[("Transfer-Encoding", "gzip, chunked")], Err(ConflictingFraming))]
 #[case::beyond_numbers(&[("Content-Length", "99999999999999999999999")], Ok(Framing::Length(usize::MAX)))]
 fn a_message_has_one_framing_or_is_conflicting(
     #[case] fields: &[(&str, &str)],
-    #[case] expected: Result<Framing, Conflicting>,
+    #[case] expected: Result<Framing, ConflictingFraming>,
 ) {
     let fields: Vec<_> = fields
         .iter()
@@ -57,7 +57,7 @@
     #[case] ended: bool,
     #[case] expected: Body,
 ) {
-    assert_eq!(body(bytes.as_bytes(), 2, framing, ended, 10), expected);
+    assert_eq!(find_body(bytes.as_bytes(), 2, framing, ended, 10), expected);
 }
 
 #[rstest]
@@ -76,8 +76,8 @@
     let twice = [named("X-Txn", "a"), named("x-txn", "b")];
     assert_eq!(
         (
-            only_field(&twice, "x-txn"),
-            only_field(&twice[1..], "x-txn")
+            unique_field_value(&twice, "x-txn"),
+            unique_field_value(&twice[1..], "x-txn")
         ),
         (None, Some("b"))
     );
@@ -90,7 +90,7 @@
     let mut fields = [EMPTY_HEADER; 8];
     let mut request = httparse::Request::new(&mut fields);
     request.parse(&message).unwrap();
-    let lines = lines(&message, request.headers, is_end_to_end);
+    let lines = field_lines(&message, request.headers, is_end_to_end);
     assert_eq!(lines.concat(), b"A: b c\r\nX: y\r\n");
     assert_eq!(lines[0].as_ptr(), message[16..].as_ptr(), "copied");
 }
--- a/crates/proxy/src/connections/load_report.rs
+++ b/crates/proxy/src/connections/load_report.rs
@@ -14,7 +14,7 @@
 /// Returns the first load report that contains a valid value. A malformed report counts as no
 /// report, not as a report of zero load.
 pub fn load_report(fields: &[Header]) -> Option<LoadReport> {
-    http_message::texts(fields, LOAD_REPORT_FIELD)
+    http_message::field_values(fields, LOAD_REPORT_FIELD)
         .map(parse_load_report)
         .find(|report| *report != LoadReport::default())
 }
--- a/crates/proxy/src/connections/own_pages.rs
+++ b/crates/proxy/src/connections/own_pages.rs
@@ -12,7 +12,7 @@
 mod tests;
 
 /// Path prefix of the lease pages.
-const LEASE_PREFIX: &str = "/duty/";
+const LEASE_PATH_PREFIX: &str = "/duty/";
 
 impl ProxyState {
     /// Responds to a request for one of the balancer's own pages. Returns whether the path names
@@ -40,7 +40,7 @@
             "/stats" => Some((StatusCode::OK, self.counters.to_string())),
             "/fleet" => Some((StatusCode::OK, self.cluster.as_ref()?.borrow().fleet_page())),
             _ => {
-                let name = path.strip_prefix(LEASE_PREFIX)?;
+                let name = path.strip_prefix(LEASE_PATH_PREFIX)?;
                 let (status, text) = self.cluster.as_ref()?.borrow().lease_page(name);
                 Some((StatusCode::new(status), text))
             }
@@ -48,6 +48,6 @@
     }
 
     fn is_ready(&self) -> bool {
-        self.stopping.is_none() && self.discovery.has_usable_list()
+        self.shutdown_started_at.is_none() && self.discovery.has_usable_list()
     }
 }
--- a/crates/proxy/src/connections/request.rs
+++ b/crates/proxy/src/connections/request.rs
@@ -9,8 +9,8 @@
 use crate::connections::http_message::{self, MAX_FIELDS};
 use crate::connections::request_error::RequestError;
 use crate::connections::request_parser::{
-    ID_FIELD, REMAINING_FIELD, RequestMessage, expects_continue, parse_request, path_of,
-    request_parameters,
+    ID_FIELD, REMAINING_FIELD, RequestMessage, expects_continue, parse_request, request_parameters,
+    target_path,
 };
 use crate::state::client_connection::READ_AHEAD_BYTES;
 use crate::state::keys::ClientKey;
@@ -44,11 +44,11 @@
             // Unreachable: the same bytes were already parsed to find the end of the message.
             return state.reject(key, RequestError::MalformedMessage);
         };
-        state.note_keep_alive(key, &head);
-        let path = path_of(target);
+        state.record_keep_alive(key, &head);
+        let path = target_path(target);
         // A class may have the same name as a page, so a request with an id is taken as a request
         // of that class.
-        if http_message::field(head.headers, ID_FIELD).is_none()
+        if http_message::field_value(head.headers, ID_FIELD).is_none()
             && state.serve_own_page(key, method, path)
         {
             return;
@@ -101,7 +101,7 @@
             }
             Ok(None) => {
                 self.send_continue(key);
-                self.wait_for_rest(key);
+                self.wait_for_rest_of_request(key);
                 None
             }
             Err(error) => {
@@ -124,14 +124,14 @@
             .write_buffer
             .push(Bytes::from_static(b"HTTP/1.1 100 Continue\r\n\r\n"));
         // A lost connection is detected by the next read.
-        let _ = client.write_buffer.drain(&client.socket.stream);
+        let _ = client.write_buffer.flush(&client.socket.stream);
     }
 
     /// Records whether the connection has to be closed after this response. HTTP/1.0 has no
     /// persistent connections unless both sides request them, and this proxy does not.
-    fn note_keep_alive(&mut self, key: ClientKey, head: &RequestHead) {
+    fn record_keep_alive(&mut self, key: ClientKey, head: &RequestHead) {
         if let Some(client) = self.clients.get_mut(key) {
-            client.no_keep_alive =
+            client.closes_after_response =
                 http_message::contains_token(head.headers, "connection", "close")
                     || head.version == Some(0);
         }
@@ -146,7 +146,7 @@
             .get(key)
             .filter(|client| now < client.accepted_at + SENT_BEFORE_ACCEPT_US)
             .map_or(0, |client| client.backlog_wait);
-        let waited = self.loop_iteration.late(now).max(in_backlog);
+        let waited = self.loop_iteration.delay_at(now).max(in_backlog);
         let return_time = MAX_RETURN_TIME_US.min(remaining / RETURN_TIME_DIVISOR);
         (now + remaining)
             .saturating_sub(return_time + waited)
@@ -167,8 +167,8 @@
             id: Rc::clone(&id),
             client: Some(key),
             head: forwarded_head(&message.bytes, head),
-            body: http_message::slices(&message.bytes, &message.body),
-            has_host: http_message::field(head.headers, "host").is_some(),
+            body: http_message::slice_ranges(&message.bytes, &message.body),
+            has_host: http_message::field_value(head.headers, "host").is_some(),
             has_body: head.method != Some("GET"),
             length: message.bytes.len(),
             attempts: Vec::new(),
@@ -198,7 +198,7 @@
         part(head.path),
         Bytes::from_static(b" HTTP/1.1\r\n"),
     ];
-    slices.extend(http_message::lines(message, head.headers, |name| {
+    slices.extend(http_message::field_lines(message, head.headers, |name| {
         http_message::is_end_to_end(name) && !name.eq_ignore_ascii_case(REMAINING_FIELD)
     }));
     slices
--- a/crates/proxy/src/connections/request/tests.rs
+++ b/crates/proxy/src/connections/request/tests.rs
@@ -228,12 +228,12 @@
     {
         let mut state = harness.proxy.state.borrow_mut();
         // This iteration should have begun 0.4 s ago.
-        state.loop_iteration.until = state.now() - 400_000;
+        state.loop_iteration.wait_until = state.now() - 400_000;
     }
     while harness.proxy.state.borrow().clients.is_empty() {
         harness.proxy.accept();
     }
-    harness.proxy.state.borrow_mut().loop_iteration.until = Micros::MAX;
+    harness.proxy.state.borrow_mut().loop_iteration.wait_until = Micros::MAX;
     let connection = harness.accept_connection(&endpoint);
     let sent = harness.read_until(&connection, "body");
     let told = sent
--- a/crates/proxy/src/connections/request_parser.rs
+++ b/crates/proxy/src/connections/request_parser.rs
@@ -9,7 +9,8 @@
 
 use crate::config::Config;
 use crate::connections::http_message::{
-    self, Body, Conflicting, Framing, MAX_BODY_BYTES, MAX_FIELDS, MAX_HEAD_BYTES, MAX_MESSAGE_BYTES,
+    self, Body, ConflictingFraming, Framing, MAX_BODY_BYTES, MAX_FIELDS, MAX_HEAD_BYTES,
+    MAX_MESSAGE_BYTES,
 };
 use crate::connections::request_error::RequestError;
 use crate::state::clock::US_PER_MS;
@@ -94,7 +95,7 @@
         return Err(RequestError::MalformedMessage);
     }
     let framing = request_framing(&head)?;
-    match http_message::body(bytes, head_length, framing, false, MAX_BODY_BYTES) {
+    match http_message::find_body(bytes, head_length, framing, false, MAX_BODY_BYTES) {
         // A message that fills the buffer would leave the next message unread in the socket, and no
         // further readiness event would be received for it.
         Body::Complete { slices, end } if end < MAX_MESSAGE_BYTES => Ok(Some(RequestFrame {
@@ -114,7 +115,7 @@
         // HTTP/1.0 has no chunked coding, so other parsers would interpret this body differently.
         Ok(Framing::Chunked) if head.version == Some(0) => Err(RequestError::MalformedMessage),
         Ok(framing) => Ok(framing),
-        Err(Conflicting) => Err(RequestError::MalformedMessage),
+        Err(ConflictingFraming) => Err(RequestError::MalformedMessage),
     }
 }
 
@@ -151,24 +152,25 @@
     let remaining = remaining_time(fields).ok_or(RequestError::InvalidField(REMAINING_FIELD))?;
     let needs_key = matches!(idempotency, Idempotency::IdempotencyKey { .. });
     if needs_key
-        && http_message::only_field(fields, IDEMPOTENCY_KEY_FIELD).is_none_or(str::is_empty)
+        && http_message::unique_field_value(fields, IDEMPOTENCY_KEY_FIELD).is_none_or(str::is_empty)
     {
         return Err(RequestError::InvalidField(IDEMPOTENCY_KEY_FIELD));
     }
-    let tenant = http_message::field(fields, TENANT_FIELD)
+    let tenant = http_message::field_value(fields, TENANT_FIELD)
         .map_or(config.tenants.len(), |name| config.tenant_index(name));
     Ok(RequestParameters {
         id,
         class,
         tenant,
         remaining,
-        work_hint: http_message::field(fields, WORK_HINT_FIELD).and_then(|text| text.parse().ok()),
-        ordering_key: http_message::field(fields, ORDERING_KEY_FIELD).map(ordering_key_hash),
+        work_hint: http_message::field_value(fields, WORK_HINT_FIELD)
+            .and_then(|text| text.parse().ok()),
+        ordering_key: http_message::field_value(fields, ORDERING_KEY_FIELD).map(ordering_key_hash),
     })
 }
 
 /// Returns the path of a request target, without a host before it and a query after it.
-pub fn path_of(target: &str) -> &str {
+pub fn target_path(target: &str) -> &str {
     let path = match target.split_once("://") {
         Some((_, rest)) if !target.starts_with('/') => {
             &rest[rest.find('/').unwrap_or(rest.len())..]
@@ -181,18 +183,18 @@
 /// Returns the index of the class named by the first part of the path; none if the class field
 /// names another one.
 fn class_index(config: &Config, fields: &[Header], path: &str) -> Option<usize> {
-    let named = path.strip_prefix('/')?.split('/').next()?;
-    match http_message::field(fields, CLASS_FIELD) {
-        Some(lane) if lane != named => None,
+    let path_class = path.strip_prefix('/')?.split('/').next()?;
+    match http_message::field_value(fields, CLASS_FIELD) {
+        Some(class) if class != path_class => None,
         _ => config
             .classes
             .iter()
-            .position(|name| name == named && !name.is_empty()),
+            .position(|name| name == path_class && !name.is_empty()),
     }
 }
 
 fn request_id<'a>(fields: &[Header<'a>]) -> Option<&'a str> {
-    let id = http_message::only_field(fields, ID_FIELD)?;
+    let id = http_message::unique_field_value(fields, ID_FIELD)?;
     let is_printable = id.bytes().all(|byte| byte.is_ascii_graphic());
     (!id.is_empty() && id.len() <= MAX_ID_BYTES && is_printable).then_some(id)
 }
@@ -205,7 +207,7 @@
 
 /// Time for which the client waits, in microseconds.
 fn remaining_time(fields: &[Header]) -> Option<Micros> {
-    let text = http_message::only_field(fields, REMAINING_FIELD)?;
+    let text = http_message::unique_field_value(fields, REMAINING_FIELD)?;
     let is_number = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
     is_number.then(|| {
         let remaining_ms = text.parse().unwrap_or(MAX_REMAINING_MS);
--- a/crates/proxy/src/connections/request_parser/tests.rs
+++ b/crates/proxy/src/connections/request_parser/tests.rs
@@ -8,7 +8,7 @@
 #[case("http://app.svc", "")]
 #[case("/pay?to=http://x/look", "/pay")]
 fn the_path_excludes_host_and_query(#[case] target: &str, #[case] expected: &str) {
-    assert_eq!(path_of(target), expected);
+    assert_eq!(target_path(target), expected);
 }
 
 #[rstest]
--- a/crates/proxy/src/connections/response.rs
+++ b/crates/proxy/src/connections/response.rs
@@ -41,7 +41,7 @@
         // The same bytes were already parsed to find the end of the message. If parsing fails here,
         // the attempt counts as failed.
         let parsed = head.parse(&received.message[..frame.head_length]);
-        let outcome = outcome_of(head.code.filter(|_| parsed.is_ok()), head.headers);
+        let outcome = attempt_outcome(head.code.filter(|_| parsed.is_ok()), head.headers);
         let reports_load = state.config.reports_load || exchange.is_probe();
         let load = load_report(head.headers).filter(|_| reports_load);
         state.counters.load_reports += u64::from(load.is_some());
@@ -101,12 +101,12 @@
         let endpoint = connection.endpoint;
         let has_unsolicited_bytes = !connection.read_buffer.bytes().is_empty();
         if is_reusable && connection.write_buffer.is_empty() && !has_unsolicited_bytes {
-            self.keep_idle(key);
+            self.return_to_pool(key);
         } else {
             self.close_endpoint_connection(key, CloseReason::EndpointNoKeepAlive);
         }
         if has_unsolicited_bytes {
-            self.received_unsolicited(endpoint);
+            self.record_unsolicited_bytes(endpoint);
         }
     }
 
@@ -131,8 +131,8 @@
 }
 
 /// Returns the outcome of an attempt from the status and the header fields of its response.
-fn outcome_of(status: Option<u16>, fields: &[Header]) -> AttemptOutcome {
-    let is_rejected = http_message::field(fields, "x-turned-away") == Some("1");
+fn attempt_outcome(status: Option<u16>, fields: &[Header]) -> AttemptOutcome {
+    let is_rejected = http_message::field_value(fields, "x-turned-away") == Some("1");
     match status {
         Some(200) => AttemptOutcome::Succeeded,
         Some(503 | 504) if is_rejected => AttemptOutcome::Rejected,
@@ -147,7 +147,7 @@
     };
     ClientResponse {
         status: StatusCode::OK,
-        fields: http_message::lines(message, fields, is_forwarded),
-        body: http_message::slices(message, body),
+        fields: http_message::field_lines(message, fields, is_forwarded),
+        body: http_message::slice_ranges(message, body),
     }
 }
--- a/crates/proxy/src/connections/response_parser.rs
+++ b/crates/proxy/src/connections/response_parser.rs
@@ -77,7 +77,7 @@
         return ParsedHead::Final(ParsedResponse::Malformed);
     };
     let is_reusable = http_message::is_keep_alive(&head, framing);
-    let body = http_message::body(bytes, head_length, framing, is_closed, MAX_BODY_BYTES);
+    let body = http_message::find_body(bytes, head_length, framing, is_closed, MAX_BODY_BYTES);
     ParsedHead::Final(match body {
         Body::Complete { slices, end } => ParsedResponse::Complete(ResponseFrame {
             head_length,
--- a/crates/proxy/src/connections/send_guard.rs
+++ b/crates/proxy/src/connections/send_guard.rs
@@ -39,7 +39,7 @@
     ) -> Result<(), SendRefusal> {
         let checked = self.check_send(key, now);
         match checked {
-            Ok(()) => self.push_attempt(key, now),
+            Ok(()) => self.buffer_attempt(key, now),
             Err(refusal) => self.log_refusal(key, refusal),
         }
         checked
@@ -79,8 +79,9 @@
             .client
             .and_then(|key| self.clients.get(key))
             .ok_or(SendRefusal::ClientDisconnected)?;
-        let is_stale =
-            exchange.number > 0 || exchange.started_at < now || now > self.loop_iteration.until;
+        let is_stale = exchange.number > 0
+            || exchange.started_at < now
+            || now > self.loop_iteration.wait_until;
         if is_stale && is_hung_up(&client.socket.stream) {
             return Err(SendRefusal::ClientDisconnected);
         }
@@ -102,7 +103,7 @@
         Ok(())
     }
 
-    fn push_attempt(&mut self, key: EndpointConnectionKey, now: Micros) {
+    fn buffer_attempt(&mut self, key: EndpointConnectionKey, now: Micros) {
         let Some(connection) = self.endpoint_connections.get_mut(key) else {
             return;
         };
--- a/crates/proxy/src/discovery/connection.rs
+++ b/crates/proxy/src/discovery/connection.rs
@@ -95,7 +95,7 @@
         let stream = &self.socket.stream;
         let has_socket_error = stream.take_error().is_ok_and(|error| error.is_some());
         self.is_connected = self.is_connected || stream.peer_addr().is_ok();
-        let written = self.write_buffer.drain(stream);
+        let written = self.write_buffer.flush(stream);
         let outcome = self.read_buffer.fill(stream, MAX_RESPONSE_BYTES);
         Transfer {
             outcome,
--- a/crates/proxy/src/discovery/handler.rs
+++ b/crates/proxy/src/discovery/handler.rs
@@ -249,7 +249,7 @@
             Some(at) if discovery.timer.is_some_and(|timer| timer.at == at) => {}
             Some(at) => self
                 .timers
-                .move_to(&mut discovery.timer, at, TimerEvent::Discovery),
+                .reschedule(&mut discovery.timer, at, TimerEvent::Discovery),
             None => self.timers.clear(&mut discovery.timer),
         }
     }
--- a/crates/proxy/src/discovery/response.rs
+++ b/crates/proxy/src/discovery/response.rs
@@ -42,7 +42,7 @@
     }
     let framing = http_message::framing(response.headers).map_err(|_| PollFailure::Malformed)?;
     let keep_alive = http_message::is_keep_alive(&response, framing);
-    match http_message::body(bytes, head_length, framing, is_closed, MAX_RESPONSE_BYTES) {
+    match http_message::find_body(bytes, head_length, framing, is_closed, MAX_RESPONSE_BYTES) {
         Body::Complete { slices, end } => Ok(Some(ListResponse {
             body: joined(bytes, &slices),
             length: end,
@@ -64,7 +64,7 @@
         return None;
     }
     let framing = http_message::framing(response.headers).ok()?;
-    let ranges = http_message::body_so_far(bytes, head_length, framing);
+    let ranges = http_message::partial_body(bytes, head_length, framing);
     Some(joined(bytes, &ranges))
 }
 
@@ -75,7 +75,7 @@
 
 /// The response's `Retry-After`, in microseconds.
 fn retry_after(response: &Response) -> Option<Micros> {
-    let field = http_message::field(response.headers, "retry-after")?;
+    let field = http_message::field_value(response.headers, "retry-after")?;
     let seconds: f64 = field.parse().ok()?;
     (seconds >= 0.0 && seconds.is_finite()).then_some((seconds * 1e6) as Micros)
 }
--- a/crates/proxy/src/discovery/transport.rs
+++ b/crates/proxy/src/discovery/transport.rs
@@ -30,7 +30,7 @@
         self.push_poll(id, query, true);
         if let Some(connection) = self.discovery.connection(id) {
             // A failure is read from the connection in a later iteration of the loop.
-            let _ = connection.write_buffer.drain(&connection.socket.stream);
+            let _ = connection.write_buffer.flush(&connection.socket.stream);
         }
     }
 
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -16,7 +16,7 @@
 const MAX_WAIT_US: Micros = 50_000;
 /// Maximum number of consecutive iterations that may fail: a failure of one socket must not end the
 /// requests on others, and an event loop that fails permanently must not spin.
-const MAX_FAILURES: u32 = 100;
+const MAX_CONSECUTIVE_FAILURES: u32 = 100;
 
 impl Proxy {
     /// Handles the timers that have expired. Timers that their handlers schedule for the same time
@@ -27,7 +27,11 @@
             (state.now(), state.timers.last_serial())
         };
         loop {
-            let expired = self.state.borrow_mut().timers.expired(now, last_serial);
+            let expired = self
+                .state
+                .borrow_mut()
+                .timers
+                .take_expired(now, last_serial);
             match expired {
                 Some(event) => self.timer_expired(event, now),
                 None => return,
@@ -71,7 +75,7 @@
     /// Begins an iteration. Returns the maximum time to wait for events, in microseconds.
     fn begin_iteration(&mut self) -> Micros {
         let now = self.now();
-        let next_timer = self.timers.next();
+        let next_timer = self.timers.next_expiry();
         let mut wait = next_timer.map_or(MAX_WAIT_US, |at| at.saturating_sub(now));
         if let Some(cluster) = &self.cluster {
             wait = wait.min(cluster.borrow().time_to_next_timer());
@@ -81,10 +85,10 @@
         wait
     }
 
-    fn count_iteration(&mut self, started_at: Micros) {
-        let took = self.now().saturating_sub(started_at);
+    fn record_iteration_time(&mut self, started_at: Micros) {
+        let duration = self.now().saturating_sub(started_at);
         let longest = &mut self.counters.longest_loop_iteration_us;
-        *longest = took.max(*longest);
+        *longest = duration.max(*longest);
     }
 
     /// Writes as much of the log as the pipe accepts. `unreported` counts dropped lines that were
@@ -116,7 +120,7 @@
         let wait = proxy.state.borrow_mut().begin_iteration();
         match event_loop.dispatch(Some(Duration::from_micros(wait)), proxy) {
             Ok(()) => failures = 0,
-            Err(error) if failures < MAX_FAILURES => {
+            Err(error) if failures < MAX_CONSECUTIVE_FAILURES => {
                 failures += 1;
                 warn!(proxy.state.borrow().log, "event loop iteration failed"; "error" => %error);
             }
@@ -126,7 +130,7 @@
         proxy.run_timers();
         proxy.run_cluster();
         let mut state = proxy.state.borrow_mut();
-        state.count_iteration(started_at);
+        state.record_iteration_time(started_at);
         state.flush_log(log_buffer, &mut unreported_drops);
     }
     Ok(())
--- a/crates/proxy/src/lifecycle/shutdown.rs
+++ b/crates/proxy/src/lifecycle/shutdown.rs
@@ -35,12 +35,12 @@
         if signal == Signal::SIGUSR1 {
             return state.log_counters();
         }
-        if state.stopping.is_some() {
+        if state.shutdown_started_at.is_some() {
             return;
         }
         info!(state.log, "shutdown started"; "requests" => state.requests.len(),
             "clients" => state.clients.len());
-        state.stopping = Some(state.now());
+        state.shutdown_started_at = Some(state.now());
         drop(state);
         self.continue_shutdown();
     }
@@ -49,7 +49,7 @@
     pub fn continue_shutdown(&mut self) {
         let (now, stopping) = {
             let state = self.state.borrow();
-            (state.now(), state.stopping)
+            (state.now(), state.shutdown_started_at)
         };
         let Some(started_at) = stopping else { return };
         let elapsed = now.saturating_sub(started_at);
@@ -59,7 +59,7 @@
         self.serve_clients();
         let mut state = self.state.borrow_mut();
         if elapsed >= SERVE_PERIOD_US {
-            state.closing = true;
+            state.is_closing_connections = true;
             state.close_idle_clients();
         }
         if elapsed >= SERVE_PERIOD_US + PARTIAL_REQUEST_PERIOD_US {
@@ -114,7 +114,7 @@
         };
         let is_any_busy = self.clients.values().any(is_busy);
         let is_served = elapsed >= SERVE_PERIOD_US && !is_any_busy && self.listener.is_none();
-        is_served || (elapsed >= MAX_SHUTDOWN_US && !self.requests.is_any_awaited())
+        is_served || (elapsed >= MAX_SHUTDOWN_US && !self.requests.has_waiting_client())
     }
 
     /// Logs the counters, a line each.
--- a/crates/proxy/src/lifecycle/shutdown/tests.rs
+++ b/crates/proxy/src/lifecycle/shutdown/tests.rs
@@ -26,7 +26,7 @@
             .contains("Connection: close")
     );
     let began = harness.proxy.state.borrow().now() - SERVE_PERIOD_US;
-    harness.proxy.state.borrow_mut().stopping = Some(began);
+    harness.proxy.state.borrow_mut().shutdown_started_at = Some(began);
     harness.expect_close(&idle);
     assert!(!harness.proxy.is_finished);
     send_text(
@@ -54,7 +54,7 @@
 ) {
     let mut harness = TestHarness::new();
     let began = harness.proxy.state.borrow().now() - since;
-    harness.proxy.state.borrow_mut().stopping = Some(began);
+    harness.proxy.state.borrow_mut().shutdown_started_at = Some(began);
     harness.proxy.continue_shutdown();
     assert_eq!(
         (
@@ -76,7 +76,7 @@
         .max_client_connections = 0;
     let waiting = std::net::TcpStream::connect(harness.address).unwrap();
     let began = harness.proxy.state.borrow().now() - SERVE_PERIOD_US;
-    harness.proxy.state.borrow_mut().stopping = Some(began);
+    harness.proxy.state.borrow_mut().shutdown_started_at = Some(began);
     harness.proxy.continue_shutdown();
     assert!(harness.proxy.state.borrow().listener.is_some() && !harness.proxy.is_finished);
     harness
@@ -101,7 +101,8 @@
         .run_until(|proxy| (proxy.state.borrow().clients[key].responses_sent == 1).then_some(()));
     {
         let mut state = harness.proxy.state.borrow_mut();
-        (state.stopping, state.closing) = (Some(state.now() - SERVE_PERIOD_US), true);
+        (state.shutdown_started_at, state.is_closing_connections) =
+            (Some(state.now() - SERVE_PERIOD_US), true);
         state.close_idle_clients();
     }
     send_text(&client, &request_message("t1", "body"));
@@ -132,8 +133,8 @@
     });
     harness.proxy.signalled(Signal::SIGTERM);
     let began = harness.proxy.state.borrow().now() - SERVE_PERIOD_US;
-    harness.proxy.state.borrow_mut().stopping = Some(began);
-    harness.run_until(|proxy| proxy.state.borrow().closing.then_some(()));
+    harness.proxy.state.borrow_mut().shutdown_started_at = Some(began);
+    harness.run_until(|proxy| proxy.state.borrow().is_closing_connections.then_some(()));
     assert!(!harness.proxy.is_finished);
     if is_completed {
         send_text(&client, &text[40..]);
@@ -149,7 +150,8 @@
                 .contains("Connection: close")
         );
     } else {
-        harness.proxy.state.borrow_mut().stopping = Some(began - PARTIAL_REQUEST_PERIOD_US);
+        harness.proxy.state.borrow_mut().shutdown_started_at =
+            Some(began - PARTIAL_REQUEST_PERIOD_US);
         let heard = harness.read_until(&client, "\r\n\r\n");
         assert!(
             heard.starts_with("HTTP/1.1 503 ") && heard.contains("Connection: close"),
@@ -171,7 +173,7 @@
     harness.read_until(&connection, "body");
     harness.proxy.signalled(Signal::SIGTERM);
     let began = harness.proxy.state.borrow().now() - MAX_SHUTDOWN_US;
-    harness.proxy.state.borrow_mut().stopping = Some(began);
+    harness.proxy.state.borrow_mut().shutdown_started_at = Some(began);
     harness.proxy.continue_shutdown();
     assert!(!harness.proxy.is_finished);
     send_text(
--- a/crates/proxy/src/logging.rs
+++ b/crates/proxy/src/logging.rs
@@ -8,7 +8,7 @@
 use rustix::event::PollFlags;
 use slog::{Drain, KV, Logger, Never, OwnedKVList, Record, Serializer, o};
 
-use crate::state::socket::ready;
+use crate::state::socket::poll_ready;
 
 #[cfg(test)]
 mod tests;
@@ -83,7 +83,7 @@
 /// Whether standard error takes some bytes without waiting. Other processes may share it, so it is
 /// not set to non-blocking.
 fn is_writable() -> bool {
-    ready(&std::io::stderr(), PollFlags::OUT) == PollFlags::OUT
+    poll_ready(&std::io::stderr(), PollFlags::OUT) == PollFlags::OUT
 }
 
 /// A line as it is being written: ` key=value` for each field.
--- a/crates/proxy/src/state/buffers.rs
+++ b/crates/proxy/src/state/buffers.rs
@@ -109,7 +109,7 @@
     /// # Errors
     ///
     /// Fails when the connection is lost.
-    pub fn drain(&mut self, mut stream: &TcpStream) -> io::Result<()> {
+    pub fn flush(&mut self, mut stream: &TcpStream) -> io::Result<()> {
         while !self.slices.is_empty() {
             let batch: Vec<IoSlice> = self
                 .slices
--- a/crates/proxy/src/state/buffers/tests.rs
+++ b/crates/proxy/src/state/buffers/tests.rs
@@ -40,7 +40,7 @@
     for part in sent.chunks(70_001) {
         write_buffer.push(Bytes::copy_from_slice(part));
     }
-    write_buffer.drain(&ours).unwrap();
+    write_buffer.flush(&ours).unwrap();
     assert!(
         !write_buffer.is_empty(),
         "a socket took eight megabytes at once"
@@ -50,7 +50,7 @@
         theirs.read_to_end(&mut heard).map(|_| heard)
     });
     while !write_buffer.is_empty() {
-        write_buffer.drain(&ours).unwrap();
+        write_buffer.flush(&ours).unwrap();
         std::thread::yield_now();
     }
     drop(ours);
--- a/crates/proxy/src/state/client_connection.rs
+++ b/crates/proxy/src/state/client_connection.rs
@@ -28,7 +28,7 @@
     /// The request in flight, if there is one.
     pub request: Option<RequestKey>,
     /// Whether the client requested that the connection be closed after this response.
-    pub no_keep_alive: bool,
+    pub closes_after_response: bool,
     /// Number of responses written so far.
     pub responses_sent: u64,
     /// When the connection was accepted, in microseconds.
@@ -80,7 +80,7 @@
             read_buffer: ReadBuffer::default(),
             write_buffer: WriteBuffer::default(),
             request: None,
-            no_keep_alive: false,
+            closes_after_response: false,
             responses_sent: 0,
             accepted_at,
             backlog_wait,
@@ -101,7 +101,7 @@
     }
 
     /// Whether bytes were received that are not parsed yet; they may hold a complete request.
-    pub fn has_unread_bytes(&self) -> bool {
+    pub fn has_unparsed_bytes(&self) -> bool {
         !self.read_buffer.bytes().is_empty() && self.partial_request.is_none()
     }
 }
--- a/crates/proxy/src/state/clock.rs
+++ b/crates/proxy/src/state/clock.rs
@@ -10,12 +10,12 @@
 /// Microseconds in a millisecond.
 pub const US_PER_MS: Micros = 1_000;
 /// Minimum delay that counts as time lost by the sender; shorter delays are normal.
-const ORDINARY_DELAY_US: Micros = 5_000;
+const MIN_COUNTED_DELAY_US: Micros = 5_000;
 
 /// The clock of the policy: the Unix time at the start, advanced by a monotonic clock.
 pub struct Clock {
-    started: Instant,
-    unix_at_start: Micros,
+    started_at: Instant,
+    unix_time_at_start: Micros,
 }
 
 impl Clock {
@@ -25,14 +25,14 @@
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         Self {
-            started: Instant::now(),
-            unix_at_start: unix.as_micros() as Micros,
+            started_at: Instant::now(),
+            unix_time_at_start: unix.as_micros() as Micros,
         }
     }
 
     /// Returns the current time, in microseconds.
     pub fn now(&self) -> Micros {
-        self.unix_at_start + self.started.elapsed().as_micros() as Micros
+        self.unix_time_at_start + self.started_at.elapsed().as_micros() as Micros
     }
 }
 
@@ -40,25 +40,29 @@
 #[derive(Default)]
 pub struct LoopIteration {
     /// Time by which the previous iteration continued after the planned end of its wait.
-    pub busy: Micros,
+    pub previous_overrun: Micros,
     /// Planned end of the wait of this iteration.
-    pub until: Micros,
+    pub wait_until: Micros,
 }
 
 impl LoopIteration {
-    /// Starts an iteration that waits from `now` to `until`.
-    pub fn begin(&mut self, now: Micros, until: Micros) {
-        self.busy = match self.until {
+    /// Starts an iteration that waits from `now` to `wait_until`.
+    pub fn begin(&mut self, now: Micros, wait_until: Micros) {
+        self.previous_overrun = match self.wait_until {
             0 => 0,
             expected => now.saturating_sub(expected),
         };
-        self.until = until;
+        self.wait_until = wait_until;
     }
 
     /// Returns the time for which bytes read at `now` may have waited in their socket while the
     /// process was busy or not scheduled.
-    pub fn late(&self, now: Micros) -> Micros {
-        let late = self.busy + now.saturating_sub(self.until);
-        if late < ORDINARY_DELAY_US { 0 } else { late }
+    pub fn delay_at(&self, now: Micros) -> Micros {
+        let delay = self.previous_overrun + now.saturating_sub(self.wait_until);
+        if delay < MIN_COUNTED_DELAY_US {
+            0
+        } else {
+            delay
+        }
     }
 }
--- a/crates/proxy/src/state/proxy.rs
+++ b/crates/proxy/src/state/proxy.rs
@@ -77,13 +77,13 @@
     /// The counters shown on `/stats`.
     pub counters: Counters,
     /// When the shutdown began, in microseconds. The balancer is not ready from then on.
-    pub stopping: Option<Micros>,
+    pub shutdown_started_at: Option<Micros>,
     /// Whether the shutdown closes connections that are idle between requests.
-    pub closing: bool,
+    pub is_closing_connections: bool,
     /// Reload that is to be retried.
     pub pending_reload: Option<PendingReload>,
     /// Whether accepting is paused because of a shortage of file descriptors.
-    pub accept_paused: bool,
+    pub is_accept_paused: bool,
     /// When a shortage of file descriptors was last logged, in microseconds.
     pub shortage_logged_at: Micros,
     /// Timing of the current iteration of the event loop.
--- a/crates/proxy/src/state/request.rs
+++ b/crates/proxy/src/state/request.rs
@@ -98,7 +98,7 @@
     }
 
     /// Whether any client waits for a response.
-    pub fn is_any_awaited(&self) -> bool {
+    pub fn has_waiting_client(&self) -> bool {
         self.requests
             .values()
             .any(|request| request.client.is_some())
--- a/crates/proxy/src/state/socket.rs
+++ b/crates/proxy/src/state/socket.rs
@@ -89,12 +89,12 @@
 
 /// Returns the requested events, and errors, that are pending on a file descriptor, without
 /// waiting.
-pub fn ready(of: &impl AsFd, wanted: PollFlags) -> PollFlags {
+pub fn poll_ready(descriptor: &impl AsFd, events: PollFlags) -> PollFlags {
     const NO_WAIT: Timespec = Timespec {
         tv_sec: 0,
         tv_nsec: 0,
     };
-    let mut fds = [PollFd::new(of, wanted)];
+    let mut fds = [PollFd::new(descriptor, events)];
     match poll(&mut fds, Some(&NO_WAIT)) {
         Ok(_) => fds[0].revents(),
         Err(_) => PollFlags::empty(),
@@ -104,7 +104,8 @@
 /// Whether the peer has closed its side of the connection, even if the end of the stream follows
 /// bytes that were not read yet.
 pub fn is_hung_up(stream: &TcpStream) -> bool {
-    ready(stream, PollFlags::RDHUP).intersects(PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR)
+    poll_ready(stream, PollFlags::RDHUP)
+        .intersects(PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR)
 }
 
 /// Starts a non-blocking connect; a later failure is reported on the socket.
--- a/crates/proxy/src/state/timers.rs
+++ b/crates/proxy/src/state/timers.rs
@@ -78,7 +78,7 @@
     }
 
     /// Schedules a timer that replaces an earlier one.
-    pub fn move_to(&mut self, key: &mut Option<TimerKey>, at: Micros, event: TimerEvent) {
+    pub fn reschedule(&mut self, key: &mut Option<TimerKey>, at: Micros, event: TimerEvent) {
         self.clear(key);
         *key = Some(self.schedule(at, event));
     }
@@ -91,11 +91,11 @@
     }
 
     /// Returns when the next timer expires, in microseconds.
-    pub fn next(&self) -> Option<Micros> {
+    pub fn next_expiry(&self) -> Option<Micros> {
         self.ordered.first_key_value().map(|(key, _)| key.at)
     }
 
-    /// Returns the serial number of the timer scheduled last. If it is passed to [`Self::expired`],
+    /// Returns the serial number of the timer scheduled last. If it is passed to [`Self::take_expired`],
     /// timers scheduled later are left to a later iteration.
     pub fn last_serial(&self) -> u64 {
         self.last_serial
@@ -103,7 +103,7 @@
 
     /// Removes and returns the first timer that has expired by `now` and was scheduled no later
     /// than the timer with the serial number `last_serial`.
-    pub fn expired(&mut self, now: Micros, last_serial: u64) -> Option<TimerEvent> {
+    pub fn take_expired(&mut self, now: Micros, last_serial: u64) -> Option<TimerEvent> {
         let first = self.ordered.first_entry()?;
         let key = first.key();
         (key.at <= now && key.serial <= last_serial).then(|| first.remove())
--- a/crates/proxy/src/state/timers/tests.rs
+++ b/crates/proxy/src/state/timers/tests.rs
@@ -7,7 +7,7 @@
         .map(|(at, timer_id)| timers.schedule(at, TimerEvent::PolicyTimer(timer_id)));
     timers.cancel(keys[2]);
     let last_serial = timers.last_serial();
-    let expired: Vec<_> = std::iter::from_fn(|| timers.expired(20, last_serial)).collect();
+    let expired: Vec<_> = std::iter::from_fn(|| timers.take_expired(20, last_serial)).collect();
     assert_eq!(
         expired,
         [
@@ -24,7 +24,7 @@
     let last_serial = timers.last_serial();
     timers.schedule(10, TimerEvent::ResumeAccepting);
     assert_eq!(
-        (timers.expired(10, last_serial), timers.next()),
+        (timers.take_expired(10, last_serial), timers.next_expiry()),
         (None, Some(10))
     );
 }
@@ -32,9 +32,9 @@
 #[test]
 fn a_moved_timer_expires_once() {
     let (mut timers, mut key) = (Timers::default(), None);
-    timers.move_to(&mut key, 10, TimerEvent::Shutdown);
-    timers.move_to(&mut key, 30, TimerEvent::Shutdown);
-    assert_eq!(timers.next(), Some(30));
+    timers.reschedule(&mut key, 10, TimerEvent::Shutdown);
+    timers.reschedule(&mut key, 30, TimerEvent::Shutdown);
+    assert_eq!(timers.next_expiry(), Some(30));
     timers.clear(&mut key);
-    assert_eq!((timers.next(), key), (None, None));
+    assert_eq!((timers.next_expiry(), key), (None, None));
 }
--- a/crates/proxy/src/test_harness.rs
+++ b/crates/proxy/src/test_harness.rs
@@ -94,7 +94,7 @@
         )
         .unwrap();
         // However slow a test is, its requests count as received in time.
-        proxy.state.borrow_mut().loop_iteration.until = Micros::MAX;
+        proxy.state.borrow_mut().loop_iteration.wait_until = Micros::MAX;
         let address = proxy
             .state
             .borrow()
