--- a/crates/proxy/src/connections/accept/tests.rs
+++ b/crates/proxy/src/connections/accept/tests.rs
@@ -6,12 +6,17 @@
 use crate::state::keys::ClientKey;
 use crate::test_harness::{TestHarness, send_text};
 
-const SECOND: Micros = 1_000_000;
+const SECOND_US: Micros = 1_000_000;
 
-/// A client connection: responses it got, what it sent of a request, and for how long it is idle.
-type Standing = (u64, &'static str, Micros);
+/// A client connection: the number of responses sent on it, the bytes received of a request, and
+/// its idle time in microseconds.
+type ClientState = (u64, &'static str, Micros);
 
-fn stands(harness: &mut TestHarness, (answered, sent, waited): Standing) -> (TcpStream, ClientKey) {
+/// Connects a client and brings its connection into the given state.
+fn connect_client_in_state(
+    harness: &mut TestHarness,
+    (responses_sent, sent, idle): ClientState,
+) -> (TcpStream, ClientKey) {
     let (stream, key) = harness.connect_client();
     send_text(&stream, sent);
     harness.run_until(|proxy| {
@@ -20,23 +25,26 @@
     let mut state = harness.proxy.state.borrow_mut();
     let now = state.now();
     let client = &mut state.clients[key];
-    (client.responses_sent, client.waiting_since) = (answered, now - waited);
+    (client.responses_sent, client.waiting_since) = (responses_sent, now - idle);
     drop(state);
     (stream, key)
 }
 
 #[rstest]
-#[case::the_longest_idle((1, "", 3 * SECOND), (1, "", 2 * SECOND))]
-#[case::a_silent_one_before_a_used_one((0, "", 3 * SECOND), (1, "", 2 * SECOND))]
-#[case::a_trickling_one_before_a_used_one((0, "POST /p", 3 * SECOND), (1, "", 2 * SECOND))]
-#[case::a_used_one_before_one_just_opened((1, "", 0), (0, "", SECOND / 2))]
-#[case::a_used_one_before_one_just_begun((1, "", 0), (1, "POST /p", SECOND / 2))]
-fn the_longest_waiting_client_is_evicted(#[case] gives_way: Standing, #[case] stays: Standing) {
+#[case::longest_idle((1, "", 3 * SECOND_US), (1, "", 2 * SECOND_US))]
+#[case::silent_before_used((0, "", 3 * SECOND_US), (1, "", 2 * SECOND_US))]
+#[case::partial_request_before_used((0, "POST /p", 3 * SECOND_US), (1, "", 2 * SECOND_US))]
+#[case::used_before_just_connected((1, "", 0), (0, "", SECOND_US / 2))]
+#[case::used_before_request_just_begun((1, "", 0), (1, "POST /p", SECOND_US / 2))]
+fn the_client_that_waited_longest_is_evicted(
+    #[case] evicted_state: ClientState,
+    #[case] kept_state: ClientState,
+) {
     let mut harness = TestHarness::new();
-    let (kept, key) = stands(&mut harness, stays);
-    let (ended, _) = stands(&mut harness, gives_way);
+    let (kept, key) = connect_client_in_state(&mut harness, kept_state);
+    let (evicted, _) = connect_client_in_state(&mut harness, evicted_state);
     assert!(harness.proxy.state.borrow_mut().evict_idle_connection());
-    harness.expect_close(&ended);
+    harness.expect_close(&evicted);
     assert!(harness.proxy.state.borrow().clients.contains_key(key));
     drop(kept);
 }
@@ -46,21 +54,21 @@
     let mut harness = TestHarness::new();
     let (client, key) = harness.connect_client();
     send_text(&client, "POST /p");
-    let unread = |proxy: &Proxy| {
+    let has_unread_bytes = |proxy: &Proxy| {
         proxy.state.borrow().clients[key]
             .socket
             .stream
             .peek(&mut [0])
             .is_ok()
     };
-    while !unread(&harness.proxy) {}
+    while !has_unread_bytes(&harness.proxy) {}
     assert!(!harness.proxy.state.borrow_mut().evict_idle_connection());
 }
 
 #[test]
-fn nobody_is_evicted_for_an_empty_backlog() {
+fn no_client_is_evicted_when_the_backlog_is_empty() {
     let mut harness = TestHarness::new();
-    let (_client, key) = stands(&mut harness, (1, "", 3 * SECOND));
+    let (_client, key) = connect_client_in_state(&mut harness, (1, "", 3 * SECOND_US));
     harness
         .proxy
         .state
@@ -122,11 +130,11 @@
     );
 }
 
-/// A request that was received and not parsed yet is owed a response.
+/// A request that was received and is not parsed yet must get a response.
 #[test]
 fn a_client_with_unparsed_bytes_is_not_evicted() {
     let mut harness = TestHarness::new();
-    let (client, key) = stands(&mut harness, (1, "", 3 * SECOND));
+    let (client, key) = connect_client_in_state(&mut harness, (1, "", 3 * SECOND_US));
     send_text(&client, "GET /health/live HTTP/1.1\r\n\r\n");
     let mut state = harness.proxy.state.borrow_mut();
     while state.clients[key].read_buffer.bytes().is_empty() {
@@ -143,29 +151,29 @@
     );
 }
 
-/// Idle connections to endpoints count against a limit of their own. For each that was evicted for
-/// a client above the client limit, a new one would be opened later, beyond the limit of
-/// descriptors.
+/// Idle connections to endpoints count against a separate limit. If one were evicted for a client
+/// above the client limit, a new one would be opened later, and the limit of descriptors would be
+/// exceeded.
 #[test]
 fn idle_endpoint_connections_are_not_evicted_at_the_client_limit() {
     let mut harness = TestHarness::new();
-    let endpoint = harness.endpoint("s1");
-    let (_client, _) = harness.start_attempt("t0", "s1", 60 * SECOND);
+    let endpoint = harness.add_endpoint("s1");
+    let (_client, _) = harness.start_attempt("t0", "s1", 60 * SECOND_US);
     let connection = harness.accept_request(&endpoint);
     send_text(&connection, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
     harness.run_until_counters(|counters| counters.attempts_failed == 1);
-    let (_busy, _) = harness.start_attempt("t1", "s1", 60 * SECOND);
-    let (busy, _) = harness.start_attempt("t2", "s1", 60 * SECOND);
-    let most = harness.proxy.state.borrow().clients.len();
+    let (_busy, _) = harness.start_attempt("t1", "s1", 60 * SECOND_US);
+    let (busy, _) = harness.start_attempt("t2", "s1", 60 * SECOND_US);
+    let max_connections = harness.proxy.state.borrow().clients.len();
     harness
         .proxy
         .state
         .borrow_mut()
         .config
-        .max_client_connections = most;
+        .max_client_connections = max_connections;
     let waiting = TcpStream::connect(harness.address).unwrap();
     let endpoint_connections = harness.proxy.state.borrow().endpoint_connections.len();
-    // The first client's request is in flight too: nobody is idle.
+    // The first client's request is in flight too, so no client is idle.
     while !has_pending_connection(
         &harness
             .proxy
@@ -180,21 +188,21 @@
     let state = harness.proxy.state.borrow();
     assert_eq!(
         (state.clients.len(), state.endpoint_connections.len()),
-        (most, endpoint_connections)
+        (max_connections, endpoint_connections)
     );
     drop((waiting, busy));
 }
 
 #[rstest]
 #[case::empty_backlog(Errno::AGAIN, AcceptFailure::WouldBlock)]
-#[case::left_the_queue(Errno::CONNABORTED, AcceptFailure::Transient)]
+#[case::aborted_in_the_backlog(Errno::CONNABORTED, AcceptFailure::Transient)]
 #[case::network_down(Errno::NETDOWN, AcceptFailure::Transient)]
 #[case::protocol(Errno::PROTO, AcceptFailure::Transient)]
 #[case::signal(Errno::INTR, AcceptFailure::Transient)]
 #[case::process_limit(Errno::MFILE, AcceptFailure::ProcessLimit)]
-#[case::files_of_all(Errno::NFILE, AcceptFailure::SystemLimit)]
+#[case::system_file_limit(Errno::NFILE, AcceptFailure::SystemLimit)]
 #[case::buffers(Errno::NOBUFS, AcceptFailure::SystemLimit)]
 #[case::memory(Errno::NOMEM, AcceptFailure::SystemLimit)]
-fn only_the_process_limit_evicts_connections(#[case] code: Errno, #[case] wanted: AcceptFailure) {
-    assert_eq!(classify_accept_error(&code.into()), wanted);
+fn only_the_process_limit_evicts_connections(#[case] code: Errno, #[case] expected: AcceptFailure) {
+    assert_eq!(classify_accept_error(&code.into()), expected);
 }
--- a/crates/proxy/src/connections/attempt/tests.rs
+++ b/crates/proxy/src/connections/attempt/tests.rs
@@ -8,13 +8,13 @@
 use crate::state::proxy::ProxyHost;
 use crate::test_harness::{TestHarness, request_message, send_text};
 
-const LONG: Micros = 60_000_000;
+const LONG_TIMEOUT_US: Micros = 60_000_000;
 
 #[test]
 fn a_refused_connection_is_reported_in_a_later_iteration() {
     let mut harness = TestHarness::new();
-    drop(harness.endpoint("s1"));
-    let (_client, request) = harness.start_attempt("t1", "s1", LONG);
+    drop(harness.add_endpoint("s1"));
+    let (_client, request) = harness.start_attempt("t1", "s1", LONG_TIMEOUT_US);
     assert_eq!(harness.outcomes(), "");
     assert!(harness.proxy.state.borrow().requests.get(request).is_some());
     assert_eq!(harness.first_outcome(), "unreachable 1");
@@ -23,8 +23,8 @@
 #[test]
 fn cancelling_closes_the_connection() {
     let mut harness = TestHarness::new();
-    let endpoint = harness.endpoint("s1");
-    let (_client, request) = harness.start_attempt("t1", "s1", LONG);
+    let endpoint = harness.add_endpoint("s1");
+    let (_client, request) = harness.start_attempt("t1", "s1", LONG_TIMEOUT_US);
     let connection = harness.accept_request(&endpoint);
     ProxyHost(harness.proxy.state.clone()).cancel_attempt("t1", 0);
     harness.expect_close(&connection);
@@ -47,12 +47,12 @@
 
 #[rstest]
 #[case::awaited(true, "cancelled 1")]
-#[case::answered(false, "cancelled 1")]
-fn a_cancelled_attempt_is_reported_to_the_policy(#[case] waits: bool, #[case] heard: &str) {
+#[case::not_awaited(false, "cancelled 1")]
+fn a_cancelled_attempt_is_reported_to_the_policy(#[case] is_awaited: bool, #[case] expected: &str) {
     let mut harness = TestHarness::new();
-    let _endpoint = harness.endpoint("s1");
-    let (_client, request) = harness.start_attempt("t1", "s1", LONG);
-    if !waits {
+    let _endpoint = harness.add_endpoint("s1");
+    let (_client, request) = harness.start_attempt("t1", "s1", LONG_TIMEOUT_US);
+    if !is_awaited {
         harness
             .proxy
             .state
@@ -63,17 +63,20 @@
             .client = None;
     }
     ProxyHost(harness.proxy.state.clone()).cancel_attempt("t1", 0);
-    let hung = harness.proxy.state.borrow().counters.attempts_cancelled == 0;
-    assert_eq!((hung, harness.first_outcome().as_str()), (true, heard));
+    let is_pending = harness.proxy.state.borrow().counters.attempts_cancelled == 0;
+    assert_eq!(
+        (is_pending, harness.first_outcome().as_str()),
+        (true, expected)
+    );
     assert_eq!(
         harness.proxy.state.borrow().requests.get(request).is_some(),
-        waits
+        is_awaited
     );
 }
 
-/// Sends a request of a new client. Returns the connection on which it reached an endpoint, or none
-/// where it was rejected.
-fn reaches(
+/// Sends a request on a new client connection. Returns the index of the endpoint connection that
+/// received it, or none if the request was rejected.
+fn send_request(
     harness: &mut TestHarness,
     endpoint: &TcpListener,
     endpoint_connections: &mut Vec<TcpStream>,
@@ -84,7 +87,7 @@
         &client,
         &request_message(id, "body").replace("Remaining-Ms: 900", "Remaining-Ms: 60000"),
     );
-    let took = harness.run_until(|_| {
+    let receiver = harness.run_until(|_| {
         if let Ok((connection, _)) = endpoint.accept() {
             connection.set_nonblocking(true).unwrap();
             endpoint_connections.push(connection);
@@ -93,29 +96,29 @@
         let sent = endpoint_connections
             .iter_mut()
             .position(|connection| connection.read(&mut part).is_ok_and(|count| count > 0));
-        let dismissed = (&client).read(&mut part).is_ok_and(|count| count > 0);
-        (sent.is_some() || dismissed).then_some(sent)
+        let is_rejected = (&client).read(&mut part).is_ok_and(|count| count > 0);
+        (sent.is_some() || is_rejected).then_some(sent)
     });
-    // The client goes on waiting for its response.
+    // The client must stay connected to wait for its response.
     std::mem::forget(client);
-    took
+    receiver
 }
 
 /// With two balancers the limit is one request in flight. An attempt whose response was lost counts
-/// against it until its deadline, a minute here.
+/// against the limit until its deadline, which is one minute here.
 #[test]
 fn an_endpoint_that_lost_a_response_gets_another_request() {
-    let mut harness = TestHarness::with(|told| {
-        told["settings"]["fleetSize"] = 2.into();
-        told["settings"]["useCases"]
+    let mut harness = TestHarness::with_configuration(|document| {
+        document["settings"]["fleetSize"] = 2.into();
+        document["settings"]["useCases"]
             .as_array_mut()
             .unwrap()
             .truncate(1);
     });
-    let (endpoint, mut endpoint_connections) = (harness.endpoint("s1"), Vec::new());
+    let (endpoint, mut endpoint_connections) = (harness.add_endpoint("s1"), Vec::new());
     let mut ids = (0..).map(|number| format!("t{number}"));
     let mut next = |harness: &mut TestHarness, endpoint_connections: &mut Vec<TcpStream>| {
-        ids.find_map(|id| reaches(harness, &endpoint, endpoint_connections, &id))
+        ids.find_map(|id| send_request(harness, &endpoint, endpoint_connections, &id))
             .unwrap()
     };
     let answered = next(&mut harness, &mut endpoint_connections);
@@ -125,6 +128,6 @@
     );
     harness.first_outcome();
     let _lost = next(&mut harness, &mut endpoint_connections);
-    let _after_it = next(&mut harness, &mut endpoint_connections);
+    let _after_lost_response = next(&mut harness, &mut endpoint_connections);
     assert_eq!(harness.outcomes(), "succeeded 1");
 }
--- a/crates/proxy/src/connections/client/tests.rs
+++ b/crates/proxy/src/connections/client/tests.rs
@@ -12,7 +12,7 @@
 #[test]
 fn a_request_received_in_pieces_is_forwarded_unchanged_and_answered() {
     let mut harness = TestHarness::new();
-    let endpoint = harness.endpoints();
+    let endpoint = harness.add_endpoints();
     let (client, _) = harness.connect_client();
     let text = request_message("t1", "some body");
     for piece in [
@@ -36,19 +36,23 @@
         sent.contains("\r\nIdempotency-Key: k\r\n") && sent.contains("\r\nContent-Length: 9\r\n"),
         "{sent}"
     );
-    let wait = sent
+    let remaining_ms = sent
         .split("X-Remaining-Ms: ")
         .nth(1)
         .and_then(|rest| rest.split('\r').next())
         .unwrap();
-    assert!((1..900).contains(&wait.parse::<u64>().unwrap()), "{sent}");
+    assert!(
+        (1..900).contains(&remaining_ms.parse::<u64>().unwrap()),
+        "{sent}"
+    );
     send_text(
         &connection,
-        "HTTP/1.1 200 OK\r\nX-Pressure: TEXT util=0.5\r\nContent-Type: a/b\r\nContent-Length: 4\r\n\r\ndone",
+        "HTTP/1.1 200 OK\r\nX-Pressure: TEXT util=0.5\r\nContent-Type: a/b\r\n\
+         Content-Length: 4\r\n\r\ndone",
     );
-    let heard = harness.read_until(&client, "done");
+    let received = harness.read_until(&client, "done");
     assert_eq!(
-        heard,
+        received,
         "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Type: a/b\r\n\r\ndone"
     );
     let state = harness.proxy.state.borrow();
@@ -66,7 +70,7 @@
 #[test]
 fn pipelined_requests_are_answered_in_order() {
     let mut harness = TestHarness::new();
-    let endpoint = harness.endpoints();
+    let endpoint = harness.add_endpoints();
     let (client, _) = harness.connect_client();
     send_text(
         &client,
@@ -84,17 +88,18 @@
 }
 
 #[test]
-fn responses_that_the_client_does_not_read_do_not_pile_up() {
+fn unread_responses_do_not_accumulate() {
     let mut harness = TestHarness::new();
     let (client, key) = harness.connect_client();
     let text = "GET /stats HTTP/1.1\r\n\r\n".repeat(1000);
-    // Until neither side takes more: responses fill one direction, then requests the other.
+    // The loop ends when neither side accepts more bytes: responses fill the buffers of one
+    // direction, then requests those of the other.
     let mut sender = client.try_clone().unwrap();
-    let mut stuck = 0;
-    while stuck < 20 {
+    let mut blocked_writes = 0;
+    while blocked_writes < 20 {
         match std::io::Write::write(&mut sender, text.as_bytes()) {
-            Ok(_) => stuck = 0,
-            Err(_) => stuck += 1,
+            Ok(_) => blocked_writes = 0,
+            Err(_) => blocked_writes += 1,
         }
         for _ in 0..200 {
             harness
@@ -120,7 +125,7 @@
 fn a_response_is_completed_after_the_client_shut_down_its_side() {
     let mut harness = TestHarness::new();
     let (client, key) = harness.connect_client();
-    // More than the sockets' buffers hold.
+    // The body is larger than the sockets' buffers.
     let body: Vec<Bytes> = (0..100).map(|_| Bytes::from(vec![b'x'; 100_000])).collect();
     harness.proxy.state.borrow_mut().write_response(
         key,
@@ -130,26 +135,26 @@
         },
     );
     client.shutdown(Shutdown::Write).unwrap();
-    let mut taken = 0;
+    let mut bytes_read = 0;
     let mut reader = client.try_clone().unwrap();
     harness.run_until(|_| {
         let mut part = vec![0; 1_000_000];
         match std::io::Read::read(&mut reader, &mut part) {
             Ok(0) => Some(()),
             Ok(count) => {
-                taken += count;
+                bytes_read += count;
                 None
             }
-            Err(problem) => (problem.kind() != std::io::ErrorKind::WouldBlock).then_some(()),
+            Err(error) => (error.kind() != std::io::ErrorKind::WouldBlock).then_some(()),
         }
     });
-    assert!(taken > 10_000_000, "{taken}");
+    assert!(bytes_read > 10_000_000, "{bytes_read}");
 }
 
 #[test]
 fn a_disconnect_cancels_the_attempt() {
     let mut harness = TestHarness::new();
-    let endpoint = harness.endpoints();
+    let endpoint = harness.add_endpoints();
     let (client, _) = harness.connect_client();
     send_text(&client, &request_message("t1", "body"));
     let connection = harness.accept_connection(&endpoint);
@@ -179,15 +184,15 @@
     assert_eq!(harness.proxy.state.borrow().counters.requests_rejected, 1);
 }
 
-/// The end of the connection lies behind bytes that are not read while the request is in flight.
+/// The end of the stream follows bytes that are not read while the request is in flight.
 #[rstest]
-#[case::as_much_as_is_read(READ_AHEAD_BYTES)]
-#[case::more(10 * READ_AHEAD_BYTES)]
-fn a_disconnect_behind_unread_bytes_is_noticed(#[case] behind: usize) {
+#[case::read_ahead_limit(READ_AHEAD_BYTES)]
+#[case::beyond_the_read_ahead_limit(10 * READ_AHEAD_BYTES)]
+fn a_disconnect_after_unread_bytes_is_detected(#[case] unread_bytes: usize) {
     let mut harness = TestHarness::new();
-    let _endpoint = harness.endpoint("s1");
+    let _endpoint = harness.add_endpoint("s1");
     let (client, _) = harness.start_attempt("t1", "s1", 60_000_000);
-    send_text(&client, &"x".repeat(behind));
+    send_text(&client, &"x".repeat(unread_bytes));
     harness.run_until(|proxy| {
         let state = proxy.state.borrow();
         state
@@ -204,14 +209,14 @@
     harness.run_until_counters(|counters| counters.requests_disconnected == 1);
 }
 
-/// The end of an attempt releases its ordering key, also where its client has disconnected.
+/// The end of an attempt releases its ordering key, even if the client has disconnected.
 #[test]
 fn a_disconnect_releases_the_ordering_key() {
-    let mut harness = TestHarness::with(|told| {
-        told["settings"]["useCases"][0]["inOrder"] = true.into();
-        told["settings"]["rules"]["turnGapUs"] = 1_000.into();
+    let mut harness = TestHarness::with_configuration(|document| {
+        document["settings"]["useCases"][0]["inOrder"] = true.into();
+        document["settings"]["rules"]["turnGapUs"] = 1_000.into();
     });
-    let endpoint = harness.endpoints();
+    let endpoint = harness.add_endpoints();
     let keyed = |id| request_message(id, "body").replace("X-Lane", "X-Entity: k\r\nX-Lane");
     let (first, _) = harness.connect_client();
     send_text(&first, &keyed("t1"));
@@ -224,6 +229,7 @@
         let state = proxy.state.borrow();
         (state.counters.attempts, state.counters.requests_rejected)
     };
-    let came = harness.run_until(|proxy| Some(counters(proxy)).filter(|came| *came != (1, 0)));
-    assert_eq!(came, (2, 0));
+    let counts =
+        harness.run_until(|proxy| Some(counters(proxy)).filter(|counts| *counts != (1, 0)));
+    assert_eq!(counts, (2, 0));
 }
--- a/crates/proxy/src/connections/client_lifetime/tests.rs
+++ b/crates/proxy/src/connections/client_lifetime/tests.rs
@@ -55,25 +55,26 @@
 #[case::nothing("", 1)]
 #[case::part_of_a_request("POST /pay", 1)]
 #[case::an_invalid_request("POST /pay HTTP/1.1\r\n\r\n", 2)]
-fn before_its_first_request_a_connection_times_out_after_accept(
+fn before_the_first_request_the_timeout_counts_from_accept(
     #[case] sent: &str,
-    #[case] hung: usize,
+    #[case] tolerance_ms: usize,
 ) {
     let mut harness = TestHarness::new();
     let (client, key) = harness.connect_client();
     send_text(&client, sent);
-    let seen = |client: &ClientConnection| {
+    let is_received = |client: &ClientConnection| {
         client.partial_request.is_some() || client.responses_sent > 0 || sent.is_empty()
     };
-    harness.run_until(|proxy| seen(&proxy.state.borrow().clients[key]).then_some(()));
+    harness.run_until(|proxy| is_received(&proxy.state.borrow().clients[key]).then_some(()));
     let state = harness.proxy.state.borrow();
-    let (due, opened) = (
+    let (expires_at, accepted_at) = (
         state.clients[key].timer.unwrap().at,
         state.clients[key].accepted_at,
     );
     assert!(
-        due <= opened + STALL_TIMEOUT_US && due + 1_000 * hung as u64 > opened + STALL_TIMEOUT_US,
-        "{due}"
+        expires_at <= accepted_at + STALL_TIMEOUT_US
+            && expires_at + 1_000 * tolerance_ms as u64 > accepted_at + STALL_TIMEOUT_US,
+        "{expires_at}"
     );
 }
 
@@ -82,23 +83,23 @@
 #[case::many_are_open(1, 1, MIN_IDLE_US, false)]
 #[case::many_are_open_but_idle_only_briefly(1, 1, MIN_IDLE_US / 2, true)]
 #[case::idle_for_long(10, 1, MAX_IDLE_US, false)]
-#[case::never_brought_a_request(10, 0, STALL_TIMEOUT_US, false)]
-fn an_idle_connection_is_closed_where_many_are_open(
-    #[case] most: usize,
+#[case::no_request_received(10, 0, STALL_TIMEOUT_US, false)]
+fn an_idle_connection_is_closed_early_when_many_are_open(
+    #[case] max_connections: usize,
     #[case] requests: u64,
-    #[case] stood: Micros,
-    #[case] stays: bool,
+    #[case] idle: Micros,
+    #[case] is_kept: bool,
 ) {
     let mut harness = TestHarness::new();
     let (_client, key) = harness.connect_client();
     {
         let mut state = harness.proxy.state.borrow_mut();
-        state.config.max_client_connections = most;
+        state.config.max_client_connections = max_connections;
         let now = state.now();
         (
             state.clients[key].requests_received,
             state.clients[key].waiting_since,
-        ) = (requests, now - stood);
+        ) = (requests, now - idle);
     }
     harness.proxy.client_timer_expired(key);
     assert_eq!(
@@ -109,14 +110,14 @@
             .clients
             .get(key)
             .is_some_and(|client| client.timer.is_some()),
-        stays
+        is_kept
     );
 }
 
 #[rstest]
 #[case::part_of_a_request("POST /pay", "HTTP/1.1 408 ")]
 #[case::nothing("", "")]
-fn a_stalled_client_is_closed(#[case] sent: &str, #[case] heard: &str) {
+fn a_stalled_client_is_closed(#[case] sent: &str, #[case] expected_start: &str) {
     let mut harness = TestHarness::new();
     let (client, key) = harness.connect_client();
     send_text(&client, sent);
@@ -124,14 +125,18 @@
         (proxy.state.borrow().clients[key].read_buffer.bytes().len() == sent.len()).then_some(())
     });
     harness.proxy.client_timer_expired(key);
-    if !heard.is_empty() {
-        assert!(harness.read_until(&client, "\r\n\r\n").starts_with(heard));
+    if !expected_start.is_empty() {
+        assert!(
+            harness
+                .read_until(&client, "\r\n\r\n")
+                .starts_with(expected_start)
+        );
     }
     harness.expect_close(&client);
 }
 
 #[test]
-fn a_trickling_first_request_gains_no_time() {
+fn a_slowly_sent_first_request_gets_no_extra_time() {
     let mut harness = TestHarness::new();
     let (client, key) = harness.connect_client();
     send_text(&client, "POST /pay");
@@ -145,32 +150,32 @@
     assert_eq!(harness.proxy.state.borrow().clients[key].timer, Some(first));
 }
 
-/// A client that stalls in the middle of a request is owed an error or a close within 3 s, also on
-/// a connection that has brought requests before. One that goes on has as much time for each step,
-/// and no more than 10 s in all.
+/// A client that stalls in the middle of a request must get an error or a close within 3 s, even on
+/// a connection that has carried requests before. A client that continues gets the same time for
+/// each step, but no more than 10 s in total.
 #[test]
-fn a_client_that_stalls_in_a_later_request_gets_an_error_within_three_seconds() {
+fn a_stall_in_a_later_request_gets_an_error_within_three_seconds() {
     let mut harness = TestHarness::new();
     let (client, key) = harness.connect_client();
     harness.proxy.state.borrow_mut().clients[key].requests_received = 1;
     let text = request_message("t1", "body");
-    let mut due = 0;
+    let mut expires_at = 0;
     for length in [10, 20] {
         send_text(&client, &text[length - 10..length]);
-        let seen = |client: &ClientConnection| {
+        let is_received = |client: &ClientConnection| {
             client
                 .partial_request
                 .is_some_and(|partial| partial.length == length)
         };
-        harness.run_until(|proxy| seen(&proxy.state.borrow().clients[key]).then_some(()));
+        harness.run_until(|proxy| is_received(&proxy.state.borrow().clients[key]).then_some(()));
         let state = harness.proxy.state.borrow();
         let at = state.clients[key].timer.unwrap().at;
         assert!(
-            at > due && at <= state.now() + STALL_TIMEOUT_US,
-            "{at} after {due}, at {}",
+            at > expires_at && at <= state.now() + STALL_TIMEOUT_US,
+            "{at} after {expires_at}, at {}",
             state.now()
         );
-        due = at;
+        expires_at = at;
     }
     if let Some(partial) = &mut harness.proxy.state.borrow_mut().clients[key].partial_request {
         partial.started_at -= TRANSFER_TIMEOUT_US;
--- a/crates/proxy/src/connections/client_response/tests.rs
+++ b/crates/proxy/src/connections/client_response/tests.rs
@@ -9,11 +9,11 @@
     let mut harness = TestHarness::new();
     let (client, _) = harness.connect_client();
     send_text(&client, &format!("GET /stats HTTP/{version}\r\n\r\n"));
-    let heard = harness.read_until(&client, "longest_loop_iteration_us 0\n");
+    let received = harness.read_until(&client, "longest_loop_iteration_us 0\n");
     assert!(
-        heard.contains("\r\nConnection: close\r\n")
-            && heard.contains("\nclient_connections_accepted 1\n"),
-        "{heard}"
+        received.contains("\r\nConnection: close\r\n")
+            && received.contains("\nclient_connections_accepted 1\n"),
+        "{received}"
     );
     harness.expect_close(&client);
 }
@@ -22,12 +22,12 @@
 #[case::above(0, true)]
 #[case::none(1, false)]
 fn above_the_threshold_a_connection_closes_after_the_response(
-    #[case] crowd: usize,
+    #[case] threshold: usize,
     #[case] closes: bool,
 ) {
     let mut harness = TestHarness::new();
-    harness.proxy.state.borrow_mut().config.crowd_threshold = crowd;
-    let endpoint = harness.endpoints();
+    harness.proxy.state.borrow_mut().config.crowd_threshold = threshold;
+    let endpoint = harness.add_endpoints();
     let (client, key) = harness.connect_client();
     send_text(&client, &request_message("t1", "body"));
     let connection = harness.accept_request(&endpoint);
@@ -46,8 +46,8 @@
         closes
     );
     if closes {
-        // Our side is shut down immediately, the connection closed when the client notices; what it
-        // sent meanwhile causes no reset.
+        // The write side is shut down immediately, and the connection is closed when the client
+        // closes its side. Bytes that the client sent in between cause no reset.
         send_text(&client, &request_message("t2", "body"));
         harness.expect_close(&client);
         assert_eq!(harness.proxy.state.borrow().counters.requests_received, 1);
@@ -56,13 +56,13 @@
     }
 }
 
-/// A request that was read ahead would be lost if its connection were closed: neither the
-/// connection threshold nor the shutdown does so.
+/// A request that was read ahead would be lost if its connection were closed. Neither the
+/// connection threshold nor the shutdown closes such a connection.
 #[test]
 fn requests_read_ahead_are_answered_before_the_connection_closes() {
-    for (crowd, closing) in [(0, false), (usize::MAX, true)] {
+    for (threshold, closing) in [(0, false), (usize::MAX, true)] {
         let mut harness = TestHarness::new();
-        let endpoint = harness.endpoints();
+        let endpoint = harness.add_endpoints();
         let (client, key) = harness.connect_client();
         send_text(
             &client,
@@ -72,7 +72,7 @@
         harness.read_until(&first, "one");
         {
             let mut state = harness.proxy.state.borrow_mut();
-            (state.config.crowd_threshold, state.is_closing_connections) = (crowd, closing);
+            (state.config.crowd_threshold, state.is_closing_connections) = (threshold, closing);
             assert!(
                 !state.clients[key].read_buffer.bytes().is_empty(),
                 "the second is read ahead"
--- a/crates/proxy/src/connections/endpoint/tests.rs
+++ b/crates/proxy/src/connections/endpoint/tests.rs
@@ -4,7 +4,7 @@
 use crate::state::buffers::WriteBuffer;
 use crate::test_harness::{TestHarness, send_text};
 
-const LONG: Micros = 60_000_000;
+const LONG_TIMEOUT_US: Micros = 60_000_000;
 
 #[rstest]
 #[case::rejected(
@@ -37,7 +37,7 @@
 #[case::endless_interim_responses(&"100 Continue\r\n\r\nHTTP/1.1 ".repeat(20), "failed 1", 0)]
 #[case::unsolicited_bytes("500 No\r\nContent-Length: 0\r\n\r\nmore", "failed 1", 0)]
 #[case::malformed("two hundred\r\n\r\n", "failed 1", 0)]
-#[case::switching("101 Other\r\n\r\n", "failed 1", 0)]
+#[case::switching_protocols("101 Other\r\n\r\n", "failed 1", 0)]
 #[case::two_lengths(
     "200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab",
     "failed 1",
@@ -45,19 +45,23 @@
 )]
 #[case::too_long("200 OK\r\nContent-Length: 65537\r\n\r\n", "failed 1", 0)]
 #[case::bad_chunk("200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", "failed 1", 0)]
-#[case::served("200 OK\r\nContent-Length: 2\r\n\r\nok", "succeeded 1", 1)]
-#[case::served_in_chunks(
+#[case::succeeded("200 OK\r\nContent-Length: 2\r\n\r\nok", "succeeded 1", 1)]
+#[case::succeeded_chunked(
     "200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n",
     "succeeded 1",
     1
 )]
-fn a_response_ends_the_attempt(#[case] answer: &str, #[case] ending: &str, #[case] idle: usize) {
+fn a_response_ends_the_attempt(
+    #[case] response: &str,
+    #[case] expected: &str,
+    #[case] idle: usize,
+) {
     let mut harness = TestHarness::new();
-    let endpoint = harness.endpoint("s1");
-    let _client = harness.start_attempt("t1", "s1", LONG);
+    let endpoint = harness.add_endpoint("s1");
+    let _client = harness.start_attempt("t1", "s1", LONG_TIMEOUT_US);
     let connection = harness.accept_request(&endpoint);
-    send_text(&connection, &format!("HTTP/1.1 {answer}"));
-    assert_eq!(harness.first_outcome(), ending);
+    send_text(&connection, &format!("HTTP/1.1 {response}"));
+    assert_eq!(harness.first_outcome(), expected);
     let state = harness.proxy.state.borrow();
     assert_eq!(
         (
@@ -78,16 +82,16 @@
 #[case::half_a_body("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nab", "connection_lost 1")]
 #[case::rejected_until_close("HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\n\r\nno", "rejected 1")]
 fn an_attempt_that_loses_its_connection_after_the_last_byte_may_have_run(
-    #[case] answer: &str,
-    #[case] ending: &str,
+    #[case] response: &str,
+    #[case] expected: &str,
 ) {
     let mut harness = TestHarness::new();
-    let endpoint = harness.endpoint("s1");
-    let _client = harness.start_attempt("t1", "s1", LONG);
+    let endpoint = harness.add_endpoint("s1");
+    let _client = harness.start_attempt("t1", "s1", LONG_TIMEOUT_US);
     let connection = harness.accept_request(&endpoint);
-    send_text(&connection, answer);
+    send_text(&connection, response);
     drop(connection);
-    assert_eq!(harness.first_outcome(), ending);
+    assert_eq!(harness.first_outcome(), expected);
 }
 
 #[rstest]
@@ -97,15 +101,15 @@
 fn a_timed_out_attempt_is_proven_not_run_only_while_unwritten(
     #[case] connected: bool,
     #[case] written: bool,
-    #[case] ending: &str,
+    #[case] expected: &str,
 ) {
     let mut harness = TestHarness::new();
-    let _endpoint = harness.endpoint("s1");
-    let _client = harness.start_attempt("t1", "s1", LONG);
+    let _endpoint = harness.add_endpoint("s1");
+    let _client = harness.start_attempt("t1", "s1", LONG_TIMEOUT_US);
     let key = harness.only_endpoint_connection();
     {
         let mut state = harness.proxy.state.borrow_mut();
-        // The request is written when the connection is established.
+        // The event loop writes the request only when the connection is established.
         let now = state.now();
         assert_eq!(
             (
@@ -122,15 +126,15 @@
         connection.exchange.as_mut().unwrap().expire_at = 0;
     }
     harness.proxy.endpoint_connection_timer_expired(key);
-    assert_eq!(harness.outcomes(), ending);
+    assert_eq!(harness.outcomes(), expected);
 }
 
-/// Whether the response was complete is unknown.
+/// After a reset it is unknown whether the response was complete.
 #[test]
 fn a_reset_does_not_complete_a_response_without_length() {
     let mut harness = TestHarness::new();
-    let endpoint = harness.endpoint("s1");
-    let _client = harness.start_attempt("t1", "s1", LONG);
+    let endpoint = harness.add_endpoint("s1");
+    let _client = harness.start_attempt("t1", "s1", LONG_TIMEOUT_US);
     let connection = harness.accept_request(&endpoint);
     send_text(&connection, "HTTP/1.1 200 OK\r\n\r\nserv");
     harness.run_until(|proxy| {
@@ -149,12 +153,12 @@
     assert_eq!(harness.first_outcome(), "connection_lost 1");
 }
 
-/// A response that states no length ends with its connection.
+/// A response without a stated length ends with its connection.
 #[test]
 fn a_close_completes_a_response_without_length() {
     let mut harness = TestHarness::new();
-    let endpoint = harness.endpoint("s1");
-    let (client, _) = harness.start_attempt("t1", "s1", LONG);
+    let endpoint = harness.add_endpoint("s1");
+    let (client, _) = harness.start_attempt("t1", "s1", LONG_TIMEOUT_US);
     let connection = harness.accept_request(&endpoint);
     send_text(&connection, "HTTP/1.1 200 OK\r\n\r\nserved");
     drop(connection);
--- a/crates/proxy/src/connections/endpoint_pool/tests.rs
+++ b/crates/proxy/src/connections/endpoint_pool/tests.rs
@@ -8,15 +8,15 @@
 use crate::state::proxy::ProxyHost;
 use crate::test_harness::{TestHarness, list_entry, local_listener, send_text};
 
-const LONG: Micros = 60_000_000;
+const LONG_TIMEOUT_US: Micros = 60_000_000;
 
 #[test]
 fn the_connection_used_last_is_reused_first() {
     let mut harness = TestHarness::new();
-    let endpoint = harness.endpoint("s1");
+    let endpoint = harness.add_endpoint("s1");
     let _clients = [
-        harness.start_attempt("t1", "s1", LONG),
-        harness.start_attempt("t2", "s1", LONG),
+        harness.start_attempt("t1", "s1", LONG_TIMEOUT_US),
+        harness.start_attempt("t2", "s1", LONG_TIMEOUT_US),
     ];
     let (first, second) = (
         harness.accept_connection(&endpoint),
@@ -28,7 +28,7 @@
         let before = harness.proxy.state.borrow().counters.attempts_failed;
         harness.run_until_counters(|counters| counters.attempts_failed > before);
     }
-    // The reuse delay of both has passed.
+    // The reuse delay of both connections has passed.
     harness
         .proxy
         .state
@@ -36,7 +36,7 @@
         .endpoint_connections
         .values_mut()
         .for_each(|connection| connection.last_response_at = 0);
-    let _third = harness.start_attempt("t3", "s1", LONG);
+    let _third = harness.start_attempt("t3", "s1", LONG_TIMEOUT_US);
     harness.read_until(&first, "body");
     assert_eq!(
         harness
@@ -52,7 +52,7 @@
 #[test]
 fn a_connection_closed_by_the_endpoint_is_not_reused() {
     let mut harness = TestHarness::new();
-    let endpoint = harness.endpoint("s1");
+    let endpoint = harness.add_endpoint("s1");
     let connection = harness.idle_connection(&endpoint);
     let key = harness.only_endpoint_connection();
     drop(connection);
@@ -62,7 +62,7 @@
         .peek(&mut [0])
         .is_err()
     {}
-    let _client = harness.start_attempt("t1", "s1", LONG);
+    let _client = harness.start_attempt("t1", "s1", LONG_TIMEOUT_US);
     let _fresh = harness.accept_request(&endpoint);
     assert!(
         !harness
@@ -75,47 +75,63 @@
 }
 
 #[test]
-fn an_idle_connection_is_closed_before_the_endpoint_would() {
+fn an_idle_connection_is_closed_before_the_endpoint_closes_it() {
     let mut harness = TestHarness::new();
-    let endpoint = harness.endpoint("s1");
+    let endpoint = harness.add_endpoint("s1");
     let connection = harness.idle_connection(&endpoint);
-    let (key, due, now) = {
+    let (key, expires_at, now) = {
         let state = harness.proxy.state.borrow();
-        let (key, kept) = state.endpoint_connections.iter().next().unwrap();
-        (key, kept.timer.unwrap().at, state.now())
+        let (key, connection) = state.endpoint_connections.iter().next().unwrap();
+        (key, connection.timer.unwrap().at, state.now())
     };
     assert!(
-        (now + 10_000_000..now + 14_000_000).contains(&due),
+        (now + 10_000_000..now + 14_000_000).contains(&expires_at),
         "{}",
-        due - now
+        expires_at - now
     );
     harness.proxy.endpoint_connection_timer_expired(key);
     harness.expect_close(&connection);
 }
 
 #[rstest]
-#[case::timed_out(LONG, |harness: &mut TestHarness, key| harness.proxy.endpoint_connection_timer_expired(key), 0)]
-#[case::not_established(LONG, |harness: &mut TestHarness, key| {
+#[case::timed_out(
+    LONG_TIMEOUT_US,
+    |harness: &mut TestHarness, key| harness.proxy.endpoint_connection_timer_expired(key),
+    0,
+)]
+#[case::not_established(LONG_TIMEOUT_US, |harness: &mut TestHarness, key| {
     harness.proxy.state.borrow_mut().endpoint_connections[key].is_connected = false;
     harness.proxy.endpoint_connection_timer_expired(key);
 }, 0)]
-#[case::connection_lost(LONG, |harness: &mut TestHarness, key| {
+#[case::connection_lost(LONG_TIMEOUT_US, |harness: &mut TestHarness, key| {
     let stream = harness.proxy.state.borrow().endpoint_connections[key].socket.stream.clone();
     stream.shutdown(std::net::Shutdown::Both).unwrap();
     harness.proxy.endpoint_connection_ready(key);
 }, 0)]
-#[case::cancelled_late(LONG, |harness: &mut TestHarness, _| ProxyHost(harness.proxy.state.clone()).cancel_attempt("t2", 0), 0)]
-#[case::cancelled_early(0, |harness: &mut TestHarness, _| ProxyHost(harness.proxy.state.clone()).cancel_attempt("t2", 0), 1)]
-fn doubt_about_one_connection_closes_the_idle_ones(
+#[case::cancelled_late(
+    LONG_TIMEOUT_US,
+    |harness: &mut TestHarness, _| {
+        ProxyHost(harness.proxy.state.clone()).cancel_attempt("t2", 0);
+    },
+    0,
+)]
+#[case::cancelled_early(
+    0,
+    |harness: &mut TestHarness, _| {
+        ProxyHost(harness.proxy.state.clone()).cancel_attempt("t2", 0);
+    },
+    1,
+)]
+fn a_failure_that_suggests_stale_connections_closes_the_idle_ones(
     #[case] waited: Micros,
     #[case] act: fn(&mut TestHarness, EndpointConnectionKey),
-    #[case] left: usize,
+    #[case] remaining: usize,
 ) {
     let mut harness = TestHarness::new();
-    let endpoint = harness.endpoint("s1");
+    let endpoint = harness.add_endpoint("s1");
     let (_first, _second) = (
-        harness.start_attempt("t1", "s1", LONG),
-        harness.start_attempt("t2", "s1", LONG),
+        harness.start_attempt("t1", "s1", LONG_TIMEOUT_US),
+        harness.start_attempt("t2", "s1", LONG_TIMEOUT_US),
     );
     let endpoint_connections = [
         harness.accept_connection(&endpoint),
@@ -124,7 +140,7 @@
     for connection in &endpoint_connections {
         harness.read_until(connection, "body");
     }
-    let find = |harness: &TestHarness, id: &str| {
+    let connection_of = |harness: &TestHarness, id: &str| {
         let state = harness.proxy.state.borrow();
         state
             .requests
@@ -133,7 +149,7 @@
             .attempts[0]
             .unwrap()
     };
-    let (idle, key) = (find(&harness, "t1"), find(&harness, "t2"));
+    let (idle, key) = (connection_of(&harness, "t1"), connection_of(&harness, "t2"));
     {
         let mut state = harness.proxy.state.borrow_mut();
         state.endpoint_connections[idle].exchange = None;
@@ -144,7 +160,7 @@
     act(&mut harness, key);
     assert_eq!(
         harness.proxy.state.borrow().endpoint_connections.len(),
-        left
+        remaining
     );
 }
 
@@ -152,7 +168,7 @@
 #[case(ErrorKind::ConnectionRefused, true)]
 #[case(ErrorKind::AddrNotAvailable, false)]
 #[case(ErrorKind::NotFound, false)]
-fn a_shortage_of_our_own_is_not_held_against_an_endpoint(
+fn only_remote_connect_failures_count_against_an_endpoint(
     #[case] kind: ErrorKind,
     #[case] expected: bool,
 ) {
@@ -164,7 +180,7 @@
 #[case::removed("left")]
 fn idle_connections_to_a_departing_endpoint_are_closed(#[case] state: &str) {
     let mut harness = TestHarness::new();
-    let endpoint = harness.endpoint("s1");
+    let endpoint = harness.add_endpoint("s1");
     let connection = harness.idle_connection(&endpoint);
     harness.receive_list(&[list_entry("s1", endpoint.local_addr().unwrap(), state)]);
     harness.expect_close(&connection);
@@ -173,20 +189,20 @@
 #[test]
 fn an_endpoint_that_moved_is_reached_at_its_new_address() {
     let mut harness = TestHarness::new();
-    let (endpoint, moved) = (harness.endpoint("s1"), local_listener());
+    let (endpoint, moved) = (harness.add_endpoint("s1"), local_listener());
     let connection = harness.idle_connection(&endpoint);
     harness.receive_list(&[list_entry("s1", moved.local_addr().unwrap(), "active")]);
     harness.expect_close(&connection);
-    let _client = harness.start_attempt("t1", "s1", LONG);
+    let _client = harness.start_attempt("t1", "s1", LONG_TIMEOUT_US);
     let _fresh = harness.accept_request(&moved);
 }
 
 #[test]
-fn without_a_descriptor_an_idle_connection_is_evicted_or_nothing_is_sent() {
+fn at_the_limit_an_idle_connection_is_evicted_or_the_attempt_is_not_sent() {
     let mut harness = TestHarness::new();
-    let endpoint = harness.endpoint("s1");
+    let endpoint = harness.add_endpoint("s1");
     let connection = harness.idle_connection(&endpoint);
-    let other = harness.endpoint("s2");
+    let other = harness.add_endpoint("s2");
     harness
         .proxy
         .state
@@ -194,34 +210,34 @@
         .config
         .max_endpoint_connections = 1;
     let _clients = [
-        harness.start_attempt("t1", "s2", LONG),
-        harness.start_attempt("t2", "s1", LONG),
+        harness.start_attempt("t1", "s2", LONG_TIMEOUT_US),
+        harness.start_attempt("t2", "s1", LONG_TIMEOUT_US),
     ];
     harness.expect_close(&connection);
     let _fresh = harness.accept_request(&other);
     harness.run_until_counters(|counters| counters.attempts_not_sent == 1);
-    let told = harness.proxy.state.borrow().shortage_logged_at;
-    harness.start_another_attempt("t2", "s1", LONG);
+    let logged_at = harness.proxy.state.borrow().shortage_logged_at;
+    harness.start_another_attempt("t2", "s1", LONG_TIMEOUT_US);
     let state = harness.proxy.state.borrow();
     assert_eq!(
         (
             state.counters.endpoint_connections_exhausted,
             state.shortage_logged_at
         ),
-        (2, told)
+        (2, logged_at)
     );
 }
 
 #[rstest]
-#[case::at_once(0, 2)]
-#[case::rested(REUSE_DELAY_US, 1)]
+#[case::immediately(0, 2)]
+#[case::after_the_delay(REUSE_DELAY_US, 1)]
 fn a_connection_is_reused_only_after_the_delay(
-    #[case] since: Micros,
+    #[case] elapsed: Micros,
     #[case] endpoint_connections: usize,
 ) {
     let mut harness = TestHarness::new();
-    let endpoint = harness.endpoint("s1");
-    let _client = harness.start_attempt("t1", "s1", LONG);
+    let endpoint = harness.add_endpoint("s1");
+    let _client = harness.start_attempt("t1", "s1", LONG_TIMEOUT_US);
     let connection = harness.accept_request(&endpoint);
     send_text(
         &connection,
@@ -231,11 +247,11 @@
     {
         let mut state = harness.proxy.state.borrow_mut();
         let key = state.endpoint_connections.keys().next().unwrap();
-        // However slow the test is, the response was received a moment ago.
-        state.endpoint_connections[key].last_response_at = if since == 0 {
+        // The response counts as just received, however slowly the test runs.
+        state.endpoint_connections[key].last_response_at = if elapsed == 0 {
             Micros::MAX - REUSE_DELAY_US
         } else {
-            state.now() - since
+            state.now() - elapsed
         };
         let endpoint = state.endpoints.key_of("s1").unwrap();
         state.acquire_connection(endpoint).unwrap();
@@ -246,14 +262,14 @@
     );
 }
 
-/// A connection to the former address carries no request once the list names another address.
+/// A connection to a former address carries no further request once the list names another address.
 #[test]
-fn a_connection_to_a_former_address_is_not_kept() {
+fn a_connection_to_a_former_address_is_not_reused() {
     let mut harness = TestHarness::new();
-    let before = harness.endpoint("s1");
-    let (_client, _) = harness.start_attempt("t1", "s1", LONG);
+    let before = harness.add_endpoint("s1");
+    let (_client, _) = harness.start_attempt("t1", "s1", LONG_TIMEOUT_US);
     let connection = harness.accept_request(&before);
-    let after = harness.endpoint("s1");
+    let after = harness.add_endpoint("s1");
     send_text(&connection, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
     assert_eq!(harness.first_outcome(), "failed 1");
     harness
@@ -263,7 +279,7 @@
         .endpoint_connections
         .values_mut()
         .for_each(|connection| connection.last_response_at = 0);
-    let _second = harness.start_attempt("t2", "s1", LONG);
+    let _second = harness.start_attempt("t2", "s1", LONG_TIMEOUT_US);
     assert_eq!(
         harness
             .proxy
@@ -276,11 +292,12 @@
     harness.accept_request(&after);
 }
 
-/// A second response, some milliseconds late, must not be taken for that to the next request.
+/// A second response that arrives some milliseconds late must not be taken for the response to the
+/// next request.
 #[test]
 fn after_unsolicited_bytes_an_endpoint_gets_one_request_per_connection() {
     let mut harness = TestHarness::new();
-    let endpoint = harness.endpoint("s1");
+    let endpoint = harness.add_endpoint("s1");
     let connection = harness.idle_connection(&endpoint);
     send_text(
         &connection,
@@ -294,12 +311,12 @@
             .is_empty()
             .then_some(())
     });
-    let _client = harness.start_attempt("t1", "s1", LONG);
+    let _client = harness.start_attempt("t1", "s1", LONG_TIMEOUT_US);
     let connection = harness.accept_request(&endpoint);
     send_text(&connection, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
     harness.run_until_counters(|counters| counters.attempts_failed == 2);
     assert!(harness.proxy.state.borrow().endpoint_connections.is_empty());
-    // After a while its connections are reused again.
+    // Later, connections to the endpoint are reused again.
     let key = harness.proxy.state.borrow().endpoints.key_of("s1").unwrap();
     harness
         .proxy
@@ -309,7 +326,7 @@
         .get_mut(key)
         .unwrap()
         .single_use_until = 0;
-    let _client = harness.start_attempt("t2", "s1", LONG);
+    let _client = harness.start_attempt("t2", "s1", LONG_TIMEOUT_US);
     let connection = harness.accept_request(&endpoint);
     send_text(&connection, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
     harness.run_until_counters(|counters| counters.attempts_failed == 3);
--- a/crates/proxy/src/connections/load_report/tests.rs
+++ b/crates/proxy/src/connections/load_report/tests.rs
@@ -19,15 +19,15 @@
 #[case("TEXT inflight=7", report(None, None, Some(7.0)))]
 #[case("TEXT util=NaN, queue=inf", report(None, None, None))]
 #[case("nonsense", report(None, None, None))]
-fn valid_values_of_a_report_are_read(#[case] text: &str, #[case] expected: LoadReport) {
+fn valid_values_of_a_report_are_parsed(#[case] text: &str, #[case] expected: LoadReport) {
     assert_eq!(parse_load_report(text), expected);
 }
 
 #[rstest]
 #[case::none(&[], None)]
-#[case::what_cannot_be_read_tells_nothing(&["%%%"], None)]
-#[case::behind_what_cannot_be_read(&["{", "TEXT util=0.5"], Some(report(Some(0.5), None, None)))]
-fn the_first_valid_report_counts(
+#[case::malformed(&["%%%"], None)]
+#[case::valid_after_malformed(&["{", "TEXT util=0.5"], Some(report(Some(0.5), None, None)))]
+fn the_first_valid_report_is_used(
     #[case] texts: &[&'static str],
     #[case] expected: Option<LoadReport>,
 ) {
--- a/crates/proxy/src/connections/request/tests.rs
+++ b/crates/proxy/src/connections/request/tests.rs
@@ -4,57 +4,79 @@
 use crate::connections::http_message::MAX_HEAD_BYTES;
 use crate::test_harness::{TestHarness, request_message, send_text};
 
-/// A request with one line in place of another.
-fn with(line: &str, other: &str) -> String {
+/// Returns a request in which one line is replaced by another.
+fn request_with(line: &str, other: &str) -> String {
     request_message("t1", "body").replace(line, other)
 }
 
 #[rstest]
 #[case::no_head("nonsense\r\n\r\n".into(), 400)]
-#[case::two_lengths(with("\r\n\r\n", "\r\nContent-Length: 5\r\n\r\n"), 400)]
-#[case::length_and_chunks(with("\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\n\r\n"), 400)]
-#[case::chunks_in_http_1_0(with("\r\nContent-Length: 4", "\r\nTransfer-Encoding: chunked").replace("1.1", "1.0"), 400)]
-#[case::odd_chunks(with("\r\n\r\n", "\r\ntransfer-encoding: \t chUnked\r\n\r\n"), 400)]
-#[case::spaced_chunks(with("\r\n\r\n", "\r\nTransfer-Encoding : chunked\r\n\r\n"), 400)]
+#[case::two_lengths(request_with("\r\n\r\n", "\r\nContent-Length: 5\r\n\r\n"), 400)]
+#[case::length_and_chunks(
+    request_with("\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\n\r\n"),
+    400
+)]
+#[case::chunks_in_http_1_0(
+    request_with("\r\nContent-Length: 4", "\r\nTransfer-Encoding: chunked").replace("1.1", "1.0"),
+    400,
+)]
+#[case::chunked_after_a_tab(
+    request_with("\r\n\r\n", "\r\ntransfer-encoding: \t chUnked\r\n\r\n"),
+    400
+)]
+#[case::blank_before_the_colon(
+    request_with("\r\n\r\n", "\r\nTransfer-Encoding : chunked\r\n\r\n"),
+    400
+)]
 #[case::bare_line_feed(
-    with("Host: app\r\n", "Host: app\nTransfer-Encoding: chunked\r\n"),
+    request_with("Host: app\r\n", "Host: app\nTransfer-Encoding: chunked\r\n"),
     400
 )]
-#[case::bare_line_feed_before_the_body(with("\r\n\r\n", "\r\n\n"), 400)]
-#[case::bare_return(with("Host: app", "Host: a\rpp"), 400)]
-#[case::folded(with("Host: app", "Host: app\r\n app"), 400)]
+#[case::bare_line_feed_before_the_body(request_with("\r\n\r\n", "\r\n\n"), 400)]
+#[case::bare_carriage_return(request_with("Host: app", "Host: a\rpp"), 400)]
+#[case::folded(request_with("Host: app", "Host: app\r\n app"), 400)]
 #[case::two_idempotency_keys(
-    with("Idempotency-Key: k", "Idempotency-Key: k\r\nIdempotency-Key: l"),
+    request_with("Idempotency-Key: k", "Idempotency-Key: k\r\nIdempotency-Key: l"),
     400
 )]
-#[case::no_id(with("X-Txn: t1\r\n", ""), 400)]
-#[case::empty_id(with("X-Txn: t1", "X-Txn:"), 400)]
-#[case::two_ids(with("X-Txn: t1", "X-Txn: t1\r\nX-Txn: t2"), 400)]
-#[case::no_time(with("X-Remaining-Ms: 900\r\n", ""), 400)]
-#[case::odd_time(with("X-Remaining-Ms: 900", "X-Remaining-Ms: -9"), 400)]
-#[case::no_idempotency_key(with("Idempotency-Key: k\r\n", ""), 400)]
-#[case::long_head(with("Host: app", &format!("Host: {}", "a".repeat(MAX_HEAD_BYTES))), 431)]
-#[case::many_fields(with("Host: app\r\n", &"A: b\r\n".repeat(MAX_FIELDS)), 431)]
-#[case::long_body(with("Content-Length: 4", "Content-Length: 65537"), 413)]
-#[case::longest_body(with("Content-Length: 4", "Content-Length: 99999999999999999999"), 413)]
-#[case::unknown_class(with("/pay/", "/buy/"), 404)]
-#[case::other_path(with("/pay/1?x=2", "/"), 404)]
-#[case::class_field_and_path_differ(with("X-Lane: pay", "X-Lane: look"), 404)]
-#[case::wrong_method(with("POST", "GET"), 405)]
-#[case::wrong_method_of_idempotent_class(with("/pay/", "/look/").replace("Lane: pay", "Lane: look"), 405)]
+#[case::no_id(request_with("X-Txn: t1\r\n", ""), 400)]
+#[case::empty_id(request_with("X-Txn: t1", "X-Txn:"), 400)]
+#[case::two_ids(request_with("X-Txn: t1", "X-Txn: t1\r\nX-Txn: t2"), 400)]
+#[case::no_time(request_with("X-Remaining-Ms: 900\r\n", ""), 400)]
+#[case::negative_time(request_with("X-Remaining-Ms: 900", "X-Remaining-Ms: -9"), 400)]
+#[case::no_idempotency_key(request_with("Idempotency-Key: k\r\n", ""), 400)]
+#[case::long_head(request_with("Host: app", &format!("Host: {}", "a".repeat(MAX_HEAD_BYTES))), 431)]
+#[case::many_fields(request_with("Host: app\r\n", &"A: b\r\n".repeat(MAX_FIELDS)), 431)]
+#[case::long_body(request_with("Content-Length: 4", "Content-Length: 65537"), 413)]
+#[case::longest_body(
+    request_with("Content-Length: 4", "Content-Length: 99999999999999999999"),
+    413
+)]
+#[case::unknown_class(request_with("/pay/", "/buy/"), 404)]
+#[case::other_path(request_with("/pay/1?x=2", "/"), 404)]
+#[case::class_field_and_path_differ(request_with("X-Lane: pay", "X-Lane: look"), 404)]
+#[case::wrong_method(request_with("POST", "GET"), 405)]
+#[case::wrong_method_of_idempotent_class(
+    request_with("/pay/", "/look/").replace("Lane: pay", "Lane: look"),
+    405,
+)]
 fn an_invalid_request_gets_its_status(#[case] text: String, #[case] status: u16) {
     let mut harness = TestHarness::new();
     let (stream, _) = harness.connect_client();
     send_text(&stream, &text);
-    let heard = harness.read_until(&stream, "\r\n\r\n");
-    assert!(heard.starts_with(&format!("HTTP/1.1 {status} ")), "{heard}");
+    let received = harness.read_until(&stream, "\r\n\r\n");
+    assert!(
+        received.starts_with(&format!("HTTP/1.1 {status} ")),
+        "{received}"
+    );
     assert_eq!(harness.proxy.state.borrow().counters.requests_received, 0);
 }
 
-/// A proxy whose requests are ordered by key; times are long, so that a slow test changes nothing.
-fn ordered_by_key() -> TestHarness {
-    TestHarness::with(|told| {
-        let settings = &mut told["settings"];
+/// Starts a proxy that orders requests by key. Its timeouts are so long that a slow test does not
+/// reach them.
+fn start_ordered_by_key() -> TestHarness {
+    TestHarness::with_configuration(|document| {
+        let settings = &mut document["settings"];
         settings["rules"]["turnGapUs"] = 20_000.into();
         for class in settings["useCases"].as_array_mut().unwrap() {
             class["inOrder"] = true.into();
@@ -63,7 +85,7 @@
     })
 }
 
-fn of_key(id: &str, key: &str) -> String {
+fn request_with_key(id: &str, key: &str) -> String {
     request_message(id, "body").replace(
         "X-Remaining-Ms: 900",
         &format!("X-Remaining-Ms: 60000\r\nX-Entity: {key}"),
@@ -71,20 +93,20 @@
 }
 
 /// A response after which the endpoint closes the connection.
-const DONE: &str = "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
+const CLOSING_RESPONSE: &str = "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
-/// The second request of a key is sent after the first has finished, in whatever way; one of
-/// another key does not wait.
+/// The second request of a key is sent only after the first has finished, regardless of its
+/// outcome. A request of another key does not wait.
 #[rstest]
-#[case::answered(Some(DONE))]
+#[case::answered(Some(CLOSING_RESPONSE))]
 #[case::failed(Some("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"))]
 #[case::reset(None)]
 fn requests_of_one_key_reach_endpoints_one_at_a_time(#[case] end: Option<&str>) {
-    let mut harness = ordered_by_key();
-    let endpoint = harness.endpoints();
+    let mut harness = start_ordered_by_key();
+    let endpoint = harness.add_endpoints();
     let clients = [("t1", "k"), ("t2", "k"), ("t3", "other")].map(|(id, key)| {
         let (client, _) = harness.connect_client();
-        send_text(&client, &of_key(id, key));
+        send_text(&client, &request_with_key(id, key));
         harness.run_until(|proxy| {
             proxy
                 .state
@@ -105,19 +127,19 @@
         Some(end) => send_text(&first, end),
         None => drop(first),
     }
-    // A request that failed or was reset is retried; until it has finished, t2 must not be sent.
+    // A request that failed or was reset is retried; t2 must not be sent until it has finished.
     let mut connection = harness.accept_connection(&endpoint);
-    let mut heard = harness.read_until(&connection, "body");
-    let mut again = 0;
-    while heard.contains("X-Txn: t1\r\n") {
-        again += 1;
-        send_text(&connection, DONE);
+    let mut received = harness.read_until(&connection, "body");
+    let mut retries = 0;
+    while received.contains("X-Txn: t1\r\n") {
+        retries += 1;
+        send_text(&connection, CLOSING_RESPONSE);
         connection = harness.accept_connection(&endpoint);
-        heard = harness.read_until(&connection, "body");
+        received = harness.read_until(&connection, "body");
     }
-    assert!(heard.contains("X-Txn: t2\r\n"), "{heard}");
-    assert_eq!(again, usize::from(end != Some(DONE)));
-    send_text(&connection, DONE);
+    assert!(received.contains("X-Txn: t2\r\n"), "{received}");
+    assert_eq!(retries, usize::from(end != Some(CLOSING_RESPONSE)));
+    send_text(&connection, CLOSING_RESPONSE);
     assert!(
         harness
             .read_until(&clients[0], "\r\n\r\n")
@@ -130,15 +152,15 @@
     );
 }
 
-/// A drain moves later requests elsewhere, but they must not overtake one that still runs at the
-/// draining endpoint.
+/// A drain moves later requests to other endpoints, but these requests must not overtake one that
+/// is still running at the draining endpoint.
 #[test]
 fn a_drain_keeps_the_order_of_a_key() {
-    let mut harness = ordered_by_key();
-    let draining = harness.endpoint("s1");
+    let mut harness = start_ordered_by_key();
+    let draining = harness.add_endpoint("s1");
     let clients = ["t1", "t2"].map(|id| {
         let (client, _) = harness.connect_client();
-        send_text(&client, &of_key(id, "k"));
+        send_text(&client, &request_with_key(id, "k"));
         harness.run_until(|proxy| {
             proxy
                 .state
@@ -158,14 +180,14 @@
         crate::test_harness::list_entry("s2", fresh.local_addr().unwrap(), "active"),
     ]);
     assert_eq!(harness.proxy.state.borrow().counters.attempts, 1);
-    send_text(&first, DONE);
+    send_text(&first, CLOSING_RESPONSE);
     let second = harness.accept_connection(&fresh);
     assert!(
         harness
             .read_until(&second, "body")
             .contains("X-Txn: t2\r\n")
     );
-    send_text(&second, DONE);
+    send_text(&second, CLOSING_RESPONSE);
     clients.iter().for_each(|client| {
         assert!(
             harness
@@ -178,18 +200,20 @@
 /// Requests of a class named `stats` must not be answered with the counters.
 #[rstest]
 #[case::counters("stats", "/stats")]
-#[case::below_it("stats", "/stats/1")]
+#[case::path_below_the_page("stats", "/stats/1")]
 #[case::health("health", "/health/ready")]
 #[case::duty("duty", "/duty/1")]
-fn a_class_may_be_named_like_a_page(#[case] class: &str, #[case] path: &str) {
-    let mut harness =
-        TestHarness::with(|told| told["settings"]["useCases"][1]["name"] = class.into());
-    let endpoint = harness.endpoints();
+fn a_request_of_a_class_named_like_a_page_is_forwarded(#[case] class: &str, #[case] path: &str) {
+    let mut harness = TestHarness::with_configuration(|document| {
+        document["settings"]["useCases"][1]["name"] = class.into();
+    });
+    let endpoint = harness.add_endpoints();
     let (client, _) = harness.connect_client();
     send_text(
         &client,
         &format!(
-            "GET {path} HTTP/1.1\r\nHost: app\r\nX-Txn: t1\r\nX-Lane: {class}\r\nX-Remaining-Ms: 900\r\n\r\n"
+            "GET {path} HTTP/1.1\r\nHost: app\r\nX-Txn: t1\r\nX-Lane: {class}\r\n\
+             X-Remaining-Ms: 900\r\n\r\n"
         ),
     );
     let connection = harness.accept_connection(&endpoint);
@@ -207,7 +231,7 @@
             .read_until(&client, "ok")
             .starts_with("HTTP/1.1 200 ")
     );
-    // Without an id it is a request for the page.
+    // A request without an id is a request for the page.
     let (operator, _) = harness.connect_client();
     send_text(&operator, "GET /stats HTTP/1.1\r\nHost: app\r\n\r\n");
     assert!(
@@ -217,17 +241,17 @@
     );
 }
 
-/// While a balancer is not scheduled, requests wait on connections in its backlog.
+/// While a balancer process is not scheduled, requests wait on connections in its backlog.
 #[test]
 fn time_in_the_backlog_counts_against_the_deadline() {
     let mut harness = TestHarness::new();
-    let endpoint = harness.endpoints();
+    let endpoint = harness.add_endpoints();
     let client = std::net::TcpStream::connect(harness.address).unwrap();
     client.set_nonblocking(true).unwrap();
     send_text(&client, &request_message("t1", "body"));
     {
         let mut state = harness.proxy.state.borrow_mut();
-        // This iteration should have begun 0.4 s ago.
+        // The planned start of this iteration was 0.4 s ago.
         state.loop_iteration.wait_until = state.now() - 400_000;
     }
     while harness.proxy.state.borrow().clients.is_empty() {
@@ -236,18 +260,18 @@
     harness.proxy.state.borrow_mut().loop_iteration.wait_until = Micros::MAX;
     let connection = harness.accept_connection(&endpoint);
     let sent = harness.read_until(&connection, "body");
-    let told = sent
+    let remaining_ms = sent
         .split("X-Remaining-Ms: ")
         .nth(1)
         .and_then(|rest| rest.split('\r').next())
         .unwrap();
-    assert!(told.parse::<u64>().unwrap() <= 500, "{sent}");
+    assert!(remaining_ms.parse::<u64>().unwrap() <= 500, "{sent}");
 }
 
 #[test]
 fn a_request_with_an_id_in_flight_is_rejected() {
     let mut harness = TestHarness::new();
-    let endpoint = harness.endpoints();
+    let endpoint = harness.add_endpoints();
     let (first, _) = harness.connect_client();
     send_text(&first, &request_message("t1", "body"));
     let connection = harness.accept_connection(&endpoint);
@@ -307,7 +331,7 @@
         harness
             .read_until(&third, "live\n")
             .starts_with("HTTP/1.1 200 "),
-        "small ones are taken"
+        "small requests are accepted"
     );
     drop((first, second, third));
     harness.run_until(|proxy| proxy.state.borrow().clients.is_empty().then_some(()));
@@ -323,7 +347,7 @@
 #[test]
 fn a_request_counts_as_buffered_until_it_is_answered() {
     let mut harness = TestHarness::new();
-    let endpoint = harness.endpoints();
+    let endpoint = harness.add_endpoints();
     let (client, _) = harness.connect_client();
     let text = request_message("t1", "body");
     send_text(&client, &text);
--- a/crates/proxy/src/connections/request_error.rs
+++ b/crates/proxy/src/connections/request_error.rs
@@ -10,35 +10,35 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RequestError {
     /// The message is not a valid HTTP/1.1 request, or its end is ambiguous.
-    #[error("malformed message")]
+    #[error("malformed HTTP/1.1 message")]
     MalformedMessage,
     /// The head is too long or has too many fields.
-    #[error("head of more than {MAX_HEAD_BYTES} bytes or {MAX_FIELDS} fields")]
+    #[error("head exceeds {MAX_HEAD_BYTES} bytes or {MAX_FIELDS} fields")]
     HeadTooLarge,
     /// The body is too long.
-    #[error("body of more than {MAX_BODY_BYTES} bytes")]
+    #[error("body exceeds {MAX_BODY_BYTES} bytes")]
     BodyTooLarge,
     /// The client took too long to send the request.
-    #[error("request took too long to arrive")]
+    #[error("request was not received in time")]
     TimedOut,
     /// Buffered requests have reached the memory limit.
-    #[error("memory limit reached")]
+    #[error("memory limit for buffered requests reached")]
     MemoryLimit,
     /// The request was still incomplete when the shutdown stopped waiting for it.
-    #[error("shutting down")]
+    #[error("balancer is shutting down")]
     ShuttingDown,
-    /// The path names no known class, or the class field names a different class.
-    #[error("unknown class")]
+    /// The path does not name a known class, or the class field names a different one.
+    #[error("class is unknown, or the path and the class field differ")]
     UnknownClass,
     /// The class or page requires another method.
-    #[error("method not allowed")]
+    #[error("method not allowed for this class or page")]
     MethodNotAllowed,
     /// A required field is missing, repeated or malformed.
     #[error("field '{0}' is missing, repeated or malformed")]
     InvalidField(&'static str),
     /// A request with this id is already in flight. A second one would replace it, and the first
     /// one would get no response.
-    #[error("a request with this id is in flight")]
+    #[error("a request with this id is already in flight")]
     DuplicateId,
 }
 
--- a/crates/proxy/src/connections/response_parser.rs
+++ b/crates/proxy/src/connections/response_parser.rs
@@ -67,7 +67,7 @@
         Ok(_) | Err(_) => return ParsedHead::Final(ParsedResponse::Malformed),
     };
     let framing = match head.code {
-        // No request asks for a switch of protocols.
+        // A protocol switch was not requested.
         None | Some(101) => None,
         Some(100..=199) => return ParsedHead::Interim(head_length),
         Some(204 | 304) => Some(Framing::Length(0)),
--- a/crates/proxy/src/discovery/tests.rs
+++ b/crates/proxy/src/discovery/tests.rs
@@ -54,7 +54,7 @@
 #[case::truncated("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{".into())]
 fn a_failed_poll_keeps_the_list_and_is_repeated(#[case] response: String) {
     let mut harness = TestHarness::new();
-    let _endpoint = harness.endpoint("s1");
+    let _endpoint = harness.add_endpoint("s1");
     let first = first_poll(&mut harness);
     send_text(&first, &response);
     drop(first);
@@ -159,7 +159,7 @@
 #[test]
 fn an_endpoint_that_a_complete_list_does_not_name_is_removed() {
     let mut harness = TestHarness::new();
-    let (_first, second) = (harness.endpoint("s1"), harness.endpoint("s2"));
+    let (_first, second) = (harness.add_endpoint("s1"), harness.add_endpoint("s2"));
     let entries = [list_entry("s2", second.local_addr().unwrap(), "active")];
     harness
         .proxy
@@ -179,7 +179,7 @@
     #[case] value: Value,
 ) {
     let mut harness = TestHarness::new();
-    let endpoint = harness.endpoint("s1");
+    let endpoint = harness.add_endpoint("s1");
     let address = endpoint.local_addr().unwrap();
     let mut bad = list_entry("s1", address, "active");
     bad[field] = value;
@@ -226,7 +226,7 @@
 #[test]
 fn a_removed_endpoint_is_forgotten_once_nothing_is_in_flight_there() {
     let mut harness = TestHarness::new();
-    let endpoint = harness.endpoint("s1");
+    let endpoint = harness.add_endpoint("s1");
     let (_client, _) = harness.start_attempt("t1", "s1", 60_000_000);
     let connection = harness.accept_connection(&endpoint);
     harness.read_until(&connection, "body");
@@ -297,7 +297,7 @@
 /// lists and polled up to 5.4 s later; what had changed at 8.75 s counted as delivered at 14.75 s.
 #[test]
 fn a_process_with_a_cached_list_polls_before_it_serves() {
-    let mut harness = TestHarness::with(|document| {
+    let mut harness = TestHarness::with_configuration(|document| {
         let old = list_entry("old", local_listener().local_addr().unwrap(), "active");
         document["settings"]["fleetSize"] = 300.into();
         document["known"] = json!({"rev": 1, "all": true, "targets": [old]});
@@ -340,7 +340,7 @@
 fn nothing_is_sent_by_a_cached_list_before_discovery_was_polled(#[case] is_answered: bool) {
     let endpoint = local_listener();
     let address = endpoint.local_addr().unwrap();
-    let mut harness = TestHarness::with(|document| {
+    let mut harness = TestHarness::with_configuration(|document| {
         let entries =
             ["s1", "s2", "s3", "s4", "s5", "s6"].map(|id| list_entry(id, address, "active"));
         document["known"] = json!({"rev": 7, "all": true, "targets": entries});
--- a/crates/proxy/src/gossip/tests.rs
+++ b/crates/proxy/src/gossip/tests.rs
@@ -16,7 +16,7 @@
         .unwrap()
         .local_addr()
         .unwrap();
-    let harness = TestHarness::with(|document| {
+    let harness = TestHarness::with_configuration(|document| {
         change_deployment(document, &[own, other.local_addr().unwrap()]);
     });
     (harness, other, own)
@@ -74,7 +74,7 @@
 #[case::failed("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", 0)]
 fn a_request_waits_for_the_probe(#[case] answer: &str, #[case] answered: u64) {
     let (mut harness, _other, _) = balancer_and_peer();
-    let endpoint = harness.endpoint("s1");
+    let endpoint = harness.add_endpoint("s1");
     let (client, _) = harness.connect_client();
     send_text(
         &client,
--- a/crates/proxy/src/lifecycle/reload/tests.rs
+++ b/crates/proxy/src/lifecycle/reload/tests.rs
@@ -32,7 +32,7 @@
 #[test]
 fn the_complete_list_is_polled_at_each_new_address() {
     let mut harness = TestHarness::new();
-    let endpoint = harness.endpoint("s1");
+    let endpoint = harness.add_endpoint("s1");
     let (client, request) = harness.start_attempt("t1", "s1", 5_000_000);
     let connection = harness.accept_connection(&endpoint);
     harness.read_until(&connection, "body");
@@ -126,7 +126,7 @@
     let address = harness.discovery.local_addr().unwrap().to_string();
     let [old, mut new] = [0, 1].map(|_| configuration("127.0.0.1:0", &address));
     change_deployment(&mut new, &peers);
-    let endpoint = harness.endpoint("s1");
+    let endpoint = harness.add_endpoint("s1");
     let (client, request) = harness.start_attempt("t1", "s1", 5_000_000);
     let connection = harness.accept_connection(&endpoint);
     harness.read_until(&connection, "body");
@@ -368,7 +368,7 @@
 #[test]
 fn a_reload_during_a_shutdown_loses_nothing() {
     let mut harness = TestHarness::new();
-    let endpoint = harness.endpoint("s1");
+    let endpoint = harness.add_endpoint("s1");
     let (client, _) = harness.start_attempt("t1", "s1", 5_000_000);
     let connection = harness.accept_connection(&endpoint);
     harness.read_until(&connection, "body");
--- a/crates/proxy/src/lifecycle/shutdown/tests.rs
+++ b/crates/proxy/src/lifecycle/shutdown/tests.rs
@@ -6,7 +6,7 @@
 #[test]
 fn a_shutdown_answers_requests_then_closes_idle_connections() {
     let mut harness = TestHarness::new();
-    let endpoint = harness.endpoints();
+    let endpoint = harness.add_endpoints();
     let (busy, _) = harness.connect_client();
     let (idle, key) = harness.connect_client();
     harness.proxy.state.borrow_mut().clients[key].responses_sent = 1;
@@ -122,7 +122,7 @@
 #[case::incomplete(false)]
 fn a_shutdown_waits_for_incomplete_requests(#[case] is_completed: bool) {
     let mut harness = TestHarness::new();
-    let endpoint = harness.endpoints();
+    let endpoint = harness.add_endpoints();
     let (client, key) = harness.connect_client();
     let text = request_message("t1", "body");
     send_text(&client, &text[..40]);
@@ -167,7 +167,7 @@
 #[test]
 fn a_shutdown_does_not_abandon_requests_with_a_late_deadline() {
     let mut harness = TestHarness::new();
-    let endpoint = harness.endpoint("s1");
+    let endpoint = harness.add_endpoint("s1");
     let (client, _) = harness.start_attempt("t1", "s1", 30_000_000);
     let connection = harness.accept_connection(&endpoint);
     harness.read_until(&connection, "body");
--- a/crates/proxy/src/state/buffers.rs
+++ b/crates/proxy/src/state/buffers.rs
@@ -10,7 +10,7 @@
 mod tests;
 
 /// Number of bytes requested from a socket in one read. Most messages fit, and an idle connection
-/// holds no larger buffer.
+/// does not hold a larger buffer.
 const READ_CHUNK_BYTES: usize = 4096;
 /// Maximum number of slices passed to one write; the system accepts no more than 1,024.
 const MAX_SLICES_PER_WRITE: usize = 64;
--- a/crates/proxy/src/state/buffers/tests.rs
+++ b/crates/proxy/src/state/buffers/tests.rs
@@ -1,30 +1,30 @@
 use super::*;
 use crate::test_harness::local_listener;
 
-fn pair() -> (TcpStream, TcpStream) {
+fn connected_pair() -> (TcpStream, TcpStream) {
     let listener = local_listener();
-    let ours = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    let local = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     listener.set_nonblocking(false).unwrap();
-    let theirs = listener.accept().unwrap().0;
-    theirs.set_nonblocking(false).unwrap();
-    ours.set_nonblocking(true).unwrap();
-    (ours, theirs)
+    let remote = listener.accept().unwrap().0;
+    remote.set_nonblocking(false).unwrap();
+    local.set_nonblocking(true).unwrap();
+    (local, remote)
 }
 
 #[test]
 fn a_read_buffer_stays_within_its_limit() {
-    let (ours, mut theirs) = pair();
-    theirs.write_all(&[7; 5000]).unwrap();
-    drop(theirs);
+    let (local, mut remote) = connected_pair();
+    remote.write_all(&[7; 5000]).unwrap();
+    drop(remote);
     let mut read_buffer = ReadBuffer::default();
-    let first = std::iter::repeat_with(|| read_buffer.fill(&ours, 4500))
+    let first = std::iter::repeat_with(|| read_buffer.fill(&local, 4500))
         .find(|outcome| *outcome != ReadOutcome::WouldBlock);
     assert_eq!(
         (first, read_buffer.bytes().len()),
         (Some(ReadOutcome::Full), 4500)
     );
     assert_eq!(read_buffer.take(4500).len(), 4500);
-    let last = std::iter::repeat_with(|| read_buffer.fill(&ours, 4500))
+    let last = std::iter::repeat_with(|| read_buffer.fill(&local, 4500))
         .find(|outcome| *outcome != ReadOutcome::WouldBlock);
     assert_eq!(
         (last, read_buffer.bytes().len()),
@@ -34,25 +34,25 @@
 
 #[test]
 fn a_write_buffer_resumes_a_partial_write() {
-    let (ours, mut theirs) = pair();
+    let (local, mut remote) = connected_pair();
     let sent: Vec<u8> = (0..8_000_000_u32).map(|n| (n % 251) as u8).collect();
     let mut write_buffer = WriteBuffer::default();
     for part in sent.chunks(70_001) {
         write_buffer.push(Bytes::copy_from_slice(part));
     }
-    write_buffer.flush(&ours).unwrap();
+    write_buffer.flush(&local).unwrap();
     assert!(
         !write_buffer.is_empty(),
-        "a socket took eight megabytes at once"
+        "the socket accepted 8 MB in one write"
     );
     let reader = std::thread::spawn(move || {
-        let mut heard = Vec::new();
-        theirs.read_to_end(&mut heard).map(|_| heard)
+        let mut received = Vec::new();
+        remote.read_to_end(&mut received).map(|_| received)
     });
     while !write_buffer.is_empty() {
-        write_buffer.flush(&ours).unwrap();
+        write_buffer.flush(&local).unwrap();
         std::thread::yield_now();
     }
-    drop(ours);
+    drop(local);
     assert!(reader.join().unwrap().unwrap() == sent, "the bytes differ");
 }
--- a/crates/proxy/src/state/clock/tests.rs
+++ b/crates/proxy/src/state/clock/tests.rs
@@ -4,10 +4,22 @@
 
 #[rstest]
 #[case::in_time(LoopIteration { previous_overrun: 0, wait_until: 100_000 }, 90_000, 0)]
-#[case::as_usual(LoopIteration { previous_overrun: 2_000, wait_until: 100_000 }, 102_000, 0)]
-#[case::stopped_in_the_wait(LoopIteration { previous_overrun: 0, wait_until: 100_000 }, 400_000, 300_000)]
-#[case::busy_before(LoopIteration { previous_overrun: 50_000, wait_until: 100_000 }, 90_000, 50_000)]
-fn delays_of_the_process_count_as_lateness(
+#[case::below_the_minimum(
+    LoopIteration { previous_overrun: 2_000, wait_until: 100_000 },
+    102_000,
+    0,
+)]
+#[case::stopped_during_the_wait(
+    LoopIteration { previous_overrun: 0, wait_until: 100_000 },
+    400_000,
+    300_000,
+)]
+#[case::busy_before(
+    LoopIteration { previous_overrun: 50_000, wait_until: 100_000 },
+    90_000,
+    50_000,
+)]
+fn process_delays_above_the_minimum_are_counted(
     #[case] loop_iteration: LoopIteration,
     #[case] now: Micros,
     #[case] late: Micros,
@@ -16,7 +28,7 @@
 }
 
 #[test]
-fn a_long_iteration_makes_the_next_one_late() {
+fn an_overrun_counts_as_delay_of_the_next_iteration() {
     let mut iteration = LoopIteration {
         previous_overrun: 0,
         wait_until: 100_000,
--- a/crates/proxy/src/state/timers.rs
+++ b/crates/proxy/src/state/timers.rs
@@ -95,8 +95,8 @@
         self.ordered.first_key_value().map(|(key, _)| key.at)
     }
 
-    /// Returns the serial number of the timer scheduled last. If it is passed to [`Self::take_expired`],
-    /// timers scheduled later are left to a later iteration.
+    /// Returns the serial number of the timer scheduled last. If it is passed to
+    /// [`Self::take_expired`], timers scheduled later are left to a later iteration.
     pub fn last_serial(&self) -> u64 {
         self.last_serial
     }
--- a/crates/proxy/src/test_harness.rs
+++ b/crates/proxy/src/test_harness.rs
@@ -1,4 +1,4 @@
-//! A proxy between sockets of the test's own. Tests wait for events, never for a fixed time.
+//! A proxy between sockets that belong to the test. Tests wait for events, never for a fixed time.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -16,10 +16,11 @@
 use crate::state::keys::{ClientKey, EndpointConnectionKey, RequestKey};
 use crate::state::proxy::{Proxy, ProxyHost};
 
-/// Far more than any event takes: a test that waits longer has failed.
-const LONG: Duration = Duration::from_secs(20);
+/// Maximum wait for an event, far longer than any event takes; beyond it the test fails.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A configuration with one class that has an idempotency key and one that is idempotent.
+/// Returns a configuration with one class that requires an idempotency key and one idempotent
+/// class.
 pub fn configuration(listen: &str, discovery: &str) -> Value {
     json!({
         "name": "n0", "listen": listen, "discovery": discovery, "seed": "8c1f30d27a5be964",
@@ -28,9 +29,10 @@
             "fleetSize": 1, "me": 0, "zone": 0, "registryMode": "ask", "weightKind": "off",
             "dcs": ["a"], "kinds": ["m1"], "report": {"source": "inline"},
             "caps": {"cancel": true, "secondCopies": true, "maxDispatches": 5, "retryAfter": true,
-                "maxRetryAfterUs": 1_000_000, "connIdleUs": 15_000_000, "connectTimeoutUs": 250_000},
-            "rules": {"askWithinUs": 10_000_000, "coldFrom": 0.3, "warmUpUs": 8_800_000, "tipMultiple": 3.0,
-                "fallUs": 1_000_000, "drainGraceUs": 400_000},
+                "maxRetryAfterUs": 1_000_000, "connIdleUs": 15_000_000,
+                "connectTimeoutUs": 250_000},
+            "rules": {"askWithinUs": 10_000_000, "coldFrom": 0.3, "warmUpUs": 8_800_000,
+                "tipMultiple": 3.0, "fallUs": 1_000_000, "drainGraceUs": 400_000},
             "accounts": [{"name": "acme", "allowancePerS": 100.0}],
             "useCases": [
                 {"name": "pay", "effect": "keyed", "dedupScope": "cell", "dedupWindowUs": 2_500_000,
@@ -39,13 +41,13 @@
     })
 }
 
-/// An entry of the endpoint list.
+/// Returns an entry of the endpoint list.
 pub fn list_entry(id: &str, address: SocketAddr, state: &str) -> Value {
     json!({"uid": id, "endpoint": address.to_string(), "az": "a", "model": "m1", "pod_group": 0,
         "state": state, "capacity_hint": 1.0, "boot_ms": 0})
 }
 
-/// Discovery's response with a list.
+/// Returns discovery's response with a list.
 pub fn list_response(list: &Value) -> String {
     let text = list.to_string();
     format!(
@@ -54,7 +56,7 @@
     )
 }
 
-/// A complete request of the class with an idempotency key.
+/// Returns a complete request of the class that requires an idempotency key.
 pub fn request_message(id: &str, body: &str) -> String {
     format!(
         "POST /pay/1?x=2 HTTP/1.1\r\nHost: app\r\nX-Txn: {id}\r\nX-Lane: pay\r\nX-Org: acme\r\n\
@@ -63,7 +65,7 @@
     )
 }
 
-/// A proxy in its event loop, and a listener in the place of discovery.
+/// A proxy in its event loop, and a listener as a stand-in for discovery.
 pub struct TestHarness {
     pub event_loop: EventLoop<'static, Proxy>,
     pub proxy: Proxy,
@@ -72,13 +74,13 @@
 }
 
 impl TestHarness {
-    /// A proxy with the default configuration.
+    /// Starts a proxy with the default configuration.
     pub fn new() -> Self {
-        Self::with(|_| {})
+        Self::with_configuration(|_| {})
     }
 
-    /// A proxy whose configuration is changed before it starts.
-    pub fn with(change: impl FnOnce(&mut Value)) -> Self {
+    /// Starts a proxy after a change to the default configuration.
+    pub fn with_configuration(change: impl FnOnce(&mut Value)) -> Self {
         let discovery = local_listener();
         let mut document =
             configuration("127.0.0.1:0", &discovery.local_addr().unwrap().to_string());
@@ -93,7 +95,7 @@
             settings,
         )
         .unwrap();
-        // However slow a test is, its requests count as received in time.
+        // Requests count as received in time, however slowly the test runs.
         proxy.state.borrow_mut().loop_iteration.wait_until = Micros::MAX;
         let address = proxy
             .state
@@ -113,15 +115,15 @@
     }
 
     /// Adds an endpoint to the list.
-    pub fn endpoint(&mut self, id: &str) -> TcpListener {
+    pub fn add_endpoint(&mut self, id: &str) -> TcpListener {
         let listener = local_listener();
         self.receive_list(&[list_entry(id, listener.local_addr().unwrap(), "active")]);
         listener
     }
 
-    /// Adds several endpoints at one address: with so many to itself, a balancer without samples
-    /// admits every request.
-    pub fn endpoints(&mut self) -> TcpListener {
+    /// Adds several endpoints with one address. A balancer without samples admits every request
+    /// when it has this many endpoints to itself.
+    pub fn add_endpoints(&mut self) -> TcpListener {
         let listener = local_listener();
         let address = listener.local_addr().unwrap();
         self.receive_list(
@@ -130,22 +132,22 @@
         listener
     }
 
-    /// Receives a list of changes from discovery.
+    /// Applies an incremental endpoint list from discovery.
     pub fn receive_list(&mut self, entries: &[Value]) {
         self.proxy
             .apply_list(&json!({"rev": 1, "all": false, "targets": entries}))
             .unwrap();
     }
 
-    /// Runs the event loop until `look` finds something.
-    pub fn run_until<T>(&mut self, mut look: impl FnMut(&mut Proxy) -> Option<T>) -> T {
-        let began = Instant::now();
+    /// Runs the event loop until `poll` returns a value.
+    pub fn run_until<T>(&mut self, mut poll: impl FnMut(&mut Proxy) -> Option<T>) -> T {
+        let started_at = Instant::now();
         loop {
-            if let Some(found) = look(&mut self.proxy) {
+            if let Some(found) = poll(&mut self.proxy) {
                 return found;
             }
             assert!(
-                began.elapsed() < LONG,
+                started_at.elapsed() < EVENT_TIMEOUT,
                 "timed out; {}",
                 nonzero_counters(&self.proxy)
             );
@@ -156,9 +158,9 @@
         }
     }
 
-    /// Connects a client.
+    /// Connects a client. Returns its stream and its key in the proxy.
     pub fn connect_client(&mut self) -> (TcpStream, ClientKey) {
-        let known: Vec<_> = self.proxy.state.borrow().clients.keys().collect();
+        let existing: Vec<_> = self.proxy.state.borrow().clients.keys().collect();
         let stream = TcpStream::connect(self.address).unwrap();
         stream.set_nonblocking(true).unwrap();
         let key = self.run_until(|proxy| {
@@ -167,7 +169,7 @@
                 .borrow()
                 .clients
                 .keys()
-                .find(|key| !known.contains(key))
+                .find(|key| !existing.contains(key))
         });
         (stream, key)
     }
@@ -187,16 +189,16 @@
 
     /// Reads until the received text ends with `end`.
     pub fn read_until(&mut self, mut stream: &TcpStream, end: &str) -> String {
-        let mut heard = Vec::new();
+        let mut received = Vec::new();
         self.run_until(|_| {
             let mut part = [0; 4096];
             match stream.read(&mut part) {
-                Ok(count) => heard.extend_from_slice(&part[..count]),
-                Err(problem) => assert_eq!(problem.kind(), ErrorKind::WouldBlock),
+                Ok(count) => received.extend_from_slice(&part[..count]),
+                Err(error) => assert_eq!(error.kind(), ErrorKind::WouldBlock),
             }
-            heard.ends_with(end.as_bytes()).then_some(())
+            received.ends_with(end.as_bytes()).then_some(())
         });
-        String::from_utf8(heard).unwrap()
+        String::from_utf8(received).unwrap()
     }
 
     /// Waits until the proxy has closed the connection.
@@ -204,17 +206,17 @@
         self.run_until(|_| match stream.read(&mut [0; 4096]) {
             Ok(0) => Some(()),
             Ok(_) => None,
-            Err(problem) => (problem.kind() != ErrorKind::WouldBlock).then_some(()),
+            Err(error) => (error.kind() != ErrorKind::WouldBlock).then_some(()),
         });
     }
 
-    /// Starts the first attempt of a request that the policy does not know, which times out after
-    /// `wait`, in microseconds.
+    /// Starts the first attempt of a request that is not registered with the policy. The attempt
+    /// times out after `timeout`, in microseconds.
     pub fn start_attempt(
         &mut self,
         id: &str,
         endpoint: &str,
-        wait: Micros,
+        timeout: Micros,
     ) -> (TcpStream, RequestKey) {
         let (stream, key) = self.connect_client();
         let text = bytes::Bytes::from(request_message(id, "body"));
@@ -232,7 +234,7 @@
             .borrow_mut()
             .add_request(key, id, idempotency, &message, &head);
         let request = self.proxy.state.borrow().requests.key_of(id).unwrap();
-        self.start_another_attempt(id, endpoint, wait);
+        self.start_another_attempt(id, endpoint, timeout);
         (stream, request)
     }
 
@@ -243,7 +245,7 @@
         connection
     }
 
-    /// Opens a connection to endpoint `s1` on which an attempt has failed and which is idle now.
+    /// Opens a connection to endpoint `s1` on which an attempt has failed and which is now idle.
     pub fn idle_connection(&mut self, listener: &TcpListener) -> TcpStream {
         const MINUTE_US: Micros = 60_000_000;
         let _client = self.start_attempt("t0", "s1", MINUTE_US);
@@ -253,13 +255,13 @@
         connection
     }
 
-    /// The key of the only connection to an endpoint.
+    /// Returns the key of the only connection to an endpoint.
     pub fn only_endpoint_connection(&self) -> EndpointConnectionKey {
         let state = self.proxy.state.borrow();
         state.endpoint_connections.keys().next().unwrap()
     }
 
-    /// Counts of attempts by their outcome, without those that are 0.
+    /// Returns the counts of attempts by outcome, without counts of 0.
     pub fn outcomes(&self) -> String {
         let text = self.proxy.state.borrow().counters.to_string();
         let outcomes: Vec<_> = text.lines().filter_map(counted_outcome).collect();
@@ -277,20 +279,20 @@
         self.outcomes()
     }
 
-    /// Waits until the counters are as expected.
+    /// Waits until the counters meet a condition.
     pub fn run_until_counters(&mut self, is_expected: impl Fn(&Counters) -> bool) {
         self.run_until(|proxy| is_expected(&proxy.state.borrow().counters).then_some(()));
     }
 
-    /// Starts another attempt of a request, which times out after `wait`, in microseconds.
-    pub fn start_another_attempt(&mut self, id: &str, endpoint: &str, wait: Micros) {
-        let expire_at = self.proxy.state.borrow().now() + wait;
+    /// Starts another attempt of a request. The attempt times out after `timeout`, in microseconds.
+    pub fn start_another_attempt(&mut self, id: &str, endpoint: &str, timeout: Micros) {
+        let expire_at = self.proxy.state.borrow().now() + timeout;
         ProxyHost(self.proxy.state.clone()).start_attempt(id, endpoint, expire_at);
     }
 }
 
-/// Changes a configuration to that of another deployment: other classes, loads reported on health
-/// checks only, no hedged requests, and two balancers that exchange gossip at these addresses.
+/// Changes a configuration to that of another deployment: other classes, load reports on health
+/// checks only, no hedged requests, and balancers that exchange gossip at the addresses in `peers`.
 pub fn change_deployment(document: &mut Value, peers: &[SocketAddr]) {
     let settings = &mut document["settings"];
     settings["useCases"] = json!([
@@ -306,7 +308,7 @@
     document["peers"] = peers.iter().map(SocketAddr::to_string).collect();
 }
 
-/// A listener on a free port.
+/// Opens a listener on a free port.
 pub fn local_listener() -> TcpListener {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     listener.set_nonblocking(true).unwrap();
@@ -318,13 +320,14 @@
     stream.write_all(text.as_bytes()).unwrap();
 }
 
-/// The outcome and the count of a line of the counters, if it counts an outcome and is not 0.
+/// Returns the outcome and the count in a line of the counters, if the line counts an outcome and
+/// the count is not 0.
 fn counted_outcome(line: &str) -> Option<&str> {
     line.strip_prefix("attempts_")
         .filter(|line| !line.starts_with("blocked ") && !line.ends_with(" 0"))
 }
 
-/// The counters that are not 0, for the message of a failed test.
+/// Returns the counters that are not 0, for the message of a failed test.
 fn nonzero_counters(proxy: &Proxy) -> String {
     let text = proxy.state.borrow().counters.to_string();
     text.lines()
--- a/crates/proxy/tests/edges/clients.rs
+++ b/crates/proxy/tests/edges/clients.rs
@@ -1,4 +1,4 @@
-//! What a client receives for each kind of answer.
+//! Bytes that a client receives for each kind of response.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -6,30 +6,34 @@
 use serde_json::{Value, json};
 
 use crate::harness::{
-    Balancer, Recording, Reply, StandIn, config, free_port, http_answer, own_address, read_answer,
-    six_entries,
+    Balancer, Recording, Reply, StandIn, config, free_port, http_response, read_response,
+    six_entries, unique_loopback_address,
 };
 
 fn get(id: &str) -> String {
     format!("GET /look/{id} HTTP/1.1\r\nHost: app\r\nX-Txn: {id}\r\nX-Remaining-Ms: 15000\r\n\r\n")
 }
 
-/// The endpoint's answers, by the id of the request.
-const ENDPOINT_ANSWERS: [(&str, &str); 8] = [
+/// Responses of the endpoint, by request id.
+const ENDPOINT_RESPONSES: [(&str, &str); 8] = [
     ("plain", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"),
     (
         "fields",
-        "HTTP/1.1 200 Fine\r\nServer: s1\r\nX-Pressure: TEXT inflight=1, queue=0\r\nConnection: keep-alive\r\n\
-         Keep-Alive: timeout=5\r\nSet-Cookie: a=1\r\nset-cookie: b=2\r\nUpgrade: h2c\r\nContent-Length: 2\r\n\r\nok",
+        "HTTP/1.1 200 Fine\r\nServer: s1\r\nX-Pressure: TEXT inflight=1, queue=0\r\n\
+         Connection: keep-alive\r\n\
+         Keep-Alive: timeout=5\r\nSet-Cookie: a=1\r\nset-cookie: b=2\r\nUpgrade: h2c\r\n\
+         Content-Length: 2\r\n\r\nok",
     ),
     (
         "chunked",
-        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-End\r\n\r\n2\r\nab\r\n3;x=y\r\ncde\r\n\
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-End\r\n\r\n2\r\nab\r\n\
+         3;x=y\r\ncde\r\n\
          0\r\nX-End: 1\r\n\r\n",
     ),
     (
         "early",
-        "HTTP/1.1 103 Early Hints\r\nLink: <a>\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1",
+        "HTTP/1.1 103 Early Hints\r\nLink: <a>\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n\
+         1",
     ),
     ("empty", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"),
     ("closed", "HTTP/1.1 200 OK\r\nX-A: 1\r\n\r\nto the end"),
@@ -44,30 +48,30 @@
     let text = String::from_utf8_lossy(message).into_owned();
     let id = text.lines().find_map(|line| line.strip_prefix("X-Txn: "));
     let id = id.unwrap_or_default();
-    let answer = ENDPOINT_ANSWERS
+    let response = ENDPOINT_RESPONSES
         .iter()
         .find(|(known, _)| *known == id)
-        .map_or(ENDPOINT_ANSWERS[0].1, |(_, answer)| answer);
+        .map_or(ENDPOINT_RESPONSES[0].1, |(_, response)| response);
     match id {
-        "closed" => Reply::AnswerAndClose(answer.into()),
-        "held" => Reply::WhenReleased(answer.into()),
-        _ => Reply::Answer(answer.into()),
+        "closed" => Reply::RespondAndClose(response.into()),
+        "held" => Reply::WhenReleased(response.into()),
+        _ => Reply::Respond(response.into()),
     }
 }
 
-struct Scene {
+struct TestSetup {
     endpoint: StandIn,
     _discovery: StandIn,
     balancer: Balancer,
 }
 
-impl Scene {
+impl TestSetup {
     fn start(test: &str, change: impl FnOnce(&mut Value)) -> Self {
-        let ip = own_address();
+        let ip = unique_loopback_address();
         let endpoint = StandIn::start(ip, |_, message| endpoint_reply(message));
         let list = json!({"rev": 3, "all": true, "targets": six_entries(endpoint.address)});
         let discovery = StandIn::start(ip, move |number, _| match number {
-            0 => Reply::Answer(http_answer(&list)),
+            0 => Reply::Respond(http_response(&list)),
             _ => Reply::Hold,
         });
         let mut config = config(free_port(ip), discovery.address);
@@ -82,53 +86,54 @@
     }
 
     fn record(&self, recording: &mut Recording, title: &str, request: &str) {
-        recording.add(title, &self.balancer.ask(request.as_bytes()));
+        recording.add(title, &self.balancer.send_request(request.as_bytes()));
     }
 }
 
 #[test]
-fn forwarded_answers_are_as_recorded() {
-    let scene = Scene::start("answers", |_| {});
+fn forwarded_responses_match_the_recording() {
+    let setup = TestSetup::start("answers", |_| {});
     let mut recording = Recording::new(&[]);
     for id in ["plain", "fields", "chunked", "early", "empty", "closed"] {
-        scene.record(&mut recording, &format!("200, {id}"), &get(id));
+        setup.record(&mut recording, &format!("200, {id}"), &get(id));
     }
-    scene.record(
+    setup.record(
         &mut recording,
         "503, the endpoint answers 500 to an idempotent request",
         &get("failed"),
     );
-    scene.record(
+    setup.record(
         &mut recording,
         "503, the endpoint rejects",
         &get("rejected"),
     );
-    let unsafe_request =
+    let non_idempotent_request =
         "POST /swap/1 HTTP/1.1\r\nHost: app\r\nX-Txn: failed\r\nX-Remaining-Ms: 15000\r\n\r\n";
-    scene.record(
+    setup.record(
         &mut recording,
         "502, the endpoint answers 500 to another",
-        unsafe_request,
+        non_idempotent_request,
     );
     let closing = get("plain").replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n");
-    scene.record(&mut recording, "200, connection closed", &closing);
-    let old = get("plain").replace("HTTP/1.1", "HTTP/1.0");
-    scene.record(&mut recording, "200, HTTP/1.0", &old);
-    let expecting = "POST /swap/1 HTTP/1.1\r\nHost: app\r\nX-Txn: waits\r\nX-Remaining-Ms: 15000\r\n\
+    setup.record(&mut recording, "200, connection closed", &closing);
+    let http_1_0 = get("plain").replace("HTTP/1.1", "HTTP/1.0");
+    setup.record(&mut recording, "200, HTTP/1.0", &http_1_0);
+    let expecting = "POST /swap/1 HTTP/1.1\r\nHost: app\r\nX-Txn: waits\r\n\
+                     X-Remaining-Ms: 15000\r\n\
                      Expect: 100-continue\r\nContent-Length: 3\r\n\r\n";
-    let mut stream = TcpStream::connect(scene.balancer.address).unwrap();
+    let mut stream = TcpStream::connect(setup.balancer.address).unwrap();
     stream.write_all(expecting.as_bytes()).unwrap();
     let mut continued = [0; 25];
     std::io::Read::read_exact(&mut stream, &mut continued).unwrap();
     recording.add("100 before the body", &continued);
     stream.write_all(b"abc").unwrap();
-    recording.add("200 after the body", &read_answer(&mut stream));
+    recording.add("200 after the body", &read_response(&mut stream));
     recording.compare("client-forwarded.txt");
 }
 
 #[test]
-fn refusals_are_as_recorded() {
-    let scene = Scene::start("refusals", |_| {});
+fn error_responses_match_the_recording() {
+    let setup = TestSetup::start("refusals", |_| {});
     let mut recording = Recording::new(&[]);
     let fields = "Host: app\r\nX-Txn: t1\r\nX-Remaining-Ms: 15000\r\n";
     let cases = [
@@ -239,20 +244,20 @@
         ),
     ];
     for (title, request) in cases {
-        scene.record(&mut recording, title, &request);
+        setup.record(&mut recording, title, &request);
     }
-    let mut first = TcpStream::connect(scene.balancer.address).unwrap();
+    let mut first = TcpStream::connect(setup.balancer.address).unwrap();
     first.write_all(get("held").as_bytes()).unwrap();
-    scene.endpoint.next();
-    scene.record(&mut recording, "409, the id is open", &get("held"));
-    scene.endpoint.release();
-    recording.add("200 to the first of that id", &read_answer(&mut first));
+    setup.endpoint.next();
+    setup.record(&mut recording, "409, the id is open", &get("held"));
+    setup.endpoint.release();
+    recording.add("200 to the first of that id", &read_response(&mut first));
     recording.compare("client-refused.txt");
 }
 
 #[test]
-fn a_long_message_without_memory_for_it_is_refused_as_recorded() {
-    let scene = Scene::start("memory", |config| config["limits"]["memory_mb"] = 0.into());
+fn the_rejection_of_a_long_message_at_the_memory_limit_matches_the_recording() {
+    let setup = TestSetup::start("memory", |config| config["limits"]["memory_mb"] = 0.into());
     let mut recording = Recording::new(&[]);
     let body = "x".repeat(8 * 1024);
     let long = format!(
@@ -260,14 +265,14 @@
          Content-Length: {}\r\n\r\n{body}",
         body.len()
     );
-    scene.record(&mut recording, "503, no memory left", &long);
-    scene.record(&mut recording, "200, a short one", &get("plain"));
+    setup.record(&mut recording, "503, no memory left", &long);
+    setup.record(&mut recording, "200, a short one", &get("plain"));
     recording.compare("client-memory.txt");
 }
 
 #[test]
-fn pages_are_as_recorded() {
-    let scene = Scene::start("pages", |_| {});
+fn pages_match_the_recording() {
+    let setup = TestSetup::start("pages", |_| {});
     let mut recording = Recording::new(&[]);
     for page in [
         "/health/ready",
@@ -276,11 +281,11 @@
         "/health",
     ] {
         let request = format!("GET {page} HTTP/1.1\r\nHost: app\r\n\r\n");
-        scene.record(&mut recording, page, &request);
+        setup.record(&mut recording, page, &request);
     }
-    let stats = scene
+    let stats = setup
         .balancer
-        .ask(b"GET /stats HTTP/1.1\r\nHost: app\r\n\r\n");
+        .send_request(b"GET /stats HTTP/1.1\r\nHost: app\r\n\r\n");
     let head = stats
         .windows(4)
         .position(|part| part == b"\r\n\r\n")
@@ -292,29 +297,32 @@
     recording.compare("client-pages.txt");
 }
 
-/// Settings under which the balancer names no time to come back after.
+/// With these settings the balancer sends no `Retry-After`.
 #[test]
-fn a_rejection_without_a_time_is_as_recorded() {
-    let scene = Scene::start("no-retry-after", |config| {
+fn a_rejection_without_retry_after_matches_the_recording() {
+    let setup = TestSetup::start("no-retry-after", |config| {
         config["settings"]["caps"]["retryAfter"] = false.into();
     });
     let mut recording = Recording::new(&[]);
-    scene.record(&mut recording, "503 without Retry-After", &get("rejected"));
+    setup.record(&mut recording, "503 without Retry-After", &get("rejected"));
     recording.compare("client-no-retry-after.txt");
 }
 
-/// Discovery takes the call and never answers: there is no list to serve by.
+/// Discovery accepts the poll and never responds, so the balancer has no endpoint list.
 #[test]
-fn answers_before_the_first_list_are_as_recorded() {
-    let ip = own_address();
+fn responses_before_the_first_list_match_the_recording() {
+    let ip = unique_loopback_address();
     let discovery = StandIn::start(ip, |_, _| Reply::Hold);
     let balancer = Balancer::start("listless", &config(free_port(ip), discovery.address));
     let mut recording = Recording::new(&[]);
     for page in ["/health/ready", "/health/live"] {
         let request = format!("GET {page} HTTP/1.1\r\nHost: app\r\n\r\n");
-        recording.add(page, &balancer.ask(request.as_bytes()));
+        recording.add(page, &balancer.send_request(request.as_bytes()));
     }
     let short = get("t1").replace("15000", "300");
-    recording.add("no endpoint in time", &balancer.ask(short.as_bytes()));
+    recording.add(
+        "no endpoint in time",
+        &balancer.send_request(short.as_bytes()),
+    );
     recording.compare("client-listless.txt");
 }
--- a/crates/proxy/tests/edges/discovery.rs
+++ b/crates/proxy/tests/edges/discovery.rs
@@ -4,35 +4,36 @@
 use serde_json::{Value, json};
 
 use crate::harness::{
-    Balancer, Recording, Reply, StandIn, config, entry, free_port, http_answer, own_address,
+    Balancer, Recording, Reply, StandIn, config, free_port, http_response, list_entry,
+    unique_loopback_address,
 };
 
 fn changes(version: u64, entries: &[Value]) -> Vec<u8> {
-    http_answer(&json!({"rev": version, "all": false, "targets": entries}))
+    http_response(&json!({"rev": version, "all": false, "targets": entries}))
 }
 
 /// Discovery's replies, by the number of the call; the last call is held.
 fn replies(address: std::net::SocketAddr) -> Vec<Reply> {
-    let whole = json!({"rev": 7, "all": true, "targets": [entry("s1", address, "active")]});
+    let whole = json!({"rev": 7, "all": true, "targets": [list_entry("s1", address, "active")]});
     let cut = changes(
         9,
         &[
-            entry("s1", address, "active"),
-            entry("s2", address, "active"),
+            list_entry("s1", address, "active"),
+            list_entry("s2", address, "active"),
         ],
     );
     vec![
-        Reply::Answer(http_answer(&whole)),
-        Reply::Answer(changes(7, &[])),
-        Reply::Answer(changes(8, &[entry("s1", address, "leaving")])),
-        Reply::AnswerAndClose(cut[..120].to_vec()),
-        Reply::Answer(b"HTTP/1.1 503 No\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n".to_vec()),
-        Reply::AnswerAndClose(Vec::new()),
-        Reply::Answer(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}".to_vec()),
-        Reply::Answer(changes(10, &[entry("s2", address, "active")])),
+        Reply::Respond(http_response(&whole)),
+        Reply::Respond(changes(7, &[])),
+        Reply::Respond(changes(8, &[list_entry("s1", address, "leaving")])),
+        Reply::RespondAndClose(cut[..120].to_vec()),
+        Reply::Respond(b"HTTP/1.1 503 No\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n".to_vec()),
+        Reply::RespondAndClose(Vec::new()),
+        Reply::Respond(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}".to_vec()),
+        Reply::Respond(changes(10, &[list_entry("s2", address, "active")])),
         // A version that goes back: the whole list is asked for.
-        Reply::Answer(changes(4, &[])),
-        Reply::Answer(http_answer(&whole)),
+        Reply::Respond(changes(4, &[])),
+        Reply::Respond(http_response(&whole)),
         Reply::Hold,
     ]
 }
@@ -46,7 +47,7 @@
     #[case] has_list: bool,
     #[case] recorded: &str,
 ) {
-    let ip = own_address();
+    let ip = unique_loopback_address();
     let endpoint = free_port(ip);
     let replies = replies(endpoint);
     let calls = replies.len();
@@ -57,7 +58,7 @@
     config["settings"]["registryMode"] = mode.into();
     if has_list {
         config["known"] =
-            json!({"rev": 5, "all": true, "targets": [entry("s9", endpoint, "active")]});
+            json!({"rev": 5, "all": true, "targets": [list_entry("s9", endpoint, "active")]});
     }
     let _balancer = Balancer::start(&format!("discovery-{mode}-{has_list}"), &config);
     let mut recording = Recording::new(&[(discovery.address, "DISCOVERY")]);
--- a/crates/proxy/tests/edges/endpoints.rs
+++ b/crates/proxy/tests/edges/endpoints.rs
@@ -1,12 +1,13 @@
-//! What an endpoint receives.
+//! Bytes that an endpoint receives.
 
 use serde_json::json;
 
 use crate::harness::{
-    Balancer, Recording, Reply, StandIn, config, free_port, http_answer, own_address, six_entries,
+    Balancer, Recording, Reply, StandIn, config, free_port, http_response, six_entries,
+    unique_loopback_address,
 };
 
-const EMPTY_ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+const EMPTY_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
 const REQUESTS: [(&str, &str); 9] = [
     (
@@ -15,12 +16,15 @@
     ),
     (
         "GET with a query, all of the protocol's fields and others",
-        "GET /look/a%20b?x=2&y= HTTP/1.1\r\nhost: app:80\r\nX-Txn: t2\r\nX-Lane: look\r\nX-Org: acme\r\n\
-         X-Entity: e7\r\nX-Estimate: 0.25\r\nX-Remaining-Ms: 15000\r\nAccept:*/*\r\nX-Own:  two  blanks \r\n\r\n",
+        "GET /look/a%20b?x=2&y= HTTP/1.1\r\nhost: app:80\r\nX-Txn: t2\r\nX-Lane: look\r\n\
+         X-Org: acme\r\n\
+         X-Entity: e7\r\nX-Estimate: 0.25\r\nX-Remaining-Ms: 15000\r\nAccept:*/*\r\n\
+         X-Own:  two  blanks \r\n\r\n",
     ),
     (
         "GET with a body",
-        "GET /look/3 HTTP/1.1\r\nHost: app\r\nX-Txn: t3\r\nX-Remaining-Ms: 15000\r\nContent-Length: 2\r\n\r\nab",
+        "GET /look/3 HTTP/1.1\r\nHost: app\r\nX-Txn: t3\r\nX-Remaining-Ms: 15000\r\n\
+         Content-Length: 2\r\n\r\nab",
     ),
     (
         "GET with an absolute target",
@@ -28,7 +32,8 @@
     ),
     (
         "POST with a body",
-        "POST /pay/5 HTTP/1.1\r\nHost: app\r\nX-Txn: t5\r\nX-Lane: pay\r\nX-Org: acme\r\nIdempotency-Key: k5\r\n\
+        "POST /pay/5 HTTP/1.1\r\nHost: app\r\nX-Txn: t5\r\nX-Lane: pay\r\nX-Org: acme\r\n\
+         Idempotency-Key: k5\r\n\
          X-Remaining-Ms: 15000\r\nContent-Type: text/plain\r\nContent-Length: 5\r\n\r\nhello",
     ),
     (
@@ -38,11 +43,13 @@
     (
         "POST in chunks, with a trailer",
         "POST /swap/7 HTTP/1.1\r\nHost: app\r\nX-Txn: t7\r\nX-Remaining-Ms: 15000\r\n\
-         Transfer-Encoding: chunked\r\nTrailer: X-End\r\n\r\n3;a=b\r\nabc\r\n2\r\nde\r\n0\r\nX-End: 1\r\n\r\n",
+         Transfer-Encoding: chunked\r\nTrailer: X-End\r\n\r\n3;a=b\r\nabc\r\n2\r\nde\r\n0\r\n\
+         X-End: 1\r\n\r\n",
     ),
     (
         "POST with fields of one hop",
-        "POST /swap/8 HTTP/1.1\r\nHost: app\r\nConnection: keep-alive, X-Mine\r\nKeep-Alive: timeout=5\r\n\
+        "POST /swap/8 HTTP/1.1\r\nHost: app\r\nConnection: keep-alive, X-Mine\r\n\
+         Keep-Alive: timeout=5\r\n\
          Proxy-Connection: keep-alive\r\nTE: trailers\r\nUpgrade: h2c\r\nX-Mine: 1\r\nX-Txn: t8\r\n\
          X-Remaining-Ms: 15000\r\nContent-Length: 1\r\n\r\n8",
     ),
@@ -53,12 +60,12 @@
 ];
 
 #[test]
-fn forwarded_requests_are_as_recorded() {
-    let ip = own_address();
-    let endpoint = StandIn::start(ip, |_, _| Reply::Answer(EMPTY_ANSWER.to_vec()));
+fn forwarded_requests_match_the_recording() {
+    let ip = unique_loopback_address();
+    let endpoint = StandIn::start(ip, |_, _| Reply::Respond(EMPTY_RESPONSE.to_vec()));
     let list = json!({"rev": 3, "all": true, "targets": six_entries(endpoint.address)});
     let discovery = StandIn::start(ip, move |number, _| match number {
-        0 => Reply::Answer(http_answer(&list)),
+        0 => Reply::Respond(http_response(&list)),
         _ => Reply::Hold,
     });
     let listen = free_port(ip);
@@ -66,8 +73,8 @@
     balancer.wait_for("/health/ready");
     let mut recording = Recording::new(&[(endpoint.address, "ENDPOINT")]);
     for (title, request) in REQUESTS {
-        let answer = balancer.ask(request.as_bytes());
-        assert!(answer.starts_with(b"HTTP/1.1 200 OK\r\n"), "{title}");
+        let response = balancer.send_request(request.as_bytes());
+        assert!(response.starts_with(b"HTTP/1.1 200 OK\r\n"), "{title}");
         let received = endpoint.next().bytes;
         assert!(remaining_ms(&received) <= 15_000, "{title}");
         recording.add(title, &received);
@@ -76,14 +83,14 @@
 }
 
 #[test]
-fn a_probe_is_as_recorded() {
-    let ip = own_address();
+fn a_probe_matches_the_recording() {
+    let ip = unique_loopback_address();
     let report =
         "HTTP/1.1 200 OK\r\nX-Pressure: TEXT inflight=0, queue=0\r\nContent-Length: 0\r\n\r\n";
-    let endpoint = StandIn::start(ip, move |_, _| Reply::Answer(report.into()));
+    let endpoint = StandIn::start(ip, move |_, _| Reply::Respond(report.into()));
     let list = json!({"rev": 3, "all": true, "targets": six_entries(endpoint.address)});
     let discovery = StandIn::start(ip, move |number, _| match number {
-        0 => Reply::Answer(http_answer(&list)),
+        0 => Reply::Respond(http_response(&list)),
         _ => Reply::Hold,
     });
     let listen = free_port(ip);
@@ -94,14 +101,14 @@
     let balancer = Balancer::start("probe", &config);
     balancer.wait_for("/health/ready");
     let request = "GET /look/1 HTTP/1.1\r\nHost: app\r\nX-Txn: t1\r\nX-Remaining-Ms: 15000\r\n\r\n";
-    let answer = balancer.ask(request.as_bytes());
-    assert!(answer.starts_with(b"HTTP/1.1 200 OK\r\n"));
+    let response = balancer.send_request(request.as_bytes());
+    assert!(response.starts_with(b"HTTP/1.1 200 OK\r\n"));
     let mut recording = Recording::new(&[(endpoint.address, "ENDPOINT")]);
     recording.add("a probe", &endpoint.next().bytes);
     recording.compare("endpoint-probe.txt");
 }
 
-/// What the endpoint is told of the time that is left.
+/// Returns the remaining time stated in a request, in milliseconds.
 fn remaining_ms(message: &[u8]) -> u64 {
     let text = String::from_utf8_lossy(message).into_owned();
     let field = text
--- a/crates/proxy/tests/edges/harness.rs
+++ b/crates/proxy/tests/edges/harness.rs
@@ -1,4 +1,5 @@
-//! One `pinefront` process between stand-ins for discovery and an endpoint, all on a loopback address of the test's own.
+//! One `pinefront` process between stand-ins for discovery and an endpoint, on loopback addresses
+//! that belong to the test.
 
 use std::collections::HashMap;
 use std::io::{ErrorKind, Read, Write};
@@ -13,20 +14,20 @@
 
 use serde_json::{Value, json};
 
-/// Far more than any step takes: beyond it a test has failed.
+/// Maximum duration of a step, far longer than any step takes; beyond it the test fails.
 pub const STEP_TIMEOUT: Duration = Duration::from_secs(20);
-/// Most that one read from a socket takes.
+/// Maximum number of bytes taken by one read from a socket.
 const READ_BYTES: usize = 4096;
 
-/// A loopback address that no other test uses. Connections that others open come from 127.0.0.1, so a port that was free
-/// here a moment ago is free still.
-pub fn own_address() -> IpAddr {
+/// Returns a loopback address that no other test uses. Outgoing connections of other tests
+/// and programs come from 127.0.0.1, so a port that was free here a moment ago is still free.
+pub fn unique_loopback_address() -> IpAddr {
     static NEXT: AtomicU8 = AtomicU8::new(1);
-    let [_, _, high, low] = std::process::id().to_be_bytes();
+    let [_, _, upper, lower] = std::process::id().to_be_bytes();
     IpAddr::V4(Ipv4Addr::new(
         127,
-        high | 0x40,
-        low,
+        upper | 0x40,
+        lower,
         NEXT.fetch_add(1, Ordering::Relaxed),
     ))
 }
@@ -35,7 +36,8 @@
     TcpListener::bind((ip, 0)).unwrap().local_addr().unwrap()
 }
 
-/// Settings under which nothing depends on time: one attempt for each request, and no load reports.
+/// Returns a configuration in which no result depends on time: one attempt for each request, and no
+/// load reports.
 pub fn config(listen: SocketAddr, discovery: SocketAddr) -> Value {
     json!({
         "name": "n0", "listen": listen.to_string(), "discovery": discovery.to_string(),
@@ -44,9 +46,10 @@
             "fleetSize": 1, "me": 0, "zone": 0, "registryMode": "ask", "weightKind": "off",
             "dcs": ["a", "b"], "kinds": ["m1"], "report": {"source": "inline"},
             "caps": {"cancel": true, "secondCopies": false, "maxDispatches": 1, "retryAfter": true,
-                "maxRetryAfterUs": 1_000_000, "connIdleUs": 15_000_000, "connectTimeoutUs": 5_000_000},
-            "rules": {"askWithinUs": 20_000_000, "coldFrom": 0.3, "warmUpUs": 8_800_000, "tipMultiple": 3.0,
-                "fallUs": 1_000_000, "drainGraceUs": 400_000},
+                "maxRetryAfterUs": 1_000_000, "connIdleUs": 15_000_000,
+                "connectTimeoutUs": 5_000_000},
+            "rules": {"askWithinUs": 20_000_000, "coldFrom": 0.3, "warmUpUs": 8_800_000,
+                "tipMultiple": 3.0, "fallUs": 1_000_000, "drainGraceUs": 400_000},
             "accounts": [{"name": "acme", "allowancePerS": 100.0}],
             "useCases": [
                 {"name": "pay", "effect": "keyed", "dedupScope": "cell", "dedupWindowUs": 2_500_000,
@@ -56,19 +59,20 @@
     })
 }
 
-pub fn entry(id: &str, address: SocketAddr, state: &str) -> Value {
+pub fn list_entry(id: &str, address: SocketAddr, state: &str) -> Value {
     json!({"uid": id, "endpoint": address.to_string(), "az": "a", "model": "m1", "pod_group": 0,
         "state": state, "capacity_hint": 1.0, "boot_ms": 0})
 }
 
-/// Six servers at one address: with so many to itself, a balancer that has seen nothing yet sends on what comes.
+/// Returns six endpoints with one address. A balancer without samples admits every request when it
+/// has this many endpoints to itself.
 pub fn six_entries(address: SocketAddr) -> Vec<Value> {
     ["s1", "s2", "s3", "s4", "s5", "s6"]
-        .map(|id| entry(id, address, "active"))
+        .map(|id| list_entry(id, address, "active"))
         .to_vec()
 }
 
-pub fn http_answer(body: &Value) -> Vec<u8> {
+pub fn http_response(body: &Value) -> Vec<u8> {
     let text = body.to_string();
     format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
@@ -77,20 +81,20 @@
     .into_bytes()
 }
 
-/// What a stand-in does with a message that it received.
+/// Action of a stand-in on a received message.
 #[derive(Clone)]
 pub enum Reply {
-    /// Writes these bytes and reads on.
-    Answer(Vec<u8>),
+    /// Writes these bytes and continues to read.
+    Respond(Vec<u8>),
     /// Writes these bytes and closes the connection.
-    AnswerAndClose(Vec<u8>),
-    /// Writes nothing until the test allows it, then these bytes.
+    RespondAndClose(Vec<u8>),
+    /// Writes these bytes once the test releases them.
     WhenReleased(Vec<u8>),
-    /// Keeps the connection open and never answers.
+    /// Keeps the connection open and never responds.
     Hold,
 }
 
-/// A message that a stand-in received, and on which of its connections.
+/// A message that a stand-in received, and the index of its connection.
 pub struct Received {
     pub connection: usize,
     pub bytes: Vec<u8>,
@@ -98,7 +102,8 @@
 
 type Script = dyn Fn(usize, &[u8]) -> Reply + Send + Sync;
 
-/// An HTTP server of the test's own. The script gets the number of the message, from 0, and its bytes.
+/// An HTTP server that belongs to the test. The script gets the index of the message, starting at
+/// 0, and its bytes.
 pub struct StandIn {
     pub address: SocketAddr,
     pub received: Receiver<Received>,
@@ -120,7 +125,7 @@
             let messages = Arc::new(Mutex::new(0));
             for (connection, stream) in listener.incoming().enumerate() {
                 let Ok(stream) = stream else { return };
-                let served = Served {
+                let connection = StandInConnection {
                     stream,
                     connection,
                     sender: sender.clone(),
@@ -128,7 +133,7 @@
                     messages: Arc::clone(&messages),
                     released: Arc::clone(&released),
                 };
-                thread::spawn(move || served.run());
+                thread::spawn(move || connection.run());
             }
         });
         Self {
@@ -141,7 +146,7 @@
     pub fn next(&self) -> Received {
         self.received
             .recv_timeout(STEP_TIMEOUT)
-            .expect("the stand-in received nothing")
+            .expect("the stand-in received no message in time")
     }
 
     pub fn release(&self) {
@@ -150,7 +155,7 @@
 }
 
 /// One connection of a stand-in.
-struct Served {
+struct StandInConnection {
     stream: TcpStream,
     connection: usize,
     sender: Sender<Received>,
@@ -159,7 +164,7 @@
     released: Arc<Mutex<bool>>,
 }
 
-impl Served {
+impl StandInConnection {
     fn run(mut self) {
         let mut unread = Vec::new();
         while let Some(bytes) = read_message(&mut self.stream, &mut unread) {
@@ -174,8 +179,8 @@
                 return;
             }
             match reply {
-                Reply::Answer(bytes) => _ = self.stream.write_all(&bytes),
-                Reply::AnswerAndClose(bytes) => {
+                Reply::Respond(bytes) => _ = self.stream.write_all(&bytes),
+                Reply::RespondAndClose(bytes) => {
                     _ = self.stream.write_all(&bytes);
                     return;
                 }
@@ -191,7 +196,8 @@
     }
 }
 
-/// Reads one message with its body; none when the connection ends before a whole one.
+/// Reads one message including its body; returns none if the connection ends before the message is
+/// complete.
 fn read_message(stream: &mut TcpStream, unread: &mut Vec<u8>) -> Option<Vec<u8>> {
     loop {
         if let Some(length) = message_length(unread) {
@@ -205,18 +211,18 @@
     }
 }
 
-/// The length of the whole message at the front, by its `Content-Length`.
+/// Returns the length of the complete message at the front, according to its `Content-Length`.
 pub fn message_length(bytes: &[u8]) -> Option<usize> {
     let head = bytes.windows(4).position(|part| part == b"\r\n\r\n")? + 4;
     let text = String::from_utf8_lossy(&bytes[..head]).to_lowercase();
-    let stated = text
+    let content_length = text
         .lines()
         .find_map(|line| line.strip_prefix("content-length: ")?.parse().ok());
-    let body: usize = stated.unwrap_or(0);
+    let body: usize = content_length.unwrap_or(0);
     (bytes.len() >= head + body).then_some(head + body)
 }
 
-/// A running `pinefront`, ended with the test.
+/// A running `pinefront` process that is killed at the end of the test.
 pub struct Balancer {
     pub address: SocketAddr,
     pub config_file: PathBuf,
@@ -224,7 +230,7 @@
 }
 
 impl Balancer {
-    /// Starts it with a configuration and waits until it answers.
+    /// Starts the process with a configuration and waits until it responds.
     pub fn start(test: &str, config: &Value) -> Self {
         let address: SocketAddr = config["listen"].as_str().unwrap().parse().unwrap();
         let config_file = write_config(test, config);
@@ -246,34 +252,36 @@
         balancer
     }
 
-    pub fn process(&self) -> u32 {
+    pub fn process_id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Waits until a page answers 200.
+    /// Waits until a page returns status 200.
     pub fn wait_for(&self, page: &str) {
         let started = Instant::now();
         let request = format!("GET {page} HTTP/1.1\r\nHost: app\r\nConnection: close\r\n\r\n");
         while !TcpStream::connect(self.address).is_ok_and(|mut stream| {
             stream.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
-            let mut answer = Vec::new();
-            let asked = stream.write_all(request.as_bytes()).is_ok();
-            asked && stream.read_to_end(&mut answer).is_ok() && answer.starts_with(b"HTTP/1.1 200")
+            let mut response = Vec::new();
+            let is_sent = stream.write_all(request.as_bytes()).is_ok();
+            is_sent
+                && stream.read_to_end(&mut response).is_ok()
+                && response.starts_with(b"HTTP/1.1 200")
         }) {
             assert!(
                 started.elapsed() < STEP_TIMEOUT,
-                "{page} never answered 200"
+                "{page} did not return status 200 in time"
             );
             thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// Sends a request on a connection of its own and returns all that comes back: up to the end of the connection where
-    /// the answer says that it closes, else one whole answer.
-    pub fn ask(&self, request: &[u8]) -> Vec<u8> {
+    /// Sends a request on a new connection and returns all received bytes: up to the end of the
+    /// connection if the response announces a close, otherwise one complete response.
+    pub fn send_request(&self, request: &[u8]) -> Vec<u8> {
         let mut stream = TcpStream::connect(self.address).unwrap();
         stream.write_all(request).unwrap();
-        read_answer(&mut stream)
+        read_response(&mut stream)
     }
 }
 
@@ -285,8 +293,9 @@
     }
 }
 
-/// Reads one answer, past any `100 Continue`, and on to the end of the connection where the answer says `close`.
-pub fn read_answer(stream: &mut TcpStream) -> Vec<u8> {
+/// Reads one response after any `100 Continue`, up to the end of the connection if the response
+/// contains `Connection: close`.
+pub fn read_response(stream: &mut TcpStream) -> Vec<u8> {
     stream.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
     let mut bytes = Vec::new();
     loop {
@@ -299,20 +308,21 @@
         match stream.read(&mut part) {
             Ok(0) => return bytes,
             Ok(count) => bytes.extend_from_slice(&part[..count]),
-            Err(problem) if problem.kind() == ErrorKind::Interrupted => {}
-            Err(problem) => panic!("{problem} after {:?}", String::from_utf8_lossy(&bytes)),
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
+            Err(error) => panic!("{error} after {:?}", String::from_utf8_lossy(&bytes)),
         }
     }
 }
 
 pub fn write_config(test: &str, config: &Value) -> PathBuf {
-    let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
-    let file = folder.join(format!("edges-{}-{test}.json", std::process::id()));
+    let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
+    let file = directory.join(format!("edges-{}-{test}.json", std::process::id()));
     std::fs::write(&file, config.to_string()).unwrap();
     file
 }
 
-/// What was received, as text to compare: escaped, one line each, addresses by their names.
+/// Received bytes as text for comparison: escaped, with one line each, and with names in place of
+/// addresses.
 pub struct Recording {
     names: HashMap<String, &'static str>,
     text: String,
@@ -342,7 +352,7 @@
         self.text += &format!("## {title}\n{}\n", lines.trim_end_matches('\n'));
     }
 
-    /// Compares with the recorded file, or writes it where `RECORD_EDGES` says so.
+    /// Compares the text with the recorded file, or writes the file first if `RECORD_EDGES` is set.
     pub fn compare(&self, name: &str) {
         let file = PathBuf::from(env!("CARGO_MANIFEST_DIR"))
             .join("tests/recorded")
@@ -351,21 +361,24 @@
             std::fs::write(&file, &self.text).unwrap();
         }
         let recorded = std::fs::read_to_string(&file).unwrap();
-        for (number, (now, before)) in self.text.lines().zip(recorded.lines()).enumerate() {
-            assert_eq!(now, before, "{name}, line {}", number + 1);
+        for (number, (actual, expected)) in self.text.lines().zip(recorded.lines()).enumerate() {
+            assert_eq!(actual, expected, "{name}, line {}", number + 1);
         }
-        assert_eq!(self.text, recorded, "{name}: other lines at the end");
+        assert_eq!(
+            self.text, recorded,
+            "{name}: lines are missing or left over at the end"
+        );
     }
 }
 
-/// Replaces the number that follows a field's name, which differs with time: digits before a point by one `N`, digits
-/// after it by an `N` each.
+/// Replaces the number after a field name, which varies with time: the digits before a decimal
+/// point by one `N`, the digits after it by one `N` each.
 fn mask_field(text: &str, field: &str) -> String {
     let mut parts = text.split(field);
     let mut masked = parts.next().unwrap_or_default().to_owned();
     for part in parts {
         let end = part
-            .find(|letter: char| !letter.is_ascii_digit() && letter != '.')
+            .find(|character: char| !character.is_ascii_digit() && character != '.')
             .unwrap_or(part.len());
         let (number, rest) = part.split_at(end);
         masked += field;
--- a/crates/proxy/tests/edges/main.rs
+++ b/crates/proxy/tests/edges/main.rs
@@ -1,10 +1,11 @@
-//! The edges of the program, held in place: what endpoints, clients, discovery and peers receive from a built `pinefront`,
-//! and what it says of each key of its configuration, compared byte for byte with the files under `tests/recorded/`.
+//! Compares the program's external interfaces byte for byte with the files under `tests/recorded/`:
+//! the bytes that endpoints, clients, discovery and peers receive from a built `pinefront`, and its
+//! response to each key of the configuration.
 //!
-//! `RECORD_EDGES=1 cargo test -p pinefront-proxy --test edges` writes the recordings anew; only a change that is meant to
-//! alter what is on a wire may do so.
+//! `RECORD_EDGES=1 cargo test -p pinefront-proxy --test edges` rewrites the recordings. Use it only
+//! for a change that is intended to alter bytes on the wire.
 
-#![allow(clippy::pedantic)] // As it was when the recording was made.
+#![allow(clippy::pedantic)] // Off since the recordings were made.
 
 mod clients;
 mod configuration;
--- a/crates/proxy/tests/edges/peers.rs
+++ b/crates/proxy/tests/edges/peers.rs
@@ -7,8 +7,8 @@
 use serde_json::json;
 
 use crate::harness::{
-    Balancer, Recording, Reply, STEP_TIMEOUT, StandIn, config, free_port, http_answer, own_address,
-    six_entries,
+    Balancer, Recording, Reply, STEP_TIMEOUT, StandIn, config, free_port, http_response,
+    six_entries, unique_loopback_address,
 };
 
 const DATAGRAM_BYTES: usize = 512;
@@ -26,13 +26,13 @@
     #[case] status: u16,
     #[case] recorded: &str,
 ) {
-    let ip = own_address();
+    let ip = unique_loopback_address();
     let answer =
         format!("HTTP/1.1 {status} Answer\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
-    let endpoint = StandIn::start(ip, move |_, _| Reply::Answer(answer.clone().into()));
+    let endpoint = StandIn::start(ip, move |_, _| Reply::Respond(answer.clone().into()));
     let list = json!({"rev": 3, "all": true, "targets": six_entries(endpoint.address)});
     let discovery = StandIn::start(ip, move |number, _| match number {
-        0 => Reply::Answer(http_answer(&list)),
+        0 => Reply::Respond(http_response(&list)),
         _ => Reply::Hold,
     });
     let peer = UdpSocket::bind((ip, 0)).unwrap();
@@ -72,7 +72,7 @@
     });
     let request =
         format!("{target} HTTP/1.1\r\nHost: app\r\nX-Txn: t1\r\nX-Remaining-Ms: 15000\r\n\r\n");
-    balancer.ask(request.as_bytes());
+    balancer.send_request(request.as_bytes());
     // What a peer asks of an endpoint is answered, and ends the test.
     let question = format!("? {ENDPOINT_SHORT_NAME}");
     peer.send_to(question.as_bytes(), own).unwrap();
--- a/crates/proxy/tests/edges/reload.rs
+++ b/crates/proxy/tests/edges/reload.rs
@@ -5,17 +5,18 @@
 use serde_json::json;
 
 use crate::harness::{
-    Balancer, Recording, Reply, StandIn, config, free_port, http_answer, own_address, six_entries,
+    Balancer, Recording, Reply, StandIn, config, free_port, http_response, six_entries,
+    unique_loopback_address,
 };
 
 #[test]
 fn calls_after_a_reload_are_as_recorded() {
-    let ip = own_address();
+    let ip = unique_loopback_address();
     let endpoint = StandIn::start(ip, |_, _| Reply::Hold);
     let list = json!({"rev": 3, "all": true, "targets": six_entries(endpoint.address)});
-    let answer = http_answer(&list);
+    let answer = http_response(&list);
     let script = move |number, _: &[u8]| match number {
-        0 => Reply::Answer(answer.clone()),
+        0 => Reply::Respond(answer.clone()),
         _ => Reply::Hold,
     };
     let first = StandIn::start(ip, script.clone());
@@ -28,7 +29,7 @@
     recording.add("the first, call 1", &first.next().bytes);
     let changed = config(listen, second.address).to_string();
     std::fs::write(&balancer.config_file, changed).unwrap();
-    let process = balancer.process().to_string();
+    let process = balancer.process_id().to_string();
     let sent = Command::new("kill").args(["-HUP", &process]).status();
     assert!(sent.unwrap().success());
     recording.add("the second, call 0", &second.next().bytes);
