--- a/crates/proxy/src/close_reason.rs
+++ b/crates/proxy/src/close_reason.rs
@@ -1,4 +1,5 @@
-//! Reason for which a connection was closed.
+//! Reasons for which connections are closed. The codes are written to the log and explained in
+//! `docs/on-call.md`.
 
 use crate::state::send_refusal::SendRefusal;
 
@@ -76,7 +77,7 @@
     TimedOut = "timed_out",
     /// The endpoint is draining or was removed.
     Draining = "draining",
-    /// The state of the connection is unknown.
+    /// The connection may no longer be usable.
     Stale = "stale",
     /// The endpoint now has another address.
     AddressChanged = "address_changed",
--- a/crates/proxy/src/connections/accept.rs
+++ b/crates/proxy/src/connections/accept.rs
@@ -137,7 +137,7 @@
         let _ = stream.set_nodelay(true);
         let registered = nonblocking_result.and_then(|()| {
             self.clients.try_insert_with_key(|key| {
-                let ready = move |proxy: &mut Proxy| proxy.client_ready(key);
+                let ready = move |proxy: &mut Proxy| proxy.handle_client_ready(key);
                 let socket = RegisteredSocket::new(&self.handle, stream, ready)?;
                 Ok(ClientConnection::new(socket, peer, now, backlog_wait))
             })
--- a/crates/proxy/src/connections/accept/tests.rs
+++ b/crates/proxy/src/connections/accept/tests.rs
@@ -143,7 +143,7 @@
     }
     assert!(!state.evict_idle_connection());
     drop(state);
-    harness.proxy.client_ready(key);
+    harness.proxy.handle_client_ready(key);
     assert!(
         harness
             .read_until(&client, "live\n")
--- a/crates/proxy/src/connections/attempt.rs
+++ b/crates/proxy/src/connections/attempt.rs
@@ -17,7 +17,7 @@
 
 impl Proxy {
     /// Handles the end of an attempt without a response. `started_at` is in microseconds.
-    pub fn attempt_finished(
+    pub fn handle_attempt_end(
         &mut self,
         request: RequestKey,
         number: usize,
@@ -62,7 +62,7 @@
     }
 
     /// Reports to the policy whether an endpoint answered a health check.
-    pub fn probe_finished(&mut self, endpoint: EndpointKey, answered: bool) {
+    pub fn report_probe_result(&mut self, endpoint: EndpointKey, answered: bool) {
         let mut state = self.state.borrow_mut();
         let now = state.now();
         let Some(endpoint) = state.endpoints.get(endpoint) else {
--- a/crates/proxy/src/connections/client.rs
+++ b/crates/proxy/src/connections/client.rs
@@ -20,12 +20,12 @@
 
 impl Proxy {
     /// Handles a client connection that became readable or writable.
-    pub fn client_ready(&mut self, key: ClientKey) {
+    pub fn handle_client_ready(&mut self, key: ClientKey) {
         let received = self.state.borrow_mut().receive_from_client(key);
         match received {
             ClientRead::Nothing => {}
             ClientRead::Closing => self.state.borrow_mut().continue_after_response(key),
-            ClientRead::Closed(reason) => self.client_disconnected(key, reason),
+            ClientRead::Closed(reason) => self.handle_client_disconnect(key, reason),
             // Bytes after this request are processed in a later iteration, so that one client
             // cannot occupy the event loop.
             ClientRead::Request => self.read_request(key),
@@ -34,7 +34,7 @@
 
     /// Closes the connection of a client that disconnected and cancels its request, if one is in
     /// flight.
-    pub fn client_disconnected(&mut self, key: ClientKey, reason: CloseReason) {
+    pub fn handle_client_disconnect(&mut self, key: ClientKey, reason: CloseReason) {
         let mut state = self.state.borrow_mut();
         let request = state.clients.get(key).and_then(|client| client.request);
         let unanswered = request.and_then(|request| {
@@ -57,7 +57,7 @@
 
     /// Handles the expiry of a client connection's timer. The purpose of the timer follows from the
     /// state of the connection.
-    pub fn client_timer_expired(&mut self, key: ClientKey) {
+    pub fn handle_client_timer(&mut self, key: ClientKey) {
         let mut state = self.state.borrow_mut();
         let Some(client) = state.clients.get_mut(key) else {
             return;
@@ -145,8 +145,8 @@
 /// Reads bytes from the client. While the shutdown closes connections, received requests are
 /// completed and answered but no further request is read: a client that always sends another
 /// request would block the shutdown.
-fn fill_read_buffer(client: &mut ClientConnection, closing: bool) -> ReadOutcome {
-    if closing && (client.awaits_response() || client.has_unparsed_bytes()) {
+fn fill_read_buffer(client: &mut ClientConnection, is_closing_connections: bool) -> ReadOutcome {
+    if is_closing_connections && (client.awaits_response() || client.has_unparsed_bytes()) {
         return if client.request.is_some() && is_hung_up(&client.socket.stream) {
             ReadOutcome::Closed
         } else {
--- a/crates/proxy/src/connections/client_lifetime/tests.rs
+++ b/crates/proxy/src/connections/client_lifetime/tests.rs
@@ -101,7 +101,7 @@
             state.clients[key].waiting_since,
         ) = (requests, now - idle);
     }
-    harness.proxy.client_timer_expired(key);
+    harness.proxy.handle_client_timer(key);
     assert_eq!(
         harness
             .proxy
@@ -124,7 +124,7 @@
     harness.run_until(|proxy| {
         (proxy.state.borrow().clients[key].read_buffer.bytes().len() == sent.len()).then_some(())
     });
-    harness.proxy.client_timer_expired(key);
+    harness.proxy.handle_client_timer(key);
     if !expected_start.is_empty() {
         assert!(
             harness
--- a/crates/proxy/src/connections/client_response.rs
+++ b/crates/proxy/src/connections/client_response.rs
@@ -128,10 +128,14 @@
     }
 }
 
-fn response_head(response: &ClientResponse, closes: bool) -> String {
+fn response_head(response: &ClientResponse, closes_connection: bool) -> String {
     let status = response.status;
     let length: usize = response.body.iter().map(Bytes::len).sum();
-    let connection = if closes { "Connection: close\r\n" } else { "" };
+    let connection = if closes_connection {
+        "Connection: close\r\n"
+    } else {
+        ""
+    };
     format!(
         "HTTP/1.1 {status} {}\r\nContent-Length: {length}\r\n{connection}",
         status.reason_phrase()
--- a/crates/proxy/src/connections/endpoint.rs
+++ b/crates/proxy/src/connections/endpoint.rs
@@ -16,20 +16,20 @@
 
 impl Proxy {
     /// Handles a connection to an endpoint that became readable or writable.
-    pub fn endpoint_connection_ready(&mut self, key: EndpointConnectionKey) {
+    pub fn handle_endpoint_connection_ready(&mut self, key: EndpointConnectionKey) {
         let read = self.state.borrow_mut().read_endpoint_connection(key);
         match read {
             EndpointRead::Nothing => {}
             EndpointRead::Closed { outcome, reason } => {
-                self.endpoint_connection_closed(key, outcome, reason);
+                self.close_connection_and_end_exchange(key, outcome, reason);
             }
-            EndpointRead::Response(frame) => self.response_received(key, &frame),
+            EndpointRead::Response(frame) => self.handle_endpoint_response(key, &frame),
         }
     }
 
     /// Handles the expiry of an endpoint connection's timer: the connection was idle for too long,
     /// it was not established in time, or its exchange has timed out.
-    pub fn endpoint_connection_timer_expired(&mut self, key: EndpointConnectionKey) {
+    pub fn handle_endpoint_connection_timer(&mut self, key: EndpointConnectionKey) {
         let mut state = self.state.borrow_mut();
         let now = state.now();
         let Some(connection) = state.endpoint_connections.get_mut(key) else {
@@ -54,11 +54,11 @@
             }
         };
         drop(state);
-        self.endpoint_connection_closed(key, outcome, reason);
+        self.close_connection_and_end_exchange(key, outcome, reason);
     }
 
     /// Closes a connection and ends the exchange on it.
-    fn endpoint_connection_closed(
+    fn close_connection_and_end_exchange(
         &mut self,
         key: EndpointConnectionKey,
         outcome: AttemptOutcome,
@@ -72,10 +72,10 @@
         drop(state);
         match interrupted {
             Some((exchange, endpoint)) if exchange.is_probe() => {
-                self.probe_finished(endpoint, false);
+                self.report_probe_result(endpoint, false);
             }
             Some((exchange, _)) => {
-                self.attempt_finished(
+                self.handle_attempt_end(
                     exchange.request,
                     exchange.number,
                     outcome,
--- a/crates/proxy/src/connections/endpoint/tests.rs
+++ b/crates/proxy/src/connections/endpoint/tests.rs
@@ -70,7 +70,7 @@
                 .endpoints
                 .get(state.endpoints.key_of("s1").unwrap())
                 .unwrap()
-                .idle
+                .idle_connections
                 .len()
         ),
         (idle, idle)
@@ -125,7 +125,7 @@
         }
         connection.exchange.as_mut().unwrap().expire_at = 0;
     }
-    harness.proxy.endpoint_connection_timer_expired(key);
+    harness.proxy.handle_endpoint_connection_timer(key);
     assert_eq!(harness.outcomes(), expected);
 }
 
--- a/crates/proxy/src/connections/endpoint_pool.rs
+++ b/crates/proxy/src/connections/endpoint_pool.rs
@@ -75,7 +75,7 @@
     /// Takes the most recently used idle connection whose reuse delay has passed from its endpoint.
     fn take_idle_connection(&mut self, endpoint: EndpointKey) -> Option<EndpointConnectionKey> {
         let now = self.now();
-        let idle = &mut self.endpoints.get_mut(endpoint)?.idle;
+        let idle = &mut self.endpoints.get_mut(endpoint)?.idle_connections;
         let is_past_reuse_delay = |key: &EndpointConnectionKey| {
             self.endpoint_connections
                 .get(*key)
@@ -113,7 +113,7 @@
         let stream = connect(address)?;
         let key = self.endpoint_connections.try_insert_with_key(|key| {
             let socket = RegisteredSocket::new(&self.handle, stream, move |proxy| {
-                proxy.endpoint_connection_ready(key);
+                proxy.handle_endpoint_connection_ready(key);
             })?;
             Ok::<_, io::Error>(EndpointConnection {
                 socket,
@@ -192,7 +192,7 @@
                 CloseReason::AddressChanged
             }
             Some(endpoint) => {
-                endpoint.idle.push(key);
+                endpoint.idle_connections.push(key);
                 return self.set_endpoint_connection_timer(key, until);
             }
             None => CloseReason::Draining,
@@ -220,7 +220,7 @@
         let Some(endpoint) = self.endpoints.get_mut(endpoint) else {
             return;
         };
-        for key in std::mem::take(&mut endpoint.idle) {
+        for key in std::mem::take(&mut endpoint.idle_connections) {
             self.close_endpoint_connection(key, reason);
         }
     }
@@ -235,7 +235,7 @@
         self.handle.remove(connection.socket.token);
         self.counters.endpoint_connections_closed += 1;
         if let Some(endpoint) = self.endpoints.get_mut(connection.endpoint) {
-            endpoint.idle.retain(|idle| *idle != key);
+            endpoint.idle_connections.retain(|idle| *idle != key);
             info!(self.log, "endpoint connection closed"; "reason" => reason.code(),
                 "endpoint" => &*endpoint.id, "requests_carried" => connection.requests_carried);
         }
--- a/crates/proxy/src/connections/endpoint_pool/tests.rs
+++ b/crates/proxy/src/connections/endpoint_pool/tests.rs
@@ -89,24 +89,24 @@
         "{}",
         expires_at - now
     );
-    harness.proxy.endpoint_connection_timer_expired(key);
+    harness.proxy.handle_endpoint_connection_timer(key);
     harness.expect_close(&connection);
 }
 
 #[rstest]
 #[case::timed_out(
     LONG_TIMEOUT_US,
-    |harness: &mut TestHarness, key| harness.proxy.endpoint_connection_timer_expired(key),
+    |harness: &mut TestHarness, key| harness.proxy.handle_endpoint_connection_timer(key),
     0,
 )]
 #[case::not_established(LONG_TIMEOUT_US, |harness: &mut TestHarness, key| {
     harness.proxy.state.borrow_mut().endpoint_connections[key].is_connected = false;
-    harness.proxy.endpoint_connection_timer_expired(key);
+    harness.proxy.handle_endpoint_connection_timer(key);
 }, 0)]
 #[case::connection_lost(LONG_TIMEOUT_US, |harness: &mut TestHarness, key| {
     let stream = harness.proxy.state.borrow().endpoint_connections[key].socket.stream.clone();
     stream.shutdown(std::net::Shutdown::Both).unwrap();
-    harness.proxy.endpoint_connection_ready(key);
+    harness.proxy.handle_endpoint_connection_ready(key);
 }, 0)]
 #[case::cancelled_late(
     LONG_TIMEOUT_US,
--- a/crates/proxy/src/connections/request.rs
+++ b/crates/proxy/src/connections/request.rs
@@ -46,8 +46,8 @@
         };
         state.record_keep_alive(key, &head);
         let path = target_path(target);
-        // A class may have the same name as a page, so a request with an id is taken as a request
-        // of that class.
+        // A class may have the same name as a page, so a request with an id is treated as a
+        // request of the class.
         if http_message::field_value(head.headers, ID_FIELD).is_none()
             && state.serve_own_page(key, method, path)
         {
@@ -91,7 +91,7 @@
         let client = self.clients.get_mut(key)?;
         match parse_request(client.read_buffer.bytes()) {
             Ok(Some(frame)) => {
-                client.sent_continue = false;
+                client.has_sent_continue = false;
                 client.partial_request = None;
                 Some(RequestMessage {
                     bytes: client.read_buffer.take(frame.end),
@@ -116,10 +116,10 @@
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
-        if client.sent_continue || !expects_continue(client.read_buffer.bytes()) {
+        if client.has_sent_continue || !expects_continue(client.read_buffer.bytes()) {
             return;
         }
-        client.sent_continue = true;
+        client.has_sent_continue = true;
         client
             .write_buffer
             .push(Bytes::from_static(b"HTTP/1.1 100 Continue\r\n\r\n"));
@@ -170,7 +170,7 @@
             body: http_message::slice_ranges(&message.bytes, &message.body),
             has_host: http_message::field_value(head.headers, "host").is_some(),
             has_body: head.method != Some("GET"),
-            length: message.bytes.len(),
+            message_length: message.bytes.len(),
             attempts: Vec::new(),
             idempotency,
             may_have_run_since: None,
--- a/crates/proxy/src/connections/response.rs
+++ b/crates/proxy/src/connections/response.rs
@@ -28,7 +28,7 @@
 
 impl Proxy {
     /// Handles a complete response at the front of a connection's read buffer.
-    pub fn response_received(&mut self, key: EndpointConnectionKey, frame: &ResponseFrame) {
+    pub fn handle_endpoint_response(&mut self, key: EndpointConnectionKey, frame: &ResponseFrame) {
         let mut borrowed = self.state.borrow_mut();
         let state = &mut *borrowed;
         let now = state.now();
@@ -62,7 +62,8 @@
                 .load_reported(now, &received.endpoint_id, load);
         }
         if exchange.is_probe() {
-            return self.probe_finished(received.endpoint, outcome == AttemptOutcome::Succeeded);
+            return self
+                .report_probe_result(received.endpoint, outcome == AttemptOutcome::Succeeded);
         }
         if let Some(finished) = finished {
             let elapsed = now.saturating_sub(exchange.started_at);
--- a/crates/proxy/src/connections/send_guard.rs
+++ b/crates/proxy/src/connections/send_guard.rs
@@ -67,7 +67,7 @@
         Ok(())
     }
 
-    /// Checks that the client still waits for a response. If the policy's decision was not made in
+    /// Checks that the client still waits for a response. If the policy's decision was not made at
     /// this moment, the client may have disconnected without the close having been read yet.
     fn check_client(
         &self,
--- a/crates/proxy/src/connections/send_guard/tests.rs
+++ b/crates/proxy/src/connections/send_guard/tests.rs
@@ -220,7 +220,7 @@
 #[rstest]
 #[case::client_disconnected(|harness: &mut TestHarness| {
     let key = harness.proxy.state.borrow().clients.keys().next().unwrap();
-    harness.proxy.client_disconnected(key, CloseReason::ClientClosed);
+    harness.proxy.handle_client_disconnect(key, CloseReason::ClientClosed);
 })]
 #[case::answered(|harness: &mut TestHarness| ProxyHost(harness.proxy.state.clone()).fail("t1"))]
 #[case::deadline_passed(|harness: &mut TestHarness| {
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -33,28 +33,28 @@
                 .timers
                 .take_expired(now, last_serial);
             match expired {
-                Some(event) => self.timer_expired(event, now),
+                Some(event) => self.handle_timer(event, now),
                 None => return,
             }
         }
     }
 
-    fn timer_expired(&mut self, event: TimerEvent, now: Micros) {
+    fn handle_timer(&mut self, event: TimerEvent, now: Micros) {
         match event {
             TimerEvent::PolicyTimer(timer_id) => {
                 let now = self.state.borrow().now();
                 self.balancer.timer_expired(now, timer_id);
             }
-            TimerEvent::ClientConnection(key) => self.client_timer_expired(key),
-            TimerEvent::NextRequest(key) => self.client_ready(key),
-            TimerEvent::EndpointConnection(key) => self.endpoint_connection_timer_expired(key),
-            TimerEvent::EndpointConnectionReady(key) => self.endpoint_connection_ready(key),
+            TimerEvent::ClientConnection(key) => self.handle_client_timer(key),
+            TimerEvent::NextRequest(key) => self.handle_client_ready(key),
+            TimerEvent::EndpointConnection(key) => self.handle_endpoint_connection_timer(key),
+            TimerEvent::EndpointConnectionReady(key) => self.handle_endpoint_connection_ready(key),
             TimerEvent::AttemptEnded {
                 request,
                 number,
                 outcome,
-            } => self.attempt_finished(request, number, outcome, now),
-            TimerEvent::ProbeNotSent(endpoint) => self.probe_finished(endpoint, false),
+            } => self.handle_attempt_end(request, number, outcome, now),
+            TimerEvent::ProbeNotSent(endpoint) => self.report_probe_result(endpoint, false),
             TimerEvent::Discovery => self.discovery_timer_expired(),
             TimerEvent::ResumeAccepting => self.state.borrow_mut().resume_accepting(),
             TimerEvent::Shutdown => self.continue_shutdown(),
--- a/crates/proxy/src/lifecycle/shutdown.rs
+++ b/crates/proxy/src/lifecycle/shutdown.rs
@@ -88,7 +88,7 @@
     fn serve_clients(&mut self) {
         let keys: Vec<_> = self.state.borrow().clients.keys().collect();
         for key in keys {
-            self.client_ready(key);
+            self.handle_client_ready(key);
         }
     }
 
--- a/crates/proxy/src/state/client_connection.rs
+++ b/crates/proxy/src/state/client_connection.rs
@@ -51,7 +51,7 @@
     /// When the current wait began, in microseconds.
     pub waiting_since: Micros,
     /// Whether `100 Continue` was sent for the request that is being received.
-    pub sent_continue: bool,
+    pub has_sent_continue: bool,
     /// The connection's timer.
     pub timer: Option<TimerKey>,
 }
@@ -90,7 +90,7 @@
             close_reason: None,
             is_lingering: false,
             waiting_since: 0,
-            sent_continue: false,
+            has_sent_continue: false,
             timer: None,
         }
     }
--- a/crates/proxy/src/state/endpoint.rs
+++ b/crates/proxy/src/state/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints that an endpoint list has named.
+//! Endpoints that have been named in an endpoint list.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
     /// Address of the endpoint; none until the endpoint is listed as active.
     pub address: Option<SocketAddr>,
     /// Idle connections; the most recently used one is at the end.
-    pub idle: Vec<EndpointConnectionKey>,
+    pub idle_connections: Vec<EndpointConnectionKey>,
     /// Start time of the endpoint's process.
     pub start_time: Option<StartTime>,
     /// Time until which each connection carries only one request because the endpoint sent
@@ -43,7 +43,7 @@
         Self {
             id,
             address: None,
-            idle: Vec::new(),
+            idle_connections: Vec::new(),
             start_time: None,
             single_use_until: 0,
             draining_since: None,
--- a/crates/proxy/src/state/proxy.rs
+++ b/crates/proxy/src/state/proxy.rs
@@ -64,7 +64,7 @@
     pub endpoint_connections: SlotMap<EndpointConnectionKey, EndpointConnection>,
     /// Requests in flight.
     pub requests: RequestTable,
-    /// Endpoints that an endpoint list has named.
+    /// Endpoints that have been named in an endpoint list.
     pub endpoints: EndpointTable,
     /// Discovery's connections and poll schedule.
     pub discovery: Discovery,
--- a/crates/proxy/src/state/request.rs
+++ b/crates/proxy/src/state/request.rs
@@ -25,7 +25,7 @@
     /// Whether the method has a body, even if the body is empty.
     pub has_body: bool,
     /// Length of the whole message in bytes.
-    pub length: usize,
+    pub message_length: usize,
     /// Connection of each attempt; none once the attempt has ended.
     pub attempts: Vec<Option<EndpointConnectionKey>>,
     /// Idempotency, according to the settings in effect when the request was received.
@@ -94,7 +94,10 @@
 
     /// Returns the number of bytes of all messages.
     pub fn buffered_bytes(&self) -> usize {
-        self.requests.values().map(|request| request.length).sum()
+        self.requests
+            .values()
+            .map(|request| request.message_length)
+            .sum()
     }
 
     /// Whether any client waits for a response.
--- a/crates/proxy/src/state/timers.rs
+++ b/crates/proxy/src/state/timers.rs
@@ -40,7 +40,7 @@
     ResumeAccepting,
     /// The next step of the shutdown is due.
     Shutdown,
-    /// The read of a configuration that could not be read is to be retried.
+    /// A failed read of the configuration is to be retried.
     RetryReload,
 }
 
--- a/crates/proxy/src/test_harness.rs
+++ b/crates/proxy/src/test_harness.rs
@@ -292,7 +292,8 @@
 }
 
 /// Changes a configuration to that of another deployment: other classes, load reports on health
-/// checks only, no hedged requests, and balancers that exchange gossip at the addresses in `peers`.
+/// checks only, no hedged requests, and two balancers that exchange gossip at the addresses in
+/// `peers`.
 pub fn change_deployment(document: &mut Value, peers: &[SocketAddr]) {
     let settings = &mut document["settings"];
     settings["useCases"] = json!([
