--- a/crates/proxy/src/connections/endpoint_pool.rs
+++ b/crates/proxy/src/connections/endpoint_pool.rs
@@ -1,4 +1,4 @@
-//! The pool of connections to endpoints: opened, kept idle for reuse, closed.
+//! The pool of connections to endpoints: opening, keeping idle for reuse, and closing them.
 
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -17,15 +17,18 @@
 #[cfg(test)]
 mod tests;
 
-/// Share of the idle time in the settings after which we close first: a request written to a
-/// connection that the endpoint is closing would be lost.
-const IDLE_SHARE: f64 = 0.8;
-/// How long a connection is not reused after a response, so that a close or further bytes of the
-/// endpoint are noticed before the next request is written to it and takes them for its response.
+/// Fraction of the configured idle time after which the balancer closes an idle connection, so that
+/// it does so before the endpoint: a request written to a connection that the endpoint is closing
+/// would be lost.
+const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
+/// Time after a response during which a connection is not reused. A close or further bytes from the
+/// endpoint are noticed in this time; otherwise the next request would be lost or would take these
+/// bytes for its response.
 pub const REUSE_DELAY_US: Micros = 8_000;
-/// How long the connections of an endpoint carry one request each after it sent unsolicited bytes.
-const SINGLE_USE_US: Micros = 10_000_000;
-/// The shortest time between two log lines about a shortage of descriptors.
+/// Time for which each connection to an endpoint carries only one request after the endpoint sent
+/// unsolicited bytes.
+const SINGLE_USE_PERIOD_US: Micros = 10_000_000;
+/// Minimum time between two log lines about a shortage of file descriptors.
 const SHORTAGE_LOG_INTERVAL_US: Micros = 1_000_000;
 
 impl ProxyState {
@@ -34,12 +37,12 @@
     /// # Errors
     ///
     /// Fails with the outcome of the attempt when no connection can be opened.
-    pub fn connection_to(
+    pub fn acquire_connection(
         &mut self,
         endpoint: EndpointKey,
     ) -> Result<EndpointConnectionKey, AttemptOutcome> {
         while let Some(key) = self.take_idle_connection(endpoint) {
-            if self.is_reusable(key, endpoint) {
+            if self.check_idle_connection_open(key, endpoint) {
                 return Ok(key);
             }
         }
@@ -63,35 +66,39 @@
             if is_remote_failure(&error) {
                 AttemptOutcome::Unreachable
             } else {
-                // A shortage of our own must not be held against the endpoint.
+                // A local shortage of resources must not count as a failure of the endpoint.
                 AttemptOutcome::NotSent
             }
         })
     }
 
-    /// Takes the idle connection used last, of those whose reuse delay has passed, from its
-    /// endpoint.
+    /// Takes the most recently used idle connection whose reuse delay has passed from its endpoint.
     fn take_idle_connection(&mut self, endpoint: EndpointKey) -> Option<EndpointConnectionKey> {
         let now = self.now();
-        let idle = &mut self.endpoints.get_mut(endpoint)?.idle;
-        let is_rested = |key: &EndpointConnectionKey| {
+        let idle = &mut self.endpoints.get_mut(endpoint)?.idle_connections;
+        let is_past_reuse_delay = |key: &EndpointConnectionKey| {
             self.endpoint_connections
                 .get(*key)
                 .is_none_or(|connection| connection.last_response_at + REUSE_DELAY_US <= now)
         };
-        let position = idle.iter().rposition(is_rested)?;
+        let position = idle.iter().rposition(is_past_reuse_delay)?;
         Some(idle.remove(position))
     }
 
-    /// Whether an idle connection is still open and silent. Another one is closed: a request
-    /// written to it would be lost, or take unsolicited bytes for its response.
-    fn is_reusable(&mut self, key: EndpointConnectionKey, endpoint: EndpointKey) -> bool {
+    /// Returns whether an idle connection is still open and has no unread bytes; closes it
+    /// otherwise. A request written to a closed connection would be lost, and a request on one with
+    /// unread bytes would take these for its response.
+    fn check_idle_connection_open(
+        &mut self,
+        key: EndpointConnectionKey,
+        endpoint: EndpointKey,
+    ) -> bool {
         let Some(connection) = self.endpoint_connections.get(key) else {
             return false;
         };
         match connection.socket.stream.peek(&mut [0]) {
             Err(error) if error.kind() == ErrorKind::WouldBlock => return true,
-            Ok(count) if count > 0 => self.received_unsolicited(endpoint),
+            Ok(count) if count > 0 => self.record_unsolicited_bytes(endpoint),
             Ok(_) | Err(_) => {}
         }
         self.close_endpoint_connection(key, CloseReason::EndpointClosed);
@@ -106,7 +113,7 @@
         let stream = connect(address)?;
         let key = self.endpoint_connections.try_insert_with_key(|key| {
             let socket = RegisteredSocket::new(&self.handle, stream, move |proxy| {
-                proxy.endpoint_connection_ready(key);
+                proxy.handle_endpoint_connection_ready(key);
             })?;
             Ok::<_, io::Error>(EndpointConnection {
                 socket,
@@ -125,7 +132,7 @@
         Ok(key)
     }
 
-    /// Counts a shortage of descriptors, and logs it now and then.
+    /// Counts a shortage of file descriptors and logs it at a limited rate.
     fn log_descriptor_shortage(&mut self) {
         let now = self.now();
         self.counters.endpoint_connections_exhausted += 1;
@@ -140,17 +147,17 @@
     pub fn set_endpoint_connection_timer(&mut self, key: EndpointConnectionKey, at: Micros) {
         if let Some(connection) = self.endpoint_connections.get_mut(key) {
             let event = TimerEvent::EndpointConnection(key);
-            self.timers.move_to(&mut connection.timer, at, event);
+            self.timers.reschedule(&mut connection.timer, at, event);
         }
     }
 
-    /// Sends what waits on a connection. A failure is handled in a later iteration, as this may be
-    /// a call of the policy.
+    /// Writes pending bytes to a connection. A failure is handled in a later iteration, as this may
+    /// run within a call from the policy.
     pub fn flush_endpoint_connection(&mut self, key: EndpointConnectionKey, now: Micros) {
         if let Some(connection) = self.endpoint_connections.get_mut(key)
             && connection
                 .write_buffer
-                .drain(&connection.socket.stream)
+                .flush(&connection.socket.stream)
                 .is_err()
         {
             let event = TimerEvent::EndpointConnectionReady(key);
@@ -158,10 +165,10 @@
         }
     }
 
-    /// Notes that an endpoint sent bytes that are no response. It may do so again later than the
-    /// reuse delay, and then the next request would take them for its response.
-    pub fn received_unsolicited(&mut self, endpoint: EndpointKey) {
-        let until = self.now() + SINGLE_USE_US;
+    /// Records that an endpoint sent bytes that do not belong to a response. It may do so again
+    /// later than the reuse delay, and the next request would then take them for its response.
+    pub fn record_unsolicited_bytes(&mut self, endpoint: EndpointKey) {
+        let until = self.now() + SINGLE_USE_PERIOD_US;
         let Some(endpoint) = self.endpoints.get_mut(endpoint) else {
             return;
         };
@@ -169,10 +176,11 @@
         warn!(self.log, "endpoint sent unsolicited bytes"; "endpoint" => &*endpoint.id);
     }
 
-    /// Keeps a connection for the next request, or closes it where its endpoint gets none on it.
-    pub fn keep_idle(&mut self, key: EndpointConnectionKey) {
+    /// Keeps a connection for the next request, or closes it if its endpoint must not receive
+    /// another request on it.
+    pub fn return_to_pool(&mut self, key: EndpointConnectionKey) {
         let now = self.now();
-        let until = now + (self.config.idle as f64 * IDLE_SHARE) as Micros;
+        let until = now + (self.config.idle as f64 * IDLE_TIMEOUT_FRACTION) as Micros;
         let Some(connection) = self.endpoint_connections.get_mut(key) else {
             return;
         };
@@ -184,7 +192,7 @@
                 CloseReason::AddressChanged
             }
             Some(endpoint) => {
-                endpoint.idle.push(key);
+                endpoint.idle_connections.push(key);
                 return self.set_endpoint_connection_timer(key, until);
             }
             None => CloseReason::Draining,
@@ -192,8 +200,8 @@
         self.close_endpoint_connection(key, reason);
     }
 
-    /// Closes the idle connection that expires first, to free a descriptor. Returns whether there
-    /// was one.
+    /// Closes the idle connection that expires first, to free a file descriptor. Returns whether a
+    /// connection was closed.
     pub fn evict_idle_endpoint_connection(&mut self) -> bool {
         let idle = self
             .endpoint_connections
@@ -212,13 +220,13 @@
         let Some(endpoint) = self.endpoints.get_mut(endpoint) else {
             return;
         };
-        for key in std::mem::take(&mut endpoint.idle) {
+        for key in std::mem::take(&mut endpoint.idle_connections) {
             self.close_endpoint_connection(key, reason);
         }
     }
 
-    /// Closes a connection and removes it from the table. Where the reason casts doubt on the
-    /// endpoint's other connections, its idle ones are closed too.
+    /// Closes a connection and removes it from the table. If the reason suggests that the
+    /// endpoint's other connections are stale too, its idle connections are closed as well.
     pub fn close_endpoint_connection(&mut self, key: EndpointConnectionKey, reason: CloseReason) {
         let Some(mut connection) = self.endpoint_connections.remove(key) else {
             return;
@@ -227,18 +235,18 @@
         self.handle.remove(connection.socket.token);
         self.counters.endpoint_connections_closed += 1;
         if let Some(endpoint) = self.endpoints.get_mut(connection.endpoint) {
-            endpoint.idle.retain(|idle| *idle != key);
+            endpoint.idle_connections.retain(|idle| *idle != key);
             info!(self.log, "endpoint connection closed"; "reason" => reason.code(),
                 "endpoint" => &*endpoint.id, "requests_carried" => connection.requests_carried);
         }
-        let is_doubtful = reason.casts_doubt_on_endpoint()
+        let others_may_be_stale = reason.suggests_stale_connections()
             || (reason == CloseReason::Cancelled && self.is_unresponsive(&connection));
-        if is_doubtful {
+        if others_may_be_stale {
             self.close_idle_endpoint_connections(connection.endpoint, CloseReason::Stale);
         }
     }
 
-    /// Whether nothing was received on a connection for longer than connecting may take.
+    /// Whether no bytes were received on a connection for longer than the connect timeout.
     fn is_unresponsive(&self, connection: &EndpointConnection) -> bool {
         let waited = connection
             .exchange
@@ -248,7 +256,8 @@
     }
 }
 
-/// Whether a connection failed at the remote side or on the network, not for a shortage of our own.
+/// Whether a connect failed at the remote side or in the network, rather than for a local shortage
+/// of resources.
 pub fn is_remote_failure(error: &io::Error) -> bool {
     matches!(
         error.kind(),
--- a/crates/proxy/src/connections/own_pages.rs
+++ b/crates/proxy/src/connections/own_pages.rs
@@ -11,11 +11,12 @@
 #[cfg(test)]
 mod tests;
 
-/// The path under which leases are shown.
-const LEASE_PREFIX: &str = "/duty/";
+/// Path prefix of the lease pages.
+const LEASE_PATH_PREFIX: &str = "/duty/";
 
 impl ProxyState {
-    /// Answers a request for one of the balancer's own pages. Returns whether there is such a page.
+    /// Responds to a request for one of the balancer's own pages. Returns whether the path names
+    /// such a page.
     pub fn serve_own_page(&mut self, key: ClientKey, method: &str, path: &str) -> bool {
         let Some((status, text)) = self.own_page(path) else {
             return false;
@@ -30,7 +31,7 @@
         true
     }
 
-    /// The status and text of a page.
+    /// Returns the status and the text of a page; none if there is no such page.
     fn own_page(&self, path: &str) -> Option<(StatusCode, String)> {
         match path {
             "/health/ready" if self.is_ready() => Some((StatusCode::OK, "ready\n".into())),
@@ -39,7 +40,7 @@
             "/stats" => Some((StatusCode::OK, self.counters.to_string())),
             "/fleet" => Some((StatusCode::OK, self.cluster.as_ref()?.borrow().fleet_page())),
             _ => {
-                let name = path.strip_prefix(LEASE_PREFIX)?;
+                let name = path.strip_prefix(LEASE_PATH_PREFIX)?;
                 let (status, text) = self.cluster.as_ref()?.borrow().lease_page(name);
                 Some((StatusCode::new(status), text))
             }
@@ -47,6 +48,6 @@
     }
 
     fn is_ready(&self) -> bool {
-        self.stopping.is_none() && self.discovery.has_usable_list()
+        self.shutdown_started_at.is_none() && self.discovery.has_usable_list()
     }
 }
--- a/crates/proxy/src/connections/request.rs
+++ b/crates/proxy/src/connections/request.rs
@@ -1,4 +1,4 @@
-//! Requests of clients: received, checked and passed to the policy.
+//! Client requests: reception, validation and transfer to the policy.
 
 use std::rc::Rc;
 
@@ -9,8 +9,8 @@
 use crate::connections::http_message::{self, MAX_FIELDS};
 use crate::connections::request_error::RequestError;
 use crate::connections::request_parser::{
-    ID_FIELD, REMAINING_FIELD, RequestMessage, expects_continue, parse_request, path_of,
-    request_parameters,
+    ID_FIELD, REMAINING_FIELD, RequestMessage, expects_continue, parse_request, request_parameters,
+    target_path,
 };
 use crate::state::client_connection::READ_AHEAD_BYTES;
 use crate::state::keys::ClientKey;
@@ -20,11 +20,12 @@
 #[cfg(test)]
 mod tests;
 
-/// Time reserved for the way of the response back to the client.
+/// Maximum time reserved for the transfer of the response back to the client.
 const MAX_RETURN_TIME_US: Micros = 10_000;
-/// The divisor of short remaining times that bounds this reserve.
+/// Divisor of the remaining time that limits this reserve for short remaining times.
 const RETURN_TIME_DIVISOR: Micros = 10;
-/// How soon after it was accepted a connection's request may have been sent before that.
+/// Time after the accept of a connection during which its request may have been sent before the
+/// accept.
 const SENT_BEFORE_ACCEPT_US: Micros = 20_000;
 
 impl Proxy {
@@ -40,13 +41,14 @@
         let mut head = RequestHead::new(&mut fields);
         let parsed = head.parse(&message.bytes[..message.head_length]);
         let (Ok(_), Some(method), Some(target)) = (parsed, head.method, head.path) else {
-            // Does not happen: the same bytes were parsed to find the end of the message.
+            // Unreachable: the same bytes were already parsed to find the end of the message.
             return state.reject(key, RequestError::MalformedMessage);
         };
-        state.note_keep_alive(key, &head);
-        let path = path_of(target);
-        // A class may be named like a page: a request with an id belongs to a class.
-        if http_message::field(head.headers, ID_FIELD).is_none()
+        state.record_keep_alive(key, &head);
+        let path = target_path(target);
+        // A class may have the same name as a page, so a request with an id is treated as a
+        // request of the class.
+        if http_message::field_value(head.headers, ID_FIELD).is_none()
             && state.serve_own_page(key, method, path)
         {
             return;
@@ -76,12 +78,12 @@
 }
 
 impl ProxyState {
-    /// Takes a complete message from the front of a client's read buffer. Where there is none,
-    /// waits for the rest of it or rejects it.
+    /// Takes a complete message from the front of a client's read buffer. If the message is
+    /// incomplete, waits for the rest of it; if it is invalid, rejects it.
     fn take_request_message(&mut self, key: ClientKey) -> Option<RequestMessage> {
         let unread = self.clients.get(key)?.read_buffer.bytes().len();
-        // Nothing of the request was sent yet. Small messages are still accepted: they are bounded
-        // by their number.
+        // No part of the request was sent to an endpoint yet, so it can be rejected safely. Small
+        // messages are still accepted, as their number is limited and bounds their total size.
         if unread > READ_AHEAD_BYTES && self.buffered_bytes() > self.config.max_message_bytes {
             self.reject(key, RequestError::MemoryLimit);
             return None;
@@ -89,7 +91,7 @@
         let client = self.clients.get_mut(key)?;
         match parse_request(client.read_buffer.bytes()) {
             Ok(Some(frame)) => {
-                client.sent_continue = false;
+                client.has_sent_continue = false;
                 client.partial_request = None;
                 Some(RequestMessage {
                     bytes: client.read_buffer.take(frame.end),
@@ -99,7 +101,7 @@
             }
             Ok(None) => {
                 self.send_continue(key);
-                self.wait_for_rest(key);
+                self.wait_for_rest_of_request(key);
                 None
             }
             Err(error) => {
@@ -109,49 +111,49 @@
         }
     }
 
-    /// Sends `100 Continue` once, if the request at the front of the read buffer asks for it.
+    /// Sends `100 Continue` once if the request at the front of the read buffer expects it.
     fn send_continue(&mut self, key: ClientKey) {
         let Some(client) = self.clients.get_mut(key) else {
             return;
         };
-        if client.sent_continue || !expects_continue(client.read_buffer.bytes()) {
+        if client.has_sent_continue || !expects_continue(client.read_buffer.bytes()) {
             return;
         }
-        client.sent_continue = true;
+        client.has_sent_continue = true;
         client
             .write_buffer
             .push(Bytes::from_static(b"HTTP/1.1 100 Continue\r\n\r\n"));
-        // A lost connection shows when it is read next.
-        let _ = client.write_buffer.drain(&client.socket.stream);
+        // A lost connection is detected by the next read.
+        let _ = client.write_buffer.flush(&client.socket.stream);
     }
 
-    /// Notes whether the client wants the connection closed after this response. HTTP/1.0 has no
-    /// persistent connections unless both sides ask for them, which we do not.
-    fn note_keep_alive(&mut self, key: ClientKey, head: &RequestHead) {
+    /// Records whether the connection has to be closed after this response. HTTP/1.0 has no
+    /// persistent connections unless both sides request them, and this proxy does not.
+    fn record_keep_alive(&mut self, key: ClientKey, head: &RequestHead) {
         if let Some(client) = self.clients.get_mut(key) {
-            client.no_keep_alive =
+            client.closes_after_response =
                 http_message::contains_token(head.headers, "connection", "close")
                     || head.version == Some(0);
         }
     }
 
-    /// When the response must be on its way to the client, in microseconds. The remaining time
-    /// counts from when the request was sent: it may have waited in the socket, and a new
-    /// connection in the backlog before that.
+    /// Returns the time by which the response must be sent to the client, in microseconds. The
+    /// remaining time counts from when the request was sent: the request may have waited in the
+    /// socket, and before that a new connection may have waited in the backlog.
     fn request_deadline(&self, key: ClientKey, now: Micros, remaining: Micros) -> Micros {
         let in_backlog = self
             .clients
             .get(key)
             .filter(|client| now < client.accepted_at + SENT_BEFORE_ACCEPT_US)
             .map_or(0, |client| client.backlog_wait);
-        let waited = self.loop_iteration.late(now).max(in_backlog);
+        let waited = self.loop_iteration.delay_at(now).max(in_backlog);
         let return_time = MAX_RETURN_TIME_US.min(remaining / RETURN_TIME_DIVISOR);
         (now + remaining)
             .saturating_sub(return_time + waited)
             .max(now)
     }
 
-    /// Adds a request of a client to the table and returns its id.
+    /// Adds a client's request to the table and returns its id.
     pub fn add_request(
         &mut self,
         key: ClientKey,
@@ -165,10 +167,10 @@
             id: Rc::clone(&id),
             client: Some(key),
             head: forwarded_head(&message.bytes, head),
-            body: http_message::slices(&message.bytes, &message.body),
-            has_host: http_message::field(head.headers, "host").is_some(),
+            body: http_message::slice_ranges(&message.bytes, &message.body),
+            has_host: http_message::field_value(head.headers, "host").is_some(),
             has_body: head.method != Some("GET"),
-            length: message.bytes.len(),
+            message_length: message.bytes.len(),
             attempts: Vec::new(),
             idempotency,
             may_have_run_since: None,
@@ -183,7 +185,8 @@
     }
 }
 
-/// The request line and the fields that are forwarded to endpoints, as slices of the message.
+/// Returns the request line and the header fields that are forwarded to endpoints, as slices of the
+/// message.
 fn forwarded_head(message: &Bytes, head: &RequestHead) -> Vec<Bytes> {
     let part = |text: Option<&str>| {
         let text = text.unwrap_or("").as_bytes();
@@ -195,7 +198,7 @@
         part(head.path),
         Bytes::from_static(b" HTTP/1.1\r\n"),
     ];
-    slices.extend(http_message::lines(message, head.headers, |name| {
+    slices.extend(http_message::field_lines(message, head.headers, |name| {
         http_message::is_end_to_end(name) && !name.eq_ignore_ascii_case(REMAINING_FIELD)
     }));
     slices
--- a/crates/proxy/src/connections/response.rs
+++ b/crates/proxy/src/connections/response.rs
@@ -1,4 +1,4 @@
-//! Responses of endpoints: read, reported to the policy and forwarded to clients.
+//! Endpoint responses: parsing, reporting to the policy and forwarding to clients.
 
 use std::ops::Range;
 use std::rc::Rc;
@@ -18,7 +18,7 @@
 use crate::state::proxy::{Proxy, ProxyState};
 use crate::state::request::FinishedAttempt;
 
-/// A complete response, taken from its connection.
+/// A complete response that was taken from its connection.
 struct ReceivedResponse {
     message: Bytes,
     exchange: Exchange,
@@ -28,7 +28,7 @@
 
 impl Proxy {
     /// Handles a complete response at the front of a connection's read buffer.
-    pub fn response_received(&mut self, key: EndpointConnectionKey, frame: &ResponseFrame) {
+    pub fn handle_endpoint_response(&mut self, key: EndpointConnectionKey, frame: &ResponseFrame) {
         let mut borrowed = self.state.borrow_mut();
         let state = &mut *borrowed;
         let now = state.now();
@@ -38,10 +38,10 @@
         let exchange = received.exchange;
         let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut head = Response::new(&mut fields);
-        // The same bytes were parsed to find the end of the message; a failure here would count as
-        // a failed attempt.
+        // The same bytes were already parsed to find the end of the message. If parsing fails here,
+        // the attempt counts as failed.
         let parsed = head.parse(&received.message[..frame.head_length]);
-        let outcome = outcome_of(head.code.filter(|_| parsed.is_ok()), head.headers);
+        let outcome = attempt_outcome(head.code.filter(|_| parsed.is_ok()), head.headers);
         let reports_load = state.config.reports_load || exchange.is_probe();
         let load = load_report(head.headers).filter(|_| reports_load);
         state.counters.load_reports += u64::from(load.is_some());
@@ -62,7 +62,8 @@
                 .load_reported(now, &received.endpoint_id, load);
         }
         if exchange.is_probe() {
-            return self.probe_finished(received.endpoint, outcome == AttemptOutcome::Succeeded);
+            return self
+                .report_probe_result(received.endpoint, outcome == AttemptOutcome::Succeeded);
         }
         if let Some(finished) = finished {
             let elapsed = now.saturating_sub(exchange.started_at);
@@ -92,7 +93,7 @@
         })
     }
 
-    /// Keeps a connection for reuse after a response, or closes it. Bytes behind the response are
+    /// Keeps a connection for reuse after a response, or closes it. Bytes after the response are
     /// unsolicited.
     fn release_endpoint_connection(&mut self, key: EndpointConnectionKey, is_reusable: bool) {
         let Some(connection) = self.endpoint_connections.get(key) else {
@@ -101,17 +102,17 @@
         let endpoint = connection.endpoint;
         let has_unsolicited_bytes = !connection.read_buffer.bytes().is_empty();
         if is_reusable && connection.write_buffer.is_empty() && !has_unsolicited_bytes {
-            self.keep_idle(key);
+            self.return_to_pool(key);
         } else {
             self.close_endpoint_connection(key, CloseReason::EndpointNoKeepAlive);
         }
         if has_unsolicited_bytes {
-            self.received_unsolicited(endpoint);
+            self.record_unsolicited_bytes(endpoint);
         }
     }
 
-    /// Records the end of an attempt; none for a health check and where the request is no longer in
-    /// flight.
+    /// Records the end of an attempt. Returns none for a health check and for a request that is no
+    /// longer in flight.
     fn finish_exchange(
         &mut self,
         exchange: &Exchange,
@@ -130,9 +131,9 @@
     }
 }
 
-/// The outcome of an attempt by the status and the fields of its response.
-fn outcome_of(status: Option<u16>, fields: &[Header]) -> AttemptOutcome {
-    let is_rejected = http_message::field(fields, "x-turned-away") == Some("1");
+/// Returns the outcome of an attempt from the status and the header fields of its response.
+fn attempt_outcome(status: Option<u16>, fields: &[Header]) -> AttemptOutcome {
+    let is_rejected = http_message::field_value(fields, "x-turned-away") == Some("1");
     match status {
         Some(200) => AttemptOutcome::Succeeded,
         Some(503 | 504) if is_rejected => AttemptOutcome::Rejected,
@@ -140,14 +141,14 @@
     }
 }
 
-/// The response to the client, as slices of the endpoint's response.
+/// Returns the response to the client, as slices of the endpoint's response.
 fn forwarded_response(message: &Bytes, fields: &[Header], body: &[Range<usize>]) -> ClientResponse {
     let is_forwarded = |name: &str| {
         http_message::is_end_to_end(name) && !name.eq_ignore_ascii_case(LOAD_REPORT_FIELD)
     };
     ClientResponse {
         status: StatusCode::OK,
-        fields: http_message::lines(message, fields, is_forwarded),
-        body: http_message::slices(message, body),
+        fields: http_message::field_lines(message, fields, is_forwarded),
+        body: http_message::slice_ranges(message, body),
     }
 }
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop: sockets first, then timers, then the log.
+//! The event loop: each iteration handles sockets first, then timers, then the log.
 
 use std::time::Duration;
 
@@ -11,46 +11,50 @@
 use crate::state::proxy::{Proxy, ProxyState};
 use crate::state::timers::TimerEvent;
 
-/// The longest wait of an iteration: one that lasts longer than requested shows that the process
-/// was delayed.
+/// Maximum wait of an iteration, in microseconds. A wait that takes longer than requested shows
+/// that the process was delayed.
 const MAX_WAIT_US: Micros = 50_000;
-/// Iterations that may fail one after another: a failure of one socket must not end the requests of
-/// others, and a loop that is broken for good must not spin.
-const MAX_FAILURES: u32 = 100;
+/// Maximum number of consecutive iterations that may fail: a failure of one socket must not end the
+/// requests on others, and an event loop that fails permanently must not spin.
+const MAX_CONSECUTIVE_FAILURES: u32 = 100;
 
 impl Proxy {
-    /// Handles the timers that have expired. What these schedule for the same moment waits for the
-    /// next iteration.
+    /// Handles the timers that have expired. Timers that their handlers schedule for the same time
+    /// wait for the next iteration.
     pub fn run_timers(&mut self) {
         let (now, last_serial) = {
             let state = self.state.borrow();
             (state.now(), state.timers.last_serial())
         };
         loop {
-            let expired = self.state.borrow_mut().timers.expired(now, last_serial);
+            let expired = self
+                .state
+                .borrow_mut()
+                .timers
+                .take_expired(now, last_serial);
             match expired {
-                Some(event) => self.timer_expired(event, now),
+                Some(event) => self.handle_timer(event, now),
                 None => return,
             }
         }
     }
 
-    fn timer_expired(&mut self, event: TimerEvent, now: Micros) {
+    fn handle_timer(&mut self, event: TimerEvent, now: Micros) {
         match event {
             TimerEvent::PolicyTimer(timer_id) => {
                 let now = self.state.borrow().now();
                 self.balancer.timer_expired(now, timer_id);
             }
-            TimerEvent::ClientConnection(key) => self.client_timer_expired(key),
-            TimerEvent::NextRequest(key) => self.client_ready(key),
-            TimerEvent::EndpointConnection(key) => self.endpoint_connection_timer_expired(key),
-            TimerEvent::EndpointConnectionReady(key) => self.endpoint_connection_ready(key),
+            TimerEvent::ClientConnection(key) => self.handle_client_timer(key),
+            TimerEvent::NextRequest(key) => self.handle_client_ready(key),
+            TimerEvent::EndpointConnection(key) => self.handle_endpoint_connection_timer(key),
+            TimerEvent::EndpointConnectionReady(key) => self.handle_endpoint_connection_ready(key),
             TimerEvent::AttemptEnded {
                 request,
                 number,
                 outcome,
-            } => self.attempt_finished(request, number, outcome, now),
-            TimerEvent::ProbeNotSent(endpoint) => self.probe_finished(endpoint, false),
+            } => self.handle_attempt_end(request, number, outcome, now),
+            TimerEvent::ProbeNotSent(endpoint) => self.report_probe_result(endpoint, false),
             TimerEvent::Discovery => self.discovery_timer_expired(),
             TimerEvent::ResumeAccepting => self.state.borrow_mut().resume_accepting(),
             TimerEvent::Shutdown => self.continue_shutdown(),
@@ -58,7 +62,7 @@
         }
     }
 
-    /// Handles the timers of the cluster, and endpoint lists that other balancers passed on.
+    /// Handles the timers of the cluster and endpoint lists received from other balancers.
     fn run_cluster(&mut self) {
         if let Some(cluster) = &self.state.borrow().cluster {
             cluster.borrow_mut().run_timers();
@@ -68,10 +72,10 @@
 }
 
 impl ProxyState {
-    /// Begins an iteration. Returns how long it may wait for events, in microseconds.
+    /// Begins an iteration. Returns the maximum time to wait for events, in microseconds.
     fn begin_iteration(&mut self) -> Micros {
         let now = self.now();
-        let next_timer = self.timers.next();
+        let next_timer = self.timers.next_expiry();
         let mut wait = next_timer.map_or(MAX_WAIT_US, |at| at.saturating_sub(now));
         if let Some(cluster) = &self.cluster {
             wait = wait.min(cluster.borrow().time_to_next_timer());
@@ -81,13 +85,13 @@
         wait
     }
 
-    fn count_iteration(&mut self, started_at: Micros) {
-        let took = self.now().saturating_sub(started_at);
+    fn record_iteration_time(&mut self, started_at: Micros) {
+        let duration = self.now().saturating_sub(started_at);
         let longest = &mut self.counters.longest_loop_iteration_us;
-        *longest = took.max(*longest);
+        *longest = duration.max(*longest);
     }
 
-    /// Writes the log as far as the pipe takes it. `unreported` counts lines that were dropped and
+    /// Writes as much of the log as the pipe accepts. `unreported` counts dropped lines that were
     /// not reported yet.
     fn flush_log(&mut self, log_buffer: &LogBuffer, unreported: &mut u64) {
         let flushed = log_buffer.flush();
@@ -104,7 +108,7 @@
 ///
 /// # Errors
 ///
-/// Fails when many iterations in a row failed.
+/// Fails when too many consecutive iterations have failed.
 pub fn serve(
     event_loop: &mut EventLoop<'static, Proxy>,
     proxy: &mut Proxy,
@@ -116,7 +120,7 @@
         let wait = proxy.state.borrow_mut().begin_iteration();
         match event_loop.dispatch(Some(Duration::from_micros(wait)), proxy) {
             Ok(()) => failures = 0,
-            Err(error) if failures < MAX_FAILURES => {
+            Err(error) if failures < MAX_CONSECUTIVE_FAILURES => {
                 failures += 1;
                 warn!(proxy.state.borrow().log, "event loop iteration failed"; "error" => %error);
             }
@@ -126,7 +130,7 @@
         proxy.run_timers();
         proxy.run_cluster();
         let mut state = proxy.state.borrow_mut();
-        state.count_iteration(started_at);
+        state.record_iteration_time(started_at);
         state.flush_log(log_buffer, &mut unreported_drops);
     }
     Ok(())
