--- a/crates/proxy/src/discovery/list_error.rs
+++ b/crates/proxy/src/discovery/list_error.rs
@@ -13,8 +13,8 @@
     #[error(transparent)]
     Field(#[from] FieldError),
     /// The address of an entry is not a socket address.
-    #[error("invalid socket address in field 'endpoint': expected IP:PORT")]
-    Address,
+    #[error("invalid socket address '{0}' in field 'endpoint': expected IP:PORT")]
+    Address(String),
     /// The state of an entry is unknown.
     #[error("unknown state '{0}' in field 'state': expected 'active', 'leaving' or 'left'")]
     UnknownState(String),
--- a/crates/proxy/src/discovery/list_update.rs
+++ b/crates/proxy/src/discovery/list_update.rs
@@ -98,8 +98,11 @@
         entry: &Value,
         start_times: StartTimes,
     ) -> Result<(), ListError> {
-        let address = text(entry, "endpoint")?.parse();
-        let address: SocketAddr = address.map_err(|_| ListError::Address)?;
+        let address = text(entry, "endpoint")?;
+        let address: SocketAddr = match address.parse() {
+            Ok(address) => address,
+            Err(_) => return Err(ListError::Address(address.to_owned())),
+        };
         let stated = stated_start(entry)?;
         let (cell, weight) = (
             unsigned(entry, "pod_group")?,
--- a/crates/proxy/src/discovery/polling_schedule/mod.rs
+++ b/crates/proxy/src/discovery/polling_schedule/mod.rs
@@ -3,9 +3,9 @@
 //!
 //! One poll is current at a time. An overdue poll is superseded by another poll on a new
 //! connection. Its response is still accepted until the new poll gets a response or the old one
-//! expires, for two reasons. Discovery processes its queue whether a client is still connected or
-//! not, so closing the connection would waste the position in the queue. Moreover, everything that
-//! discovery writes to a connection counts as delivered.
+//! expires: closing the connection would waste its position in discovery's queue, which is
+//! processed whether a client is still connected or not, and everything written to a connection
+//! counts as delivered.
 
 use nanorand::{Rng, WyRand};
 use pinefront_policy::Micros;
@@ -28,9 +28,8 @@
 mod tests;
 mod watch;
 
-/// Wait of the queued poll that precedes a watch, in microseconds. A watch is opened only after a
-/// poll has passed discovery's queue. If the queued poll itself were the watch, the time at which
-/// its wait ends would be unknown.
+/// Wait of the queued poll that precedes a watch, in microseconds. If the queued poll itself were
+/// the watch, the time at which its wait ends would be unknown.
 const QUEUED_POLL_WAIT_US: Micros = 1_000;
 /// Minimum time between two polls, in microseconds, for a discovery that responds immediately.
 const MIN_POLL_INTERVAL_US: Micros = 100_000;
@@ -38,7 +37,6 @@
 /// A connection that is no longer used and has to be closed.
 struct ConnectionToClose {
     connection: ConnectionId,
-    /// Whether it may contain a response that was not read yet.
     may_hold_response: bool,
 }
 
@@ -107,9 +105,8 @@
         self.next_poll_at = Some(now + self.random.generate_range(0..=delay));
     }
 
-    /// Records that the process started with a cached list of this version. Only the changes since
-    /// then are polled, so that discovery does not have to send the complete list to every balancer
-    /// while a fleet starts.
+    /// Records that the process started with a cached list of this version. Only later changes are
+    /// polled, which spares discovery sending complete lists while a fleet starts.
     pub fn set_cached_version(&mut self, version: u64) {
         self.list.set_cached_version(version);
     }
@@ -132,9 +129,8 @@
         self.list.receive(summary);
     }
 
-    /// Handles a change of discovery's address. The new discovery may count versions differently,
-    /// so its complete list is polled immediately. Responses of the previous discovery are accepted
-    /// until the new one has responded.
+    /// Handles a new address of discovery, which may count versions differently: polls the complete
+    /// list now. Responses from the previous address are accepted until the first from the new one.
     pub fn discovery_changed(&mut self, now: Micros) {
         self.supersede_current();
         self.close_idle_connection();
@@ -300,8 +296,7 @@
         ConnectionId(self.last_connection)
     }
 
-    /// Whether the cached list may be verified now. The verification runs in parallel with a watch
-    /// and never replaces it.
+    /// Whether the cached list may be verified now: in parallel with a watch, never instead of it.
     fn may_verify(&self) -> bool {
         self.list.is_unverified && self.is_watching() && self.polls.superseded.is_empty()
     }
@@ -321,9 +316,8 @@
         PollAction::Open(connection, query)
     }
 
-    /// Handles a connection that was established, so that its poll is sent. The other connections
-    /// that are not established yet are closed, as their polls would only take further positions in
-    /// discovery's queue.
+    /// Handles a connection that was established, so that its poll is sent. Other connections that
+    /// are being established are closed, as their polls would take further positions in the queue.
     pub fn connected(&mut self, connection: ConnectionId) {
         let Some(poll) = self.polls.mark_sent(connection) else {
             return;
@@ -351,8 +345,7 @@
         match (version, self.list.version) {
             _ if self.polls.is_current(connection) => true,
             (Some(version), Some(_)) => self.is_newer(version, is_complete),
-            // Changes whose version was not received yet apply only if they were requested for the
-            // known version.
+            // Changes whose version is not received yet apply only to the version in the query.
             (None, known) => {
                 matches!(poll.query, ListQuery::Changes { since, .. } if known == Some(since))
             }
