--- a/crates/proxy/src/gossip.rs
+++ b/crates/proxy/src/gossip.rs
@@ -1,6 +1,6 @@
-//! Gossip between balancers: one message a datagram, by UDP between the addresses in the
-//! configuration. The sender is identified by its address; datagrams from elsewhere, or longer than
-//! the settings allow, are ignored.
+//! Gossip between balancers: one message per UDP datagram, sent between the addresses in the
+//! configuration. The sender is identified by its address. Datagrams from unknown addresses and
+//! datagrams that exceed the maximum length are ignored.
 
 use std::net::SocketAddr;
 
@@ -10,16 +10,16 @@
 #[cfg(test)]
 mod tests;
 
-/// Longest message, as on the simulator's wire.
+/// Maximum length of a message in bytes, the same as in the simulator's protocol.
 const MAX_MESSAGE_BYTES: usize = 256;
-/// Datagrams received in one iteration of the loop; others wait in the socket, so that the
-/// iteration stays short.
+/// Maximum number of datagrams received in one loop iteration, so that the iteration stays short.
+/// Further datagrams stay in the socket buffer.
 const MAX_DATAGRAMS_PER_ITERATION: usize = 64;
 
 impl Proxy {
-    /// Receives the datagrams that wait on the gossip socket.
+    /// Receives the datagrams in the buffer of the gossip socket.
     pub fn gossip_ready(&mut self) {
-        // One byte more, so that a message that is too long shows.
+        // One additional byte, so that a message that is too long is detected.
         let mut datagram = [0; MAX_MESSAGE_BYTES + 1];
         for _ in 0..MAX_DATAGRAMS_PER_ITERATION {
             let received = {
@@ -27,8 +27,8 @@
                 let socket = state.gossip_socket.as_ref();
                 socket.map(|socket| socket.socket.recv_from(&mut datagram))
             };
-            // An error may be the report of an earlier send that nobody received; the next
-            // iteration goes on.
+            // An error may refer to an earlier datagram that could not be delivered. Receiving
+            // continues in the next loop iteration.
             let Some(Ok((length, from))) = received else {
                 return;
             };
@@ -53,15 +53,15 @@
 }
 
 impl ProxyState {
-    /// Sends a message to one balancer, or to all others. It may be lost on its way, or where the
-    /// socket's buffer is full.
+    /// Sends a message to one balancer or to all others. It is lost if the network drops it or the
+    /// socket buffer is full.
     pub fn send_gossip(&mut self, balancer: Option<usize>, message: &str) {
         let Some(gossip_socket) = &self.gossip_socket else {
             return;
         };
         for (index, peer) in self.config.peers.iter().enumerate() {
-            let is_addressee = balancer.is_none_or(|balancer| balancer == index);
-            if index == self.config.own_index || !is_addressee {
+            let is_recipient = balancer.is_none_or(|balancer| balancer == index);
+            if index == self.config.own_index || !is_recipient {
                 continue;
             }
             match gossip_socket.socket.send_to(message.as_bytes(), peer) {
@@ -71,12 +71,13 @@
         }
     }
 
-    /// Replaces the gossip socket by a new one, or closes it where there are no other balancers.
+    /// Replaces the gossip socket with a new one, or closes it if no gossip addresses are
+    /// configured.
     pub fn replace_gossip_socket(&mut self, gossip_socket: Option<GossipSocket>) {
         if gossip_socket.is_some() || self.config.peers.is_empty() {
-            let former = std::mem::replace(&mut self.gossip_socket, gossip_socket);
-            if let Some(former) = former {
-                former.close(&self.handle);
+            let previous = std::mem::replace(&mut self.gossip_socket, gossip_socket);
+            if let Some(previous) = previous {
+                previous.close(&self.handle);
             }
         }
     }
--- a/crates/proxy/src/gossip/tests.rs
+++ b/crates/proxy/src/gossip/tests.rs
@@ -7,11 +7,12 @@
 use crate::test_harness::{TestHarness, change_deployment, send_text};
 use std::net::SocketAddr;
 
-/// A balancer, and the socket of another.
+/// Starts a balancer. Returns it, the socket of another balancer, and the gossip address of the
+/// first.
 fn balancer_and_peer() -> (TestHarness, UdpSocket, SocketAddr) {
     let other = UdpSocket::bind("127.0.0.1:0").unwrap();
     other.set_nonblocking(true).unwrap();
-    // Free a moment ago: nobody else here asks for ports by their number.
+    // The port is free, and no other test binds a port by its number.
     let own = UdpSocket::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
@@ -23,56 +24,57 @@
 }
 
 fn receive(harness: &mut TestHarness, other: &UdpSocket) -> String {
-    let mut word = [0; 512];
-    let length = harness.run_until(|_| other.recv(&mut word).ok());
-    String::from_utf8(word[..length].to_vec()).unwrap()
+    let mut datagram = [0; 512];
+    let length = harness.run_until(|_| other.recv(&mut datagram).ok());
+    String::from_utf8(datagram[..length].to_vec()).unwrap()
 }
 
 #[rstest]
 #[case::all(None, true)]
 #[case::the_other(Some(1), true)]
 #[case::itself(Some(0), false)]
-#[case::nobody(Some(7), false)]
-fn messages_go_to_their_addressee(#[case] to: Option<usize>, #[case] reached: bool) {
+#[case::unknown(Some(7), false)]
+fn messages_are_sent_to_their_recipients(#[case] to: Option<usize>, #[case] is_received: bool) {
     let (mut harness, other, _) = balancer_and_peer();
     ProxyHost(harness.proxy.state.clone()).send_gossip(to, "~ 5");
     ProxyHost(harness.proxy.state.clone()).send_gossip(Some(1), "end");
-    assert_eq!(receive(&mut harness, &other) == "~ 5", reached);
+    assert_eq!(receive(&mut harness, &other) == "~ 5", is_received);
 }
 
-/// Strangers may send anything to a socket, and so may a balancer that is broken.
+/// Unknown senders may send anything to the socket, and so may a faulty balancer.
 #[rstest]
-#[case::known(true, "~ 186a0", 1, 0)]
-#[case::stranger(false, "~ 186a0", 0, 1)]
+#[case::balancer(true, "~ 186a0", 1, 0)]
+#[case::unknown_sender(false, "~ 186a0", 0, 1)]
 #[case::too_long(true, &"x".repeat(300), 0, 1)]
 #[case::malformed(true, "~ ~ ~", 1, 0)]
-fn only_messages_of_balancers_are_received(
-    #[case] known: bool,
-    #[case] word: &str,
-    #[case] heard: u64,
-    #[case] passed: u64,
+fn only_messages_of_balancers_are_accepted(
+    #[case] is_balancer: bool,
+    #[case] message: &str,
+    #[case] received: u64,
+    #[case] ignored: u64,
 ) {
     let (mut harness, other, own) = balancer_and_peer();
-    let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
-    if known { &other } else { &stranger }
-        .send_to(word.as_bytes(), own)
+    let unknown_sender = UdpSocket::bind("127.0.0.1:0").unwrap();
+    if is_balancer { &other } else { &unknown_sender }
+        .send_to(message.as_bytes(), own)
         .unwrap();
     let counted = harness.run_until(|proxy| {
         let counters = &proxy.state.borrow().counters;
         let counted = (counters.gossip_received, counters.gossip_ignored);
         (counted != (0, 0)).then_some(counted)
     });
-    assert_eq!(counted, (heard, passed));
+    assert_eq!(counted, (received, ignored));
 }
 
-/// The policy probes before it chooses an endpoint: the request is sent once the probe is answered.
+/// The policy probes endpoints before it chooses one, so the request is sent after the response to
+/// the probe.
 #[rstest]
 #[case::answered(
     "HTTP/1.1 200 OK\r\nX-Pressure: TEXT inflight=0, queue=0\r\nContent-Length: 0\r\n\r\n",
     1
 )]
 #[case::failed("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", 0)]
-fn a_request_waits_for_the_probe(#[case] answer: &str, #[case] answered: u64) {
+fn a_request_waits_for_the_probe(#[case] response: &str, #[case] probes_answered: u64) {
     let (mut harness, _other, _) = balancer_and_peer();
     let endpoint = harness.endpoint("s1");
     let (client, _) = harness.connect_client();
@@ -81,14 +83,15 @@
         "GET /status/1 HTTP/1.1\r\nHost: app\r\nX-Txn: t1\r\nX-Remaining-Ms: 20000\r\n\r\n",
     );
     let connection = harness.accept_connection(&endpoint);
-    let asked = harness.read_until(&connection, "\r\n\r\n");
-    assert!(asked.starts_with("GET /load HTTP/1.1\r\n") && !asked.contains("X-Txn"));
-    send_text(&connection, answer);
-    if answered == 1 {
+    let probe = harness.read_until(&connection, "\r\n\r\n");
+    assert!(probe.starts_with("GET /load HTTP/1.1\r\n") && !probe.contains("X-Txn"));
+    send_text(&connection, response);
+    if probes_answered == 1 {
         harness
             .run_until(|proxy| (proxy.state.borrow().counters.probes_answered == 1).then_some(()));
         assert_eq!(harness.proxy.state.borrow().counters.load_reports, 1);
-        // The connection is not reused at once after a response, so the request comes on another.
+        // A connection is not reused immediately after a response, so the request arrives on
+        // another.
         let connection = harness.accept_connection(&endpoint);
         assert!(
             harness
@@ -96,7 +99,8 @@
                 .starts_with("GET /status/1 HTTP/1.1\r\n")
         );
     } else {
-        // A request probes once: without any endpoint left it is rejected, and does not wait.
+        // A request causes only one probe. If no endpoint is usable after it, the request is
+        // rejected immediately.
         harness.run_until(|proxy| {
             (proxy.state.borrow().counters.requests_rejected == 1).then_some(())
         });
@@ -112,7 +116,7 @@
     }
 }
 
-/// A refused connection must not leave a request waiting for the response to a probe.
+/// A request must not keep waiting for the response to a probe whose connection was refused.
 #[test]
 fn a_probe_that_cannot_be_sent_is_reported() {
     let (mut harness, _other, _) = balancer_and_peer();
--- a/crates/proxy/src/logging.rs
+++ b/crates/proxy/src/logging.rs
@@ -1,5 +1,5 @@
-//! The log: lines on standard error, written without waiting. While the pipe is full, lines are
-//! dropped and counted.
+//! The log, which is written to standard error without blocking. Lines are buffered while the pipe
+//! is full, and dropped and counted while the buffer is full.
 
 use std::fmt::{self, Write as _};
 use std::io::Write as _;
@@ -13,34 +13,35 @@
 #[cfg(test)]
 mod tests;
 
-/// Bytes that are buffered while the pipe is full: some hundred lines.
+/// Size of the buffer for lines that are not written yet, in bytes, enough for several hundred
+/// lines.
 const MAX_BUFFERED_BYTES: usize = 64 * 1024;
-/// Bytes that a pipe that is ready takes without waiting.
+/// Number of bytes that a writable pipe accepts without blocking.
 const MAX_WRITE_BYTES: usize = 4096;
 
 /// Lines that are not written yet.
 #[derive(Default)]
-struct Pending {
+struct PendingLines {
     bytes: Vec<u8>,
-    /// Lines dropped since the last flush.
+    /// Number of lines dropped since the last flush.
     dropped: u64,
 }
 
-/// What a flush has found.
+/// The result of a flush.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Flushed {
-    /// Lines dropped since the last flush.
+pub struct FlushResult {
+    /// Number of lines dropped since the last flush.
     pub dropped: u64,
     /// Whether all lines were written.
     pub is_empty: bool,
 }
 
-/// Buffers log lines until standard error takes them.
+/// Buffer of log lines that standard error has not accepted yet.
 #[derive(Clone, Default)]
-pub struct LogBuffer(Arc<Mutex<Pending>>);
+pub struct LogBuffer(Arc<Mutex<PendingLines>>);
 
 impl LogBuffer {
-    /// Makes a logger that writes to this buffer.
+    /// Creates a logger that writes to this buffer.
     pub fn logger(&self, level: slog::Level) -> Logger {
         Logger::root(self.clone().filter_level(level).fuse(), o!())
     }
@@ -56,10 +57,10 @@
         pending.bytes.extend_from_slice(line.as_bytes());
     }
 
-    /// Writes as many lines as the pipe takes without waiting.
-    pub fn flush(&self) -> Flushed {
+    /// Writes as many bytes as the pipe accepts without blocking.
+    pub fn flush(&self) -> FlushResult {
         let Ok(mut pending) = self.0.lock() else {
-            return Flushed {
+            return FlushResult {
                 dropped: 0,
                 is_empty: false,
             };
@@ -73,26 +74,26 @@
                 Err(_) => break,
             }
         }
-        Flushed {
+        FlushResult {
             dropped: std::mem::take(&mut pending.dropped),
             is_empty: pending.bytes.is_empty(),
         }
     }
 }
 
-/// Whether standard error takes some bytes without waiting. Other processes may share it, so it is
-/// not set to non-blocking.
+/// Whether standard error accepts bytes without blocking. It is not set to non-blocking mode
+/// because other processes may share it.
 fn is_writable() -> bool {
     ready(&std::io::stderr(), PollFlags::OUT) == PollFlags::OUT
 }
 
-/// A line as it is being written: ` key=value` for each field.
+/// A log line under construction, to which each field is appended as ` key=value`.
 struct Line(String);
 
 impl Serializer for Line {
     fn emit_arguments(&mut self, key: slog::Key, value: &fmt::Arguments) -> slog::Result {
         let text = value.to_string();
-        // Line ends and blanks from outside must not look like lines or fields of ours.
+        // Line ends and spaces in external values must not be mistaken for log lines or fields.
         let plain = |byte: u8| byte.is_ascii_graphic() && byte != b'"' && byte != b'=';
         if !text.is_empty() && text.bytes().all(plain) {
             write!(self.0, " {key}={text}")?;
@@ -113,7 +114,7 @@
             record.level().as_short_str(),
             record.msg()
         ));
-        // A line whose fields cannot all be written is logged up to there.
+        // If a field cannot be serialized, the line is logged without it and the fields after it.
         let _ = record
             .kv()
             .serialize(record, &mut line)
--- a/crates/proxy/src/logging/tests.rs
+++ b/crates/proxy/src/logging/tests.rs
@@ -7,9 +7,10 @@
 }
 
 #[test]
-fn what_comes_from_outside_stays_in_its_field() {
+fn an_external_value_is_quoted_within_its_field() {
     let log_buffer = LogBuffer::default();
-    info!(log_buffer.logger(slog::Level::Info), "closed"; "endpoint" => "a b\nINFO x", "reason" => "timed_out");
+    info!(log_buffer.logger(slog::Level::Info), "closed";
+        "endpoint" => "a b\nINFO x", "reason" => "timed_out");
     assert_eq!(
         lines(&log_buffer),
         "INFO closed reason=timed_out endpoint=\"a b\\nINFO x\"\n"
