--- a/crates/proxy/src/config/classes.rs
+++ b/crates/proxy/src/config/classes.rs
@@ -1,39 +1,40 @@
-//! The request classes since the start. The policy knows classes by their index, so a reload never
-//! changes the index of a class: classes are retired and come back.
+//! All request classes since the start of the process. The policy identifies classes by their
+//! index, so a reload never changes the index of a class. Removed classes are retired, and
+//! reactivated if they are configured again.
 
 use pinefront_policy::{Idempotency, IdempotencyScope, RequestClass};
 
 use super::error::ConfigError;
 
-/// Classes since the start, at most.
+/// Maximum number of request classes since the start of the process.
 const MAX_CLASSES: usize = 64;
 
-/// A class of the present settings or of earlier ones.
+/// A request class of the current settings or of earlier ones.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KnownClass {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Its idempotency when it was first configured.
+    /// Idempotency of the class when it was first configured.
     pub idempotency: Idempotency,
 }
 
-/// The classes since the start, by their index at the policy.
+/// All request classes since the start of the process, by the index that the policy uses.
 pub(super) struct ClassTable {
-    /// As they were first configured.
+    /// The classes as they were first configured.
     pub known: Vec<KnownClass>,
-    /// As the policy uses them.
+    /// The classes as the policy uses them.
     pub classes: Vec<RequestClass>,
-    /// Names that clients may use; blank for a retired class.
+    /// The names that clients may use; empty for a retired class.
     pub names: Vec<String>,
 }
 
 impl ClassTable {
     /// Merges the classes of new settings into the known ones. A class that is configured as before
-    /// is found again, so that going back and forth between two configurations adds none.
+    /// reuses its index, so that switching between two configurations repeatedly adds no classes.
     ///
     /// # Errors
     ///
-    /// Fails when there were too many classes since the start.
+    /// Fails when there were too many classes since the start of the process.
     pub fn merge(
         known: &[KnownClass],
         old: &[RequestClass],
@@ -50,8 +51,9 @@
         Ok(table)
     }
 
-    /// All known classes, retired. Requests of a retired class may be in flight: if a class of that
-    /// name is configured differently now, their retries satisfy both.
+    /// Returns the table with all known classes retired. Requests of a retired class may be in
+    /// flight. If a class of the same name has another idempotency now, their retries comply with
+    /// both.
     fn retired(
         known: &[KnownClass],
         old: &[RequestClass],
@@ -60,8 +62,8 @@
     ) -> Self {
         let retire = |(class, known): (&RequestClass, &KnownClass)| {
             let mut named = new_names.iter().zip(new);
-            let namesake = named.find(|(name, _)| **name == known.name);
-            let idempotency = namesake.map_or(known.idempotency, |(_, class)| {
+            let same_name = named.find(|(name, _)| **name == known.name);
+            let idempotency = same_name.map_or(known.idempotency, |(_, class)| {
                 stricter(known.idempotency, class.idempotency)
             });
             RequestClass {
@@ -93,9 +95,9 @@
     }
 }
 
-/// Returns what holds for a request that was received under one idempotency and may be retried
-/// under another. Neither of two scopes need contain the other, so a request with both may not be
-/// retried.
+/// Returns the idempotency of a request that was received under one idempotency and may be retried
+/// under another. Neither of two different scopes is known to contain the other, so a request to
+/// which both apply is not retried.
 pub(super) fn stricter(one: Idempotency, other: Idempotency) -> Idempotency {
     match (one, other) {
         (Idempotency::Idempotent, other) | (other, Idempotency::Idempotent) => other,
--- a/crates/proxy/src/config/decode.rs
+++ b/crates/proxy/src/config/decode.rs
@@ -1,4 +1,4 @@
-//! Decodes a configuration, one group of keys after another.
+//! Decodes a configuration from JSON.
 
 use std::net::SocketAddr;
 
@@ -12,25 +12,28 @@
 use super::load::Variables;
 use super::proxy_config::Config;
 
-/// Descriptors kept for standard streams, the listener, discovery, the event loop and a spare few.
+/// Number of file descriptors reserved for standard streams, the listener, discovery, the event
+/// loop and a few spare ones.
 pub(super) const RESERVED_SOCKETS: u64 = 24;
-/// The fewest descriptors to serve with.
+/// Minimum number of file descriptors that a balancer needs.
 const MIN_SOCKETS: u64 = 64;
-/// Fraction of the other descriptors for clients: several may wait for each request at an endpoint.
+/// Fraction of the remaining file descriptors for client connections. Clients get the larger part,
+/// as several may be waiting for each request that is in flight to an endpoint.
 const CLIENT_FRACTION: f64 = 0.6;
-/// Clients that send requests are crowded from one descriptor in so many on. They hold a third at
-/// most: at half of that, idle connections begin to keep others out.
-const CROWDED_PER_SOCKETS: u64 = 6;
-/// Clients' messages may fill one byte of memory in so many: buffers may take twice what they hold,
-/// and responses the same.
-const MEMORY_PER_MESSAGES: u64 = 4;
+/// Number of file descriptors per client in [`Config::active_client_threshold`]. Clients that send
+/// requests hold at most a third of the descriptors. At half of that, their idle connections start
+/// to keep other clients out.
+const SOCKETS_PER_ACTIVE_CLIENT: u64 = 6;
+/// Bytes of memory per byte of buffered client messages. A buffer may allocate twice the size of
+/// its contents, and responses need as much memory as requests.
+const MEMORY_BYTES_PER_MESSAGE_BYTE: u64 = 4;
 const MEBIBYTE: u64 = 1024 * 1024;
 
-/// What the proxy may use of the system.
+/// Limits on the system resources that the proxy uses.
 struct Limits {
     max_client_connections: usize,
     max_endpoint_connections: usize,
-    crowd_threshold: usize,
+    active_client_threshold: usize,
     max_message_bytes: usize,
 }
 
@@ -44,28 +47,30 @@
         if sockets < MIN_SOCKETS {
             return Err(ConfigError::TooFewSockets {
                 sockets,
-                least: MIN_SOCKETS,
+                min: MIN_SOCKETS,
             });
         }
         let connections = (sockets - RESERVED_SOCKETS) as usize;
         let max_client_connections = (connections as f64 * CLIENT_FRACTION) as usize;
-        let message_bytes = |mb: u64| (mb.saturating_mul(MEBIBYTE) / MEMORY_PER_MESSAGES) as usize;
+        let message_bytes =
+            |mb: u64| (mb.saturating_mul(MEBIBYTE) / MEMORY_BYTES_PER_MESSAGE_BYTE) as usize;
         Ok(Self {
             max_client_connections,
             max_endpoint_connections: connections - max_client_connections,
-            crowd_threshold: (sockets / CROWDED_PER_SOCKETS) as usize,
+            active_client_threshold: (sockets / SOCKETS_PER_ACTIVE_CLIENT) as usize,
             max_message_bytes: memory_mb.map_or(usize::MAX, message_bytes),
         })
     }
 }
 
 impl Config {
-    /// Decodes a configuration and the settings of the policy in it. Variables take precedence over
-    /// its fields; `open_file_limit` is the system's limit on descriptors.
+    /// Decodes a configuration and the settings of the policy that it contains. Variables take
+    /// precedence over fields. `open_file_limit` is the system's limit on open file descriptors.
     ///
     /// # Errors
     ///
-    /// Fails at the first field that is missing, mistyped or contradicts another.
+    /// Fails at the first field that is missing, has the wrong type or conflicts with another
+    /// field.
     pub fn decode(
         document: &Value,
         variables: &Variables,
@@ -78,7 +83,8 @@
         let seed = text(document, "seed")?;
         let reports_load = decode_reports_load(settings_json, &settings)?;
         let zones = decode_zones(settings_json, &settings)?;
-        // The whole drain grace period is left to delays of the process, so its value is not used.
+        // The value is only validated: the whole drain grace period is a margin for delays of this
+        // process.
         unsigned(object(settings_json, "rules")?, "drainGraceUs")?;
         let name = variable_or_field(document, variables, "name")?;
         let listen = address(document, variables, "listen")?;
@@ -87,10 +93,10 @@
             name,
             listen,
             discovery,
-            seed: u64::from_str_radix(seed, 16).map_err(|_| ConfigError::Seed)?,
+            seed: u64::from_str_radix(seed, 16).map_err(|_| ConfigError::Seed(seed.to_owned()))?,
             max_client_connections: limits.max_client_connections,
             max_endpoint_connections: limits.max_endpoint_connections,
-            crowd_threshold: limits.crowd_threshold,
+            active_client_threshold: limits.active_client_threshold,
             max_message_bytes: limits.max_message_bytes,
             classes: names(settings_json, "useCases")?,
             known_classes: known_classes(settings_json, &settings)?,
@@ -98,7 +104,7 @@
             tenants: tenants(settings_json)?,
             zones,
             machine_types: texts(settings_json, "kinds")?,
-            idle: unsigned(caps, "connIdleUs")?,
+            endpoint_idle_timeout: unsigned(caps, "connIdleUs")?,
             connect_timeout: unsigned(caps, "connectTimeoutUs")?,
             max_poll_interval: settings.max_poll_interval,
             reports_load,
@@ -111,7 +117,7 @@
     }
 }
 
-/// Whether responses carry load reports.
+/// Decodes whether responses carry load reports.
 fn decode_reports_load(settings_json: &Value, settings: &Settings) -> Result<bool, ConfigError> {
     let source = text(object(settings_json, "report")?, "source")?;
     if source == "on_probe" && !settings.load_from_probes {
@@ -152,7 +158,7 @@
     }
 }
 
-/// The `name` fields of a list of objects.
+/// Returns the `name` fields of a list of objects.
 fn names(object: &Value, field: &str) -> Result<Vec<String>, ConfigError> {
     let mut names = Vec::new();
     for entry in list(object, field)? {
@@ -161,16 +167,16 @@
     Ok(names)
 }
 
-/// A list of texts.
+/// Decodes a list of strings.
 fn texts(object: &Value, field: &'static str) -> Result<Vec<String>, ConfigError> {
     let text = |entry: &Value| entry.as_str().map(str::to_owned);
     list(object, field)?
         .iter()
-        .map(|entry| text(entry).ok_or(ConfigError::NotText(field)))
+        .map(|entry| text(entry).ok_or(ConfigError::NotString(field)))
         .collect()
 }
 
-/// The path of probes, required where endpoints report their load to probes only.
+/// Decodes the path of probes, which is required if endpoints report their load only to probes.
 fn probe_path(document: &Value, settings: &Settings) -> Result<Option<String>, ConfigError> {
     let Some(path) = optional(document, "probe_path", Value::as_str)? else {
         return if settings.load_from_probes {
@@ -186,32 +192,32 @@
     Ok(Some(path.to_owned()))
 }
 
-/// The gossip addresses of all balancers, this one included, required where the settings allow
-/// gossip.
+/// Decodes the gossip addresses of all balancers including this one, which are required if the
+/// settings allow gossip.
 fn peers(document: &Value, settings: &Settings) -> Result<Vec<SocketAddr>, ConfigError> {
-    let named = optional(document, "peers", Value::as_array)?;
+    let addresses = optional(document, "peers", Value::as_array)?;
     if !settings.gossip_allowed {
         return Ok(Vec::new());
     }
-    let named = named.ok_or(ConfigError::NoPeers)?;
-    if (1..named.len()).any(|index| named[..index].contains(&named[index])) {
+    let addresses = addresses.ok_or(ConfigError::NoPeers)?;
+    if (1..addresses.len()).any(|index| addresses[..index].contains(&addresses[index])) {
         return Err(ConfigError::DuplicatePeer);
     }
-    if named.len() != settings.balancers {
+    if addresses.len() != settings.balancers {
         return Err(ConfigError::PeerCount {
-            named: named.len(),
+            addresses: addresses.len(),
             balancers: settings.balancers,
         });
     }
-    named.iter().map(peer_address).collect()
+    addresses.iter().map(decode_peer_address).collect()
 }
 
-fn peer_address(value: &Value) -> Result<SocketAddr, ConfigError> {
+fn decode_peer_address(value: &Value) -> Result<SocketAddr, ConfigError> {
     let address = value.as_str().and_then(|address| address.parse().ok());
     address.ok_or_else(|| ConfigError::PeerAddress(value.clone()))
 }
 
-/// The value of a variable, or else of the field.
+/// Returns the value of the variable if it is set, or else the value of the field.
 fn variable_or_field(
     document: &Value,
     variables: &Variables,
--- a/crates/proxy/src/config/error.rs
+++ b/crates/proxy/src/config/error.rs
@@ -1,4 +1,4 @@
-//! Why a configuration cannot be used.
+//! Errors in configuration files.
 
 use std::io;
 
@@ -9,107 +9,111 @@
 
 use crate::lifecycle::retry::is_transient;
 
-/// Why a configuration cannot be used; the text names the field.
+/// The reason why a configuration is invalid. The message names the field.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// A field is missing or has the wrong type.
     #[error(transparent)]
     Field(#[from] FieldError),
-    /// The settings cannot be decoded.
+    /// The settings are invalid.
     #[error("in 'settings': {0}")]
     Settings(#[from] SettingsError),
-    /// The descriptors do not suffice to serve.
-    #[error("field 'sockets' is {sockets}, and {least} are the fewest to serve with")]
+    /// The process may open too few file descriptors.
+    #[error("field 'limits.sockets' or the open file limit is {sockets}: expected at least {min}")]
     TooFewSockets {
-        /// Descriptors that the process may open.
+        /// Number of file descriptors that the process may open.
         sockets: u64,
-        /// The fewest that it needs.
-        least: u64,
+        /// Minimum number that it needs.
+        min: u64,
     },
-    /// A list of names holds something else.
-    #[error("field '{0}' holds what is no text")]
-    NotText(&'static str),
-    /// Endpoints report their load to probes only, and the settings forbid probes.
-    #[error("in 'settings': 'report.source' is 'on_probe', and 'caps.probes' is not allowed")]
+    /// A list of strings contains a value of another type.
+    #[error("field '{0}' contains a value that is not a string")]
+    NotString(&'static str),
+    /// Endpoints report their load only to probes, which the settings do not allow.
+    #[error(
+        "in 'settings': field 'report.source' is 'on_probe': requires 'caps.probes' to be true"
+    )]
     ProbesNotAllowed,
-    /// This balancer's zone is not among the zones.
-    #[error("in 'settings': field 'zone' is {zone} of {zones}")]
+    /// The index of this balancer's zone is out of range.
+    #[error(
+        "in 'settings': field 'zone' is {zone}: expected less than {zones}, the length of 'dcs'"
+    )]
     UnknownZone {
         /// The index of the zone.
         zone: u64,
-        /// How many zones there are.
+        /// Number of zones.
         zones: usize,
     },
-    /// The seed cannot be read.
-    #[error("field 'seed' is no hexadecimal number")]
-    Seed,
-    /// An address cannot be read.
-    #[error("field '{field}' is '{value}', no address and port")]
+    /// The seed is invalid.
+    #[error("invalid seed '{0}' in field 'seed': expected a hexadecimal number of at most 64 bits")]
+    Seed(String),
+    /// The address of the listener or of discovery is invalid.
+    #[error("invalid socket address '{value}' in field '{field}': expected IP:PORT")]
     Address {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// What it holds.
+        /// Value of the field or of its variable.
         value: String,
     },
-    /// Endpoints report their load to probes only, and no path for these is given.
-    #[error("field 'probe_path' is missing, and loads are told to probes only")]
+    /// Endpoints report their load only to probes, and the path of probes is missing.
+    #[error("field 'probe_path' is missing: required as 'settings.report.source' is 'on_probe'")]
     NoProbePath,
-    /// The path of probes is none.
-    #[error("field 'probe_path' is '{0}', no path")]
+    /// The path of probes is invalid.
+    #[error("invalid path '{0}' in field 'probe_path': expected '/' followed by visible ASCII")]
     ProbePath(String),
-    /// Gossip is allowed, and no addresses are given.
-    #[error("field 'peers' is missing, and balancers may send messages")]
+    /// The settings allow gossip, and the addresses of the balancers are missing.
+    #[error("field 'peers' is missing: required as 'settings.caps.peers' is true")]
     NoPeers,
-    /// Two peers have one address.
-    #[error("field 'peers' names an address twice")]
+    /// Two balancers have the same gossip address.
+    #[error("field 'peers' contains an address more than once")]
     DuplicatePeer,
-    /// The addresses are not those of all balancers.
-    #[error("field 'peers' names {named} balancers of {balancers}")]
+    /// The number of gossip addresses differs from the number of balancers.
+    #[error("length of field 'peers' is {addresses}: expected {balancers} ('settings.fleetSize')")]
     PeerCount {
-        /// How many addresses are given.
-        named: usize,
-        /// How many balancers there are.
+        /// Number of gossip addresses.
+        addresses: usize,
+        /// Number of balancers.
         balancers: usize,
     },
-    /// The address of a peer cannot be read.
-    #[error("field 'peers' holds {0}, no address and port")]
+    /// The gossip address of a balancer is invalid.
+    #[error("invalid socket address {0} in field 'peers': expected IP:PORT")]
     PeerAddress(Value),
     /// A reload would switch between polled and pushed lists.
-    #[error("in 'settings': field 'registryMode' can't change while serving")]
+    #[error("in 'settings': field 'registryMode' cannot change without a restart")]
     PollingModeChanged,
-    /// Reloads have named too many classes.
-    #[error("in 'settings': more than {0} use cases since the start; restart instead")]
+    /// Reloads have defined too many request classes.
+    #[error("in 'settings': more than {0} classes in 'useCases' since the start: restart required")]
     TooManyClasses(usize),
 }
 
-/// Why a configuration file cannot be used.
+/// The reason why a configuration file cannot be loaded.
 #[derive(Debug, Error)]
 pub enum LoadError {
     /// Neither the command line nor the environment names a file.
-    #[error("no file named: give --config or set BALANCER_CONFIG")]
+    #[error("no configuration file given: use --config or set BALANCER_CONFIG")]
     NoFile,
     /// The file cannot be read.
-    #[error("cannot read {path}: {source}")]
+    #[error("cannot read configuration file {path}: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What the system says.
+        /// The error of the system.
         source: io::Error,
     },
-    /// The file is not JSON.
-    #[error("{path} is not JSON: {source}")]
+    /// The file is not valid JSON.
+    #[error("configuration file {path} is not valid JSON: {source}")]
     NotJson {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Where it is not.
+        /// The syntax error.
         source: serde_json::Error,
     },
-    /// The configuration in the file cannot be used.
+    /// The configuration in the file is invalid.
     #[error("in {path}: {source}")]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// The error in the configuration.
         source: ConfigError,
     },
 }
--- a/crates/proxy/src/config/load.rs
+++ b/crates/proxy/src/config/load.rs
@@ -1,4 +1,4 @@
-//! Loads the configuration from its file and from the `BALANCER_*` environment variables.
+//! Loads the configuration from its file and the `BALANCER_*` environment variables.
 
 use std::collections::HashMap;
 
@@ -14,9 +14,9 @@
 /// Values of the `BALANCER_*` environment variables, by their names without the prefix.
 pub type Variables = HashMap<String, String>;
 
-/// A configuration file that was read.
+/// A loaded configuration file.
 pub struct LoadedConfig {
-    /// The file as JSON.
+    /// The contents of the file as JSON.
     pub document: Value,
     /// The configuration of the proxy.
     pub config: Config,
@@ -24,7 +24,8 @@
     pub settings: Settings,
 }
 
-/// Returns the `BALANCER_*` environment variables. Those that are not text are ignored.
+/// Returns the `BALANCER_*` environment variables. Those that are not valid UTF-8 are
+/// ignored.
 pub fn variables() -> Variables {
     std::env::vars_os()
         .filter_map(|(name, value)| {
@@ -36,11 +37,11 @@
 }
 
 /// Loads the configuration from `path`, or else from the file that the variable `BALANCER_CONFIG`
-/// names. Other variables take precedence over the file.
+/// names. The other variables take precedence over the file.
 ///
 /// # Errors
 ///
-/// Fails when no file is named, or it cannot be read or used.
+/// Fails when no file is given, the file cannot be read or the configuration is invalid.
 pub fn load(path: Option<&str>, variables: &Variables) -> Result<LoadedConfig, LoadError> {
     let path = path.or(variables.get("CONFIG").map(String::as_str));
     let path = path.ok_or(LoadError::NoFile)?.to_owned();
--- a/crates/proxy/src/config/mod.rs
+++ b/crates/proxy/src/config/mod.rs
@@ -1,5 +1,5 @@
-//! The configuration of a balancer: its addresses, its limits, and the settings that the proxy
-//! reads itself.
+//! Configuration of a balancer: its addresses, its limits, and the settings that the proxy itself
+//! uses.
 
 pub use error::{ConfigError, LoadError};
 pub use load::{Variables, load, variables};
--- a/crates/proxy/src/config/proxy_config.rs
+++ b/crates/proxy/src/config/proxy_config.rs
@@ -1,4 +1,4 @@
-//! The configuration of a balancer, decoded.
+//! The decoded configuration of a balancer.
 
 use std::net::SocketAddr;
 
@@ -7,61 +7,64 @@
 use super::classes::{ClassTable, KnownClass};
 use super::error::ConfigError;
 
-/// Zones or machine types that are told apart: names beyond them, which only a broken list has,
-/// share an index.
+/// Maximum number of zones, and of machine types, that are distinguished. Further names, which only
+/// occur in a broken endpoint list, share an index.
 const MAX_NAMES: usize = 64;
 
-/// The configuration of a balancer. Names stand at the index by which the policy knows them.
+/// The configuration of a balancer. In each list of names, the index of a name is the one that the
+/// policy uses for it.
 pub struct Config {
-    /// This balancer's name.
+    /// Name of this balancer.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which client connections are accepted.
     pub listen: SocketAddr,
-    /// Where discovery is polled.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// The seed of all random sources.
+    /// Seed of all random number generators.
     pub seed: u64,
-    /// The most connections of clients.
+    /// Maximum number of client connections.
     pub max_client_connections: usize,
-    /// The most connections to endpoints.
+    /// Maximum number of connections to endpoints.
     pub max_endpoint_connections: usize,
-    /// Connections that send requests, from which on each is closed with its response.
-    pub crowd_threshold: usize,
-    /// The most bytes of clients' messages; unlimited where the configuration gives no limit on
-    /// memory.
+    /// Number of client connections that have carried a request above which each of them is closed
+    /// after its response.
+    pub active_client_threshold: usize,
+    /// Maximum total size of buffered messages of clients, in bytes; unlimited if the configuration
+    /// sets no memory limit.
     pub max_message_bytes: usize,
-    /// Classes; blank for one that was retired.
+    /// Names of the request classes; empty for a retired class.
     pub classes: Vec<String>,
-    /// Idempotency of each class.
+    /// Idempotency of each request class.
     pub idempotencies: Vec<Idempotency>,
-    /// All classes since the start, as they were first configured.
+    /// All request classes since the start of the process, as they were first configured.
     pub known_classes: Vec<KnownClass>,
-    /// Tenants.
+    /// Names of the tenants.
     pub tenants: Vec<String>,
-    /// Zones; those that only lists name are added.
+    /// Names of the zones. Zones that only endpoint lists name are added.
     pub zones: Vec<String>,
-    /// Machine types; those that only lists name are added.
+    /// Names of the machine types. Machine types that only endpoint lists name are added.
     pub machine_types: Vec<String>,
-    /// How long an idle connection to an endpoint may be kept, in microseconds.
-    pub idle: Micros,
-    /// How long a connection to an endpoint may take to be established, in microseconds.
+    /// Maximum idle time of a connection to an endpoint, in microseconds.
+    pub endpoint_idle_timeout: Micros,
+    /// Maximum time to establish a connection to an endpoint, in microseconds.
     pub connect_timeout: Micros,
-    /// The longest time between polls of discovery, in microseconds; none where it pushes lists.
+    /// Maximum time between polls of discovery, in microseconds; none if discovery pushes lists.
     pub max_poll_interval: Option<Micros>,
-    /// Responses of endpoints carry load reports.
+    /// Whether the responses of endpoints carry load reports.
     pub reports_load: bool,
-    /// Where endpoints are probed for their load.
+    /// Path of the requests that probe endpoints for their load.
     pub probe_path: Option<String>,
-    /// Gossip addresses of all balancers; none where gossip is not allowed.
+    /// Gossip addresses of all balancers; empty if the settings do not allow gossip.
     pub peers: Vec<SocketAddr>,
-    /// This balancer's index among all.
+    /// Index of this balancer among all balancers.
     pub own_index: usize,
-    /// How many balancers there are.
+    /// Number of balancers.
     pub balancers: usize,
 }
 
 impl Config {
-    /// Returns the index of a tenant; all that are not configured share the one after the last.
+    /// Returns the index of a tenant. All tenants that are not configured share the index after the
+    /// last one.
     pub fn tenant_index(&self, name: &str) -> usize {
         let index = self.tenants.iter().position(|known| known == name);
         index.unwrap_or(self.tenants.len())
@@ -77,8 +80,8 @@
         index_or_add(&mut self.machine_types, name)
     }
 
-    /// Returns the fields that differ in `new` and that cannot change while serving.
-    pub fn unchangeable_fields(&self, new: &Self) -> Vec<&'static str> {
+    /// Returns the fields that differ in `new` and take effect only after a restart.
+    pub fn fields_requiring_restart(&self, new: &Self) -> Vec<&'static str> {
         let mut fields = Vec::new();
         if self.name != new.name {
             fields.push("name");
@@ -92,14 +95,14 @@
         fields
     }
 
-    /// Replaces the configuration of a running balancer by `new`, apart from the fields that cannot
-    /// change, and returns the settings for the policy: `settings`, with the indexes of classes and
-    /// zones as they were under `old`.
+    /// Replaces the configuration of a running balancer with `new`, except for the fields that
+    /// require a restart. Returns the settings for the policy, which are `settings` with classes
+    /// and zones at the same indexes as in `old`.
     ///
     /// # Errors
     ///
-    /// Fails, and changes nothing, when the polling mode differs or there were too many classes
-    /// since the start.
+    /// Fails without any change if the polling mode differs or if there were too many classes since
+    /// the start of the process.
     pub fn replace(
         &mut self,
         mut new: Self,
@@ -134,8 +137,8 @@
     }
 }
 
-/// Returns the index of a name, which is added if it is new. All names beyond the most share one
-/// index.
+/// Returns the index of a name, which is added if it is new. All names beyond [`MAX_NAMES`] share
+/// one index.
 fn index_or_add(names: &mut Vec<String>, name: &str) -> u64 {
     if let Some(index) = names.iter().position(|known| known == name) {
         return index as u64;
--- a/crates/proxy/src/config/tests.rs
+++ b/crates/proxy/src/config/tests.rs
@@ -19,17 +19,37 @@
 }
 
 #[rstest]
-#[case("/listen", json!("here"), "field 'listen' is 'here', no address and port")]
+#[case(
+    "/listen",
+    json!("here"),
+    "invalid socket address 'here' in field 'listen': expected IP:PORT"
+)]
 #[case("/discovery", json!(7), "field 'discovery' has the wrong type")]
-#[case("/seed", json!("xyz"), "field 'seed' is no hexadecimal number")]
-#[case("/limits/sockets", json!(20), "field 'sockets' is 20, and 64 are the fewest to serve with")]
+#[case(
+    "/seed",
+    json!("xyz"),
+    "invalid seed 'xyz' in field 'seed': expected a hexadecimal number of at most 64 bits"
+)]
+#[case(
+    "/limits/sockets",
+    json!(20),
+    "field 'limits.sockets' or the open file limit is 20: expected at least 64"
+)]
 #[case("/settings/me", json!(1), "in 'settings': field 'me' is 1 in a fleet of 1")]
-#[case("/settings/dcs", json!([1]), "field 'dcs' holds what is no text")]
+#[case("/settings/dcs", json!([1]), "field 'dcs' contains a value that is not a string")]
 #[case("/settings/caps/connIdleUs", json!(-1), "field 'connIdleUs' has the wrong type")]
-#[case("/settings/useCases/0/effect", json!("odd"), "in 'settings': field 'effect' holds unknown 'odd'")]
-fn a_bad_field_is_named(#[case] config: &str, #[case] value: Value, #[case] expected: &str) {
+#[case(
+    "/settings/useCases/0/effect",
+    json!("odd"),
+    "in 'settings': field 'effect' holds unknown 'odd'"
+)]
+fn an_invalid_field_is_reported_by_name(
+    #[case] pointer: &str,
+    #[case] value: Value,
+    #[case] expected: &str,
+) {
     let mut document = configuration("127.0.0.1:1", "127.0.0.1:2");
-    *document.pointer_mut(config).unwrap() = value;
+    *document.pointer_mut(pointer).unwrap() = value;
     assert_eq!(
         decoded(&document, &Variables::new(), 1024).err().as_deref(),
         Some(expected)
@@ -37,19 +57,63 @@
 }
 
 #[rstest]
-#[case("/probe_path", json!(null), "field 'probe_path' is missing, and loads are told to probes only")]
-#[case("/probe_path", json!("load"), "field 'probe_path' is 'load', no path")]
-#[case("/probe_path", json!("/a\r\nX: y"), "field 'probe_path' is '/a\r\nX: y', no path")]
-#[case("/peers", json!(null), "field 'peers' is missing, and balancers may send messages")]
-#[case("/peers", json!(["127.0.0.1:1"]), "field 'peers' names 1 balancers of 2")]
-#[case("/peers", json!(["127.0.0.1:1", "127.0.0.1:1"]), "field 'peers' names an address twice")]
-#[case("/settings/caps/probes", json!(false), "in 'settings': 'report.source' is 'on_probe', and 'caps.probes' is not allowed")]
-#[case("/peers", json!(["127.0.0.1:1", 7]), "field 'peers' holds 7, no address and port")]
-#[case("/settings/zone", json!(2), "in 'settings': field 'zone' is 2 of 2")]
-#[case("/settings/report/source", json!("odd"), "in 'settings': field 'source' holds unknown 'odd'")]
-#[case("/settings/useCases/0/earnings", json!(0), "in 'settings': field 'earnings' is 0, not above 0")]
-fn a_bad_field_of_probes_peers_or_classes_is_named(
-    #[case] config: &str,
+#[case(
+    "/probe_path",
+    json!(null),
+    "field 'probe_path' is missing: required as 'settings.report.source' is 'on_probe'"
+)]
+#[case(
+    "/probe_path",
+    json!("load"),
+    "invalid path 'load' in field 'probe_path': expected '/' followed by visible ASCII"
+)]
+#[case(
+    "/probe_path",
+    json!("/a\r\nX: y"),
+    "invalid path '/a\r\nX: y' in field 'probe_path': expected '/' followed by visible ASCII"
+)]
+#[case(
+    "/peers",
+    json!(null),
+    "field 'peers' is missing: required as 'settings.caps.peers' is true"
+)]
+#[case(
+    "/peers",
+    json!(["127.0.0.1:1"]),
+    "length of field 'peers' is 1: expected 2 ('settings.fleetSize')"
+)]
+#[case(
+    "/peers",
+    json!(["127.0.0.1:1", "127.0.0.1:1"]),
+    "field 'peers' contains an address more than once"
+)]
+#[case(
+    "/settings/caps/probes",
+    json!(false),
+    "in 'settings': field 'report.source' is 'on_probe': requires 'caps.probes' to be true"
+)]
+#[case(
+    "/peers",
+    json!(["127.0.0.1:1", 7]),
+    "invalid socket address 7 in field 'peers': expected IP:PORT"
+)]
+#[case(
+    "/settings/zone",
+    json!(2),
+    "in 'settings': field 'zone' is 2: expected less than 2, the length of 'dcs'"
+)]
+#[case(
+    "/settings/report/source",
+    json!("odd"),
+    "in 'settings': field 'source' holds unknown 'odd'"
+)]
+#[case(
+    "/settings/useCases/0/earnings",
+    json!(0),
+    "in 'settings': field 'earnings' is 0, not above 0"
+)]
+fn an_invalid_field_of_probes_peers_or_classes_is_reported_by_name(
+    #[case] pointer: &str,
     #[case] value: Value,
     #[case] expected: &str,
 ) {
@@ -61,16 +125,16 @@
             "127.0.0.1:8".parse().unwrap(),
         ],
     );
-    *document.pointer_mut(config).unwrap() = value;
+    *document.pointer_mut(pointer).unwrap() = value;
     assert_eq!(
         decoded(&document, &Variables::new(), 1024).err().as_deref(),
         Some(expected)
     );
 }
 
-/// Older configurations do not mention these.
+/// Configurations that were written for earlier versions lack these fields.
 #[test]
-fn what_a_configuration_does_not_mention_is_off() {
+fn features_without_a_field_in_the_configuration_are_off() {
     let (config, settings) = Config::decode(
         &configuration("127.0.0.1:1", "127.0.0.1:2"),
         &Variables::new(),
@@ -110,26 +174,29 @@
 }
 
 #[rstest]
-#[case::document(4096, 1024)]
-#[case::by_the_system(256, 256)]
-fn descriptors_are_divided_below_the_lower_limit(#[case] system: u64, #[case] least: usize) {
+#[case::limit_in_the_configuration(4096, 1024)]
+#[case::limit_of_the_system(256, 256)]
+fn descriptors_are_divided_within_the_lower_limit(
+    #[case] open_file_limit: u64,
+    #[case] lower_limit: usize,
+) {
     let config = decoded(
         &configuration("127.0.0.1:1", "127.0.0.1:2"),
         &Variables::new(),
-        system,
+        open_file_limit,
     )
     .unwrap();
     assert!(
         config.max_client_connections + config.max_endpoint_connections + RESERVED_SOCKETS as usize
-            <= least
+            <= lower_limit
     );
-    assert!(config.max_endpoint_connections > least / 4);
+    assert!(config.max_endpoint_connections > lower_limit / 4);
 }
 
 #[rstest]
-#[case::document(json!(32), 8 * 1024 * 1024)]
+#[case::limited(json!(32), 8 * 1024 * 1024)]
 #[case::not_limited(json!(null), usize::MAX)]
-fn messages_may_fill_a_part_of_the_memory(#[case] memory: Value, #[case] max: usize) {
+fn messages_may_use_a_quarter_of_the_memory(#[case] memory: Value, #[case] max: usize) {
     let mut document = configuration("127.0.0.1:1", "127.0.0.1:2");
     document["limits"]["memory_mb"] = memory;
     assert_eq!(
@@ -170,7 +237,7 @@
     with_key(IdempotencyScope::Cell, 5),
     Idempotency::NonIdempotent
 )]
-fn retries_satisfy_the_stricter(
+fn retries_comply_with_the_stricter_idempotency(
     #[case] one: Idempotency,
     #[case] other: Idempotency,
     #[case] both: Idempotency,
@@ -178,17 +245,17 @@
     assert_eq!((stricter(one, other), stricter(other, one)), (both, both));
 }
 
-/// Requests may be in flight under the old idempotency; once it is configured again, it holds for
+/// Requests may be in flight under the old idempotency. Once it is configured again, it applies to
 /// them as before.
 #[test]
-fn a_class_with_another_idempotency_is_a_new_one_and_open_requests_satisfy_both() {
+fn a_class_with_changed_idempotency_gets_a_new_index_and_open_requests_comply_with_both() {
     let document = configuration("127.0.0.1:1", "127.0.0.1:2");
     let decode = |document: &Value| Config::decode(document, &Variables::new(), 1024).unwrap();
     let (mut config, settings) = decode(&document);
     let mut changed = document.clone();
     changed["settings"]["useCases"][1]["effect"] = json!("unsafe");
-    let (new, new_terms) = decode(&changed);
-    let after = config.replace(new, new_terms, &settings).unwrap();
+    let (new, new_settings) = decode(&changed);
+    let after = config.replace(new, new_settings, &settings).unwrap();
     let idempotencies: Vec<_> = after
         .classes
         .iter()
@@ -202,8 +269,8 @@
         ]
     );
     assert_eq!(config.classes, ["pay", "", "look"]);
-    let (old, old_terms) = decode(&document);
-    let back = config.replace(old, old_terms, &after).unwrap();
+    let (old, old_settings) = decode(&document);
+    let back = config.replace(old, old_settings, &after).unwrap();
     assert_eq!(
         (back.classes[1].idempotency, back.classes.len()),
         (Idempotency::Idempotent, 3)
--- a/crates/proxy/src/connections/client_response.rs
+++ b/crates/proxy/src/connections/client_response.rs
@@ -58,7 +58,7 @@
             .clients
             .values()
             .filter(|client| client.requests_received > 0);
-        used.count() > self.config.crowd_threshold
+        used.count() > self.config.active_client_threshold
     }
 
     /// Writes a response to a client's connection.
--- a/crates/proxy/src/connections/client_response/tests.rs
+++ b/crates/proxy/src/connections/client_response/tests.rs
@@ -26,7 +26,12 @@
     #[case] closes: bool,
 ) {
     let mut harness = TestHarness::new();
-    harness.proxy.state.borrow_mut().config.crowd_threshold = crowd;
+    harness
+        .proxy
+        .state
+        .borrow_mut()
+        .config
+        .active_client_threshold = crowd;
     let endpoint = harness.endpoints();
     let (client, key) = harness.connect_client();
     send_text(&client, &request_message("t1", "body"));
@@ -72,7 +77,7 @@
         harness.read_until(&first, "one");
         {
             let mut state = harness.proxy.state.borrow_mut();
-            (state.config.crowd_threshold, state.closing) = (crowd, closing);
+            (state.config.active_client_threshold, state.closing) = (crowd, closing);
             assert!(
                 !state.clients[key].read_buffer.bytes().is_empty(),
                 "the second is read ahead"
--- a/crates/proxy/src/connections/endpoint_pool.rs
+++ b/crates/proxy/src/connections/endpoint_pool.rs
@@ -172,7 +172,7 @@
     /// Keeps a connection for the next request, or closes it where its endpoint gets none on it.
     pub fn keep_idle(&mut self, key: EndpointConnectionKey) {
         let now = self.now();
-        let until = now + (self.config.idle as f64 * IDLE_SHARE) as Micros;
+        let until = now + (self.config.endpoint_idle_timeout as f64 * IDLE_SHARE) as Micros;
         let Some(connection) = self.endpoint_connections.get_mut(key) else {
             return;
         };
--- a/crates/proxy/src/lifecycle/error.rs
+++ b/crates/proxy/src/lifecycle/error.rs
@@ -1,4 +1,4 @@
-//! Why a process cannot start, or a reload is not taken.
+//! Errors of startup and reload.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,68 +9,68 @@
 use crate::cluster::operator_file::OperatorFileError;
 use crate::config::{ConfigError, LoadError};
 
-/// Why a process cannot start or go on.
+/// The reason why the process cannot start or continue.
 #[derive(Debug, Error)]
 pub enum StartupError {
     /// The configuration cannot be loaded.
     #[error(transparent)]
     Load(#[from] LoadError),
-    /// The operator file cannot be used.
+    /// The operator file is invalid or unreadable.
     #[error(transparent)]
     OperatorFile(#[from] OperatorFileError),
-    /// The cluster's socket cannot be opened.
+    /// The socket of the cluster cannot be opened.
     #[error(transparent)]
     Cluster(#[from] OpenError),
-    /// The event loop cannot be made.
-    #[error("cannot make the event loop: {0}")]
+    /// The event loop cannot be created.
+    #[error("cannot create the event loop: {0}")]
     EventLoop(io::Error),
-    /// Signals cannot be received.
-    #[error("cannot watch signals: {0}")]
+    /// The signal handler cannot be created.
+    #[error("cannot create the signal handler: {0}")]
     Signals(io::Error),
-    /// The event loop cannot watch a source.
-    #[error("cannot watch {what}: error inserting event source: {source}")]
-    Watch {
-        /// The source.
-        what: &'static str,
-        /// Why not.
+    /// An event source cannot be registered with the event loop.
+    #[error("cannot register {name} with the event loop: {source}")]
+    Register {
+        /// Name of the event source.
+        name: &'static str,
+        /// The error of the event loop.
         source: calloop::Error,
     },
-    /// The address for clients cannot be bound.
+    /// The address for client connections cannot be bound.
     #[error("cannot listen on {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the system.
         source: io::Error,
     },
     /// The address for gossip cannot be bound.
-    #[error("cannot hear at {address:?}: {source}")]
+    #[error("cannot bind the gossip socket to {address:?}: {source}")]
     Gossip {
         /// The address.
         address: Option<SocketAddr>,
-        /// What the system says.
+        /// The error of the system.
         source: io::Error,
     },
-    /// The event loop failed again and again.
-    #[error("the event loop failed: {0}")]
+    /// The event loop failed repeatedly.
+    #[error("event loop failed repeatedly: {0}")]
     Loop(calloop::Error),
 }
 
-/// Why a reloaded configuration is not taken.
+/// The reason why a reloaded configuration is rejected.
 #[derive(Debug, Error)]
 pub enum ReloadError {
     /// The configuration cannot be loaded.
     #[error(transparent)]
     Load(#[from] LoadError),
-    /// The configuration cannot replace the present one.
+    /// The configuration cannot replace the current one.
     #[error(transparent)]
     Config(#[from] ConfigError),
     /// The new address for gossip cannot be bound.
-    #[error("cannot hear other balancers at {address:?}: {source}")]
+    #[error("cannot bind the gossip socket to the new address {address:?}: {source}")]
     Gossip {
         /// The address.
         address: Option<SocketAddr>,
-        /// What the system says.
+        /// The error of the system.
         source: io::Error,
     },
 }
--- a/crates/proxy/src/lifecycle/reload.rs
+++ b/crates/proxy/src/lifecycle/reload.rs
@@ -1,6 +1,6 @@
-//! Reload: SIGHUP has both files read anew while serving. All of the configuration takes effect but
-//! for the name, the address for clients and the seed. Requests in flight keep their class; nothing
-//! is sent because of a reload.
+//! Reload: SIGHUP reloads the configuration and the operator file while the balancer keeps serving.
+//! The whole configuration takes effect except for the name, the address for client connections and
+//! the seed. Requests in flight keep their class, and a reload causes no request to be sent.
 
 use pinefront_policy::{Micros, Settings};
 use slog::{info, warn};
@@ -15,14 +15,14 @@
 #[cfg(test)]
 mod tests;
 
-/// Further attempts to read a file that cannot be read for the moment. Together they take 2 s: what
-/// a reload moves counts from 4 s after the signal on.
+/// Maximum number of retries when a file is temporarily unreadable. Together they take 2 s, because
+/// the changes of a reload have to be in effect 4 s after the signal.
 const MAX_RETRIES: u32 = 40;
-/// The time between them.
+/// Interval between retries, in microseconds.
 const RETRY_INTERVAL_US: Micros = 50_000;
 
 impl Proxy {
-    /// Reloads the operator file, where there is one. A file that cannot be used changes nothing.
+    /// Reloads the operator file, if there is one. An invalid file changes nothing.
     pub fn reload_operator_file(&mut self, path: Option<&str>) {
         let state = self.state.borrow();
         let Some((path, cluster)) = path.zip(state.cluster.as_ref()) else {
@@ -30,9 +30,9 @@
         };
         match read_operator_file(path, &state.config, self.balancer.settings()) {
             Ok(fleet_settings) => {
-                let unchangeable = cluster.borrow_mut().reload(fleet_settings);
+                let fields = cluster.borrow_mut().reload(fleet_settings);
                 info!(state.log, "operator file reloaded"; "file" => path);
-                state.log_unchangeable(&unchangeable);
+                state.log_restart_needed(&fields);
             }
             Err(error) => {
                 warn!(state.log, "operator file reload failed"; "error" => %error);
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Repeats a reload whose file could not be read a moment ago.
+    /// Repeats a reload whose file was temporarily unreadable.
     pub fn retry_reload(&mut self) {
         let pending = self.state.borrow().pending_reload.clone();
         if let Some(pending) = pending {
@@ -48,21 +48,21 @@
         }
     }
 
-    /// Reloads the configuration. A file that cannot be used changes nothing.
+    /// Reloads the configuration. An invalid file changes nothing.
     pub fn reload(&mut self, path: Option<&str>, variables: &Variables) {
         let mut variables = variables.clone();
-        // The variable was set when the process started; the file was replaced since.
+        // The variable was set when the process started, and the file is more recent.
         variables.remove("DISCOVERY");
         let mut state = self.state.borrow_mut();
         state.counters.reloads += 1;
-        let former_discovery = state.config.discovery;
+        let previous_discovery = state.config.discovery;
         match state.load_and_replace(path, &variables, self.balancer.settings()) {
             Ok(settings) => {
                 state.pending_reload = None;
                 let is_changed = settings != *self.balancer.settings();
                 state.log_reload(is_changed);
                 state.counters.settings_changed += u64::from(is_changed);
-                if state.config.discovery != former_discovery {
+                if state.config.discovery != previous_discovery {
                     state.restart_polling();
                 }
                 drop(state);
@@ -80,7 +80,7 @@
 }
 
 impl ProxyState {
-    /// Loads the configuration and replaces the present one. Returns the new settings of the
+    /// Loads the configuration and replaces the current one. Returns the new settings of the
     /// policy.
     fn load_and_replace(
         &mut self,
@@ -90,11 +90,11 @@
     ) -> Result<Settings, ReloadError> {
         let loaded = load(path, variables)?;
         let gossip_socket = self.open_gossip_socket(&loaded.config)?;
-        let unchangeable = self.config.unchangeable_fields(&loaded.config);
+        let fields = self.config.fields_requiring_restart(&loaded.config);
         match self.config.replace(loaded.config, loaded.settings, old) {
             Ok(settings) => {
                 self.replace_gossip_socket(gossip_socket);
-                self.log_unchangeable(&unchangeable);
+                self.log_restart_needed(&fields);
                 Ok(settings)
             }
             Err(error) => {
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Opens the gossip socket of a new configuration, if its address differs.
+    /// Opens the gossip socket of a new configuration if its address differs.
     fn open_gossip_socket(&self, config: &Config) -> Result<Option<GossipSocket>, ReloadError> {
         let address = config.peers.get(config.own_index).copied();
         let current = self.gossip_socket.as_ref();
@@ -114,7 +114,8 @@
             .map_err(|source| ReloadError::Gossip { address, source })
     }
 
-    fn log_unchangeable(&self, fields: &[&str]) {
+    /// Logs the fields whose changes take effect only after a restart.
+    fn log_restart_needed(&self, fields: &[&str]) {
         if !fields.is_empty() {
             warn!(self.log, "change needs a restart"; "fields" => fields.join(","));
         }
--- a/crates/proxy/src/lifecycle/reload/tests.rs
+++ b/crates/proxy/src/lifecycle/reload/tests.rs
@@ -22,7 +22,7 @@
     HashMap::from([("DISCOVERY".into(), "127.0.0.1:1".into())])
 }
 
-/// Writes a file and returns its path.
+/// Writes a temporary file and returns its path.
 fn file(name: &str, text: &str) -> String {
     let path = std::env::temp_dir().join(format!("pinefront-{}-{name}", std::process::id()));
     std::fs::write(&path, text).unwrap();
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn the_complete_list_is_polled_at_each_new_address() {
+fn the_complete_list_is_polled_at_each_new_discovery_address() {
     let mut harness = TestHarness::new();
     let endpoint = harness.endpoint("s1");
     let (client, request) = harness.start_attempt("t1", "s1", 5_000_000);
@@ -57,10 +57,11 @@
         let list = json!({"rev": 1, "all": true,
             "targets": [list_entry("s1", endpoint.local_addr().unwrap(), "active")]});
         send_text(&call, &list_response(&list));
-        // Responses of the former discovery count until then, so its connection stays open as long.
+        // Responses of the previous discovery are accepted until then, so its connection stays open
+        // until then.
         harness.expect_close(&old);
         assert!(harness.read_until(&call, "\r\n\r\n").contains("since=1&"));
-        // The next round starts with a watch at this one.
+        // The next round starts with a watch at this discovery.
         harness.discovery = new;
         drop(call);
     }
@@ -77,12 +78,12 @@
 
 #[rstest]
 #[case::missing(None)]
-#[case::no_json(Some("{".to_owned()))]
-#[case::no_address(Some(configuration("127.0.0.1:0", "nowhere").to_string()))]
-fn a_file_that_cannot_be_read_changes_nothing(#[case] text: Option<String>) {
+#[case::not_json(Some("{".to_owned()))]
+#[case::invalid_address(Some(configuration("127.0.0.1:0", "nowhere").to_string()))]
+fn an_invalid_file_changes_nothing(#[case] text: Option<String>) {
     let mut harness = TestHarness::new();
-    let asked = harness.discovery.try_clone().unwrap();
-    let call = harness.accept_connection(&asked);
+    let discovery = harness.discovery.try_clone().unwrap();
+    let call = harness.accept_connection(&discovery);
     let path = text.map_or("/nowhere/at/all".to_owned(), |text| {
         file(&format!("bad-{}", text.len()), &text)
     });
@@ -97,14 +98,14 @@
     );
 }
 
-/// A request for a class of another configuration.
-fn swap(id: &str) -> String {
+/// Returns a request for a class that only the other configuration has.
+fn swap_request(id: &str) -> String {
     request_message(id, "body")
         .replace("/pay/", "/swap/")
         .replace("X-Lane: pay", "X-Lane: swap")
 }
 
-/// Sends a request on a connection of its own and returns the status.
+/// Sends a request on a new connection and returns the status of its response.
 fn status(harness: &mut TestHarness, request: &str) -> String {
     let (client, _) = harness.connect_client();
     send_text(&client, request);
@@ -112,8 +113,8 @@
     head.split(' ').nth(1).unwrap().to_owned()
 }
 
-/// Requests in flight are answered once and sent once, the classes that clients can use change with
-/// the file, and going back and forth between two files leaves nothing behind.
+/// A request in flight is sent once and gets one response, the classes that clients can use change
+/// with the file, and switching between two files repeatedly adds no classes.
 #[test]
 fn settings_change_and_change_back_while_a_request_is_in_flight() {
     let mut harness = TestHarness::new();
@@ -131,19 +132,19 @@
     let connection = harness.accept_connection(&endpoint);
     harness.read_until(&connection, "body");
     for round in 0..3 {
-        for (document, taken, gone) in [
-            (&new, swap("n"), request_message("o", "b")),
-            (&old, request_message("o", "b"), swap("n")),
+        for (document, accepted, unknown) in [
+            (&new, swap_request("n"), request_message("o", "b")),
+            (&old, request_message("o", "b"), swap_request("n")),
         ] {
             let path = file(&format!("switch-{round}"), &document.to_string());
             harness.proxy.reload(Some(&path), &variables());
             std::fs::remove_file(path).unwrap();
-            assert_eq!(status(&mut harness, &gone), "404");
-            let (asking, _) = harness.connect_client();
-            send_text(&asking, &taken);
-            let taken = |state: &ProxyState| state.counters.requests_received;
+            assert_eq!(status(&mut harness, &unknown), "404");
+            let (sender, _) = harness.connect_client();
+            send_text(&sender, &accepted);
+            let received = |state: &ProxyState| state.counters.requests_received;
             let before = 2 * round + u64::from(std::ptr::eq(document, &raw const old));
-            harness.run_until(|proxy| (taken(&proxy.state.borrow()) > before).then_some(()));
+            harness.run_until(|proxy| (received(&proxy.state.borrow()) > before).then_some(()));
         }
     }
     let state = harness.proxy.state.borrow();
@@ -171,16 +172,18 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
     );
     harness.read_until(&client, "ok");
-    let mut again = [0; 64];
-    let more = std::io::Read::read(&mut &connection, &mut again);
-    assert!(more.is_err(), "nothing of it was sent a second time");
+    let mut buffer = [0; 64];
+    let second = std::io::Read::read(&mut &connection, &mut buffer);
+    assert!(second.is_err(), "the request was not sent a second time");
 }
 
 #[rstest]
-#[case::no_path(|document: &mut Value| document["probe_path"] = json!(null))]
-#[case::push(|document: &mut Value| document["settings"]["registryMode"] = json!("push"))]
-#[case::address_taken(|document: &mut Value| document["peers"] = json!(["192.0.2.1:9", "192.0.2.2:9"]))]
-fn settings_that_cannot_be_used_change_nothing(#[case] break_document: fn(&mut Value)) {
+#[case::missing_probe_path(|document: &mut Value| document["probe_path"] = json!(null))]
+#[case::polling_mode(|document: &mut Value| document["settings"]["registryMode"] = json!("push"))]
+#[case::unavailable_address(|document: &mut Value| {
+    document["peers"] = json!(["192.0.2.1:9", "192.0.2.2:9"]);
+})]
+fn unusable_settings_change_nothing(#[case] break_document: fn(&mut Value)) {
     let mut harness = TestHarness::new();
     let address = harness.discovery.local_addr().unwrap().to_string();
     let mut new = configuration("127.0.0.1:0", &address);
@@ -210,10 +213,10 @@
     );
 }
 
-/// How often each request was executed by the endpoints, by its id.
-type Runs = Arc<Mutex<HashMap<String, usize>>>;
+/// Number of executions of each request by the endpoints, by its id.
+type ExecutionCounts = Arc<Mutex<HashMap<String, usize>>>;
 
-/// Reads a message with its body; none once the connection is closed.
+/// Reads a message and returns its head and body; none once the connection is closed.
 fn read_message(stream: &mut BufReader<TcpStream>) -> Option<(String, String)> {
     let (mut head, mut length) = (String::new(), 0);
     while !head.ends_with("\r\n\r\n") {
@@ -231,9 +234,9 @@
     Some((head, String::from_utf8(body).unwrap()))
 }
 
-/// Endpoints on threads of their own: they report their load to probes, and each fifth request
-/// takes a while.
-fn endpoints(runs: &Runs) -> SocketAddr {
+/// Starts a stand-in for all endpoints on separate threads. It reports its load, and requests whose
+/// ids end with 5 take 20 ms.
+fn start_endpoints(runs: &ExecutionCounts) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (address, runs) = (listener.local_addr().unwrap(), Arc::clone(runs));
     std::thread::spawn(move || {
@@ -254,7 +257,8 @@
                     }
                     send_text(
                         &stream,
-                        "HTTP/1.1 200 OK\r\nX-Pressure: inflight=0, queue=0\r\nContent-Length: 2\r\n\r\nok",
+                        "HTTP/1.1 200 OK\r\nX-Pressure: inflight=0, queue=0\r\n\
+                         Content-Length: 2\r\n\r\nok",
                     );
                 }
             });
@@ -263,9 +267,10 @@
     address
 }
 
-/// A client that sends requests of all classes in turn and notes how each was answered.
-fn client(balancer: SocketAddr, name: usize, answered: &Arc<Mutex<Vec<(String, String)>>>) {
-    let answered = Arc::clone(answered);
+/// Starts a client that sends requests of all classes in turn and records the status of each
+/// response.
+fn start_client(balancer: SocketAddr, name: usize, responses: &Arc<Mutex<Vec<(String, String)>>>) {
+    let responses = Arc::clone(responses);
     std::thread::spawn(move || {
         let mut open = None;
         for n in 0..REQUESTS {
@@ -277,9 +282,10 @@
                 "\r\n"
             };
             let text = format!(
-                "{method} /{lane}/1 HTTP/1.1\r\nHost: a\r\nX-Txn: {id}\r\nX-Remaining-Ms: 2000\r\n{body}"
+                "{method} /{lane}/1 HTTP/1.1\r\nHost: a\r\nX-Txn: {id}\r\n\
+                 X-Remaining-Ms: 2000\r\n{body}"
             );
-            let answer = loop {
+            let status = loop {
                 let stream = open
                     .get_or_insert_with(|| BufReader::new(TcpStream::connect(balancer).unwrap()));
                 _ = stream.get_ref().write_all(text.as_bytes());
@@ -290,11 +296,12 @@
                         }
                         break head.split(' ').nth(1).unwrap().to_owned();
                     }
-                    // The connection was closed between requests: repeated on a new one, as clients do.
+                    // The connection was closed between requests, so the request is repeated on a
+                    // new connection, as clients do.
                     None => open = None,
                 }
             };
-            answered.lock().unwrap().push((id, answer));
+            responses.lock().unwrap().push((id, status));
         }
     });
 }
@@ -302,15 +309,17 @@
 const CLIENTS: usize = 6;
 const REQUESTS: usize = 60;
 
-/// Settings change under load, again and again: every request is answered exactly once, none that is
-/// not idempotent is executed twice, and a rejected one never was.
+/// Settings change repeatedly under load. Every request gets exactly one response, no request that
+/// is not idempotent is executed twice, and no rejected request is executed.
 #[rstest]
 #[case::there_and_back(|_: &mut TestHarness, _: SocketAddr| {})]
-#[case::during_a_drain(|harness: &mut TestHarness, at: SocketAddr| harness.receive_list(&[list_entry("s1", at, "leaving")]))]
+#[case::during_a_drain(|harness: &mut TestHarness, at: SocketAddr| {
+    harness.receive_list(&[list_entry("s1", at, "leaving")]);
+})]
 fn settings_change_under_load(#[case] disturb: fn(&mut TestHarness, SocketAddr)) {
     let mut harness = TestHarness::new();
-    let (runs, answered) = (Runs::default(), Arc::new(Mutex::new(Vec::new())));
-    let at = endpoints(&runs);
+    let (runs, responses) = (ExecutionCounts::default(), Arc::new(Mutex::new(Vec::new())));
+    let at = start_endpoints(&runs);
     harness
         .receive_list(&["s1", "s2", "s3", "s4", "s5", "s6"].map(|id| list_entry(id, at, "active")));
     let other = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
@@ -321,10 +330,10 @@
     let address = harness.discovery.local_addr().unwrap().to_string();
     let [old, mut new] = [0, 1].map(|_| configuration("127.0.0.1:0", &address));
     change_deployment(&mut new, &[own, other.local_addr().unwrap()]);
-    (0..CLIENTS).for_each(|name| client(harness.address, name, &answered));
+    (0..CLIENTS).for_each(|name| start_client(harness.address, name, &responses));
     for (round, document) in [&new, &old, &new, &old, &new].into_iter().enumerate() {
         let enough = (round + 1) * CLIENTS * REQUESTS / 6;
-        harness.run_until(|_| (answered.lock().unwrap().len() >= enough).then_some(()));
+        harness.run_until(|_| (responses.lock().unwrap().len() >= enough).then_some(()));
         if round == 2 {
             disturb(&mut harness, at);
         }
@@ -335,25 +344,28 @@
         harness.proxy.reload(Some(&path), &variables());
         std::fs::remove_file(path).unwrap();
     }
-    harness.run_until(|_| (answered.lock().unwrap().len() == CLIENTS * REQUESTS).then_some(()));
-    let (answered, runs) = (answered.lock().unwrap(), runs.lock().unwrap());
-    for (id, answer) in answered.iter() {
-        let ran = runs.get(id).copied().unwrap_or(0);
-        match answer.as_str() {
-            "200" => assert!(ran >= 1, "{id}"),
+    harness.run_until(|_| (responses.lock().unwrap().len() == CLIENTS * REQUESTS).then_some(()));
+    let (responses, runs) = (responses.lock().unwrap(), runs.lock().unwrap());
+    for (id, status) in responses.iter() {
+        let executions = runs.get(id).copied().unwrap_or(0);
+        match status.as_str() {
+            "200" => assert!(executions >= 1, "{id}"),
             "503" | "404" => assert!(
-                ran == 0 || id.starts_with("status"),
-                "{id} {answer} ran {ran} times"
+                executions == 0 || id.starts_with("status"),
+                "{id}: status {status}, executed {executions} times"
             ),
             "502" => {}
-            other => panic!("{id} was answered {other}"),
+            other => panic!("{id}: status {other}"),
         }
-        assert!(ran <= 1 || !id.starts_with("swap"), "{id} ran {ran} times");
+        assert!(
+            executions <= 1 || !id.starts_with("swap"),
+            "{id}: executed {executions} times"
+        );
     }
     let served = |lane: &str| {
-        answered
+        responses
             .iter()
-            .filter(|(id, a)| id.starts_with(lane) && a == "200")
+            .filter(|(id, status)| id.starts_with(lane) && status == "200")
             .count()
     };
     assert!(served("pay") > 0 && served("swap") > 0 && served("status") > 0);
@@ -364,15 +376,15 @@
     );
 }
 
-/// A balancer that shuts down still answers its requests, whatever the settings.
+/// A balancer that is shutting down still responds to its requests when the settings change.
 #[test]
-fn a_reload_during_a_shutdown_loses_nothing() {
+fn a_reload_during_a_shutdown_loses_no_request() {
     let mut harness = TestHarness::new();
     let endpoint = harness.endpoint("s1");
     let (client, _) = harness.start_attempt("t1", "s1", 5_000_000);
     let connection = harness.accept_connection(&endpoint);
     harness.read_until(&connection, "body");
-    harness.proxy.signalled(Signal::SIGTERM);
+    harness.proxy.handle_signal(Signal::SIGTERM);
     let other = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
     let own = std::net::UdpSocket::bind("127.0.0.1:0")
         .unwrap()
@@ -396,23 +408,24 @@
     harness.run_until(|proxy| proxy.is_finished.then_some(()));
 }
 
-/// The operator file is reloaded too: one that can be used takes effect at once, another changes
-/// nothing.
+/// The operator file is reloaded too. A valid file takes effect immediately, and an invalid one
+/// changes nothing.
 #[test]
-fn an_operator_file_that_cannot_be_used_changes_nothing() {
+fn a_valid_operator_file_takes_effect_and_an_invalid_one_changes_nothing() {
     let mut harness = TestHarness::new();
     let key = file("operator-key", "0123456789abcdef");
     let fleet = format!(
-        "[fleet]\nname = 'f'\nkey_file = '{key}'\nlisten = '127.0.0.1:0'\nadvertise = '127.0.0.1:9'\n"
+        "[fleet]\nname = 'f'\nkey_file = '{key}'\n\
+         listen = '127.0.0.1:0'\nadvertise = '127.0.0.1:9'\n"
     );
     let path = file("operator", &fleet);
-    let opened = {
+    let node = {
         let state = harness.proxy.state.borrow();
         let settings =
             read_operator_file(&path, &state.config, harness.proxy.balancer.settings()).unwrap();
         ClusterNode::open(&state.handle, settings, 1, &state.log).unwrap()
     };
-    harness.proxy.state.borrow_mut().cluster = Some(opened);
+    harness.proxy.state.borrow_mut().cluster = Some(node);
     let mut duties = |text: &str| {
         std::fs::write(&path, format!("{fleet}{text}")).unwrap();
         harness.proxy.reload_operator_file(Some(&path));
@@ -444,24 +457,27 @@
         .for_each(|path| std::fs::remove_file(path).unwrap());
 }
 
-/// The system may be out of files at the moment of the signal (ENFILE): the change counts all the
-/// same.
+/// The system may be out of file descriptors when the signal arrives (ENFILE). The change still has
+/// to take effect.
 #[test]
-fn a_file_that_cannot_be_read_for_the_moment_is_read_again() {
+fn a_temporarily_unreadable_file_is_read_again() {
     let mut harness = TestHarness::new();
-    let elsewhere = local_listener();
-    let new = configuration("127.0.0.1:0", &elsewhere.local_addr().unwrap().to_string());
+    let new_discovery = local_listener();
+    let new = configuration(
+        "127.0.0.1:0",
+        &new_discovery.local_addr().unwrap().to_string(),
+    );
     let path = file("again", &new.to_string());
     harness
         .proxy
         .state
         .borrow_mut()
         .schedule_retry(Some(&path), true);
-    let call = harness.accept_connection(&elsewhere);
+    let call = harness.accept_connection(&new_discovery);
     harness.read_until(&call, "\r\n\r\n");
     std::fs::remove_file(&path).unwrap();
     assert!(harness.proxy.state.borrow().pending_reload.is_none());
-    // A file that is wrong itself is not read again, and no file is read again for ever.
+    // An invalid file is not read again, and the number of retries is limited.
     harness
         .proxy
         .state
--- a/crates/proxy/src/lifecycle/retry.rs
+++ b/crates/proxy/src/lifecycle/retry.rs
@@ -1,4 +1,4 @@
-//! Retries of operations that the system fails for the moment only.
+//! Retries of operations that fail with a transient system error.
 
 use std::time::Duration;
 
@@ -7,14 +7,14 @@
 #[cfg(test)]
 mod tests;
 
-/// Further attempts at what the start needs of the system: together they take longer than the
-/// shutdown of the process before.
+/// Maximum number of retries of an operation during startup. Together they take longer than the
+/// shutdown of the previous process, which may still hold the address.
 const MAX_RETRIES: u32 = 100;
-/// The time between them.
+/// Interval between retries.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Whether another attempt may succeed: the former process still holds the address, or the system
-/// is short of a resource for the moment.
+/// Whether another attempt may succeed, because the previous process still holds the address or the
+/// system is temporarily out of a resource.
 pub fn is_transient(error: &std::io::Error) -> bool {
     let Some(code) = Errno::from_io_error(error) else {
         return false;
@@ -35,8 +35,8 @@
     )
 }
 
-/// Repeats an attempt that fails for the moment only: a start that fails at once is a crash to
-/// whoever started it.
+/// Repeats an operation that fails with a transient error. Without retries, a temporary shortage at
+/// startup would look like a crash to the process supervisor.
 ///
 /// # Errors
 ///
--- a/crates/proxy/src/lifecycle/shutdown.rs
+++ b/crates/proxy/src/lifecycle/shutdown.rs
@@ -1,4 +1,5 @@
-//! Graceful shutdown: not ready at once, accepting a little longer, every request answered.
+//! Graceful shutdown: the balancer reports not ready immediately, accepts connections for a short
+//! time, and responds to every request.
 
 use calloop::signals::Signal;
 use pinefront_policy::Micros;
@@ -12,25 +13,27 @@
 #[cfg(test)]
 mod tests;
 
-/// How long new connections are accepted after the signal: they keep coming until clients have
-/// noticed.
+/// Time after the signal during which new connections are accepted, in microseconds. Clients open
+/// connections until they have noticed that the balancer is not ready.
 const ACCEPT_PERIOD_US: Micros = 500_000;
-/// How long connections are served: clients keep sending on open ones, and those of the only
-/// balancer of a zone have no other. What is received by then is answered within its own deadline,
-/// and whoever stops us waits for 0.7 s more than the longest of those. A connection that is opened
-/// last has this long to send its request.
+/// Time after the signal during which connections are served, in microseconds. Clients keep sending
+/// on open connections, and clients of the only balancer of a zone have no alternative. Requests
+/// that are received by then get a response within their own deadlines, and the process supervisor
+/// waits 0.7 s longer than the longest of these. The connection that is opened last has to send its
+/// request by then.
 const SERVE_PERIOD_US: Micros = 600_000;
-/// How long requests that are incomplete then are read on.
+/// Further time during which incomplete requests are read, in microseconds.
 const PARTIAL_REQUEST_PERIOD_US: Micros = 500_000;
-/// How often the shutdown checks whether all is answered.
+/// Interval of the checks whether the shutdown is complete, in microseconds.
 const CHECK_INTERVAL_US: Micros = 20_000;
-/// When all connections without a request in flight are closed. Requests have deadlines of their
-/// own, which some installations set longer.
+/// Time after the signal at which the shutdown completes unless a client awaits a response, in
+/// microseconds. Requests are limited by their own deadlines, which may be later in some
+/// deployments.
 const MAX_SHUTDOWN_US: Micros = 10_000_000;
 
 impl Proxy {
     /// Handles SIGUSR1 by logging the counters, and starts the shutdown at other signals.
-    pub fn signalled(&mut self, signal: Signal) {
+    pub fn handle_signal(&mut self, signal: Signal) {
         let mut state = self.state.borrow_mut();
         if signal == Signal::SIGUSR1 {
             return state.log_counters();
@@ -45,7 +48,8 @@
         self.continue_shutdown();
     }
 
-    /// Takes the next steps of the shutdown, and schedules another check unless it is complete.
+    /// Carries out the next steps of the shutdown, and schedules another check unless it is
+    /// complete.
     pub fn continue_shutdown(&mut self) {
         let (now, stopping) = {
             let state = self.state.borrow();
@@ -74,8 +78,8 @@
         state.timers.schedule(check_at, TimerEvent::Shutdown);
     }
 
-    /// Accepts the connections in the backlog and closes the listener once it has no more. Those
-    /// that find no descriptor now wait for one.
+    /// Accepts the connections in the backlog and closes the listener once the backlog is empty.
+    /// Connections for which no file descriptor is available stay in the backlog.
     fn accept_backlog(&mut self) {
         while self.accept() {}
         let mut state = self.state.borrow_mut();
@@ -84,7 +88,7 @@
         }
     }
 
-    /// Reads all clients' connections, so that requests that have arrived meanwhile are served.
+    /// Reads all client connections, so that requests that have arrived in the meantime are served.
     fn serve_clients(&mut self) {
         let keys: Vec<_> = self.state.borrow().clients.keys().collect();
         for key in keys {
@@ -92,11 +96,12 @@
         }
     }
 
-    /// Closes all connections, leaves the cluster and logs the counters, as the process ends.
+    /// Closes all connections, leaves the cluster and logs the counters before the process exits.
     pub fn close_all(&mut self) {
         let mut state = self.state.borrow_mut();
         state.close_all_connections();
-        // Nothing is sent to endpoints from here on, so other balancers may stop counting this one.
+        // No request is sent to endpoints from now on, so other balancers may stop counting this
+        // one.
         if let Some(cluster) = &state.cluster {
             cluster.borrow_mut().leave();
         }
@@ -106,7 +111,7 @@
 
 impl ProxyState {
     fn is_shutdown_complete(&self, elapsed: Micros) -> bool {
-        // Connections that linger have little time left, and close by themselves.
+        // Lingering connections close by themselves after a short time.
         let is_busy = |client: &ClientConnection| {
             client.awaits_response()
                 || client.is_lingering
@@ -117,7 +122,7 @@
         is_served || (elapsed >= MAX_SHUTDOWN_US && !self.requests.is_any_awaited())
     }
 
-    /// Logs the counters, a line each.
+    /// Logs the counters, one line each.
     pub fn log_counters(&self) {
         for line in self.counters.to_string().lines() {
             let (name, value) = line.split_once(' ').unwrap_or((line, line));
--- a/crates/proxy/src/lifecycle/shutdown/tests.rs
+++ b/crates/proxy/src/lifecycle/shutdown/tests.rs
@@ -4,7 +4,7 @@
 use crate::test_harness::{TestHarness, request_message, send_text};
 
 #[test]
-fn a_shutdown_answers_requests_then_closes_idle_connections() {
+fn a_shutdown_responds_to_requests_and_then_closes_idle_connections() {
     let mut harness = TestHarness::new();
     let endpoint = harness.endpoints();
     let (busy, _) = harness.connect_client();
@@ -13,8 +13,8 @@
     send_text(&busy, &request_message("t1", "body"));
     let connection = harness.accept_connection(&endpoint);
     harness.read_until(&connection, "body");
-    harness.proxy.signalled(Signal::SIGTERM);
-    // The clients of the only balancer have no other (re6c252), so it goes on serving.
+    harness.proxy.handle_signal(Signal::SIGTERM);
+    // Clients of the only balancer have no alternative (re6c252), so it continues to serve.
     let (late, _) = harness.connect_client();
     send_text(&late, "GET /health/ready HTTP/1.1\r\n\r\n");
     let response = harness.read_until(&late, "not ready\n");
@@ -25,8 +25,8 @@
             .read_until(&idle, "live\n")
             .contains("Connection: close")
     );
-    let began = harness.proxy.state.borrow().now() - SERVE_PERIOD_US;
-    harness.proxy.state.borrow_mut().stopping = Some(began);
+    let started_at = harness.proxy.state.borrow().now() - SERVE_PERIOD_US;
+    harness.proxy.state.borrow_mut().stopping = Some(started_at);
     harness.expect_close(&idle);
     assert!(!harness.proxy.is_finished);
     send_text(
@@ -45,28 +45,28 @@
 
 #[rstest]
 #[case::accepting(0, true, false)]
-#[case::no_longer(ACCEPT_PERIOD_US, false, false)]
-#[case::done(SERVE_PERIOD_US, false, true)]
-fn a_shutdown_keeps_accepting_for_a_while(
-    #[case] since: Micros,
-    #[case] listens: bool,
-    #[case] over: bool,
+#[case::no_longer_accepting(ACCEPT_PERIOD_US, false, false)]
+#[case::complete(SERVE_PERIOD_US, false, true)]
+fn a_shutdown_accepts_connections_for_a_limited_time(
+    #[case] elapsed: Micros,
+    #[case] is_listening: bool,
+    #[case] is_finished: bool,
 ) {
     let mut harness = TestHarness::new();
-    let began = harness.proxy.state.borrow().now() - since;
-    harness.proxy.state.borrow_mut().stopping = Some(began);
+    let started_at = harness.proxy.state.borrow().now() - elapsed;
+    harness.proxy.state.borrow_mut().stopping = Some(started_at);
     harness.proxy.continue_shutdown();
     assert_eq!(
         (
             harness.proxy.state.borrow().listener.is_some(),
             harness.proxy.is_finished
         ),
-        (listens, over)
+        (is_listening, is_finished)
     );
 }
 
 #[test]
-fn the_backlog_is_not_dropped_for_want_of_descriptors() {
+fn the_backlog_is_kept_while_no_descriptor_is_available() {
     let mut harness = TestHarness::new();
     harness
         .proxy
@@ -75,8 +75,8 @@
         .config
         .max_client_connections = 0;
     let waiting = std::net::TcpStream::connect(harness.address).unwrap();
-    let began = harness.proxy.state.borrow().now() - SERVE_PERIOD_US;
-    harness.proxy.state.borrow_mut().stopping = Some(began);
+    let started_at = harness.proxy.state.borrow().now() - SERVE_PERIOD_US;
+    harness.proxy.state.borrow_mut().stopping = Some(started_at);
     harness.proxy.continue_shutdown();
     assert!(harness.proxy.state.borrow().listener.is_some() && !harness.proxy.is_finished);
     harness
@@ -90,10 +90,10 @@
     drop(waiting);
 }
 
-/// A request arrives between the last read of an idle connection and its close: it is ignored, and
-/// the response before it is not lost to a reset.
+/// A request that arrives between the last read of an idle connection and its close is ignored, and
+/// must not cause a TCP reset that loses the response before it.
 #[test]
-fn a_request_that_crosses_the_close_is_discarded_and_resets_nothing() {
+fn a_request_that_arrives_during_the_close_is_discarded_without_a_reset() {
     let mut harness = TestHarness::new();
     let (mut client, key) = harness.connect_client();
     send_text(&client, "GET /health/live HTTP/1.1\r\n\r\n");
@@ -106,16 +106,19 @@
     }
     send_text(&client, &request_message("t1", "body"));
     harness.proxy.continue_shutdown();
-    assert!(!harness.proxy.is_finished, "its end is under way");
+    assert!(
+        !harness.proxy.is_finished,
+        "the connection is still closing"
+    );
     harness.run_until(|proxy| proxy.is_finished.then_some(()));
-    let mut heard = String::new();
-    std::io::Read::read_to_string(&mut client, &mut heard).unwrap();
-    assert!(heard.ends_with("live\n"), "{heard}");
+    let mut received = String::new();
+    std::io::Read::read_to_string(&mut client, &mut received).unwrap();
+    assert!(received.ends_with("live\n"), "{received}");
     assert_eq!(harness.proxy.state.borrow().counters.requests_received, 0);
 }
 
-/// Part of a request when the connections close is read on; one that stays incomplete is answered,
-/// and no connection is left open.
+/// A request that is incomplete when connections are closed is read further. If it stays
+/// incomplete, it gets a response, and no connection is left open.
 #[rstest]
 #[case::completed(true)]
 #[case::incomplete(false)]
@@ -130,9 +133,9 @@
             .partial_request
             .map(|_| ())
     });
-    harness.proxy.signalled(Signal::SIGTERM);
-    let began = harness.proxy.state.borrow().now() - SERVE_PERIOD_US;
-    harness.proxy.state.borrow_mut().stopping = Some(began);
+    harness.proxy.handle_signal(Signal::SIGTERM);
+    let started_at = harness.proxy.state.borrow().now() - SERVE_PERIOD_US;
+    harness.proxy.state.borrow_mut().stopping = Some(started_at);
     harness.run_until(|proxy| proxy.state.borrow().closing.then_some(()));
     assert!(!harness.proxy.is_finished);
     if is_completed {
@@ -149,11 +152,11 @@
                 .contains("Connection: close")
         );
     } else {
-        harness.proxy.state.borrow_mut().stopping = Some(began - PARTIAL_REQUEST_PERIOD_US);
-        let heard = harness.read_until(&client, "\r\n\r\n");
+        harness.proxy.state.borrow_mut().stopping = Some(started_at - PARTIAL_REQUEST_PERIOD_US);
+        let received = harness.read_until(&client, "\r\n\r\n");
         assert!(
-            heard.starts_with("HTTP/1.1 503 ") && heard.contains("Connection: close"),
-            "{heard}"
+            received.starts_with("HTTP/1.1 503 ") && received.contains("Connection: close"),
+            "{received}"
         );
     }
     harness.expect_close(&client);
@@ -161,7 +164,7 @@
     harness.run_until(|proxy| proxy.is_finished.then_some(()));
 }
 
-/// Requests may take longer than any shutdown: they have their own deadlines.
+/// Requests may take longer than the maximum shutdown time, as they have their own deadlines.
 #[test]
 fn a_shutdown_does_not_abandon_requests_with_a_late_deadline() {
     let mut harness = TestHarness::new();
@@ -169,9 +172,9 @@
     let (client, _) = harness.start_attempt("t1", "s1", 30_000_000);
     let connection = harness.accept_connection(&endpoint);
     harness.read_until(&connection, "body");
-    harness.proxy.signalled(Signal::SIGTERM);
-    let began = harness.proxy.state.borrow().now() - MAX_SHUTDOWN_US;
-    harness.proxy.state.borrow_mut().stopping = Some(began);
+    harness.proxy.handle_signal(Signal::SIGTERM);
+    let started_at = harness.proxy.state.borrow().now() - MAX_SHUTDOWN_US;
+    harness.proxy.state.borrow_mut().stopping = Some(started_at);
     harness.proxy.continue_shutdown();
     assert!(!harness.proxy.is_finished);
     send_text(
--- a/crates/proxy/src/lifecycle/startup.rs
+++ b/crates/proxy/src/lifecycle/startup.rs
@@ -1,4 +1,4 @@
-//! Startup: the listener, the policy and the event loop.
+//! Startup: creates the listener, the policy and the event loop.
 
 use std::cell::RefCell;
 use std::io;
@@ -30,19 +30,21 @@
 use crate::state::socket::RegisteredListener;
 use crate::state::timers::Timers;
 
-/// Connections that the system may keep until the event loop accepts them.
+/// Maximum number of connections that the system queues until the event loop accepts them.
 const LISTEN_BACKLOG: i32 = 1024;
 
-/// Runs the balancer until it is told to stop.
+/// Runs the balancer until a signal stops it.
 ///
 /// # Errors
 ///
-/// Fails when a file, an address or a resource of the system that it needs cannot be used.
+/// Fails when a file is invalid, or when a required file, address or system resource is
+/// unavailable.
 pub fn run(config_file: Option<&str>, operator_file: Option<&str>) -> Result<(), StartupError> {
-    let make_loop = || EventLoop::try_new().map_err(io::Error::from);
+    let create_loop = || EventLoop::try_new().map_err(io::Error::from);
     let mut event_loop: EventLoop<Proxy> =
-        retry_transient(is_transient, make_loop).map_err(StartupError::EventLoop)?;
-    // First of all: a signal that comes during the start waits, and does not end the process.
+        retry_transient(is_transient, create_loop).map_err(StartupError::EventLoop)?;
+    // Signals are blocked first, so that one that arrives during startup stays pending instead of
+    // ending the process.
     let signals = open_signals()?;
     let load_config = || load(config_file, &variables());
     let loaded = retry_transient(LoadError::is_transient, load_config)?;
@@ -79,7 +81,8 @@
     retry_transient(is_transient, open).map_err(StartupError::Signals)
 }
 
-/// Reloads both files at SIGHUP, and leaves the other signals to the shutdown.
+/// Registers the signal handler: SIGHUP reloads both files, and the other signals are passed to
+/// [`Proxy::handle_signal`].
 fn watch_signals(
     handle: &LoopHandle<'static, Proxy>,
     signals: Signals,
@@ -96,23 +99,24 @@
                     proxy.reload(config_file.as_deref(), &variables());
                     proxy.reload_operator_file(operator_file.as_deref());
                 }
-                signal => proxy.signalled(signal),
+                signal => proxy.handle_signal(signal),
             },
         );
     match inserted {
         Ok(_) => Ok(()),
-        Err(failed) => Err(StartupError::Watch {
-            what: "signals",
+        Err(failed) => Err(StartupError::Register {
+            name: "signals",
             source: failed.error,
         }),
     }
 }
 
-/// Opens the listener and makes the proxy. The policy is called only once all its state exists.
+/// Opens the listener and creates the proxy. The policy is started only after the proxy state
+/// exists, as it calls back into it.
 ///
 /// # Errors
 ///
-/// Fails when an address cannot be bound or the loop cannot watch its socket.
+/// Fails when an address cannot be bound or its socket cannot be registered with the event loop.
 pub fn open(
     handle: LoopHandle<'static, Proxy>,
     log_buffer: &LogBuffer,
@@ -143,7 +147,7 @@
     if let Some(list) = document.get("known").filter(|list| !list.is_null())
         && let Err(error) = state.discovery.set_cached_list(list)
     {
-        // The balancer serves without it: discovery has a new one.
+        // The balancer starts without the cached list and gets a new one from discovery.
         warn!(state.log, "cached endpoint list malformed"; "error" => %error);
     }
     state.start_polling();
@@ -193,8 +197,8 @@
     RegisteredListener::new(handle, listener, |proxy: &mut Proxy| {
         proxy.accept();
     })
-    .map_err(|source| StartupError::Watch {
-        what: "the listener",
+    .map_err(|source| StartupError::Register {
+        name: "the listener",
         source,
     })
 }
@@ -202,18 +206,18 @@
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let domain = Domain::for_address(address);
     let socket = Socket::new(domain, Type::STREAM.nonblocking(), Some(Protocol::TCP))?;
-    // A restarted balancer takes its address back while old connections time out.
+    // A restarted balancer can bind its address while old connections are still in TIME_WAIT.
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
     socket.listen(LISTEN_BACKLOG)?;
     Ok(socket.into())
 }
 
-/// Reads the operator file. Where it names no member or zone, these are those of the configuration.
+/// Reads the operator file. The member name and the zone default to those of the configuration.
 ///
 /// # Errors
 ///
-/// Fails when the file cannot be read or used.
+/// Fails when the file cannot be read or is invalid.
 pub fn read_operator_file(
     file: &str,
     config: &Config,
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,8 +1,8 @@
-//! `pinefront`: the balancer's command line.
+//! Command line of the balancer, `pinefront`.
 
 #![cfg_attr(
     test,
-    // A test that lists its cases in a row reads better whole.
+    // A test that lists its cases in one place is easier to read.
     allow(
         clippy::default_trait_access,
         clippy::needless_for_each,
@@ -38,33 +38,33 @@
 pinefront: a load-balancing proxy for fleets of HTTP servers
 
   pinefront serve [--config FILE] [--operator FILE]   serves until SIGTERM or SIGINT
-  pinefront check [--config FILE] [--operator FILE]   checks whether it could start with these
+  pinefront check [--config FILE] [--operator FILE]   checks whether the files are valid
   pinefront fleet --at ADDRESS [--watch] [--json]     shows a balancer's view of its cluster
   pinefront version                                   prints the version
-  pinefront help                                      prints this
+  pinefront help                                      prints this help
 
 Without --config, BALANCER_CONFIG names the file. BALANCER_NAME, BALANCER_LISTEN and
-BALANCER_DISCOVERY override it. SIGUSR1 writes the counters to the log; GET /stats answers with them.
+BALANCER_DISCOVERY override its fields. SIGUSR1 logs the counters, and GET /stats returns them.
 The operator file (TOML) enables optional subsystems: see deploy/operator.toml.
 ";
 
-/// Why a command fails.
+/// The reason why a command fails.
 #[derive(Debug, Error)]
 enum CommandError {
     #[error("{0}")]
     Arguments(lexopt::Error),
     #[error("{0}; see 'pinefront help'")]
     UnexpectedArgument(lexopt::Error),
-    #[error("a value is no text")]
-    ValueNotText,
-    #[error("the command is no text")]
-    CommandNotText,
+    #[error("the value of an option is not valid UTF-8")]
+    ValueNotUtf8,
+    #[error("the command is not valid UTF-8")]
+    CommandNotUtf8,
     #[error("no command given\n\n{HELP}")]
     NoCommand,
-    #[error("no command '{0}'; see 'pinefront help'")]
+    #[error("unknown command '{0}'; see 'pinefront help'")]
     UnknownCommand(String),
-    #[error("no balancer named: give --at ADDRESS, where clients reach it")]
-    NoBalancer,
+    #[error("missing option --at ADDRESS: the address on which the balancer serves clients")]
+    NoBalancerAddress,
     #[error(transparent)]
     Load(#[from] LoadError),
     #[error(transparent)]
@@ -79,7 +79,7 @@
     command: Option<String>,
     config_file: Option<String>,
     operator_file: Option<String>,
-    /// The address of a balancer.
+    /// Address of the balancer whose view is shown.
     at: Option<String>,
     watch: bool,
     json: bool,
@@ -101,7 +101,7 @@
                 Arg::Long("help") | Arg::Short('h') => arguments.command = Some("help".into()),
                 Arg::Value(value) if arguments.command.is_none() => {
                     let command = value.into_string();
-                    let command = command.map_err(|_| CommandError::CommandNotText)?;
+                    let command = command.map_err(|_| CommandError::CommandNotUtf8)?;
                     arguments.command = Some(command);
                 }
                 other => return Err(CommandError::UnexpectedArgument(other.unexpected())),
@@ -117,7 +117,7 @@
                 startup::run(self.config_file.as_deref(), operator_file)?;
             }
             Some("fleet") => {
-                let at = self.at.as_deref().ok_or(CommandError::NoBalancer)?;
+                let at = self.at.as_deref().ok_or(CommandError::NoBalancerAddress)?;
                 view_command::run(at, self.watch, self.json)?;
             }
             Some("check") => self.check()?,
@@ -129,7 +129,7 @@
         Ok(())
     }
 
-    /// Reads the files as a start would.
+    /// Reads and validates the files in the same way as at startup.
     fn check(&self) -> Result<(), CommandError> {
         let loaded = config::load(self.config_file.as_deref(), &config::variables())?;
         if let Some(operator_file) = &self.operator_file {
@@ -142,7 +142,7 @@
 
 fn text(parser: &mut Parser) -> Result<String, CommandError> {
     let value = parser.value().map_err(CommandError::Arguments)?;
-    value.into_string().map_err(|_| CommandError::ValueNotText)
+    value.into_string().map_err(|_| CommandError::ValueNotUtf8)
 }
 
 fn main() -> ExitCode {
