--- a/crates/proxy/tests/edges/discovery.rs
+++ b/crates/proxy/tests/edges/discovery.rs
@@ -1,4 +1,5 @@
-//! What discovery receives: the first call, watches, and calls after an answer that was lost or refused.
+//! Compares the polls that discovery receives with the recordings: the first poll, watches, and
+//! polls after lost or rejected ones.
 
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -11,10 +12,10 @@
     http_answer(&json!({"rev": version, "all": false, "targets": entries}))
 }
 
-/// Discovery's replies, by the number of the call; the last call is held.
+/// Returns the replies of discovery by the number of the poll. The last poll is held.
 fn replies(address: std::net::SocketAddr) -> Vec<Reply> {
-    let whole = json!({"rev": 7, "all": true, "targets": [entry("s1", address, "active")]});
-    let cut = changes(
+    let complete = json!({"rev": 7, "all": true, "targets": [entry("s1", address, "active")]});
+    let truncated = changes(
         9,
         &[
             entry("s1", address, "active"),
@@ -22,17 +23,17 @@
         ],
     );
     vec![
-        Reply::Answer(http_answer(&whole)),
+        Reply::Answer(http_answer(&complete)),
         Reply::Answer(changes(7, &[])),
         Reply::Answer(changes(8, &[entry("s1", address, "leaving")])),
-        Reply::AnswerAndClose(cut[..120].to_vec()),
+        Reply::AnswerAndClose(truncated[..120].to_vec()),
         Reply::Answer(b"HTTP/1.1 503 No\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n".to_vec()),
         Reply::AnswerAndClose(Vec::new()),
         Reply::Answer(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}".to_vec()),
         Reply::Answer(changes(10, &[entry("s2", address, "active")])),
-        // A version that goes back: the whole list is asked for.
+        // The version decreases, so the complete list is polled next.
         Reply::Answer(changes(4, &[])),
-        Reply::Answer(http_answer(&whole)),
+        Reply::Answer(http_answer(&complete)),
         Reply::Hold,
     ]
 }
@@ -40,28 +41,28 @@
 #[rstest]
 #[case::polled("ask", false, "discovery-polled.txt")]
 #[case::pushed("push", false, "discovery-pushed.txt")]
-#[case::with_a_known_list("ask", true, "discovery-known.txt")]
-fn calls_to_discovery_are_as_recorded(
+#[case::with_a_cached_list("ask", true, "discovery-known.txt")]
+fn polls_of_discovery_are_as_recorded(
     #[case] mode: &str,
-    #[case] has_list: bool,
+    #[case] has_cached_list: bool,
     #[case] recorded: &str,
 ) {
     let ip = own_address();
     let endpoint = free_port(ip);
     let replies = replies(endpoint);
-    let calls = replies.len();
+    let polls = replies.len();
     let discovery = StandIn::start(ip, move |number, _| {
         replies.get(number).cloned().unwrap_or(Reply::Hold)
     });
     let mut config = config(free_port(ip), discovery.address);
     config["settings"]["registryMode"] = mode.into();
-    if has_list {
+    if has_cached_list {
         config["known"] =
             json!({"rev": 5, "all": true, "targets": [entry("s9", endpoint, "active")]});
     }
-    let _balancer = Balancer::start(&format!("discovery-{mode}-{has_list}"), &config);
+    let _balancer = Balancer::start(&format!("discovery-{mode}-{has_cached_list}"), &config);
     let mut recording = Recording::new(&[(discovery.address, "DISCOVERY")]);
-    for number in 0..calls {
+    for number in 0..polls {
         let received = discovery.next();
         let title = format!("call {number}, connection {}", received.connection);
         recording.add(&title, &received.bytes);
--- a/crates/proxy/tests/edges/peers.rs
+++ b/crates/proxy/tests/edges/peers.rs
@@ -1,4 +1,4 @@
-//! What peers receive: the short texts between balancers, a datagram each.
+//! Compares the gossip datagrams that other balancers receive with the recordings.
 
 use std::net::UdpSocket;
 use std::thread;
@@ -11,16 +11,18 @@
     six_entries,
 };
 
+/// Size of the receive buffer for a datagram.
 const DATAGRAM_BYTES: usize = 512;
-/// How one of the endpoints is called in the texts between balancers.
+/// The name of one of the endpoints in gossip messages.
 const ENDPOINT_SHORT_NAME: &str = "ba9f1";
 
-/// One request each: where a second one goes depends on how long the first took.
+/// Each case sends a single request, as the endpoint of a second one would depend on the duration
+/// of the first.
 #[rstest]
 #[case::succeeded("GET /look/1", 200, "peer-succeeded.txt")]
 #[case::failed("GET /look/1", 500, "peer-failed.txt")]
 #[case::rejected("GET /look/1", 503, "peer-rejected.txt")]
-#[case::of_another_class("POST /swap/1", 200, "peer-other-class.txt")]
+#[case::other_class("POST /swap/1", 200, "peer-other-class.txt")]
 fn datagrams_to_peers_are_as_recorded(
     #[case] target: &str,
     #[case] status: u16,
@@ -43,39 +45,39 @@
     config["settings"]["fleetSize"] = 2.into();
     config["settings"]["report"]["source"] = "off".into();
     config["settings"]["caps"]["peers"] = true.into();
-    // What an endpoint holds is asked again after a twentieth of this.
+    // The load of an endpoint is queried again after a twentieth of this time.
     for class in [1, 2] {
         config["settings"]["useCases"][class]["promisedTimeUs"] = 400_000_000.into();
     }
     let balancer = Balancer::start(recorded, &config);
     balancer.wait_for("/health/ready");
-    // The peer holds nothing at any endpoint, and says so when it is asked.
-    let answering = peer.try_clone().unwrap();
+    // The peer has no requests at any endpoint, and reports this when it is queried.
+    let responder = peer.try_clone().unwrap();
     let received = thread::spawn(move || {
-        let mut texts = Vec::new();
+        let mut messages = Vec::new();
         loop {
             let mut datagram = [0; DATAGRAM_BYTES];
-            let (length, from) = answering.recv_from(&mut datagram).unwrap();
+            let (length, from) = responder.recv_from(&mut datagram).unwrap();
             assert_eq!(from, own);
             let text = String::from_utf8(datagram[..length].to_vec()).unwrap();
-            let asked = text.strip_prefix("? ").map(str::to_owned);
+            let queried = text.strip_prefix("? ").map(str::to_owned);
             let is_last = text.starts_with("= ");
-            texts.push(text);
-            if let Some(endpoint) = asked {
-                let holds = format!("= {endpoint} 0 0");
-                answering.send_to(holds.as_bytes(), own).unwrap();
+            messages.push(text);
+            if let Some(endpoint) = queried {
+                let reply = format!("= {endpoint} 0 0");
+                responder.send_to(reply.as_bytes(), own).unwrap();
             }
             if is_last {
-                return texts;
+                return messages;
             }
         }
     });
     let request =
         format!("{target} HTTP/1.1\r\nHost: app\r\nX-Txn: t1\r\nX-Remaining-Ms: 15000\r\n\r\n");
     balancer.ask(request.as_bytes());
-    // What a peer asks of an endpoint is answered, and ends the test.
-    let question = format!("? {ENDPOINT_SHORT_NAME}");
-    peer.send_to(question.as_bytes(), own).unwrap();
+    // The balancer responds to the query of a peer about an endpoint. This response ends the test.
+    let query = format!("? {ENDPOINT_SHORT_NAME}");
+    peer.send_to(query.as_bytes(), own).unwrap();
     let mut recording = Recording::new(&[]);
     for (number, text) in received.join().unwrap().iter().enumerate() {
         recording.add(&format!("datagram {number}"), text.as_bytes());
--- a/crates/proxy/tests/edges/reload.rs
+++ b/crates/proxy/tests/edges/reload.rs
@@ -1,4 +1,4 @@
-//! What another discovery receives when a configuration that names it is reloaded.
+//! Compares the polls that a new discovery receives after a reload with the recording.
 
 use std::process::Command;
 
@@ -9,7 +9,7 @@
 };
 
 #[test]
-fn calls_after_a_reload_are_as_recorded() {
+fn polls_after_a_reload_are_as_recorded() {
     let ip = own_address();
     let endpoint = StandIn::start(ip, |_, _| Reply::Hold);
     let list = json!({"rev": 3, "all": true, "targets": six_entries(endpoint.address)});
