--- a/crates/proxy/src/config/decode.rs
+++ b/crates/proxy/src/config/decode.rs
@@ -87,8 +87,8 @@
         // process.
         unsigned(object(settings_json, "rules")?, "drainGraceUs")?;
         let name = variable_or_field(document, variables, "name")?;
-        let listen = address(document, variables, "listen")?;
-        let discovery = address(document, variables, "discovery")?;
+        let listen = decode_address(document, variables, "listen")?;
+        let discovery = decode_address(document, variables, "discovery")?;
         let config = Self {
             name,
             listen,
@@ -103,7 +103,7 @@
             idempotencies: idempotencies(&settings),
             tenants: tenants(settings_json)?,
             zones,
-            machine_types: texts(settings_json, "kinds")?,
+            machine_types: strings(settings_json, "kinds")?,
             endpoint_idle_timeout: unsigned(caps, "connIdleUs")?,
             connect_timeout: unsigned(caps, "connectTimeoutUs")?,
             max_poll_interval: settings.max_poll_interval,
@@ -127,7 +127,7 @@
 }
 
 fn decode_zones(settings_json: &Value, settings: &Settings) -> Result<Vec<String>, ConfigError> {
-    let zones = texts(settings_json, "dcs")?;
+    let zones = strings(settings_json, "dcs")?;
     if settings.zone as usize >= zones.len() {
         return Err(ConfigError::UnknownZone {
             zone: settings.zone,
@@ -168,7 +168,7 @@
 }
 
 /// Decodes a list of strings.
-fn texts(object: &Value, field: &'static str) -> Result<Vec<String>, ConfigError> {
+fn strings(object: &Value, field: &'static str) -> Result<Vec<String>, ConfigError> {
     let text = |entry: &Value| entry.as_str().map(str::to_owned);
     list(object, field)?
         .iter()
@@ -229,7 +229,7 @@
     }
 }
 
-fn address(
+fn decode_address(
     document: &Value,
     variables: &Variables,
     field: &'static str,
--- a/crates/proxy/src/discovery/connection.rs
+++ b/crates/proxy/src/discovery/connection.rs
@@ -34,7 +34,7 @@
 
 /// The state of a poll after its connection was read.
 pub enum PollProgress {
-    /// There is no complete response yet.
+    /// The response is incomplete.
     Pending,
     /// A complete response was received.
     Responded {
--- a/crates/proxy/src/discovery/list_update.rs
+++ b/crates/proxy/src/discovery/list_update.rs
@@ -1,4 +1,4 @@
-//! Applies endpoint lists, as discovery writes them, to the endpoint table and the policy.
+//! Applies endpoint lists in the JSON format of discovery to the endpoint table and the policy.
 
 use std::net::SocketAddr;
 
@@ -33,8 +33,8 @@
     ///
     /// # Errors
     ///
-    /// Fails when the list has no version or no field for entries. A malformed entry is not an
-    /// error: its endpoint gets no new requests.
+    /// Fails when the list lacks its version, its entries or its completeness flag. A malformed
+    /// entry is not an error: its endpoint gets no new requests.
     pub fn apply_list(&mut self, list: &Value) -> Result<ListSummary, ListError> {
         self.apply_cached_list();
         let summary = self.apply_entries(list)?;
--- a/crates/proxy/src/discovery/polling_schedule/in_flight.rs
+++ b/crates/proxy/src/discovery/polling_schedule/in_flight.rs
@@ -18,7 +18,7 @@
 
 /// A poll that was removed because it got a response or failed.
 pub(super) struct TakenPoll {
-    /// The poll.
+    /// The removed poll.
     pub poll: Poll,
     /// Whether it was the current one.
     pub was_current: bool,
--- a/crates/proxy/src/discovery/polling_schedule/poll.rs
+++ b/crates/proxy/src/discovery/polling_schedule/poll.rs
@@ -3,7 +3,7 @@
 use pinefront_policy::Micros;
 
 /// Time after which a connection that is not established is superseded by another, in microseconds.
-/// A machine that is gone never responds.
+/// A machine that was removed never responds.
 pub(super) const CONNECT_TIMEOUT_US: Micros = 1_000_000;
 /// Time within which a superseded connection may still be established, in microseconds.
 pub(super) const SUPERSEDED_CONNECT_TIMEOUT_US: Micros = 3_000_000;
--- a/crates/proxy/src/lifecycle/error.rs
+++ b/crates/proxy/src/lifecycle/error.rs
@@ -38,7 +38,7 @@
     /// The address for client connections cannot be bound.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// Address that cannot be bound.
         address: SocketAddr,
         /// The error of the system.
         source: io::Error,
@@ -46,7 +46,7 @@
     /// The address for gossip cannot be bound.
     #[error("cannot bind the gossip socket to {address:?}: {source}")]
     Gossip {
-        /// The address.
+        /// Address that cannot be bound.
         address: Option<SocketAddr>,
         /// The error of the system.
         source: io::Error,
@@ -68,7 +68,7 @@
     /// The new address for gossip cannot be bound.
     #[error("cannot bind the gossip socket to the new address {address:?}: {source}")]
     Gossip {
-        /// The address.
+        /// Address that cannot be bound.
         address: Option<SocketAddr>,
         /// The error of the system.
         source: io::Error,
--- a/crates/proxy/src/lifecycle/reload/tests.rs
+++ b/crates/proxy/src/lifecycle/reload/tests.rs
@@ -17,13 +17,13 @@
     request_message, send_text,
 };
 
-/// The `BALANCER_*` variables at the start.
+/// Returns the `BALANCER_*` variables with which the process was started.
 fn variables() -> Variables {
     HashMap::from([("DISCOVERY".into(), "127.0.0.1:1".into())])
 }
 
 /// Writes a temporary file and returns its path.
-fn file(name: &str, text: &str) -> String {
+fn write_temp_file(name: &str, text: &str) -> String {
     let path = std::env::temp_dir().join(format!("pinefront-{}-{name}", std::process::id()));
     std::fs::write(&path, text).unwrap();
     path.into_os_string().into_string().unwrap()
@@ -42,7 +42,7 @@
         harness.read_until(&old, "\r\n\r\n");
         let new = local_listener();
         let address = new.local_addr().unwrap().to_string();
-        let path = file(
+        let path = write_temp_file(
             &format!("round-{round}"),
             &configuration("127.0.0.1:0", &address).to_string(),
         );
@@ -57,8 +57,8 @@
         let list = json!({"rev": 1, "all": true,
             "targets": [list_entry("s1", endpoint.local_addr().unwrap(), "active")]});
         send_text(&call, &list_response(&list));
-        // Responses of the previous discovery are accepted until then, so its connection stays open
-        // until then.
+        // Responses of the previous discovery are accepted until this response, so its connection
+        // stays open until then.
         harness.expect_close(&old);
         assert!(harness.read_until(&call, "\r\n\r\n").contains("since=1&"));
         // The next round starts with a watch at this discovery.
@@ -85,7 +85,7 @@
     let discovery = harness.discovery.try_clone().unwrap();
     let call = harness.accept_connection(&discovery);
     let path = text.map_or("/nowhere/at/all".to_owned(), |text| {
-        file(&format!("bad-{}", text.len()), &text)
+        write_temp_file(&format!("bad-{}", text.len()), &text)
     });
     let before = harness.proxy.state.borrow().config.discovery;
     harness.proxy.reload(Some(&path), &variables());
@@ -136,7 +136,7 @@
             (&new, swap_request("n"), request_message("o", "b")),
             (&old, request_message("o", "b"), swap_request("n")),
         ] {
-            let path = file(&format!("switch-{round}"), &document.to_string());
+            let path = write_temp_file(&format!("switch-{round}"), &document.to_string());
             harness.proxy.reload(Some(&path), &variables());
             std::fs::remove_file(path).unwrap();
             assert_eq!(status(&mut harness, &unknown), "404");
@@ -195,7 +195,7 @@
         ],
     );
     break_document(&mut new);
-    let path = file(
+    let path = write_temp_file(
         &format!("broken-{}", new.to_string().len()),
         &new.to_string(),
     );
@@ -337,7 +337,7 @@
         if round == 2 {
             disturb(&mut harness, at);
         }
-        let path = file(
+        let path = write_temp_file(
             &format!("load-{round}-{}", own.port()),
             &document.to_string(),
         );
@@ -395,7 +395,7 @@
         &harness.discovery.local_addr().unwrap().to_string(),
     );
     change_deployment(&mut new, &[own, other.local_addr().unwrap()]);
-    let path = file(&format!("stop-{}", own.port()), &new.to_string());
+    let path = write_temp_file(&format!("stop-{}", own.port()), &new.to_string());
     harness.proxy.reload(Some(&path), &variables());
     std::fs::remove_file(path).unwrap();
     assert!(!harness.proxy.is_finished);
@@ -413,12 +413,12 @@
 #[test]
 fn a_valid_operator_file_takes_effect_and_an_invalid_one_changes_nothing() {
     let mut harness = TestHarness::new();
-    let key = file("operator-key", "0123456789abcdef");
+    let key = write_temp_file("operator-key", "0123456789abcdef");
     let fleet = format!(
         "[fleet]\nname = 'f'\nkey_file = '{key}'\n\
          listen = '127.0.0.1:0'\nadvertise = '127.0.0.1:9'\n"
     );
-    let path = file("operator", &fleet);
+    let path = write_temp_file("operator", &fleet);
     let node = {
         let state = harness.proxy.state.borrow();
         let settings =
@@ -467,7 +467,7 @@
         "127.0.0.1:0",
         &new_discovery.local_addr().unwrap().to_string(),
     );
-    let path = file("again", &new.to_string());
+    let path = write_temp_file("again", &new.to_string());
     harness
         .proxy
         .state
--- a/crates/proxy/src/lifecycle/retry.rs
+++ b/crates/proxy/src/lifecycle/retry.rs
@@ -52,7 +52,7 @@
                 retries += 1;
                 std::thread::sleep(RETRY_INTERVAL);
             }
-            done => return done,
+            result => return result,
         }
     }
 }
--- a/crates/proxy/src/logging.rs
+++ b/crates/proxy/src/logging.rs
@@ -94,8 +94,8 @@
     fn emit_arguments(&mut self, key: slog::Key, value: &fmt::Arguments) -> slog::Result {
         let text = value.to_string();
         // Line ends and spaces in external values must not be mistaken for log lines or fields.
-        let plain = |byte: u8| byte.is_ascii_graphic() && byte != b'"' && byte != b'=';
-        if !text.is_empty() && text.bytes().all(plain) {
+        let is_plain = |byte: u8| byte.is_ascii_graphic() && byte != b'"' && byte != b'=';
+        if !text.is_empty() && text.bytes().all(is_plain) {
             write!(self.0, " {key}={text}")?;
         } else {
             write!(self.0, " {key}={text:?}")?;
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -2,7 +2,7 @@
 
 #![cfg_attr(
     test,
-    // A test that lists its cases in one place is easier to read.
+    // Long tests that list all their cases in one place are easier to read than split ones.
     allow(
         clippy::default_trait_access,
         clippy::needless_for_each,
@@ -146,8 +146,8 @@
 }
 
 fn main() -> ExitCode {
-    let done = Arguments::parse(Parser::from_env()).and_then(|arguments| arguments.run());
-    match done {
+    let result = Arguments::parse(Parser::from_env()).and_then(|arguments| arguments.run());
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("pinefront: {error}");
