--- a/crates/proxy/src/connections/endpoint_pool.rs
+++ b/crates/proxy/src/connections/endpoint_pool.rs
@@ -180,7 +180,8 @@
     /// another request on it.
     pub fn return_to_pool(&mut self, key: EndpointConnectionKey) {
         let now = self.now();
-        let until = now + (self.config.idle as f64 * IDLE_TIMEOUT_FRACTION) as Micros;
+        let until =
+            now + (self.config.endpoint_idle_timeout as f64 * IDLE_TIMEOUT_FRACTION) as Micros;
         let Some(connection) = self.endpoint_connections.get_mut(key) else {
             return;
         };
