--- a/crates/cluster/src/cluster/gossip.rs
+++ b/crates/cluster/src/cluster/gossip.rs
@@ -79,7 +79,7 @@
             .config
             .seeds
             .iter()
-            .filter(|seed| !self.is_known_seed(seed))
+            .filter(|seed| !self.is_alive_seed(seed))
             .copied()
             .collect();
         if seeds.is_empty() {
@@ -93,7 +93,7 @@
         self.send(seed, probe, Vec::new());
     }
 
-    fn is_known_seed(&self, seed: &SocketAddr) -> bool {
+    fn is_alive_seed(&self, seed: &SocketAddr) -> bool {
         *seed == self.config.address
             || self
                 .table
--- a/crates/cluster/src/cluster/lease_control.rs
+++ b/crates/cluster/src/cluster/lease_control.rs
@@ -6,7 +6,7 @@
 use crate::Micros;
 use crate::leases::assignment::Candidate;
 use crate::leases::term::LeaseId;
-use crate::leases::{AddressedMessage, Lease, LeaseConfig, LeaseEvent, Leases};
+use crate::leases::{AddressedMessage, Lease, LeaseConfig, LeaseEvent, LeaseManager};
 use crate::messages::{MemberRecord, Message};
 use crate::timers::Timer;
 
@@ -16,15 +16,15 @@
     pub fn configure_leases(&mut self, now: Micros, config: LeaseConfig, leases: Vec<Lease>) {
         self.now = self.now.max(now);
         let is_current = self
-            .leases
+            .lease_manager
             .as_ref()
             .is_some_and(|current| *current.config() == config && !current.is_stopping());
         if !is_current {
             self.disable_leases(now);
             self.replace_leases(config);
         }
-        if let Some(current) = &mut self.leases {
-            current.track(self.now, leases);
+        if let Some(current) = &mut self.lease_manager {
+            current.set_leases(self.now, leases);
         }
         self.send_lease_messages();
     }
@@ -33,10 +33,16 @@
         let wall_clock_offset_ms =
             (self.config.started_at_us / 1_000).saturating_sub(self.started_at / 1_000);
         let own_name = Rc::clone(&self.table.own.name);
-        let own_id = self.incarnation.random_id;
-        let new = Leases::new(self.now, config, own_name, own_id, wall_clock_offset_ms);
-        self.leases = Some(match &self.leases {
-            Some(before) => new.continuing(before),
+        let own_incarnation_id = self.incarnation.random_id;
+        let new = LeaseManager::new(
+            self.now,
+            config,
+            own_name,
+            own_incarnation_id,
+            wall_clock_offset_ms,
+        );
+        self.lease_manager = Some(match &self.lease_manager {
+            Some(before) => new.with_numbering_of(before),
             None => new,
         });
     }
@@ -44,23 +50,23 @@
     /// Releases all leases and takes part in none from now on.
     pub fn disable_leases(&mut self, now: Micros) {
         self.now = self.now.max(now);
-        if let Some(leases) = &mut self.leases {
+        if let Some(leases) = &mut self.lease_manager {
             leases.stop(self.now);
-            leases.track(self.now, Vec::new());
+            leases.set_leases(self.now, Vec::new());
         }
         self.send_lease_messages();
     }
 
     /// The lease manager, where leases were configured.
-    pub fn leases(&self) -> Option<&Leases> {
-        self.leases.as_ref()
+    pub fn lease_manager(&self) -> Option<&LeaseManager> {
+        self.lease_manager.as_ref()
     }
 
     /// Takes the lease events since the last call.
     pub fn take_lease_events(&mut self) -> Vec<LeaseEvent> {
-        self.leases
+        self.lease_manager
             .as_mut()
-            .map(Leases::take_events)
+            .map(LeaseManager::take_events)
             .unwrap_or_default()
     }
 
@@ -76,7 +82,7 @@
     ) -> bool {
         self.now = self.now.max(now);
         let is_sent = self
-            .leases
+            .lease_manager
             .as_mut()
             .is_some_and(|leases| leases.send_command(now, lease, to, required, body));
         self.send_lease_messages();
@@ -86,7 +92,7 @@
     /// Sends a note about a lease to a member.
     pub fn send_lease_note(&mut self, now: Micros, lease: LeaseId, to: &Rc<str>, body: Vec<u8>) {
         self.now = self.now.max(now);
-        if let Some(leases) = &mut self.leases {
+        if let Some(leases) = &mut self.lease_manager {
             leases.send_note(lease, to, body);
         }
         self.send_lease_messages();
@@ -104,16 +110,16 @@
             .chain(others)
             .map(candidate)
             .collect();
-        let is_fit = self.is_reachable() && self.now >= self.silent_until;
-        if let Some(leases) = &mut self.leases {
-            leases.run_timers(self.now, &alive, is_fit);
+        let can_request = self.is_reachable() && self.now >= self.send_disabled_until;
+        if let Some(leases) = &mut self.lease_manager {
+            leases.run_timers(self.now, &alive, can_request);
         }
         self.send_lease_messages();
     }
 
     /// Sends the lease manager's messages and schedules its next timer.
     pub(super) fn send_lease_messages(&mut self) {
-        let Some(leases) = &mut self.leases else {
+        let Some(leases) = &mut self.lease_manager else {
             return;
         };
         let messages = leases.take_messages();
@@ -123,9 +129,9 @@
                 self.send_to_member(index, Message::Lease(message));
             }
         }
-        if next_timer < self.leases_timer_at || self.leases_timer_at <= self.now {
-            self.leases_timer_at = next_timer;
-            self.timers.schedule(next_timer, Timer::Leases);
+        if next_timer < self.lease_timer_at || self.lease_timer_at <= self.now {
+            self.lease_timer_at = next_timer;
+            self.timers.schedule(next_timer, Timer::LeaseManager);
         }
     }
 }
--- a/crates/cluster/src/cluster/mod.rs
+++ b/crates/cluster/src/cluster/mod.rs
@@ -20,7 +20,7 @@
 use crate::datagram::{DropReason, Key, ReplayFilter};
 use crate::fault_injection::InjectedFault;
 use crate::incarnation::Incarnation;
-use crate::leases::Leases;
+use crate::leases::LeaseManager;
 use crate::membership::dissemination::Dissemination;
 use crate::membership::events::MembershipEvent;
 use crate::membership::failure_detector::FailureDetector;
@@ -76,18 +76,18 @@
     now: Micros,
     /// After a pause: nobody is suspected until a probe with this number or a later one is
     /// answered.
-    unreachable_until: Option<u32>,
+    min_confirming_probe: Option<u32>,
     pause_count: u64,
     /// The index in the table where the next part to send begins.
     sync_cursor: usize,
     /// The lease manager, where the configuration names voters.
-    leases: Option<Leases>,
+    lease_manager: Option<LeaseManager>,
     /// When the lease manager's timer is scheduled.
-    leases_timer_at: Micros,
+    lease_timer_at: Micros,
     /// When senders with a superseded incarnation were last replied to, by name.
     old_incarnation_replies: BTreeMap<String, Micros>,
     /// Nothing is sent before, since another process has this member's name.
-    silent_until: Micros,
+    send_disabled_until: Micros,
 }
 
 impl Cluster {
@@ -99,7 +99,7 @@
             random_id: rng.generate::<u64>().max(1),
         };
         let own =
-            MemberRecord::of_new_process(&config.name, &config.zone, config.address, incarnation);
+            MemberRecord::for_new_process(&config.name, &config.zone, config.address, incarnation);
         let mut table = MemberTable::new(own);
         table.set_confirmed_dead(&config.confirmed_dead);
         let mut cluster = Self {
@@ -117,13 +117,13 @@
             outgoing: Vec::new(),
             traffic: TrafficCounters::default(),
             now,
-            unreachable_until: None,
+            min_confirming_probe: None,
             pause_count: 0,
             sync_cursor: 0,
-            leases: None,
-            leases_timer_at: Micros::MAX,
+            lease_manager: None,
+            lease_timer_at: Micros::MAX,
             old_incarnation_replies: BTreeMap::new(),
-            silent_until: 0,
+            send_disabled_until: 0,
         };
         cluster.schedule_first_timers();
         cluster
@@ -164,7 +164,7 @@
     /// Whether a member has answered since the last pause of this process. Until then it cannot
     /// tell who is alive.
     pub fn is_reachable(&self) -> bool {
-        self.unreachable_until.is_none()
+        self.min_confirming_probe.is_none()
     }
 
     /// How often this process was paused.
@@ -214,8 +214,8 @@
             Timer::DeadProbe => self.probe_dead_member(),
             Timer::Seeds => self.contact_seed(),
             // A timer that was replaced by an earlier one has nothing to do.
-            Timer::Leases if self.now >= self.leases_timer_at => self.run_lease_timers(),
-            Timer::Leases => {}
+            Timer::LeaseManager if self.now >= self.lease_timer_at => self.run_lease_timers(),
+            Timer::LeaseManager => {}
         }
     }
 
@@ -240,11 +240,11 @@
         self.table.events.push(MembershipEvent::Paused(duration));
         // Only a reply to a probe sent from now on shows that others receive us: older ones lay in
         // the socket.
-        self.unreachable_until = Some(self.failure_detector.last_number.wrapping_add(1));
-        self.failure_detector.pending = None;
-        self.failure_detector.degrade_health();
+        self.min_confirming_probe = Some(self.failure_detector.last_number.wrapping_add(1));
+        self.failure_detector.current_probe = None;
+        self.failure_detector.increase_health_penalty();
         self.restart_suspicions();
-        if let Some(leases) = &mut self.leases {
+        if let Some(leases) = &mut self.lease_manager {
             leases.record_pause(self.now);
         }
         self.send_lease_messages();
@@ -266,7 +266,7 @@
         if self.table.own.state == MemberState::Left {
             return;
         }
-        if let Some(leases) = &mut self.leases {
+        if let Some(leases) = &mut self.lease_manager {
             leases.stop(self.now);
         }
         self.send_lease_messages();
--- a/crates/cluster/src/cluster/probing.rs
+++ b/crates/cluster/src/cluster/probing.rs
@@ -15,7 +15,7 @@
 impl Cluster {
     /// Evaluates the probe of this round and begins the next round.
     pub(super) fn end_probe_round(&mut self) {
-        if let Some(probe) = self.failure_detector.pending.take() {
+        if let Some(probe) = self.failure_detector.current_probe.take() {
             self.evaluate_probe(&probe);
         }
         let next_round = self.now + self.failure_detector.scaled(self.config.probe_interval);
@@ -44,13 +44,13 @@
         let number = self.failure_detector.next_number();
         let target = Some(Rc::clone(&record.name));
         self.send_to_member(index, Message::Probe { number, target });
-        self.failure_detector.pending = Some(Probe {
+        self.failure_detector.current_probe = Some(Probe {
             number,
             target: record.name,
             incarnation: record.incarnation,
             is_answered: false,
-            requested: 0,
-            reported: 0,
+            relays_requested: 0,
+            relays_reported: 0,
         });
         let retry_at = self.now + self.failure_detector.scaled(self.config.probe_timeout);
         self.timers.schedule(retry_at, Timer::ProbeRetry);
@@ -59,7 +59,7 @@
     /// Repeats a probe that got no reply, and asks others to relay it, since the fault may lie in
     /// the network between or with this process.
     pub(super) fn retry_probe(&mut self) {
-        let Some(probe) = &self.failure_detector.pending else {
+        let Some(probe) = &self.failure_detector.current_probe else {
             return;
         };
         if probe.is_answered {
@@ -85,8 +85,8 @@
         let relays = self.random_members(PROBE_REQUESTS, |member| {
             member.record.state == MemberState::Alive && *member.record.name != *target
         });
-        if let Some(probe) = &mut self.failure_detector.pending {
-            probe.requested = relays.len() as u32;
+        if let Some(probe) = &mut self.failure_detector.current_probe {
+            probe.relays_requested = relays.len() as u32;
         }
         for relay in relays {
             let request = Message::ProbeRequest {
@@ -100,14 +100,14 @@
 
     fn evaluate_probe(&mut self, probe: &Probe) {
         if probe.is_answered {
-            return self.failure_detector.improve_health();
+            return self.failure_detector.decrease_health_penalty();
         }
         // If members that were asked to relay do not even report, the fault may be with this
         // process.
-        if probe.reported < probe.requested {
-            self.failure_detector.degrade_health();
+        if probe.relays_reported < probe.relays_requested {
+            self.failure_detector.increase_health_penalty();
         }
-        let Some(member) = self.table.named(&probe.target) else {
+        let Some(member) = self.table.member(&probe.target) else {
             return;
         };
         let known = &member.record;
@@ -123,7 +123,7 @@
             suspected_by: self.incarnation.random_id,
             ..known.clone()
         };
-        self.learn(&record);
+        self.merge_record(&record);
         if is_first {
             // The suspected member is told first, so that it can refute.
             self.send(record.address, Message::Gossip, vec![record]);
@@ -132,7 +132,7 @@
 
     pub(super) fn receive_ack(&mut self, number: u32, sender: &str) {
         self.confirm_reachable(number);
-        if let Some(probe) = &mut self.failure_detector.pending
+        if let Some(probe) = &mut self.failure_detector.current_probe
             && probe.number == number
             && *probe.target == *sender
         {
@@ -143,10 +143,10 @@
     }
 
     pub(super) fn receive_probe_report(&mut self, number: u32, answered: bool) {
-        if let Some(probe) = &mut self.failure_detector.pending
+        if let Some(probe) = &mut self.failure_detector.current_probe
             && probe.number == number
         {
-            probe.reported += 1;
+            probe.relays_reported += 1;
             probe.is_answered |= answered;
         }
         self.confirm_reachable(number);
@@ -169,8 +169,8 @@
     fn confirm_reachable(&mut self, number: u32) {
         // Numbers wrap around: those within half the range are later.
         let is_later = |from: u32| number.wrapping_sub(from) < u32::MAX / 2;
-        if self.unreachable_until.is_some_and(is_later) {
-            self.unreachable_until = None;
+        if self.min_confirming_probe.is_some_and(is_later) {
+            self.min_confirming_probe = None;
             self.table.events.push(MembershipEvent::Reconnected);
             self.restart_suspicions();
         }
--- a/crates/cluster/src/cluster/receive.rs
+++ b/crates/cluster/src/cluster/receive.rs
@@ -12,9 +12,9 @@
 
 /// A sender with a superseded incarnation is replied to at most this often; a member that was dead
 /// and sends again is sent the table at most this often.
-const OLD_REPLY_INTERVAL_US: Micros = 500_000;
+const CORRECTION_INTERVAL_US: Micros = 500_000;
 /// How long this process sends nothing after another process proved to have its name.
-const NAME_CONFLICT_SILENCE_US: Micros = 30_000_000;
+const NAME_CONFLICT_SEND_PAUSE_US: Micros = 30_000_000;
 
 impl Cluster {
     pub(super) fn receive_datagram(&mut self, bytes: &[u8]) -> Result<(), DropReason> {
@@ -34,7 +34,7 @@
         self.traffic.accepted += 1;
         let was_known = self.table.index(&datagram.sender).is_some();
         for record in &datagram.records {
-            self.learn(record);
+            self.merge_record(record);
         }
         let Some(index) = self.table.index(&datagram.sender) else {
             return if has_own_name {
@@ -50,7 +50,7 @@
 
     /// Whether a later process of the sender's name is known.
     fn is_superseded(&self, datagram: &Datagram) -> bool {
-        self.table.named(&datagram.sender).is_some_and(|member| {
+        self.table.member(&datagram.sender).is_some_and(|member| {
             member.record.incarnation != datagram.incarnation
                 && datagram.refutation_counter <= member.record.refutation_counter
         })
@@ -60,7 +60,7 @@
     /// greater refutation counter.
     fn reply_to_old_incarnation(&mut self, datagram: &Datagram) {
         let last_reply = self.old_incarnation_replies.get(&datagram.sender);
-        if last_reply.is_some_and(|at| self.now < at + OLD_REPLY_INTERVAL_US) {
+        if last_reply.is_some_and(|at| self.now < at + CORRECTION_INTERVAL_US) {
             return;
         }
         if self.old_incarnation_replies.len() >= MAX_MEMBERS {
@@ -74,7 +74,7 @@
             .find(|record| *record.name == *datagram.sender);
         let known = self
             .table
-            .named(&datagram.sender)
+            .member(&datagram.sender)
             .map(|member| member.record.clone());
         if let Some((theirs, known)) = theirs.zip(known) {
             self.send(theirs.address, Message::Gossip, vec![known]);
@@ -82,7 +82,7 @@
     }
 
     /// Merges a record and disseminates it if it is news.
-    pub(super) fn learn(&mut self, record: &MemberRecord) {
+    pub(super) fn merge_record(&mut self, record: &MemberRecord) {
         match self.table.merge(self.now, record) {
             MergeOutcome::Unchanged => {}
             MergeOutcome::TableFull => {
@@ -91,11 +91,11 @@
                 }
             }
             MergeOutcome::Refuted => {
-                self.failure_detector.degrade_health();
+                self.failure_detector.increase_health_penalty();
                 let own_name = Rc::clone(&self.table.own.name);
                 self.dissemination.add(&own_name);
                 if self.table.has_name_conflict() && record.incarnation < self.incarnation {
-                    self.silent_until = self.now + NAME_CONFLICT_SILENCE_US;
+                    self.send_disabled_until = self.now + NAME_CONFLICT_SEND_PAUSE_US;
                 }
             }
             MergeOutcome::Changed | MergeOutcome::SuspicionConfirmed => {
@@ -115,7 +115,7 @@
         }
         let is_recent = member
             .last_received_at
-            .is_some_and(|at| self.now < at + OLD_REPLY_INTERVAL_US);
+            .is_some_and(|at| self.now < at + CORRECTION_INTERVAL_US);
         let was_away = member.record.state == MemberState::Dead && !is_recent;
         member.last_received_at = Some(self.now);
         let address = member.record.address;
@@ -128,7 +128,7 @@
             self.send(address, Message::Gossip, vec![record]);
         }
         if (!was_known || was_away) && state != MemberState::Left {
-            self.send_whole_table(index);
+            self.send_table(index);
         }
     }
 
@@ -169,7 +169,7 @@
             }
             Message::Lease(message) => {
                 let name = Rc::clone(&self.table.members[index].record.name);
-                if let Some(leases) = &mut self.leases {
+                if let Some(leases) = &mut self.lease_manager {
                     leases.receive(self.now, &name, datagram.incarnation.random_id, message);
                 }
                 self.send_lease_messages();
--- a/crates/cluster/src/cluster/send.rs
+++ b/crates/cluster/src/cluster/send.rs
@@ -35,7 +35,7 @@
     }
 
     /// Sends the table to a member that is new or came back, as far as a few datagrams hold it.
-    pub(super) fn send_whole_table(&mut self, index: usize) {
+    pub(super) fn send_table(&mut self, index: usize) {
         let members = self.table.members.len();
         let parts = members
             .div_ceil(MEMBERS_PER_PART)
@@ -100,23 +100,24 @@
         let mut datagram = self.new_datagram(message, records);
         let mut length = datagram::sealed_length(&datagram);
         let table = &self.table;
-        self.dissemination.take(table.members.len(), |name| {
-            let is_included = datagram.records.iter().any(|record| *record.name == *name);
-            let Some(member) = table.named(name).filter(|_| !is_included) else {
-                return true;
-            };
-            length += member.record.max_encoded_length();
-            let fits = length <= MAX_DATAGRAM_BYTES;
-            if fits {
-                datagram.records.push(member.record.clone());
-            }
-            fits
-        });
+        self.dissemination
+            .offer_changes(table.members.len(), |name| {
+                let is_included = datagram.records.iter().any(|record| *record.name == *name);
+                let Some(member) = table.member(name).filter(|_| !is_included) else {
+                    return true;
+                };
+                length += member.record.max_encoded_length();
+                let fits = length <= MAX_DATAGRAM_BYTES;
+                if fits {
+                    datagram.records.push(member.record.clone());
+                }
+                fits
+            });
         self.seal_and_queue(address, &datagram);
     }
 
     fn seal_and_queue(&mut self, to: SocketAddr, datagram: &Datagram) {
-        if self.now < self.silent_until || to == self.config.address {
+        if self.now < self.send_disabled_until || to == self.config.address {
             return;
         }
         self.sequence_number += 1;
--- a/crates/cluster/src/cluster/suspicions.rs
+++ b/crates/cluster/src/cluster/suspicions.rs
@@ -9,28 +9,29 @@
 
 /// The longest suspicion relative to the shortest one. Independent suspicions shorten it from the
 /// one to the other.
-const MAX_OVER_MIN_SUSPICION: f64 = 3.0;
+const MAX_TO_MIN_SUSPICION_RATIO: f64 = 3.0;
 /// The number of independent suspicions at which it is shortest.
-const SUSPECTERS_FOR_MIN_SUSPICION: f64 = 3.0;
+const SUSPICIONS_FOR_MIN_TIMEOUT: f64 = 3.0;
 
 impl Cluster {
     /// How long a suspicion lasts: shorter the more processes share it, and longer in a larger
     /// fleet, where news takes longer to arrive.
-    fn suspicion_timeout(&self, suspecters: usize) -> Micros {
+    fn suspicion_timeout(&self, suspecting_count: usize) -> Micros {
         let members = self.table.members.len() as f64 + 1.0;
         let min = self.config.min_suspicion as f64 * members.log10().max(1.0);
-        let shared = (suspecters.max(1) as f64).ln() / SUSPECTERS_FOR_MIN_SUSPICION.ln();
-        let factor = MAX_OVER_MIN_SUSPICION - (MAX_OVER_MIN_SUSPICION - 1.0) * shared.min(1.0);
+        let shared = (suspecting_count.max(1) as f64).ln() / SUSPICIONS_FOR_MIN_TIMEOUT.ln();
+        let factor =
+            MAX_TO_MIN_SUSPICION_RATIO - (MAX_TO_MIN_SUSPICION_RATIO - 1.0) * shared.min(1.0);
         (min * factor) as Micros
     }
 
     /// Schedules the end of the suspicion of a member, where there is one.
     pub(super) fn schedule_suspicion_timer(&mut self, name: &Rc<str>) {
-        let member = self.table.named(name);
+        let member = self.table.member(name);
         let Some(suspicion) = member.and_then(|member| member.suspicion.as_ref()) else {
             return;
         };
-        let timeout = self.suspicion_timeout(suspicion.suspecters.len());
+        let timeout = self.suspicion_timeout(suspicion.suspecting_ids.len());
         let at = (suspicion.started_at + timeout).max(self.now);
         self.timers.schedule(at, Timer::Suspicion(Rc::clone(name)));
     }
@@ -51,13 +52,13 @@
 
     /// Declares a member dead if its suspicion has lasted its time.
     pub(super) fn expire_suspicion(&mut self, name: &str) {
-        let Some(member) = self.table.named(name) else {
+        let Some(member) = self.table.member(name) else {
             return;
         };
         let Some(suspicion) = &member.suspicion else {
             return;
         };
-        let ends_at = suspicion.started_at + self.suspicion_timeout(suspicion.suspecters.len());
+        let ends_at = suspicion.started_at + self.suspicion_timeout(suspicion.suspecting_ids.len());
         // Without replies after a pause nobody is declared dead; suspicions restart with the first
         // reply.
         if !self.is_reachable() || ends_at > self.now {
@@ -68,6 +69,6 @@
             suspected_by: 0,
             ..member.record.clone()
         };
-        self.learn(&record);
+        self.merge_record(&record);
     }
 }
--- a/crates/cluster/src/cluster/tests.rs
+++ b/crates/cluster/src/cluster/tests.rs
@@ -94,7 +94,10 @@
         ]
     );
     assert_eq!(
-        (all[0].table.count_may_serve(), all[0].table.alive().count()),
+        (
+            all[0].table.count_possibly_serving(),
+            all[0].table.alive().count()
+        ),
         (3, 2)
     );
     carry(&mut all, 10 * SECOND, 12 * SECOND, &[]);
@@ -112,7 +115,7 @@
     assert!(
         [0, 1, 3]
             .iter()
-            .all(|&n| all[n].table.count_may_serve() == 2)
+            .all(|&n| all[n].table.count_possibly_serving() == 2)
     );
 }
 
@@ -170,12 +173,12 @@
     carry(&mut all, 3 * SECOND, 6 * SECOND, &[]);
     let incarnation = all[2].incarnation();
     for one in &all[..2] {
-        let known = one.table.named("b2").unwrap();
+        let known = one.table.member("b2").unwrap();
         assert_eq!(
             (
                 known.record.incarnation,
                 known.record.state,
-                one.table.may_serve(known)
+                one.table.count_possibly_serving_of(known)
             ),
             (incarnation, MemberState::Alive, 1)
         );
@@ -207,7 +210,12 @@
     carry(&mut all, 10 * SECOND, 12 * SECOND, &[]);
     assert_eq!(all[3].traffic().sent, told);
     // Both may be serving, whoever speaks.
-    assert_eq!(all[0].table.may_serve(all[0].table.named("b1").unwrap()), 2);
+    assert_eq!(
+        all[0]
+            .table
+            .count_possibly_serving_of(all[0].table.member("b1").unwrap()),
+        2
+    );
 }
 
 /// A machine that died for good would count forever; the operators may confirm its death, and may
@@ -228,14 +236,17 @@
     // It is there: the word does not go for it.
     let serving_status = |one: &Cluster| one.table.serving_status("b2", incarnation).unwrap();
     assert_eq!(
-        (serving_status(&all[0]), all[0].table.count_may_serve()),
+        (
+            serving_status(&all[0]),
+            all[0].table.count_possibly_serving()
+        ),
         (ServingStatus::MayServe(MayServeReason::Alive), 2)
     );
     carry(&mut all, 3 * SECOND, 5 * SECOND, &[]);
     assert!(
         all[0]
             .take_events()
-            .contains(&MembershipEvent::ConfirmedDeadAlive("b2".into()))
+            .contains(&MembershipEvent::ConfirmationRevoked("b2".into()))
     );
     all[2] = Cluster::new(
         config(2),
@@ -251,16 +262,19 @@
         .table
         .set_confirmed_dead(&[(Rc::from("b2"), incarnation)].into());
     assert_eq!(
-        (serving_status(&all[0]), all[0].table.count_may_serve()),
+        (
+            serving_status(&all[0]),
+            all[0].table.count_possibly_serving()
+        ),
         (ServingStatus::ProvenStopped(StopProof::ConfirmedDead), 1)
     );
-    assert_eq!(all[1].table.count_may_serve(), 2);
+    assert_eq!(all[1].table.count_possibly_serving(), 2);
     all[0].take_events();
     carry(&mut all, 15 * SECOND, 17 * SECOND, &[]);
     assert!(
         all[0]
             .take_events()
-            .contains(&MembershipEvent::ConfirmedDeadAlive("b2".into()))
+            .contains(&MembershipEvent::ConfirmationRevoked("b2".into()))
     );
     carry(&mut all, 17 * SECOND, 25 * SECOND, &[2]);
     // Confirmed once more: a datagram arrived after the first time, so it still counts.
@@ -268,7 +282,10 @@
         .table
         .set_confirmed_dead(&[(Rc::from("b2"), incarnation)].into());
     assert_eq!(
-        (serving_status(&all[0]), all[0].table.count_may_serve()),
+        (
+            serving_status(&all[0]),
+            all[0].table.count_possibly_serving()
+        ),
         (ServingStatus::MayServe(MayServeReason::Unresponsive), 2)
     );
 }
@@ -319,8 +336,8 @@
     };
     let holders = |all: &[Cluster], now| -> Vec<crate::leases::term::Term> {
         let held = |one: &Cluster| {
-            one.leases()
-                .and_then(|leases| leases.holds(now, LeaseId::of("d"), 0))
+            one.lease_manager()
+                .and_then(|leases| leases.holds(now, LeaseId::from_name("d"), 0))
         };
         all.iter().filter_map(held).collect()
     };
@@ -397,7 +414,7 @@
     }
     carry(&mut all, 0, 8 * SECOND, &[]);
     let held = |one: &Cluster| {
-        one.leases()
+        one.lease_manager()
             .map_or(0, |leases| leases.held(8 * SECOND).count())
     };
     let held: Vec<usize> = all.iter().map(held).collect();
--- a/crates/cluster/src/datagram/tests.rs
+++ b/crates/cluster/src/datagram/tests.rs
@@ -13,7 +13,7 @@
         started_at_us: 5,
         random_id: 6,
     };
-    let own = MemberRecord::of_new_process("b1", "a", "127.0.0.1:9".parse().unwrap(), incarnation);
+    let own = MemberRecord::for_new_process("b1", "a", "127.0.0.1:9".parse().unwrap(), incarnation);
     Datagram {
         fleet: "f".into(),
         sender: "b1".into(),
--- a/crates/cluster/src/leases/assignment.rs
+++ b/crates/cluster/src/leases/assignment.rs
@@ -10,7 +10,7 @@
 /// How many members may request one lease; the second and third are standbys.
 pub const CANDIDATES_PER_LEASE: usize = 3;
 /// The largest number of leases assigned to one member, relative to the mean.
-const MAX_LOAD_OVER_MEAN: f64 = 1.3;
+const MAX_LOAD_TO_MEAN_RATIO: f64 = 1.3;
 
 /// A member that leases can be assigned to.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -64,7 +64,7 @@
         .map(|member| hash_name(&member.name))
         .collect();
     let mean = leases.len() as f64 / members.len().max(1) as f64;
-    let max_load = mean.ceil().max((MAX_LOAD_OVER_MEAN * mean).floor()) as usize;
+    let max_load = mean.ceil().max((MAX_LOAD_TO_MEAN_RATIO * mean).floor()) as usize;
     let mut loads = vec![0; members.len()];
     let mut assignments = Vec::with_capacity(leases.len());
     for lease in leases {
--- a/crates/cluster/src/leases/config.rs
+++ b/crates/cluster/src/leases/config.rs
@@ -9,11 +9,11 @@
 /// plus rounding.
 pub const MAX_CLOCK_RATE_DIFFERENCE: f64 = 0.025;
 /// The longest lease duration a file may name. A voter that starts grants nothing for as long.
-pub const MAX_LEASE_US: Micros = 2_000_000;
+pub const MAX_LEASE_DURATION_US: Micros = 2_000_000;
 /// The shortest lease duration a file may name.
-pub const MIN_LEASE_US: Micros = 200_000;
+pub const MIN_LEASE_DURATION_US: Micros = 200_000;
 /// The lease duration where a file names none.
-pub const DEFAULT_LEASE_US: Micros = 1_500_000;
+pub const DEFAULT_LEASE_DURATION_US: Micros = 1_500_000;
 /// The largest number of voters.
 pub const MAX_VOTERS: usize = 7;
 /// The largest number of leases in a fleet.
@@ -40,7 +40,7 @@
     /// Creates the lease of that name.
     pub fn new(name: &str, zone: Option<Rc<str>>) -> Self {
         Self {
-            id: LeaseId::of(name),
+            id: LeaseId::from_name(name),
             name: name.into(),
             zone,
         }
@@ -61,7 +61,7 @@
     pub(super) fn fingerprint(&self) -> u32 {
         let mut names: Vec<_> = self.voters.iter().map(|name| &**name).collect();
         names.sort_unstable();
-        LeaseId::of(&names.join("\n")).0
+        LeaseId::from_name(&names.join("\n")).0
     }
 
     /// The number of voters that is a majority.
--- a/crates/cluster/src/leases/fault_injection.rs
+++ b/crates/cluster/src/leases/fault_injection.rs
@@ -6,7 +6,7 @@
     /// The holder counts its lease from the grant instead of from the bid.
     CountsFromGrant,
     /// A voter grants at once after it lost its memory.
-    NoStartupSilence,
+    NoStartupWait,
     /// Voters count a lease no longer than its holder does.
     NoClockMargin,
     /// Terms are told apart by their number alone.
@@ -21,7 +21,7 @@
     /// All faults by their name on the command line.
     pub const ALL: [(&str, Self); 6] = [
         ("counts-from-grant", Self::CountsFromGrant),
-        ("no-silence", Self::NoStartupSilence),
+        ("no-silence", Self::NoStartupWait),
         ("no-guard", Self::NoClockMargin),
         ("equal-terms-twice", Self::EqualTermNumbersGranted),
         ("release-replayed", Self::ReleaseOfAnyTerm),
--- a/crates/cluster/src/leases/fencing.rs
+++ b/crates/cluster/src/leases/fencing.rs
@@ -29,7 +29,7 @@
 
     /// Records a term. Beyond [`MAX_LEASES`] leases nothing is recorded, so that their commands are
     /// rejected.
-    pub fn learn(&mut self, lease: LeaseId, term: Term) {
+    pub fn record(&mut self, lease: LeaseId, term: Term) {
         if self.known.len() >= MAX_LEASES && !self.known.contains_key(&lease) {
             return;
         }
@@ -46,7 +46,7 @@
     ///
     /// Returns the greatest known term if the command's term is older.
     pub fn accept(&mut self, lease: LeaseId, term: Term) -> Result<(), Term> {
-        self.learn(lease, term);
+        self.record(lease, term);
         match self.known(lease) {
             Some(known) if known == term => Ok(()),
             Some(known) => Err(known),
--- a/crates/cluster/src/leases/manager/mod.rs
+++ b/crates/cluster/src/leases/manager/mod.rs
@@ -37,9 +37,9 @@
     /// The term under which it is held.
     pub term: Term,
     /// Since when it is held.
-    pub since: Micros,
+    pub acquired_at: Micros,
     /// When it expires without renewal.
-    pub until: Micros,
+    pub expires_at: Micros,
 }
 
 /// A message with the name of the member it is for.
@@ -56,13 +56,13 @@
 /// It does no I/O and reads no clock: it is given times, messages and the members that are alive,
 /// and returns messages, events and the time of its next timer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Leases {
+pub struct LeaseManager {
     config: LeaseConfig,
     /// The fingerprint of the configured voters, sent with each query and bid.
     voters_fingerprint: u32,
     own_name: Rc<str>,
     /// The random identifier of this process, which completes its term numbers.
-    own_id: u64,
+    own_incarnation_id: u64,
     /// Unix milliseconds at local time 0 by this process's clock.
     wall_clock_offset_ms: u64,
     voter: Option<Voter>,
@@ -78,10 +78,10 @@
     assigned_members: Vec<Candidate>,
     next_transfer_at: Micros,
     recent_pauses: VecDeque<Micros>,
-    rests_until: Micros,
+    cooldown_until: Micros,
     is_stopping: bool,
     /// The greatest term number that this process may have used for a lease no longer tracked.
-    min_number: u64,
+    min_term_number: u64,
     is_quorum_lost: bool,
     /// Successive rounds without a majority of replies.
     unanswered_rounds: u32,
@@ -93,15 +93,15 @@
     injected_fault: Option<InjectedFault>,
 }
 
-impl Leases {
-    /// Creates the manager of a process. `own_id` is the random identifier of the process;
+impl LeaseManager {
+    /// Creates the manager of a process. `own_incarnation_id` is the random identifier of the process;
     /// `wall_clock_offset_ms` is Unix milliseconds at local time 0, where term numbers start if the
     /// whole fleet forgot its terms.
     pub fn new(
         now: Micros,
         config: LeaseConfig,
         own_name: Rc<str>,
-        own_id: u64,
+        own_incarnation_id: u64,
         wall_clock_offset_ms: u64,
     ) -> Self {
         let is_voter = config.voters.contains(&own_name);
@@ -109,7 +109,7 @@
             voters_fingerprint: config.fingerprint(),
             config,
             own_name,
-            own_id,
+            own_incarnation_id,
             wall_clock_offset_ms,
             voter: is_voter.then(|| Voter::new(now, None)),
             tracked: BTreeMap::new(),
@@ -121,9 +121,9 @@
             assigned_members: Vec::new(),
             next_transfer_at: 0,
             recent_pauses: VecDeque::new(),
-            rests_until: 0,
+            cooldown_until: 0,
             is_stopping: false,
-            min_number: 0,
+            min_term_number: 0,
             is_quorum_lost: false,
             unanswered_rounds: 0,
             differing_members: Vec::new(),
@@ -146,15 +146,15 @@
     /// Continues the rounds and term numbers of an earlier manager of this process, so that replies
     /// to that one do not pass for replies to this one.
     #[must_use]
-    pub fn continuing(mut self, before: &Self) -> Self {
+    pub fn with_numbering_of(mut self, before: &Self) -> Self {
         self.round = before.round;
-        self.min_number = before
+        self.min_term_number = before
             .tracked
             .values()
-            .map(|tracked| tracked.number)
+            .map(|tracked| tracked.greatest_term_number)
             .max()
             .unwrap_or(0)
-            .max(before.min_number);
+            .max(before.min_term_number);
         self
     }
 
@@ -169,7 +169,7 @@
     }
 
     /// Replaces the leases of this fleet. Held leases that are not among them are released.
-    pub fn track(&mut self, now: Micros, leases: Vec<Lease>) {
+    pub fn set_leases(&mut self, now: Micros, leases: Vec<Lease>) {
         let ids: Vec<LeaseId> = leases.iter().map(|lease| lease.id).collect();
         let removed: Vec<LeaseId> = self
             .tracked
@@ -179,12 +179,12 @@
             .collect();
         self.release(now, &removed, LossReason::Released);
         for tracked in removed.iter().filter_map(|id| self.tracked.remove(id)) {
-            self.min_number = self.min_number.max(tracked.number);
+            self.min_term_number = self.min_term_number.max(tracked.greatest_term_number);
         }
         for lease in leases.into_iter().take(MAX_LEASES) {
             self.tracked
                 .entry(lease.id)
-                .or_insert_with(|| TrackedLease::new(lease, now, self.min_number));
+                .or_insert_with(|| TrackedLease::new(lease, now, self.min_term_number));
         }
         self.assigned_members.clear();
     }
@@ -193,13 +193,13 @@
     /// the act itself: nothing else entitles to act in the name of the lease.
     pub fn holds(&self, now: Micros, lease: LeaseId, required: Micros) -> Option<Term> {
         match &self.tracked.get(&lease)?.state {
-            LeaseState::Held(held) if now + required < held.until => Some(held.term),
+            LeaseState::Held(held) if now + required < held.expires_at => Some(held.term),
             _ => None,
         }
     }
 
     /// The greatest known term of a lease, whoever holds it.
-    pub fn known_term(&self, lease: LeaseId) -> Option<Term> {
+    pub fn greatest_known_term(&self, lease: LeaseId) -> Option<Term> {
         self.fencing_tokens.known(lease)
     }
 
@@ -210,19 +210,20 @@
 
     /// The leases held at `now`.
     pub fn held(&self, now: Micros) -> impl Iterator<Item = HeldLeaseView<'_>> {
-        self.unreported().filter(move |held| now < held.until)
+        self.acquired_not_reported_lost()
+            .filter(move |held| now < held.expires_at)
     }
 
     /// The leases acquired and not yet reported as lost, expired or not.
-    pub fn unreported(&self) -> impl Iterator<Item = HeldLeaseView<'_>> {
+    pub fn acquired_not_reported_lost(&self) -> impl Iterator<Item = HeldLeaseView<'_>> {
         self.tracked
             .values()
             .filter_map(|tracked| match &tracked.state {
                 LeaseState::Held(held) => Some(HeldLeaseView {
                     lease: &tracked.lease,
                     term: held.term,
-                    since: held.since,
-                    until: held.until,
+                    acquired_at: held.acquired_at,
+                    expires_at: held.expires_at,
                 }),
                 _ => None,
             })
@@ -234,14 +235,14 @@
     }
 
     /// Whether this member is a voter that grants nothing yet because it has just started.
-    pub fn is_silent_voter(&self, now: Micros) -> bool {
+    pub fn is_voter_in_startup_wait(&self, now: Micros) -> bool {
         self.voter
             .as_ref()
-            .is_some_and(|voter| voter.is_silent(now))
+            .is_some_and(|voter| voter.is_in_startup_wait(now))
     }
 
     /// How many commands were rejected because their term was stale.
-    pub fn stale_commands(&self) -> u64 {
+    pub fn stale_command_count(&self) -> u64 {
         self.stale_commands
     }
 
@@ -287,14 +288,14 @@
         self.outgoing.push(AddressedMessage { to, message });
     }
 
-    /// When [`Leases::run_timers`] has to be called at the latest.
+    /// When [`LeaseManager::run_timers`] has to be called at the latest.
     pub fn next_timer(&self) -> Micros {
         let timer_of = |tracked: &TrackedLease| match &tracked.state {
             LeaseState::Idle { retry_at } if tracked.rank.is_some() => Some(*retry_at),
             LeaseState::Idle { .. } => None,
             LeaseState::Querying(query) => Some(query.sent_at + ROUND_TIMEOUT_US),
             LeaseState::Bidding(bid) => Some(bid.sent_at + ROUND_TIMEOUT_US),
-            LeaseState::Held(held) => Some(held.until.min(self.renew_at)),
+            LeaseState::Held(held) => Some(held.expires_at.min(self.renew_at)),
         };
         let first = self.tracked.values().filter_map(timer_of).min();
         let reassign_at = if self.tracked.is_empty() {
@@ -308,17 +309,17 @@
     /// Runs the timers that have expired. `alive` are all members that nobody suspects, this one
     /// included. A member that is not `fit`, since nobody has answered it after a pause, requests
     /// nothing.
-    pub fn run_timers(&mut self, now: Micros, alive: &[Candidate], fit: bool) {
+    pub fn run_timers(&mut self, now: Micros, alive: &[Candidate], can_request: bool) {
         self.expire_held(now);
         self.reassign(now, alive);
         self.expire_rounds(now);
-        if fit && !self.is_stopping && now >= self.rests_until {
-            self.query_due(now);
+        if can_request && !self.is_stopping && now >= self.cooldown_until {
+            self.query_due_leases(now);
         }
         if now >= self.renew_at {
             self.renew(now);
         }
-        self.transfer_one(now);
+        self.transfer_one_due_lease(now);
     }
 
     /// Assigns candidates anew where the members that are alive have changed.
--- a/crates/cluster/src/leases/manager/receive.rs
+++ b/crates/cluster/src/leases/manager/receive.rs
@@ -7,10 +7,10 @@
 use super::super::messages::{LeaseMessage, MAX_LEASES_PER_MESSAGE, TermNumber};
 use super::super::state::LeaseState;
 use super::super::term::{LeaseId, Term};
-use super::Leases;
+use super::LeaseManager;
 use crate::Micros;
 
-impl Leases {
+impl LeaseManager {
     /// Receives a message from a member whose process has that random identifier.
     pub fn receive(
         &mut self,
@@ -49,7 +49,7 @@
                 lease: *lease,
                 body: body.clone(),
             }),
-            LeaseMessage::StaleTerm { lease, term } => self.learn_term(now, *lease, *term),
+            LeaseMessage::StaleTerm { lease, term } => self.record_term(now, *lease, *term),
         }
     }
 
@@ -144,7 +144,7 @@
     fn reply(&mut self, now: Micros, to: &Rc<str>, message: LeaseMessage) {
         if *to == self.own_name {
             let own_name = Rc::clone(&self.own_name);
-            self.receive(now, &own_name, self.own_id, &message);
+            self.receive(now, &own_name, self.own_incarnation_id, &message);
         } else {
             self.send(to, message);
         }
@@ -156,7 +156,7 @@
                 continue;
             };
             if let LeaseState::Idle { retry_at } = &mut tracked.state {
-                *retry_at = now.max(tracked.rests_until);
+                *retry_at = now.max(tracked.cooldown_until);
             }
         }
     }
@@ -174,7 +174,7 @@
             self.send(sender, LeaseMessage::StaleTerm { lease, term: known });
             return;
         }
-        self.learn_term(now, lease, term);
+        self.record_term(now, lease, term);
         self.events.push(LeaseEvent::CommandReceived {
             from: Rc::clone(sender),
             lease,
--- a/crates/cluster/src/leases/manager/release.rs
+++ b/crates/cluster/src/leases/manager/release.rs
@@ -7,7 +7,7 @@
 use super::super::messages::{LeaseMessage, MAX_LEASES_PER_MESSAGE, TermNumber};
 use super::super::state::LeaseState;
 use super::super::term::{LeaseId, Term};
-use super::Leases;
+use super::LeaseManager;
 use crate::Micros;
 
 /// The shortest time between two transfers to preferred members.
@@ -17,7 +17,7 @@
 pub(in super::super) const MAX_PAUSES: usize = 3;
 const PAUSE_WINDOW_US: Micros = 30_000_000;
 
-impl Leases {
+impl LeaseManager {
     /// Releases all leases and requests nothing more.
     pub fn stop(&mut self, now: Micros) {
         self.is_stopping = true;
@@ -38,7 +38,7 @@
         }
         if self.recent_pauses.len() >= MAX_PAUSES {
             self.recent_pauses.clear();
-            self.rests_until = now + PAUSE_WINDOW_US;
+            self.cooldown_until = now + PAUSE_WINDOW_US;
             self.release_all(now, LossReason::ProcessPaused);
         }
     }
@@ -47,15 +47,15 @@
     pub(super) fn expire_held(&mut self, now: Micros) {
         for tracked in self.tracked.values_mut() {
             if let LeaseState::Held(held) = &tracked.state
-                && now >= held.until
+                && now >= held.expires_at
             {
                 self.events.push(LeaseEvent::Lost {
                     lease: Rc::clone(&tracked.lease.name),
                     term: held.term,
-                    until: held.until,
+                    until: held.expires_at,
                     reason: LossReason::Expired,
                 });
-                tracked.rest(now);
+                tracked.start_cooldown(now);
             }
         }
     }
@@ -74,13 +74,13 @@
                 continue;
             };
             let before = tracked.state.clone();
-            tracked.rest(now);
+            tracked.start_cooldown(now);
             match before {
                 LeaseState::Held(held) => {
                     self.events.push(LeaseEvent::Lost {
                         lease: Rc::clone(&tracked.lease.name),
                         term: held.term,
-                        until: held.until.min(now),
+                        until: held.expires_at.min(now),
                         reason,
                     });
                     let number = held.term.number;
@@ -115,7 +115,7 @@
     }
 
     /// Releases one lease for which another candidate has been preferred for long enough.
-    pub(super) fn transfer_one(&mut self, now: Micros) {
+    pub(super) fn transfer_one_due_lease(&mut self, now: Micros) {
         if now < self.next_transfer_at {
             return;
         }
@@ -131,12 +131,12 @@
     }
 
     /// Records a term that another member held; a lease held under an earlier term is lost.
-    pub(super) fn learn_term(&mut self, now: Micros, lease: LeaseId, term: Term) {
-        self.fencing_tokens.learn(lease, term);
+    pub(super) fn record_term(&mut self, now: Micros, lease: LeaseId, term: Term) {
+        self.fencing_tokens.record(lease, term);
         let Some(tracked) = self.tracked.get_mut(&lease) else {
             return;
         };
-        tracked.number = tracked.number.max(term.number);
+        tracked.greatest_term_number = tracked.greatest_term_number.max(term.number);
         if matches!(&tracked.state, LeaseState::Held(held) if held.term < term) {
             self.release(now, &[lease], LossReason::Superseded);
         }
--- a/crates/cluster/src/leases/manager/replies.rs
+++ b/crates/cluster/src/leases/manager/replies.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use super::super::config::MAX_LEASE_US;
+use super::super::config::MAX_LEASE_DURATION_US;
 use super::super::events::LeaseEvent;
 use super::super::fault_injection::InjectedFault;
 use super::super::messages::{GrantStatus, LeaseMessage, TermNumber};
@@ -10,10 +10,10 @@
 use super::super::term::LeaseId;
 use super::super::tracked::RANK_DELAY_US;
 use super::rounds::RENEWALS_PER_LEASE;
-use super::{AddressedMessage, Leases};
+use super::{AddressedMessage, LeaseManager};
 use crate::Micros;
 
-impl Leases {
+impl LeaseManager {
     /// Receives a voter's reply to a query, and bids for what a majority reports as available.
     pub(super) fn receive_query_reply(
         &mut self,
@@ -38,10 +38,10 @@
                 continue;
             }
             query.record_reply(voter, Micros::from(status.available_in_us));
-            has_majority |= query.has_replies(majority);
-            if query.has_available(majority) {
+            has_majority |= query.has_reply_majority(majority);
+            if query.has_available_majority(majority) {
                 available.push(status.lease);
-            } else if query.is_lost(majority, voters) {
+            } else if query.cannot_reach_majority(majority, voters) {
                 // Held by another member whatever the other voters reply: retried when enough
                 // grants have expired.
                 let delay = query.majority_available_in(majority).max(RANK_DELAY_US);
@@ -90,10 +90,10 @@
                     }
                 }
                 // A renewal that arrives after the lease has expired is too late.
-                LeaseState::Held(held) if held.term.number == number && now < held.until => {
+                LeaseState::Held(held) if held.term.number == number && now < held.expires_at => {
                     let grants = held.record_grant(round, voter);
                     if grants >= majority {
-                        held.until = held.until.max(until);
+                        held.expires_at = held.expires_at.max(until);
                     }
                 }
                 _ => {}
@@ -113,7 +113,7 @@
         let term = bid.term;
         tracked.backoff = 0;
         tracked.state = LeaseState::Held(HeldLease::new(term, now, until));
-        self.fencing_tokens.learn(lease, term);
+        self.fencing_tokens.record(lease, term);
         self.events.push(LeaseEvent::Acquired {
             lease: Rc::clone(&tracked.lease.name),
             term,
@@ -166,7 +166,8 @@
                     lease: status.lease,
                     number: bid.term.number,
                 });
-                let delay = Micros::from(status.available_in_us).clamp(RANK_DELAY_US, MAX_LEASE_US);
+                let delay = Micros::from(status.available_in_us)
+                    .clamp(RANK_DELAY_US, MAX_LEASE_DURATION_US);
                 tracked.retry_after(now, delay);
             }
         }
--- a/crates/cluster/src/leases/manager/rounds.rs
+++ b/crates/cluster/src/leases/manager/rounds.rs
@@ -2,13 +2,13 @@
 
 use std::rc::Rc;
 
-use super::super::config::MAX_LEASE_US;
+use super::super::config::MAX_LEASE_DURATION_US;
 use super::super::events::LeaseEvent;
 use super::super::messages::{LeaseMessage, MAX_LEASES_PER_MESSAGE, TermNumber};
 use super::super::state::{Bid, LeaseState, Query};
 use super::super::term::{LeaseId, Term};
 use super::super::tracked::{RANK_DELAY_US, TrackedLease};
-use super::{AddressedMessage, Leases, ROUND_TIMEOUT_US};
+use super::{AddressedMessage, LeaseManager, ROUND_TIMEOUT_US};
 use crate::Micros;
 
 /// Renewals within one lease duration; two of them may be lost.
@@ -16,13 +16,13 @@
 /// Successive unanswered rounds after which the quorum counts as lost.
 const UNANSWERED_ROUNDS_WITHOUT_QUORUM: u32 = 2;
 
-impl Leases {
+impl LeaseManager {
     fn next_round(&mut self, now: Micros) -> u32 {
         self.round = self.round.wrapping_add(1);
         self.sent_rounds.insert(self.round, now);
         // Replies to a round older than a lease can grant nothing.
         self.sent_rounds
-            .retain(|_, sent_at| *sent_at + MAX_LEASE_US >= now);
+            .retain(|_, sent_at| *sent_at + MAX_LEASE_DURATION_US >= now);
         self.round
     }
 
@@ -39,12 +39,12 @@
         }));
         if self.voter.is_some() {
             let own_name = Rc::clone(&self.own_name);
-            self.receive(now, &own_name, self.own_id, message);
+            self.receive(now, &own_name, self.own_incarnation_id, message);
         }
     }
 
     /// Queries the voters about all leases whose retry timer has expired.
-    pub(super) fn query_due(&mut self, now: Micros) {
+    pub(super) fn query_due_leases(&mut self, now: Micros) {
         let is_due = |tracked: &&TrackedLease| {
             tracked.rank.is_some()
                 && matches!(tracked.state, LeaseState::Idle { retry_at } if retry_at <= now)
@@ -83,14 +83,14 @@
                     continue;
                 };
                 let number = tracked
-                    .number
+                    .greatest_term_number
                     .max(known.map_or(0, |term| term.number))
                     .saturating_add(1)
                     .max(min_number);
-                tracked.number = number;
+                tracked.greatest_term_number = number;
                 let term = Term {
                     number,
-                    incarnation_id: self.own_id,
+                    incarnation_id: self.own_incarnation_id,
                 };
                 tracked.state = LeaseState::Bidding(Bid::new(term, round, now));
                 bids.push(TermNumber { lease, number });
@@ -102,7 +102,10 @@
     /// Bids again for all held leases under the same terms.
     pub(super) fn renew(&mut self, now: Micros) {
         self.renew_at = now + self.config.duration / RENEWALS_PER_LEASE;
-        let held: Vec<LeaseId> = self.unreported().map(|held| held.lease.id).collect();
+        let held: Vec<LeaseId> = self
+            .acquired_not_reported_lost()
+            .map(|held| held.lease.id)
+            .collect();
         for leases in held.chunks(MAX_LEASES_PER_MESSAGE) {
             let round = self.next_round(now);
             let mut bids = Vec::new();
@@ -139,7 +142,7 @@
         for tracked in self.tracked.values_mut() {
             match &tracked.state {
                 LeaseState::Querying(query) if now >= query.sent_at + ROUND_TIMEOUT_US => {
-                    if query.has_replies(majority) {
+                    if query.has_reply_majority(majority) {
                         let delay = query.majority_available_in(majority).max(RANK_DELAY_US);
                         tracked.backoff = 0;
                         tracked.retry_after(now, delay);
--- a/crates/cluster/src/leases/mod.rs
+++ b/crates/cluster/src/leases/mod.rs
@@ -21,12 +21,12 @@
 pub mod voter;
 
 pub use config::{
-    DEFAULT_LEASE_US, Lease, LeaseConfig, MAX_CLOCK_RATE_DIFFERENCE, MAX_LEASE_US, MAX_LEASES,
-    MAX_VOTERS, MIN_LEASE_US, with_clock_margin,
+    DEFAULT_LEASE_DURATION_US, Lease, LeaseConfig, MAX_CLOCK_RATE_DIFFERENCE,
+    MAX_LEASE_DURATION_US, MAX_LEASES, MAX_VOTERS, MIN_LEASE_DURATION_US, with_clock_margin,
 };
 pub use events::{LeaseEvent, LossReason};
 pub use fault_injection::InjectedFault;
-pub use manager::{AddressedMessage, HeldLeaseView, Leases};
+pub use manager::{AddressedMessage, HeldLeaseView, LeaseManager};
 
 #[cfg(test)]
 mod tests;
--- a/crates/cluster/src/leases/state.rs
+++ b/crates/cluster/src/leases/state.rs
@@ -63,17 +63,17 @@
     }
 
     /// Whether so many voters replied.
-    pub fn has_replies(&self, majority: u32) -> bool {
+    pub fn has_reply_majority(&self, majority: u32) -> bool {
         self.replied.count_ones() >= majority
     }
 
     /// Whether so many voters would grant a bid at once.
-    pub fn has_available(&self, majority: u32) -> bool {
+    pub fn has_available_majority(&self, majority: u32) -> bool {
         self.available.count_ones() >= majority
     }
 
     /// Whether too few of all `voters` can still report the lease as available.
-    pub fn is_lost(&self, majority: u32, voters: u32) -> bool {
+    pub fn cannot_reach_majority(&self, majority: u32, voters: u32) -> bool {
         self.available.count_ones() + voters - self.replied.count_ones() < majority
     }
 
@@ -127,28 +127,28 @@
     granted: Votes,
 }
 
-/// A lease held up to `until` by this process's clock.
+/// A lease held up to `expires_at` by this process's clock.
 ///
-/// Invariant: a majority granted `term` for a whole lease duration in one round, and `until` is
+/// Invariant: a majority granted `term` for a whole lease duration in one round, and `expires_at` is
 /// that duration counted from the moment before that round was sent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct HeldLease {
     /// The term under which it is held.
     pub term: Term,
     /// Since when it is held.
-    pub since: Micros,
+    pub acquired_at: Micros,
     /// When it expires without renewal.
-    pub until: Micros,
+    pub expires_at: Micros,
     rounds: Vec<RenewalRound>,
 }
 
 impl HeldLease {
     /// Creates a lease that has just been granted.
-    pub fn new(term: Term, since: Micros, until: Micros) -> Self {
+    pub fn new(term: Term, acquired_at: Micros, expires_at: Micros) -> Self {
         Self {
             term,
-            since,
-            until,
+            acquired_at,
+            expires_at,
             rounds: Vec::new(),
         }
     }
--- a/crates/cluster/src/leases/term.rs
+++ b/crates/cluster/src/leases/term.rs
@@ -9,7 +9,7 @@
 
 impl LeaseId {
     /// The identifier of the lease with that name.
-    pub fn of(name: &str) -> Self {
+    pub fn from_name(name: &str) -> Self {
         let hash = blake3::hash(name.as_bytes());
         let head = hash
             .as_bytes()
--- a/crates/cluster/src/leases/tests.rs
+++ b/crates/cluster/src/leases/tests.rs
@@ -16,7 +16,7 @@
 /// Members with voters among them, and the network between them.
 struct Fleet {
     now: Micros,
-    all: Vec<Leases>,
+    all: Vec<LeaseManager>,
     names: Vec<Rc<str>>,
     /// These members neither send nor receive.
     cut: Vec<usize>,
@@ -27,7 +27,7 @@
 fn lease_config() -> LeaseConfig {
     LeaseConfig {
         voters: ["b0", "b1", "b2"].map(Rc::from).into(),
-        duration: DEFAULT_LEASE_US,
+        duration: DEFAULT_LEASE_DURATION_US,
     }
 }
 
@@ -35,8 +35,9 @@
     fn new(members: usize, leases: &[&str]) -> Self {
         let names: Vec<Rc<str>> = (0..members).map(|n| Rc::from(format!("b{n}"))).collect();
         let all = names.iter().enumerate().map(|(n, name)| {
-            let mut one = Leases::new(0, lease_config(), Rc::clone(name), n as u64 + 1, 1_000);
-            one.track(
+            let mut one =
+                LeaseManager::new(0, lease_config(), Rc::clone(name), n as u64 + 1, 1_000);
+            one.set_leases(
                 0,
                 leases.iter().map(|name| Lease::new(name, None)).collect(),
             );
@@ -80,7 +81,7 @@
     }
 
     fn holders(&self, lease: &str) -> Vec<usize> {
-        let id = LeaseId::of(lease);
+        let id = LeaseId::from_name(lease);
         (0..self.all.len())
             .filter(|&n| self.all[n].holds(self.now, id, 0).is_some())
             .collect()
@@ -110,12 +111,12 @@
         .count();
     assert_eq!(taken, 4);
     // All others know the term, by what the holder announced.
-    let term = fleet.all[first[0][0]].holds(fleet.now, LeaseId::of("a"), 0);
+    let term = fleet.all[first[0][0]].holds(fleet.now, LeaseId::from_name("a"), 0);
     assert!(
         fleet
             .all
             .iter()
-            .all(|one| one.known_term(LeaseId::of("a")) == term)
+            .all(|one| one.greatest_known_term(LeaseId::from_name("a")) == term)
     );
 }
 
@@ -129,7 +130,7 @@
     while fleet.holders("a") == [first] {
         fleet.run(MS);
     }
-    assert!(fleet.now - cut_at <= DEFAULT_LEASE_US);
+    assert!(fleet.now - cut_at <= DEFAULT_LEASE_DURATION_US);
     let lost_at = fleet.now;
     fleet.alive.retain(|n| *n != first);
     while fleet.holders("a").is_empty() {
@@ -159,7 +160,11 @@
     fleet.cut = vec![0, 1];
     fleet.alive = vec![2, 3, 4];
     fleet.run(6 * SECOND);
-    assert!((2..5).all(|n| fleet.all[n].holds(fleet.now, LeaseId::of("a"), 0).is_none()));
+    assert!((2..5).all(|n| {
+        fleet.all[n]
+            .holds(fleet.now, LeaseId::from_name("a"), 0)
+            .is_none()
+    }));
     assert!(
         fleet
             .events
@@ -167,16 +172,18 @@
             .any(|(_, event)| *event == LeaseEvent::QuorumLost)
     );
     // Both restart without memory: silent at first, then one holds it under a later term.
-    let before = fleet.all[2].known_term(LeaseId::of("a")).unwrap();
+    let before = fleet.all[2]
+        .greatest_known_term(LeaseId::from_name("a"))
+        .unwrap();
     for n in [0, 1] {
-        fleet.all[n] = Leases::new(
+        fleet.all[n] = LeaseManager::new(
             fleet.now,
             lease_config(),
             Rc::clone(&fleet.names[n]),
             n as u64 + 50,
             1_000,
         );
-        fleet.all[n].track(fleet.now, vec![Lease::new("a", None)]);
+        fleet.all[n].set_leases(fleet.now, vec![Lease::new("a", None)]);
     }
     (fleet.cut, fleet.alive) = (vec![], (0..5).collect());
     fleet.run(2 * SECOND);
@@ -184,7 +191,7 @@
     fleet.run(6 * SECOND);
     let holder = fleet.holders("a");
     assert_eq!(holder.len(), 1);
-    assert!(fleet.all[holder[0]].holds(fleet.now, LeaseId::of("a"), 0) > Some(before));
+    assert!(fleet.all[holder[0]].holds(fleet.now, LeaseId::from_name("a"), 0) > Some(before));
 }
 
 #[test]
@@ -222,12 +229,16 @@
     let mut fleet = Fleet::new(4, &["a"]);
     let other = LeaseConfig {
         voters: ["b0", "b1", "b3"].map(Rc::from).into(),
-        duration: DEFAULT_LEASE_US,
+        duration: DEFAULT_LEASE_DURATION_US,
     };
-    fleet.all[3] = Leases::new(0, other, "b3".into(), 4, 1_000);
-    fleet.all[3].track(0, vec![Lease::new("a", None)]);
+    fleet.all[3] = LeaseManager::new(0, other, "b3".into(), 4, 1_000);
+    fleet.all[3].set_leases(0, vec![Lease::new("a", None)]);
     fleet.run(8 * SECOND);
-    assert!(fleet.all[3].holds(fleet.now, LeaseId::of("a"), 0).is_none());
+    assert!(
+        fleet.all[3]
+            .holds(fleet.now, LeaseId::from_name("a"), 0)
+            .is_none()
+    );
     assert!(
         fleet
             .events
@@ -238,9 +249,9 @@
 
 #[rstest]
 #[case::not_asked_yet(0, 0, Err(()))]
-#[case::silent_at_first(0, with_clock_margin(MAX_LEASE_US) - 1, Err(()))]
-#[case::then_granted(0, with_clock_margin(MAX_LEASE_US), Ok(()))]
-#[case::longer_than_any_lease(MAX_LEASE_US, with_clock_margin(MAX_LEASE_US), Err(()))]
+#[case::silent_at_first(0, with_clock_margin(MAX_LEASE_DURATION_US) - 1, Err(()))]
+#[case::then_granted(0, with_clock_margin(MAX_LEASE_DURATION_US), Ok(()))]
+#[case::longer_than_any_lease(MAX_LEASE_DURATION_US, with_clock_margin(MAX_LEASE_DURATION_US), Err(()))]
 fn started_voter_is_silent(
     #[case] more: Micros,
     #[case] now: Micros,
@@ -254,7 +265,7 @@
             number: 1,
             incarnation_id: 1,
         },
-        DEFAULT_LEASE_US + more,
+        DEFAULT_LEASE_DURATION_US + more,
     );
     assert_eq!(bid.map_err(|_| ()), granted);
 }
@@ -263,8 +274,8 @@
 #[rstest]
 #[case::renewed(9, 7, 100 * MS, true)]
 #[case::another_while_it_runs(10, 8, 100 * MS, false)]
-#[case::a_hair_too_early(10, 8, with_clock_margin(DEFAULT_LEASE_US) - 1, false)]
-#[case::when_it_ran_out(10, 8, with_clock_margin(DEFAULT_LEASE_US), true)]
+#[case::a_hair_too_early(10, 8, with_clock_margin(DEFAULT_LEASE_DURATION_US) - 1, false)]
+#[case::when_it_ran_out(10, 8, with_clock_margin(DEFAULT_LEASE_DURATION_US), true)]
 #[case::an_older_term(8, 8, 10 * SECOND, false)]
 #[case::one_number_of_another_life(9, 6, 10 * SECOND, false)]
 fn voter_grants_one_bidder_at_a_time(
@@ -283,7 +294,7 @@
                 number: 9,
                 incarnation_id: 7,
             },
-            DEFAULT_LEASE_US,
+            DEFAULT_LEASE_DURATION_US,
         )
         .unwrap();
     let bid = voter.bid(
@@ -293,7 +304,7 @@
             number,
             incarnation_id: incarnation,
         },
-        DEFAULT_LEASE_US,
+        DEFAULT_LEASE_DURATION_US,
     );
     assert_eq!(bid.is_ok(), granted);
 }
@@ -306,7 +317,7 @@
         incarnation_id: 7,
     };
     voter
-        .bid(at, LeaseId(1), term(9), DEFAULT_LEASE_US)
+        .bid(at, LeaseId(1), term(9), DEFAULT_LEASE_DURATION_US)
         .unwrap();
     voter.release(at, LeaseId(1), term(8));
     assert!(voter.status(at, LeaseId(1)).available_in_us > 0);
@@ -315,11 +326,11 @@
     // A renewal that was on its way when it was let go.
     assert!(
         voter
-            .bid(at, LeaseId(1), term(9), DEFAULT_LEASE_US)
+            .bid(at, LeaseId(1), term(9), DEFAULT_LEASE_DURATION_US)
             .is_err()
     );
     voter
-        .bid(at, LeaseId(1), term(10), DEFAULT_LEASE_US)
+        .bid(at, LeaseId(1), term(10), DEFAULT_LEASE_DURATION_US)
         .unwrap();
     voter.release(at, LeaseId(1), term(9));
     assert!(voter.status(at, LeaseId(1)).available_in_us > 0);
@@ -328,7 +339,7 @@
 #[test]
 fn stale_commands_are_rejected_and_their_sender_is_notified() {
     let mut fleet = Fleet::new(2, &["a"]);
-    let (lease, sender) = (LeaseId::of("a"), Rc::from("b0"));
+    let (lease, sender) = (LeaseId::from_name("a"), Rc::from("b0"));
     let send_command = |number| LeaseMessage::Command {
         lease,
         term: Term {
@@ -346,7 +357,7 @@
         .into_iter()
         .filter(|event| matches!(event, LeaseEvent::CommandReceived { .. }))
         .count();
-    assert_eq!((taken, one.stale_commands()), (2, 1));
+    assert_eq!((taken, one.stale_command_count()), (2, 1));
     let known = Term {
         number: 7,
         incarnation_id: 1,
--- a/crates/cluster/src/leases/tracked.rs
+++ b/crates/cluster/src/leases/tracked.rs
@@ -12,7 +12,7 @@
 pub(super) const RANK_DELAY_US: Micros = 60_000;
 /// How long a member that lost or released a lease leaves it to others. With
 /// [`CANDIDATES_PER_LEASE`] candidates a lease changes hands at most that many times in this span.
-const REST_AFTER_LOSS_US: Micros = 10_000_000;
+const COOLDOWN_AFTER_LOSS_US: Micros = 10_000_000;
 /// The first and the longest wait after voters did not answer.
 const MIN_BACKOFF_US: Micros = 200_000;
 const MAX_BACKOFF_US: Micros = 4_000_000;
@@ -30,37 +30,37 @@
     /// This member's position among the candidates.
     pub rank: Option<usize>,
     /// The greatest term number used here or reported by others.
-    pub number: u64,
+    pub greatest_term_number: u64,
     /// Since when a more preferred candidate has been alive.
     pub outranked_since: Option<Micros>,
     pub backoff: Micros,
     /// Until when it is left to others after a loss.
-    pub rests_until: Micros,
+    pub cooldown_until: Micros,
 }
 
 impl TrackedLease {
-    pub fn new(lease: Lease, now: Micros, number: u64) -> Self {
+    pub fn new(lease: Lease, now: Micros, greatest_term_number: u64) -> Self {
         Self {
             lease,
             state: LeaseState::Idle { retry_at: now },
             candidates: Vec::new(),
             rank: None,
-            number,
+            greatest_term_number,
             outranked_since: None,
             backoff: 0,
-            rests_until: 0,
+            cooldown_until: 0,
         }
     }
 
     /// Ends holding or bidding; where there are other candidates, they go first for a while.
-    pub fn rest(&mut self, now: Micros) {
-        self.rests_until = if self.candidates.len() > 1 {
-            now + REST_AFTER_LOSS_US
+    pub fn start_cooldown(&mut self, now: Micros) {
+        self.cooldown_until = if self.candidates.len() > 1 {
+            now + COOLDOWN_AFTER_LOSS_US
         } else {
             now
         };
         self.state = LeaseState::Idle {
-            retry_at: self.rests_until,
+            retry_at: self.cooldown_until,
         };
     }
 
@@ -81,7 +81,9 @@
     /// Records the greatest term a voter granted. It is a number to exceed and nothing more:
     /// whoever was granted it need not have held the lease.
     pub fn observe_status(&mut self, status: &GrantStatus) {
-        self.number = self.number.max(status.term.map_or(0, |term| term.number));
+        self.greatest_term_number = self
+            .greatest_term_number
+            .max(status.term.map_or(0, |term| term.number));
     }
 
     /// Takes a new list of candidates.
@@ -93,7 +95,7 @@
         if let (LeaseState::Idle { retry_at }, true) = (&mut self.state, moved_up) {
             *retry_at = (*retry_at)
                 .min(now + rank.unwrap_or(0) as Micros * RANK_DELAY_US)
-                .max(self.rests_until);
+                .max(self.cooldown_until);
         }
         self.rank = rank;
         self.outranked_since = match rank {
@@ -108,7 +110,7 @@
         let is_settled = |since: Micros| since + MIN_HOLD_BEFORE_TRANSFER_US <= now;
         match &self.state {
             LeaseState::Held(held) => {
-                is_settled(held.since)
+                is_settled(held.acquired_at)
                     && self.outranked_since.is_some_and(is_settled)
                     && !self.candidates.is_empty()
             }
--- a/crates/cluster/src/leases/voter.rs
+++ b/crates/cluster/src/leases/voter.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use super::config::{MAX_LEASE_US, with_clock_margin};
+use super::config::{MAX_LEASE_DURATION_US, with_clock_margin};
 use super::fault_injection::InjectedFault;
 use super::messages::GrantStatus;
 use super::term::{LeaseId, Term};
@@ -15,26 +15,26 @@
 
 /// The last grant of a lease.
 ///
-/// Invariant: `term` never decreases while the voter runs, and until `until` no other term is
+/// Invariant: `term` never decreases while the voter runs, and until `expires_at` no other term is
 /// granted unless this one is released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Grant {
     term: Term,
-    until: Micros,
+    expires_at: Micros,
     /// Released by its holder: the lease is available at once, and the term is used up.
     released: bool,
 }
 
 impl Grant {
-    fn is_open(&self, now: Micros) -> bool {
-        !self.released && self.until > now
+    fn is_active(&self, now: Micros) -> bool {
+        !self.released && self.expires_at > now
     }
 }
 
 /// A member's part as a voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Voter {
-    silent_until: Micros,
+    startup_wait_until: Micros,
     grants: BTreeMap<LeaseId, Grant>,
     injected_fault: Option<InjectedFault>,
 }
@@ -42,30 +42,30 @@
 impl Voter {
     /// Starts a voter, silent for the longest lease duration.
     pub fn new(now: Micros, injected_fault: Option<InjectedFault>) -> Self {
-        let silence = if injected_fault == Some(InjectedFault::NoStartupSilence) {
+        let silence = if injected_fault == Some(InjectedFault::NoStartupWait) {
             0
         } else {
-            with_clock_margin(MAX_LEASE_US)
+            with_clock_margin(MAX_LEASE_DURATION_US)
         };
         Self {
-            silent_until: now + silence,
+            startup_wait_until: now + silence,
             grants: BTreeMap::new(),
             injected_fault,
         }
     }
 
     /// Whether it grants nothing yet because it has just started.
-    pub fn is_silent(&self, now: Micros) -> bool {
-        now < self.silent_until
+    pub fn is_in_startup_wait(&self, now: Micros) -> bool {
+        now < self.startup_wait_until
     }
 
     /// The state of a lease.
     pub fn status(&self, now: Micros, lease: LeaseId) -> GrantStatus {
-        let silent = self.silent_until.saturating_sub(now);
+        let silent = self.startup_wait_until.saturating_sub(now);
         let grant = self.grants.get(&lease);
         let granted = grant
             .filter(|grant| !grant.released)
-            .map_or(0, |grant| grant.until.saturating_sub(now));
+            .map_or(0, |grant| grant.expires_at.saturating_sub(now));
         GrantStatus {
             lease,
             term: grant.map(|grant| grant.term),
@@ -86,12 +86,12 @@
         duration: Micros,
     ) -> Result<(), GrantStatus> {
         let refused = Err(self.status(now, lease));
-        if duration > MAX_LEASE_US || self.is_silent(now) {
+        if duration > MAX_LEASE_DURATION_US || self.is_in_startup_wait(now) {
             return refused;
         }
         let granted = Grant {
             term,
-            until: now + self.counted(duration),
+            expires_at: now + self.grant_duration(duration),
             released: false,
         };
         let Some(grant) = self.grants.get(&lease).copied() else {
@@ -102,13 +102,19 @@
             return Ok(());
         };
         if self.is_same_term(grant.term, term) && !grant.released {
-            let until = grant.until.max(granted.until);
-            self.grants.insert(lease, Grant { until, ..grant });
+            let expires_at = grant.expires_at.max(granted.expires_at);
+            self.grants.insert(
+                lease,
+                Grant {
+                    expires_at,
+                    ..grant
+                },
+            );
             return Ok(());
         }
         // Only a later term follows, and only after the one before has expired here or was
         // released.
-        if term <= grant.term || grant.is_open(now) {
+        if term <= grant.term || grant.is_active(now) {
             return refused;
         }
         self.grants.insert(lease, granted);
@@ -123,17 +129,17 @@
         };
         if grant.term == term || self.injected_fault == Some(InjectedFault::ReleaseOfAnyTerm) {
             grant.released = true;
-        } else if term > grant.term && !grant.is_open(now) {
+        } else if term > grant.term && !grant.is_active(now) {
             *grant = Grant {
                 term,
-                until: now,
+                expires_at: now,
                 released: true,
             };
         }
     }
 
     /// How long a grant counts by this voter's clock.
-    fn counted(&self, duration: Micros) -> Micros {
+    fn grant_duration(&self, duration: Micros) -> Micros {
         match self.injected_fault {
             Some(InjectedFault::NoClockMargin) => duration,
             _ => with_clock_margin(duration),
--- a/crates/cluster/src/membership/dissemination.rs
+++ b/crates/cluster/src/membership/dissemination.rs
@@ -37,7 +37,7 @@
 
     /// Offers the names of changed records to `add_to_datagram`, least sent first, until it returns
     /// false since a record does not fit.
-    pub fn take(&mut self, members: usize, mut add_to_datagram: impl FnMut(&str) -> bool) {
+    pub fn offer_changes(&mut self, members: usize, mut add_to_datagram: impl FnMut(&str) -> bool) {
         self.changes.sort_by_key(|change| change.transmissions);
         for change in &mut self.changes {
             if !add_to_datagram(&change.name) {
--- a/crates/cluster/src/membership/events.rs
+++ b/crates/cluster/src/membership/events.rs
@@ -27,7 +27,7 @@
     NameConflict,
     /// A datagram arrived from a process that the operators had confirmed dead; the confirmation is
     /// revoked.
-    ConfirmedDeadAlive(Rc<str>),
+    ConfirmationRevoked(Rc<str>),
     /// A member could not be added since the table is full.
     TableFull,
 }
--- a/crates/cluster/src/membership/failure_detector.rs
+++ b/crates/cluster/src/membership/failure_detector.rs
@@ -24,9 +24,9 @@
     /// Whether a reply came, direct or relayed.
     pub is_answered: bool,
     /// How many members were asked to relay it.
-    pub requested: u32,
+    pub relays_requested: u32,
     /// How many of them reported a result.
-    pub reported: u32,
+    pub relays_reported: u32,
 }
 
 /// A probe relayed for another member.
@@ -43,10 +43,10 @@
 #[derive(Default)]
 pub struct FailureDetector {
     /// The probe of this round.
-    pub pending: Option<Probe>,
+    pub current_probe: Option<Probe>,
     relayed_probes: Vec<RelayedProbe>,
     /// The members still to probe before any is probed again.
-    remaining: Vec<Rc<str>>,
+    remaining_targets: Vec<Rc<str>>,
     /// Scales timeouts up while replies fail, as the fault may be with this process; 0 while all is
     /// well.
     health_penalty: u32,
@@ -68,20 +68,20 @@
         rng: &mut WyRand,
         names: impl Fn() -> Vec<Rc<str>>,
     ) -> Option<Rc<str>> {
-        if self.remaining.is_empty() {
-            self.remaining = names();
-            rng.shuffle(&mut self.remaining);
+        if self.remaining_targets.is_empty() {
+            self.remaining_targets = names();
+            rng.shuffle(&mut self.remaining_targets);
         }
-        self.remaining.pop()
+        self.remaining_targets.pop()
     }
 
     /// Increases the health penalty.
-    pub fn degrade_health(&mut self) {
+    pub fn increase_health_penalty(&mut self) {
         self.health_penalty = (self.health_penalty + 1).min(MAX_HEALTH_PENALTY);
     }
 
     /// Decreases the health penalty.
-    pub fn improve_health(&mut self) {
+    pub fn decrease_health_penalty(&mut self) {
         self.health_penalty = self.health_penalty.saturating_sub(1);
     }
 
--- a/crates/cluster/src/membership/member.rs
+++ b/crates/cluster/src/membership/member.rs
@@ -22,7 +22,7 @@
     /// When it began.
     pub started_at: Micros,
     /// The random identifiers of the processes that suspect the member.
-    pub suspecters: Vec<u64>,
+    pub suspecting_ids: Vec<u64>,
 }
 
 /// What is known of a member.
@@ -33,13 +33,13 @@
     /// When a datagram of its current process last arrived.
     pub last_received_at: Option<Micros>,
     /// Since when it has its state.
-    pub since: Micros,
+    pub state_since: Micros,
     /// The suspicion, where it is suspected.
     pub suspicion: Option<Suspicion>,
     /// Earlier processes of its name that may still serve.
-    pub earlier: Vec<EarlierIncarnation>,
+    pub earlier_processes: Vec<EarlierIncarnation>,
     /// How many more of them there are.
-    pub earlier_uncounted: usize,
+    pub unlisted_earlier_count: usize,
 }
 
 impl Member {
@@ -47,15 +47,15 @@
     pub(super) fn new(now: Micros, record: &MemberRecord) -> Self {
         let suspicion = (record.state == MemberState::Suspected).then(|| Suspicion {
             started_at: now,
-            suspecters: vec![record.suspected_by],
+            suspecting_ids: vec![record.suspected_by],
         });
         Self {
             record: record.clone(),
             last_received_at: None,
-            since: now,
+            state_since: now,
             suspicion,
-            earlier: Vec::new(),
-            earlier_uncounted: 0,
+            earlier_processes: Vec::new(),
+            unlisted_earlier_count: 0,
         }
     }
 }
--- a/crates/cluster/src/membership/merge.rs
+++ b/crates/cluster/src/membership/merge.rs
@@ -11,7 +11,7 @@
 /// The largest number of earlier processes of one name that are listed; more are only counted.
 const MAX_EARLIER_INCARNATIONS: usize = 8;
 /// The largest number of processes counted that suspect one member.
-const MAX_SUSPECTERS: usize = 3;
+const MAX_SUSPECTING_IDS: usize = 3;
 
 impl MemberTable {
     /// Merges a record that was received or that this process made.
@@ -31,11 +31,11 @@
             member.keep_earlier(&before);
         }
         if record.state != before.state || record.incarnation != before.incarnation {
-            member.since = now;
+            member.state_since = now;
         }
         member.suspicion = (record.state == MemberState::Suspected).then(|| Suspicion {
             started_at: now,
-            suspecters: [record.suspected_by]
+            suspecting_ids: [record.suspected_by]
                 .into_iter()
                 .filter(|by| *by != 0)
                 .collect(),
@@ -55,7 +55,7 @@
             member.record.state = MemberState::Dead;
             return MergeOutcome::Changed;
         }
-        let is_same_suspicion = record.is_same_version(&member.record)
+        let is_same_suspicion = record.is_same_process_and_counter(&member.record)
             && record.state == MemberState::Suspected
             && member.record.state == MemberState::Suspected;
         if !is_same_suspicion || record.suspected_by == 0 {
@@ -64,12 +64,12 @@
         let Some(suspicion) = &mut member.suspicion else {
             return MergeOutcome::Unchanged;
         };
-        if suspicion.suspecters.len() >= MAX_SUSPECTERS
-            || suspicion.suspecters.contains(&record.suspected_by)
+        if suspicion.suspecting_ids.len() >= MAX_SUSPECTING_IDS
+            || suspicion.suspecting_ids.contains(&record.suspected_by)
         {
             return MergeOutcome::Unchanged;
         }
-        suspicion.suspecters.push(record.suspected_by);
+        suspicion.suspecting_ids.push(record.suspected_by);
         member.record.suspected_by = record.suspected_by;
         MergeOutcome::SuspicionConfirmed
     }
@@ -102,11 +102,11 @@
     /// The member none of whose processes may serve that changed its state first.
     fn oldest_replaceable(&self) -> Option<usize> {
         let is_replaceable = |member: &Member| {
-            member.record.state >= MemberState::Dead && self.may_serve(member) == 0
+            member.record.state >= MemberState::Dead && self.count_possibly_serving_of(member) == 0
         };
         (0..self.members.len())
             .filter(|&index| is_replaceable(&self.members[index]))
-            .min_by_key(|&index| self.members[index].since)
+            .min_by_key(|&index| self.members[index].state_since)
     }
 
     /// Merges what others hold of this process, which alone decides its state: what is wrong is
@@ -152,17 +152,18 @@
         let address = self.record.address;
         let has_ended = before.state == MemberState::Left || address == before.address;
         if !has_ended {
-            if self.earlier.len() < MAX_EARLIER_INCARNATIONS {
-                self.earlier.push(EarlierIncarnation {
+            if self.earlier_processes.len() < MAX_EARLIER_INCARNATIONS {
+                self.earlier_processes.push(EarlierIncarnation {
                     incarnation: before.incarnation,
                     address: before.address,
                 });
             } else {
-                self.earlier_uncounted += 1;
+                self.unlisted_earlier_count += 1;
             }
         }
         // Only of this name: of two names nobody knows whose record is the later one.
-        self.earlier.retain(|earlier| earlier.address != address);
+        self.earlier_processes
+            .retain(|earlier| earlier.address != address);
         self.last_received_at = None;
     }
 }
--- a/crates/cluster/src/membership/table.rs
+++ b/crates/cluster/src/membership/table.rs
@@ -66,7 +66,7 @@
     }
 
     /// The member with that name.
-    pub fn named(&self, name: &str) -> Option<&Member> {
+    pub fn member(&self, name: &str) -> Option<&Member> {
         self.index(name).map(|index| &self.members[index])
     }
 
@@ -85,20 +85,20 @@
 
     /// How many processes beside this one may serve. It never falls because a process is
     /// unresponsive.
-    pub fn count_may_serve(&self) -> usize {
+    pub fn count_possibly_serving(&self) -> usize {
         self.members
             .iter()
-            .map(|member| self.counted_may_serve(member))
+            .map(|member| self.reported_possibly_serving_of(member))
             .sum()
     }
 
-    fn counted_may_serve(&self, member: &Member) -> usize {
+    fn reported_possibly_serving_of(&self, member: &Member) -> usize {
         let is_ignored = self.has_fault(InjectedFault::UnresponsiveCountsAsStopped)
             && member.record.state == MemberState::Dead;
         if is_ignored {
             0
         } else {
-            self.may_serve(member)
+            self.count_possibly_serving_of(member)
         }
     }
 
@@ -118,7 +118,7 @@
             self.confirmed_dead.remove(&process);
             self.revoked_confirmations.insert(process);
             self.events
-                .push(MembershipEvent::ConfirmedDeadAlive(Rc::clone(name)));
+                .push(MembershipEvent::ConfirmationRevoked(Rc::clone(name)));
         }
     }
 
@@ -145,30 +145,31 @@
     }
 
     /// The earlier processes of a member's name that may serve.
-    pub fn earlier_of<'a>(
+    pub fn possibly_serving_earlier<'a>(
         &'a self,
         member: &'a Member,
     ) -> impl Iterator<Item = &'a EarlierIncarnation> {
         member
-            .earlier
+            .earlier_processes
             .iter()
             .filter(|earlier| !self.is_confirmed_dead(&member.record.name, earlier.incarnation))
     }
 
     /// How many processes of a member's name may serve.
-    pub fn may_serve(&self, member: &Member) -> usize {
+    pub fn count_possibly_serving_of(&self, member: &Member) -> usize {
         let current = usize::from(matches!(
             self.serving_status_of(member),
             ServingStatus::MayServe(_)
         ));
-        current + self.earlier_of(member).count() + member.earlier_uncounted
+        current + self.possibly_serving_earlier(member).count() + member.unlisted_earlier_count
     }
 
     /// Whether a process may serve; nothing if it was never known here.
     pub fn serving_status(&self, name: &str, incarnation: Incarnation) -> Option<ServingStatus> {
-        let member = self.named(name)?;
+        let member = self.member(name)?;
         if member.record.incarnation == incarnation {
-            let is_ignored = self.counted_may_serve(member) == 0 && self.may_serve(member) > 0;
+            let is_ignored = self.reported_possibly_serving_of(member) == 0
+                && self.count_possibly_serving_of(member) > 0;
             return Some(if is_ignored {
                 ServingStatus::ProvenStopped(StopProof::Announced)
             } else {
@@ -176,7 +177,7 @@
             });
         }
         member
-            .earlier
+            .earlier_processes
             .iter()
             .find(|earlier| earlier.incarnation == incarnation)?;
         Some(
--- a/crates/cluster/src/membership/table/tests.rs
+++ b/crates/cluster/src/membership/table/tests.rs
@@ -18,7 +18,7 @@
 };
 
 fn record(incarnation: Incarnation, refutation_counter: u64, state: MemberState) -> MemberRecord {
-    let own = MemberRecord::of_new_process("b1", "a", "127.0.0.1:9".parse().unwrap(), incarnation);
+    let own = MemberRecord::for_new_process("b1", "a", "127.0.0.1:9".parse().unwrap(), incarnation);
     MemberRecord {
         refutation_counter,
         state,
@@ -27,7 +27,7 @@
 }
 
 fn table() -> MemberTable {
-    MemberTable::new(MemberRecord::of_new_process(
+    MemberTable::new(MemberRecord::for_new_process(
         "b0",
         "a",
         "127.0.0.1:8".parse().unwrap(),
@@ -66,7 +66,7 @@
     assert_eq!(
         (
             table.merge(5, &told),
-            table.named("b1").unwrap().record.state
+            table.member("b1").unwrap().record.state
         ),
         (merged, state)
     );
@@ -81,7 +81,7 @@
 fn only_a_member_that_left_has_stopped(#[case] state: MemberState, #[case] serving: usize) {
     let mut table = table();
     table.merge(0, &record(FIRST, 10, state));
-    assert_eq!(table.count_may_serve(), serving);
+    assert_eq!(table.count_possibly_serving(), serving);
     let proven = matches!(
         table.serving_status("b1", FIRST),
         Some(ServingStatus::ProvenStopped(StopProof::Announced))
@@ -112,7 +112,10 @@
         },
     );
     assert_eq!(
-        (table.count_may_serve(), table.serving_status("b1", FIRST)),
+        (
+            table.count_possibly_serving(),
+            table.serving_status("b1", FIRST)
+        ),
         (serving, earlier)
     );
 }
@@ -184,7 +187,7 @@
         table.merge(10, &named(5_000, MemberState::Alive)),
         MergeOutcome::Changed
     );
-    assert!(table.named("n7").is_none() && table.members.len() == MAX_MEMBERS - 1);
+    assert!(table.member("n7").is_none() && table.members.len() == MAX_MEMBERS - 1);
 }
 
 #[test]
@@ -208,12 +211,12 @@
     );
     assert_eq!(
         table
-            .named("b1")
+            .member("b1")
             .unwrap()
             .suspicion
             .as_ref()
             .unwrap()
-            .suspecters,
+            .suspecting_ids,
         [5, 6, 7]
     );
 }
--- a/crates/cluster/src/messages.rs
+++ b/crates/cluster/src/messages.rs
@@ -64,7 +64,7 @@
 
 impl MemberRecord {
     /// The record of a process that has just started.
-    pub fn of_new_process(
+    pub fn for_new_process(
         name: &str,
         zone: &str,
         address: SocketAddr,
@@ -97,7 +97,7 @@
     }
 
     /// Whether another record is of the same process and refutation counter.
-    pub fn is_same_version(&self, other: &Self) -> bool {
+    pub fn is_same_process_and_counter(&self, other: &Self) -> bool {
         self.refutation_counter == other.refutation_counter && self.incarnation == other.incarnation
     }
 
--- a/crates/cluster/src/shared_list/mod.rs
+++ b/crates/cluster/src/shared_list/mod.rs
@@ -29,7 +29,7 @@
 /// Without a counting heartbeat for this long, a subscriber polls discovery itself.
 pub const HEARTBEAT_TIMEOUT_US: Micros = 3_000_000;
 /// How long a holder that sent an impossible list is ignored.
-pub const DISTRUST_PERIOD_US: Micros = 30_000_000;
+pub const REJECTION_PERIOD_US: Micros = 30_000_000;
 
 /// A chunk of a page. Fields are encoded by their order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/cluster/src/shared_list/subscriber.rs
+++ b/crates/cluster/src/shared_list/subscriber.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::{
-    Chunk, DISTRUST_PERIOD_US, HEARTBEAT_TIMEOUT_US, ListMessage, ListRequest, MAX_CHUNKS,
+    Chunk, HEARTBEAT_TIMEOUT_US, ListMessage, ListRequest, MAX_CHUNKS, REJECTION_PERIOD_US,
 };
 use crate::Micros;
 use crate::leases::term::Term;
@@ -44,7 +44,7 @@
 }
 
 impl Chunk {
-    fn new_page(&self, now: Micros) -> PartialPage {
+    fn new_partial_page(&self, now: Micros) -> PartialPage {
         PartialPage {
             is_full: self.is_full,
             version: self.version,
@@ -53,7 +53,7 @@
         }
     }
 
-    fn is_of(&self, page: &PartialPage) -> bool {
+    fn matches_page(&self, page: &PartialPage) -> bool {
         self.is_full == page.is_full
             && self.version == page.version
             && usize::from(self.count) == page.chunks.len()
@@ -70,7 +70,7 @@
 }
 
 /// A holder whose list was impossible.
-struct DistrustedTerm {
+struct RejectedTerm {
     term: Term,
     until: Micros,
 }
@@ -88,7 +88,7 @@
     next_request_at: Micros,
     /// When the last heartbeat arrived that counts.
     last_heartbeat_at: Option<Micros>,
-    distrusted: Option<DistrustedTerm>,
+    rejected: Option<RejectedTerm>,
 }
 
 impl ListSubscriber {
@@ -96,7 +96,7 @@
     pub fn is_fresh(&self, now: Micros) -> bool {
         self.last_heartbeat_at
             .is_some_and(|at| now < at + HEARTBEAT_TIMEOUT_US)
-            && !self.is_distrusted(now)
+            && !self.is_rejected(now)
     }
 
     /// Until when the list is fresh without a further heartbeat.
@@ -115,10 +115,10 @@
         self.applied_page
     }
 
-    fn is_distrusted(&self, now: Micros) -> bool {
-        self.distrusted
+    fn is_rejected(&self, now: Micros) -> bool {
+        self.rejected
             .as_ref()
-            .is_some_and(|distrusted| Some(distrusted.term) == self.term && now < distrusted.until)
+            .is_some_and(|rejected| Some(rejected.term) == self.term && now < rejected.until)
     }
 
     /// Records the version of a list polled from discovery itself; that of a holder must not be
@@ -132,7 +132,7 @@
         if self.term.is_none_or(|known| known < term) {
             self.follow_holder(term);
         }
-        if self.term != Some(term) || self.is_distrusted(now) {
+        if self.term != Some(term) || self.is_rejected(now) {
             return ListUpdate::default();
         }
         match message {
@@ -184,13 +184,13 @@
         let partial = self
             .partial_pages
             .entry(chunk.page)
-            .or_insert_with(|| chunk.new_page(now));
-        if !chunk.is_of(partial) {
+            .or_insert_with(|| chunk.new_partial_page(now));
+        if !chunk.matches_page(partial) {
             // The same page as a change and as a full list: the full list needs no earlier page.
             if !chunk.is_full {
                 return false;
             }
-            *partial = chunk.new_page(now);
+            *partial = chunk.new_partial_page(now);
         }
         partial.chunks[usize::from(chunk.index)] = Some(chunk.bytes.clone());
         true
@@ -208,9 +208,9 @@
             if is_older || is_empty {
                 // Discovery's versions do not decrease, and an empty list would remove all
                 // endpoints.
-                self.distrusted = self.term.map(|term| DistrustedTerm {
+                self.rejected = self.term.map(|term| RejectedTerm {
                     term,
-                    until: now + DISTRUST_PERIOD_US,
+                    until: now + REJECTION_PERIOD_US,
                 });
                 self.last_heartbeat_at = None;
                 self.partial_pages.clear();
--- a/crates/cluster/src/timers.rs
+++ b/crates/cluster/src/timers.rs
@@ -25,7 +25,7 @@
     /// A seed is contacted.
     Seeds,
     /// The lease manager's timer has expired.
-    Leases,
+    LeaseManager,
 }
 
 /// The time of a timer; timers of one time expire in the order in which they were scheduled.
--- a/crates/cluster/tests/datagrams.rs
+++ b/crates/cluster/tests/datagrams.rs
@@ -67,7 +67,7 @@
 
 fn status(available_in_us: u32) -> GrantStatus {
     GrantStatus {
-        lease: LeaseId::of("roster/a"),
+        lease: LeaseId::from_name("roster/a"),
         term: (available_in_us > 0).then_some(TERM),
         available_in_us,
     }
@@ -113,8 +113,8 @@
 }
 
 fn lease_messages() -> Vec<(&'static str, LeaseMessage)> {
-    let lease = LeaseId::of("roster/a");
-    let other = LeaseId::of("scout/3");
+    let lease = LeaseId::from_name("roster/a");
+    let other = LeaseId::from_name("scout/3");
     let terms = vec![
         TermNumber {
             lease,
@@ -185,7 +185,7 @@
 }
 
 fn list_messages() -> Vec<(&'static str, LeaseMessage)> {
-    let lease = LeaseId::of("roster/a");
+    let lease = LeaseId::from_name("roster/a");
     let command = |body: ListMessage| LeaseMessage::Command {
         lease,
         term: TERM,
@@ -294,7 +294,7 @@
 fn texts_of_incarnations_and_identifiers_of_leases_stay() {
     assert_eq!(LIFE.to_string(), "60a2418202240-00c0ffee00c0ffee");
     assert_eq!("60a2418202240-00c0ffee00c0ffee".parse(), Ok(LIFE));
-    assert_eq!(LeaseId::of("roster/a").0, 2_156_073_173);
+    assert_eq!(LeaseId::from_name("roster/a").0, 2_156_073_173);
 }
 
 /// Three members on a virtual network that delivers all within 3 ms, one of which starts late and
--- a/crates/proxy/src/cluster/event_log.rs
+++ b/crates/proxy/src/cluster/event_log.rs
@@ -56,7 +56,7 @@
                 warn!(log, "another process uses this member's name";
                     "member" => &self.settings.member.name);
             }
-            MembershipEvent::ConfirmedDeadAlive(name) => {
+            MembershipEvent::ConfirmationRevoked(name) => {
                 warn!(log, "member confirmed dead is alive, counted again"; "member" => &**name);
             }
             MembershipEvent::TableFull => warn!(log, "member table is full"),
@@ -67,6 +67,6 @@
     fn log_member(&self, message: &'static str, name: &Rc<str>) {
         let table = &self.cluster.table;
         info!(self.log, "{}", message; "member" => &**name, "alive" => table.alive().count() + 1,
-            "may_serve" => table.count_may_serve() + 1);
+            "may_serve" => table.count_possibly_serving() + 1);
     }
 }
--- a/crates/proxy/src/cluster/lease_status.rs
+++ b/crates/proxy/src/cluster/lease_status.rs
@@ -6,7 +6,7 @@
 use super::node::{ClusterNode, now};
 
 /// A lease that this process holds.
-pub struct HeldStatus {
+pub struct HeldLeaseStatus {
     /// The term under which it is held.
     pub term: Term,
     /// How long it has been held.
@@ -18,25 +18,25 @@
 /// The state of a lease as far as this process knows.
 pub struct LeaseStatus {
     /// Where this process holds it.
-    pub held: Option<HeldStatus>,
+    pub held: Option<HeldLeaseStatus>,
     /// The greatest known term.
-    pub known_term: Option<Term>,
+    pub greatest_known_term: Option<Term>,
 }
 
 impl ClusterNode {
     /// The state of a lease; nothing where the operator file names none of that name.
     pub fn lease_status(&self, name: &str) -> Option<LeaseStatus> {
-        let leases = self.cluster.leases()?;
+        let leases = self.cluster.lease_manager()?;
         let at = now();
         let lease = leases.tracked().find(|lease| *lease.name == *name)?;
         let held = leases.held(at).find(|held| held.lease.id == lease.id);
         Some(LeaseStatus {
-            held: held.map(|held| HeldStatus {
+            held: held.map(|held| HeldLeaseStatus {
                 term: held.term,
-                held_for: at.saturating_sub(held.since),
-                remaining: held.until - at,
+                held_for: at.saturating_sub(held.acquired_at),
+                remaining: held.expires_at - at,
             }),
-            known_term: leases.known_term(lease.id),
+            greatest_known_term: leases.greatest_known_term(lease.id),
         })
     }
 }
--- a/crates/proxy/src/cluster/node.rs
+++ b/crates/proxy/src/cluster/node.rs
@@ -58,7 +58,7 @@
     socket: Rc<UdpSocket>,
     pub(super) log: Logger,
     /// Datagrams that the socket did not accept.
-    pub(super) unsent: u64,
+    pub(super) send_failures: u64,
 }
 
 impl ClusterNode {
@@ -88,7 +88,7 @@
             shared_lists,
             socket,
             log: log.clone(),
-            unsent: 0,
+            send_failures: 0,
         }));
         let receiver = Rc::clone(&node);
         handle
@@ -165,7 +165,7 @@
     /// Applies a reloaded operator file. Returns the fields that changed and take effect only at
     /// the next start.
     pub fn reload(&mut self, new: FleetSettings) -> Vec<&'static str> {
-        let unapplied = unapplied_changes(&self.settings, &new);
+        let unapplied = fields_needing_restart(&self.settings, &new);
         self.cluster.update_config(&new.member, new.key.clone());
         match &new.leases {
             Some(leases) => {
@@ -174,7 +174,7 @@
             }
             None => self.cluster.disable_leases(now()),
         }
-        self.settings.via = new.via;
+        self.settings.address_overrides = new.address_overrides;
         self.settings.leases = new.leases;
         if self.settings.shared_list_zones != new.shared_list_zones {
             let zone = &self.settings.member.zone;
@@ -187,10 +187,15 @@
     /// Sends the datagrams, and logs and handles the events, that the cluster member has made.
     fn process_output(&mut self) {
         for OutgoingDatagram { to, bytes } in self.cluster.take_datagrams() {
-            let to = self.settings.via.get(&to).copied().unwrap_or(to);
+            let to = self
+                .settings
+                .address_overrides
+                .get(&to)
+                .copied()
+                .unwrap_or(to);
             // The protocol allows for loss, in a full socket as in the network.
             if self.socket.send_to(&bytes, to).is_err() {
-                self.unsent += 1;
+                self.send_failures += 1;
             }
         }
         for event in self.cluster.take_events() {
@@ -255,7 +260,7 @@
 }
 
 /// The fields that differ and can't change while the process runs.
-fn unapplied_changes(old: &FleetSettings, new: &FleetSettings) -> Vec<&'static str> {
+fn fields_needing_restart(old: &FleetSettings, new: &FleetSettings) -> Vec<&'static str> {
     [
         ("fleet.listen", old.listen != new.listen),
         ("fleet.advertise", old.member.address != new.member.address),
--- a/crates/proxy/src/cluster/node/tests.rs
+++ b/crates/proxy/src/cluster/node/tests.rs
@@ -3,7 +3,7 @@
 use calloop::EventLoop;
 use pinefront_cluster::MemberConfig;
 use pinefront_cluster::datagram::Key;
-use pinefront_cluster::leases::{DEFAULT_LEASE_US, Lease, LeaseConfig};
+use pinefront_cluster::leases::{DEFAULT_LEASE_DURATION_US, Lease, LeaseConfig};
 
 use super::*;
 use crate::cluster::operator_file::FleetLeases;
@@ -45,7 +45,7 @@
     let lease = Lease::new("roster/a", Some("a".into()));
     let lease_config = LeaseConfig {
         voters: vec!["b0".into()],
-        duration: DEFAULT_LEASE_US,
+        duration: DEFAULT_LEASE_DURATION_US,
     };
     let shared_list_zones = shared_list
         .then(|| (lease.id, Rc::from("a")))
@@ -61,7 +61,7 @@
         key,
         leases,
         shared_list_zones,
-        via: Default::default(),
+        address_overrides: Default::default(),
     };
     let log = Logger::root(slog::Discard, slog::o!());
     ClusterNode::open(&event_loop.handle(), settings, 1, &log).unwrap()
@@ -101,7 +101,7 @@
     );
     second.borrow_mut().leave();
     until(&mut event_loop, &all[..1], || {
-        first.borrow().cluster.table.count_may_serve() == 0
+        first.borrow().cluster.table.count_possibly_serving() == 0
     });
     assert!(
         first
--- a/crates/proxy/src/cluster/operator_file/error.rs
+++ b/crates/proxy/src/cluster/operator_file/error.rs
@@ -50,13 +50,13 @@
     #[error("'{}' is no name of 1 to {MAX_NAME_BYTES} letters, digits and signs", .0.escape_debug())]
     InvalidName(String),
     #[error("'{0}' is no span from 5ms to 60s")]
-    InvalidSpan(String),
+    InvalidDuration(String),
     #[error("must be at most half of fleet.probe_every: there are two tries in it")]
     TimeoutTooLong,
     #[error("names {count} of {max} at most")]
     TooMany { count: usize, max: usize },
     #[error("wants a name and a life, as /fleet shows them")]
-    NoProcess,
+    InvalidProcess,
     #[error("'{}' {source}", .text.escape_debug())]
     InvalidIncarnation {
         text: String,
--- a/crates/proxy/src/cluster/operator_file/fields.rs
+++ b/crates/proxy/src/cluster/operator_file/fields.rs
@@ -13,8 +13,8 @@
 use super::error::{FieldError, OperatorFileError, Result};
 
 /// The shortest and the longest span that make sense between processes.
-const MIN_SPAN_US: Micros = 5_000;
-const MAX_SPAN_US: Micros = 60_000_000;
+const MIN_DURATION_US: Micros = 5_000;
+const MAX_DURATION_US: Micros = 60_000_000;
 
 impl FileReader<'_> {
     pub(super) fn error(
@@ -71,7 +71,7 @@
     }
 
     /// A span in microseconds, or the default where none is given.
-    pub(super) fn span(
+    pub(super) fn duration(
         &self,
         value: Option<&Spanned<String>>,
         field: &str,
@@ -84,8 +84,14 @@
         humantime::parse_duration(text)
             .ok()
             .and_then(|span| Micros::try_from(span.as_micros()).ok())
-            .filter(|span| (MIN_SPAN_US..=MAX_SPAN_US).contains(span))
-            .ok_or_else(|| self.error(value.span(), field, FieldError::InvalidSpan(text.clone())))
+            .filter(|span| (MIN_DURATION_US..=MAX_DURATION_US).contains(span))
+            .ok_or_else(|| {
+                self.error(
+                    value.span(),
+                    field,
+                    FieldError::InvalidDuration(text.clone()),
+                )
+            })
     }
 
     /// A process by its name and incarnation, as `/fleet` shows them.
@@ -96,7 +102,7 @@
     ) -> Result<(Rc<str>, Incarnation)> {
         let parts = value.get_ref().split_once(' ');
         let Some((name, incarnation)) = parts.filter(|(name, _)| is_valid_name(name)) else {
-            return Err(self.error(value.span(), field, FieldError::NoProcess));
+            return Err(self.error(value.span(), field, FieldError::InvalidProcess));
         };
         let parsed = incarnation.parse().map_err(|source| {
             let text = incarnation.to_owned();
--- a/crates/proxy/src/cluster/operator_file/leases.rs
+++ b/crates/proxy/src/cluster/operator_file/leases.rs
@@ -4,7 +4,8 @@
 
 use pinefront_cluster::Micros;
 use pinefront_cluster::leases::{
-    DEFAULT_LEASE_US, Lease, LeaseConfig, MAX_LEASE_US, MAX_LEASES, MAX_VOTERS, MIN_LEASE_US,
+    DEFAULT_LEASE_DURATION_US, Lease, LeaseConfig, MAX_LEASE_DURATION_US, MAX_LEASES, MAX_VOTERS,
+    MIN_LEASE_DURATION_US,
 };
 use toml::Spanned;
 
@@ -63,9 +64,9 @@
 
     fn lease_duration(&self, value: Option<&Spanned<String>>) -> Result<Micros> {
         let field = "duties.lease";
-        let duration = self.span(value, field, DEFAULT_LEASE_US)?;
+        let duration = self.duration(value, field, DEFAULT_LEASE_DURATION_US)?;
         match value {
-            Some(value) if !(MIN_LEASE_US..=MAX_LEASE_US).contains(&duration) => {
+            Some(value) if !(MIN_LEASE_DURATION_US..=MAX_LEASE_DURATION_US).contains(&duration) => {
                 let reason = FieldError::InvalidLeaseDuration(value.get_ref().clone());
                 Err(self.error(value.span(), field, reason))
             }
--- a/crates/proxy/src/cluster/operator_file/mod.rs
+++ b/crates/proxy/src/cluster/operator_file/mod.rs
@@ -55,7 +55,7 @@
     /// The zones with a shared endpoint list.
     pub shared_list_zones: SharedListZones,
     /// For members reached at another address than the one they announce: where to send instead.
-    pub via: BTreeMap<SocketAddr, SocketAddr>,
+    pub address_overrides: BTreeMap<SocketAddr, SocketAddr>,
 }
 
 /// Reads an operator file. `name` and `zone` are used where the file names none.
@@ -81,7 +81,7 @@
         let address = self.announced_address(table, listen)?;
         self.check_count(&table.seeds, MAX_SEEDS, "fleet.seeds")?;
         self.check_count(&table.confirmed_dead, MAX_CONFIRMED_DEAD, "fleet.struck")?;
-        let via = self.via(table)?;
+        let address_overrides = self.address_overrides(table)?;
         let member = self.member(table, address, name, zone)?;
         self.check_timeouts(table, &member)?;
         let lease_settings = match &file.leases {
@@ -94,7 +94,7 @@
             key: self.key(&table.key_file)?,
             leases: lease_settings.leases,
             shared_list_zones: lease_settings.shared_list_zones,
-            via,
+            address_overrides,
         })
     }
 
@@ -133,17 +133,17 @@
             address,
             seeds: self.seeds(table)?,
             started_at_us: 0,
-            probe_interval: self.span(
+            probe_interval: self.duration(
                 table.probe_interval.as_ref(),
                 "fleet.probe_every",
                 MemberConfig::DEFAULT_PROBE_INTERVAL,
             )?,
-            probe_timeout: self.span(
+            probe_timeout: self.duration(
                 table.probe_timeout.as_ref(),
                 "fleet.answer_within",
                 MemberConfig::DEFAULT_PROBE_TIMEOUT,
             )?,
-            min_suspicion: self.span(
+            min_suspicion: self.duration(
                 table.min_suspicion.as_ref(),
                 "fleet.doubt_least",
                 MemberConfig::DEFAULT_MIN_SUSPICION,
@@ -180,9 +180,9 @@
             .collect()
     }
 
-    fn via(&self, table: &FleetTable) -> Result<BTreeMap<SocketAddr, SocketAddr>> {
+    fn address_overrides(&self, table: &FleetTable) -> Result<BTreeMap<SocketAddr, SocketAddr>> {
         table
-            .via
+            .address_overrides
             .iter()
             .map(|(announced, used)| {
                 let announced = self.address(announced, "fleet.via")?;
--- a/crates/proxy/src/cluster/operator_file/schema.rs
+++ b/crates/proxy/src/cluster/operator_file/schema.rs
@@ -34,8 +34,8 @@
     pub min_suspicion: Option<Spanned<String>>,
     #[serde(default, rename = "struck")]
     pub confirmed_dead: Vec<Spanned<String>>,
-    #[serde(default)]
-    pub via: BTreeMap<Spanned<String>, Spanned<String>>,
+    #[serde(default, rename = "via")]
+    pub address_overrides: BTreeMap<Spanned<String>, Spanned<String>>,
 }
 
 /// `[duties]`: the voters of leases, and the leases.
--- a/crates/proxy/src/cluster/operator_file/tests.rs
+++ b/crates/proxy/src/cluster/operator_file/tests.rs
@@ -146,7 +146,7 @@
     assert_eq!((member.name.as_str(), member.zone.as_str()), ("b1", "a"));
     assert!(
         member.confirmed_dead.is_empty()
-            && settings.via.is_empty()
+            && settings.address_overrides.is_empty()
             && settings.shared_list_zones.is_empty()
     );
     assert!(settings.leases.is_none());
@@ -175,7 +175,10 @@
     );
     let told: SocketAddr = "10.0.0.2:7400".parse().unwrap();
     let used: SocketAddr = "192.0.2.7:7400".parse().unwrap();
-    assert_eq!(settings.via, [(told, used)].into_iter().collect());
+    assert_eq!(
+        settings.address_overrides,
+        [(told, used)].into_iter().collect()
+    );
     let FleetLeases {
         config: lease_config,
         leases,
@@ -184,7 +187,7 @@
     assert_eq!(lease_config.duration, 1_200_000);
     let names: Vec<&str> = leases.iter().map(|lease| &*lease.name).collect();
     assert_eq!(names, ["nightly-report", "roster/a"]);
-    let shared_list = (LeaseId::of("roster/a"), Rc::from("a"));
+    let shared_list = (LeaseId::from_name("roster/a"), Rc::from("a"));
     assert_eq!(
         settings.shared_list_zones,
         [shared_list].into_iter().collect()
--- a/crates/proxy/src/cluster/pages.rs
+++ b/crates/proxy/src/cluster/pages.rs
@@ -1,6 +1,6 @@
 //! The pages `GET /fleet` and `GET /duty/NAME`.
 
-use pinefront_cluster::leases::Leases;
+use pinefront_cluster::leases::LeaseManager;
 use pinefront_cluster::membership::member::{Member, ServingStatus};
 use pinefront_cluster::membership::table::MemberTable;
 use serde_json::{Value, json};
@@ -24,7 +24,7 @@
         ServingStatus::ProvenStopped(proof) => json!({"proven_gone": proof}),
     };
     let earlier: Vec<String> = table
-        .earlier_of(member)
+        .possibly_serving_earlier(member)
         .map(|earlier| earlier.incarnation.to_string())
         .collect();
     json!({
@@ -36,10 +36,10 @@
         "version": record.version,
         "state": record.state,
         "standing": standing,
-        "since_ms": elapsed_ms(member.since),
+        "since_ms": elapsed_ms(member.state_since),
         "heard_ms": member.last_received_at.map(elapsed_ms),
         "earlier": earlier,
-        "earlier_uncounted": member.earlier_uncounted,
+        "earlier_uncounted": member.unlisted_earlier_count,
     })
 }
 
@@ -69,11 +69,11 @@
             "name_taken": table.has_name_conflict(),
             "refuted": table.refutations,
             "present": table.alive().count() + 1,
-            "may_be_serving": table.count_may_serve() + 1,
+            "may_be_serving": table.count_possibly_serving() + 1,
             "members": members,
             "sent": traffic.sent,
             "sent_bytes": traffic.sent_bytes,
-            "unsent": self.unsent,
+            "unsent": self.send_failures,
             "taken": traffic.accepted,
             "dropped": traffic.dropped,
             "duties": self.leases_json(),
@@ -82,13 +82,13 @@
     }
 
     fn leases_json(&self) -> Value {
-        match (self.cluster.leases(), &self.settings.leases) {
+        match (self.cluster.lease_manager(), &self.settings.leases) {
             (Some(leases), Some(settings)) => self.active_leases_json(leases, settings),
             _ => Value::Null,
         }
     }
 
-    fn active_leases_json(&self, leases: &Leases, settings: &FleetLeases) -> Value {
+    fn active_leases_json(&self, leases: &LeaseManager, settings: &FleetLeases) -> Value {
         let voters: Vec<&str> = settings
             .config
             .voters
@@ -104,8 +104,8 @@
             "lease_ms": milliseconds(settings.config.duration),
             "majority": leases.has_quorum(),
             "roster": self.shared_list_json(),
-            "silent_voter": leases.is_silent_voter(now()),
-            "old_acts_refused": leases.stale_commands(),
+            "silent_voter": leases.is_voter_in_startup_wait(now()),
+            "old_acts_refused": leases.stale_command_count(),
             "all": all,
         })
     }
@@ -114,7 +114,7 @@
     fn lease_json(&self, name: &str) -> Option<Value> {
         let status = self.lease_status(name)?;
         let held = status.held.as_ref();
-        let term = held.map(|held| held.term).or(status.known_term);
+        let term = held.map(|held| held.term).or(status.greatest_known_term);
         Some(json!({
             "name": name,
             "held": held.is_some(),
@@ -169,7 +169,7 @@
                 json!({
                     "duty": name,
                     "held": false,
-                    "term": status.known_term.map(format_term),
+                    "term": status.greatest_known_term.map(format_term),
                 }),
             ),
         };
--- a/crates/proxy/src/cluster/pages/tests.rs
+++ b/crates/proxy/src/cluster/pages/tests.rs
@@ -67,7 +67,7 @@
             .then(|| (shared_list.id, Rc::from("a")))
             .into_iter()
             .collect(),
-        via: Default::default(),
+        address_overrides: Default::default(),
     };
     let log = Logger::root(slog::Discard, slog::o!());
     ClusterNode::open(&event_loop.handle(), settings, 1, &log).unwrap()
@@ -83,7 +83,7 @@
 fn record(number: u64, state: MemberState) -> MemberRecord {
     let address = SocketAddr::from(([127, 0, 0, 1], 9_000 + number as u16));
     let own =
-        MemberRecord::of_new_process(&format!("b{number}"), "z", address, incarnation(number));
+        MemberRecord::for_new_process(&format!("b{number}"), "z", address, incarnation(number));
     MemberRecord { state, ..own }
 }
 
@@ -166,7 +166,15 @@
     let before = page("nightly") + &page("unknown");
     assert_eq!(before, include_str!("../recorded/duty-before.txt"));
     let began = Instant::now();
-    while fleet.borrow().cluster.leases().unwrap().held(now()).count() < 2 {
+    while fleet
+        .borrow()
+        .cluster
+        .lease_manager()
+        .unwrap()
+        .held(now())
+        .count()
+        < 2
+    {
         assert!(began.elapsed() < Duration::from_secs(20), "never held");
         event_loop
             .dispatch(Some(Duration::from_millis(5)), &mut ())
--- a/crates/proxy/src/cluster/shared_lists.rs
+++ b/crates/proxy/src/cluster/shared_lists.rs
@@ -81,7 +81,7 @@
     pub fn update_role(&mut self, now: Micros, cluster: &Cluster) {
         let is_held = |lease: &LeaseId| {
             cluster
-                .leases()
+                .lease_manager()
                 .is_some_and(|leases| leases.holds(now, *lease, 0).is_some())
         };
         let holds_any = self.zones.keys().any(is_held);
--- a/crates/proxy/src/lifecycle/reload/tests.rs
+++ b/crates/proxy/src/lifecycle/reload/tests.rs
@@ -419,7 +419,7 @@
         let state = harness.proxy.state.borrow();
         let duties = |node: &ClusterNode| {
             node.cluster
-                .leases()
+                .lease_manager()
                 .map_or(0, |leases| leases.tracked().count())
         };
         state
--- a/crates/testbed/src/cluster/checker.rs
+++ b/crates/testbed/src/cluster/checker.rs
@@ -113,7 +113,7 @@
             let (MembershipEvent::Suspected(other) | MembershipEvent::Dead(other)) = event else {
                 continue;
             };
-            let Some(known) = cluster.table.named(other) else {
+            let Some(known) = cluster.table.member(other) else {
                 continue;
             };
             match event {
@@ -217,7 +217,7 @@
                 ));
             }
         }
-        let counted = cluster.table.count_may_serve();
+        let counted = cluster.table.count_possibly_serving();
         let errors = self
             .process_history
             .check_view(member, now..=now, &view_of(cluster), counted);
@@ -236,7 +236,7 @@
                 }
                 let state = cluster
                     .table
-                    .named(&member_name(other.member))
+                    .member(&member_name(other.member))
                     .filter(|known| known.record.incarnation == *other.incarnation)
                     .map(|known| known.record.state);
                 let is_wrong = match state {
@@ -278,7 +278,10 @@
 fn view_of(cluster: &Cluster) -> Vec<ViewEntry<Incarnation>> {
     let table = &cluster.table;
     let processes = table.members.iter().flat_map(|member| {
-        let earlier = member.earlier.iter().map(|earlier| earlier.incarnation);
+        let earlier = member
+            .earlier_processes
+            .iter()
+            .map(|earlier| earlier.incarnation);
         [member.record.incarnation]
             .into_iter()
             .chain(earlier)
--- a/crates/testbed/src/cluster/lease_checks.rs
+++ b/crates/testbed/src/cluster/lease_checks.rs
@@ -62,12 +62,12 @@
             let leases = process
                 .cluster
                 .as_ref()
-                .and_then(|cluster| cluster.leases());
+                .and_then(|cluster| cluster.lease_manager());
             for held in leases
                 .into_iter()
-                .flat_map(pinefront_cluster::leases::Leases::unreported)
+                .flat_map(pinefront_cluster::leases::LeaseManager::acquired_not_reported_lost)
             {
-                let until = process.true_time(held.until);
+                let until = process.true_time(held.expires_at);
                 let name = &held.lease.name;
                 self.lease_history
                     .lost(until, member, name, lease_term(held.term), "open");
--- a/crates/testbed/src/cluster/simulation.rs
+++ b/crates/testbed/src/cluster/simulation.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use pinefront_cluster::datagram::Key;
-use pinefront_cluster::leases::{DEFAULT_LEASE_US, Lease, LeaseConfig};
+use pinefront_cluster::leases::{DEFAULT_LEASE_DURATION_US, Lease, LeaseConfig};
 use pinefront_cluster::membership::events::MembershipEvent;
 use pinefront_cluster::{Cluster, MemberConfig, OutgoingDatagram};
 use pinefront_model::lease_history::{LeaseFindings, LeaseHistory};
@@ -307,7 +307,7 @@
         if !self.leases.is_empty() {
             let config = LeaseConfig {
                 voters: (0..VOTERS).map(|voter| member_name(voter).into()).collect(),
-                duration: DEFAULT_LEASE_US,
+                duration: DEFAULT_LEASE_DURATION_US,
             };
             cluster.configure_leases(local, config, self.leases.clone());
         }
--- a/crates/testbed/src/explore/state.rs
+++ b/crates/testbed/src/explore/state.rs
@@ -7,7 +7,7 @@
 use pinefront_cluster::leases::messages::LeaseMessage;
 use pinefront_cluster::leases::term::{LeaseId, Term};
 use pinefront_cluster::leases::{
-    AddressedMessage, Lease, LeaseConfig, LeaseEvent, Leases, MAX_LEASE_US,
+    AddressedMessage, Lease, LeaseConfig, LeaseEvent, LeaseManager, MAX_LEASE_DURATION_US,
 };
 use pinefront_model::Micros;
 
@@ -24,7 +24,7 @@
 /// A wait that ends this long before a lease expires is tried as well.
 const BEFORE_EXPIRY_US: Micros = 4_000;
 /// The duration of the lease: half the longest, so that few steps outlast it.
-const LEASE_DURATION_US: Micros = MAX_LEASE_US / 2;
+const LEASE_DURATION_US: Micros = MAX_LEASE_DURATION_US / 2;
 /// Rates of slow and fast clocks, in thousandths of the true one.
 const SLOW_RATE: u64 = 990;
 const FAST_RATE: u64 = 1_010;
@@ -37,7 +37,7 @@
 #[derive(Clone, Hash, PartialEq, Eq)]
 struct Node {
     name: Rc<str>,
-    leases: Leases,
+    leases: LeaseManager,
     /// The rate of its clock, in thousandths of the true one.
     rate: u64,
     /// How many processes it has had.
@@ -109,10 +109,11 @@
         // whoever forgets.
         let wall_clock_offset_ms = 1_000_000 + now / 1_000 - at / 1_000;
         let own_id = process_id(member, process);
-        let mut leases = Leases::new(at, config, Rc::clone(&name), own_id, wall_clock_offset_ms)
-            .with_fault(at, options.injected_fault);
+        let mut leases =
+            LeaseManager::new(at, config, Rc::clone(&name), own_id, wall_clock_offset_ms)
+                .with_fault(at, options.injected_fault);
         if member >= VOTERS {
-            leases.track(at, vec![Lease::new(LEASE_NAME, None)]);
+            leases.set_leases(at, vec![Lease::new(LEASE_NAME, None)]);
         }
         Self {
             name,
@@ -146,10 +147,11 @@
         let mut nodes: Vec<Node> = (0..VOTERS + options.candidates)
             .map(|member| Node::start(member, 0, rate(member), 1, options))
             .collect();
-        let now = MAX_LEASE_US * 2;
+        let now = MAX_LEASE_DURATION_US * 2;
         for node in &mut nodes[VOTERS..] {
             let at = node.local_time(now);
-            node.leases.track(at, vec![Lease::new(LEASE_NAME, None)]);
+            node.leases
+                .set_leases(at, vec![Lease::new(LEASE_NAME, None)]);
         }
         Self {
             now,
@@ -187,7 +189,7 @@
     }
 
     fn holders(&self) -> Vec<usize> {
-        let lease = LeaseId::of(LEASE_NAME);
+        let lease = LeaseId::from_name(LEASE_NAME);
         let holds = |member: &usize| {
             let node = &self.nodes[*member];
             let at = node.local_time(self.now);
@@ -236,8 +238,8 @@
     fn add_waits(&self, steps: &mut Vec<Step>) {
         steps.extend(WAITS_US.map(Step::Wait));
         for node in &self.nodes[VOTERS..] {
-            for held in node.leases.unreported() {
-                let expires_at = held.until * 1_000 / node.rate;
+            for held in node.leases.acquired_not_reported_lost() {
+                let expires_at = held.expires_at * 1_000 / node.rate;
                 let at = expires_at.saturating_sub(BEFORE_EXPIRY_US);
                 if at > self.now {
                     steps.push(Step::Wait(at - self.now));
@@ -288,7 +290,7 @@
                 let to = Rc::clone(&self.nodes[to].name);
                 let node = &mut self.nodes[from];
                 let at = node.local_time(now);
-                let lease = LeaseId::of(LEASE_NAME);
+                let lease = LeaseId::from_name(LEASE_NAME);
                 node.leases.send_command(at, lease, &to, 0, Vec::new());
                 self.process_output(from)
             }
