--- a/crates/cluster/src/cluster/gossip.rs
+++ b/crates/cluster/src/cluster/gossip.rs
@@ -10,22 +10,23 @@
 use crate::messages::{MemberState, Message};
 use crate::timers::Timer;
 
-/// How often changed records are sent.
+/// The interval at which changed records are sent.
 pub(super) const GOSSIP_INTERVAL_US: Micros = 100_000;
-/// How many members they are sent to.
+/// The number of members to which changed records are sent at each interval.
 const GOSSIP_FANOUT: usize = 3;
-/// How often a part of the table is sent to a member, so that records lost everywhere arrive
-/// eventually.
+/// The interval at which a part of the table is sent to a member, so that records arrive eventually
+/// even if all datagrams with them were lost.
 pub(super) const SYNC_INTERVAL_US: Micros = 1_000_000;
-/// How often a dead member is probed, by which the halves of a partition find each other.
+/// The interval at which a dead member is probed, so that the sides of a network partition rejoin
+/// after it.
 pub(super) const DEAD_PROBE_INTERVAL_US: Micros = 500_000;
-/// How often a seed is contacted while no member is known.
+/// The shortest interval at which a seed is contacted while no other member is alive.
 const SEED_INTERVAL_ALONE_US: Micros = 300_000;
-/// How often a seed is contacted while one is not among the members.
+/// The shortest interval at which a seed is contacted while a seed is not among the alive members.
 const SEED_INTERVAL_US: Micros = 2_000_000;
 
 impl Cluster {
-    /// Sends changed records to some members.
+    /// Sends changed records to random members that are alive or suspected.
     pub(super) fn gossip(&mut self) {
         self.timers
             .schedule(self.now + GOSSIP_INTERVAL_US, Timer::Gossip);
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Exchanges a part of the table with a member.
+    /// Exchanges a part of the table with a random member that is alive.
     pub(super) fn sync_table(&mut self) {
         self.timers
             .schedule(self.now + SYNC_INTERVAL_US, Timer::TableSync);
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Probes a dead member.
+    /// Probes a random dead member.
     pub(super) fn probe_dead_member(&mut self) {
         self.timers
             .schedule(self.now + DEAD_PROBE_INTERVAL_US, Timer::DeadProbe);
@@ -64,8 +65,8 @@
         }
     }
 
-    /// Contacts a seed that is not among the members: at the start, and after a partition was
-    /// forgotten.
+    /// Contacts a seed that is not among the alive members: at the start, and after a partition
+    /// whose other side is no longer in the table.
     pub(super) fn contact_seed(&mut self) {
         let is_alone = self.table.alive().next().is_none();
         let interval = if is_alone {
--- a/crates/cluster/src/cluster/lease_control.rs
+++ b/crates/cluster/src/cluster/lease_control.rs
@@ -11,8 +11,8 @@
 use crate::timers::Timer;
 
 impl Cluster {
-    /// Takes part in these leases from now on. A changed configuration makes this process a new
-    /// voter, which grants nothing at first.
+    /// Requests the given leases from now on, and votes if this member is a voter. With a changed
+    /// configuration this process becomes a new voter, which grants nothing at first.
     pub fn configure_leases(&mut self, now: Micros, config: LeaseConfig, leases: Vec<Lease>) {
         self.now = self.now.max(now);
         let is_current = self
@@ -47,7 +47,7 @@
         });
     }
 
-    /// Releases all leases and takes part in none from now on.
+    /// Releases all leases and requests none from now on.
     pub fn disable_leases(&mut self, now: Micros) {
         self.now = self.now.max(now);
         if let Some(leases) = &mut self.lease_manager {
@@ -57,12 +57,12 @@
         self.send_lease_messages();
     }
 
-    /// The lease manager, where leases were configured.
+    /// The lease manager, if leases have been configured.
     pub fn lease_manager(&self) -> Option<&LeaseManager> {
         self.lease_manager.as_ref()
     }
 
-    /// Takes the lease events since the last call.
+    /// Removes and returns the lease events since the last call.
     pub fn take_lease_events(&mut self) -> Vec<LeaseEvent> {
         self.lease_manager
             .as_mut()
@@ -70,8 +70,8 @@
             .unwrap_or_default()
     }
 
-    /// Sends a command in the name of a lease if this member holds it for `required` longer.
-    /// Returns whether it was sent.
+    /// Sends a command under a lease if this member holds the lease for at least `required` longer.
+    /// Returns whether the command was sent.
     pub fn send_command(
         &mut self,
         now: Micros,
--- a/crates/cluster/src/cluster/mod.rs
+++ b/crates/cluster/src/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! One member of a fleet: its public operations and the state behind them.
+//! One member of a fleet: its public operations and its state.
 //!
 //! Datagrams are handled in `receive`, probes in `probing`, suspicions in `suspicions`, periodic
 //! messages in `gossip`, sending in `send`, and the lease manager is connected in `lease_control`.
@@ -28,10 +28,10 @@
 use crate::messages::{MemberRecord, MemberState, Message};
 use crate::timers::{Timer, Timers};
 
-/// A timer that runs later than this shows that the process was paused or starved, and that what it
-/// waits for may still lie in its socket.
+/// A timer that runs later than this shows that the process was paused or starved, and that the
+/// replies it waits for may still be unread in its socket.
 const PAUSE_THRESHOLD_US: Micros = 300_000;
-/// The number of members that are told when this one leaves; they tell the others.
+/// The number of members to which a leaving member announces it. They disseminate it to the others.
 const LEAVE_FANOUT: usize = 12;
 
 /// A datagram to send.
@@ -43,16 +43,16 @@
     pub bytes: Vec<u8>,
 }
 
-/// Datagrams since the start of the process.
+/// Counters of datagrams since the start of the process.
 #[derive(Clone, Debug, Default)]
 pub struct TrafficCounters {
-    /// Datagrams sent.
+    /// The number of datagrams sent.
     pub sent: u64,
-    /// Their bytes.
+    /// The number of bytes in the datagrams sent.
     pub sent_bytes: u64,
-    /// Datagrams accepted.
+    /// The number of datagrams accepted.
     pub accepted: u64,
-    /// Datagrams and records that were not accepted, by reason.
+    /// The number of datagrams and records rejected, by reason.
     pub dropped: BTreeMap<DropReason, u64>,
 }
 
@@ -62,7 +62,7 @@
     key: Key,
     incarnation: Incarnation,
     rng: WyRand,
-    /// The members as this process knows them.
+    /// The table of members.
     pub table: MemberTable,
     failure_detector: FailureDetector,
     dissemination: Dissemination,
@@ -72,26 +72,26 @@
     sequence_number: u64,
     outgoing: Vec<OutgoingDatagram>,
     traffic: TrafficCounters,
-    /// The latest time that was given.
+    /// The latest time that the caller passed in.
     now: Micros,
-    /// After a pause: nobody is suspected until a probe with this number or a later one is
-    /// answered.
+    /// Set after a pause of this process: no member is suspected until there is a reply to a probe
+    /// with this number or a later one.
     min_confirming_probe: Option<u32>,
     pause_count: u64,
-    /// The index in the table where the next part to send begins.
+    /// The index in the table of the last record considered for a part.
     sync_cursor: usize,
-    /// The lease manager, where the configuration names voters.
+    /// The lease manager, if leases are configured.
     lease_manager: Option<LeaseManager>,
-    /// When the lease manager's timer is scheduled.
+    /// The time for which the lease manager's timer is scheduled.
     lease_timer_at: Micros,
-    /// When senders with a superseded incarnation were last replied to, by name.
+    /// The time of the last reply to each sender with a superseded incarnation, by name.
     old_incarnation_replies: BTreeMap<String, Micros>,
-    /// Nothing is sent before, since another process has this member's name.
+    /// No datagram is sent before this time, because another process has this member's name.
     send_disabled_until: Micros,
 }
 
 impl Cluster {
-    /// Creates a member at local time `now`. `seed` determines all its random choices.
+    /// Creates a member at local time `now`. `seed` determines all random choices of the member.
     pub fn new(config: MemberConfig, key: Key, seed: u64, now: Micros) -> Self {
         let mut rng = WyRand::new_seed(seed);
         let incarnation = Incarnation {
@@ -130,7 +130,7 @@
     }
 
     /// Schedules the periodic timers at random times within their intervals, so that members that
-    /// start together do not send at once.
+    /// start together do not send at the same time.
     fn schedule_first_timers(&mut self) {
         for (interval, timer) in [
             (self.config.probe_interval, Timer::ProbeRound),
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Injects a fault, to show that a check finds it.
+    /// Injects a fault to verify that a check detects it.
     #[cfg(feature = "planted")]
     pub fn inject_fault(&mut self, fault: InjectedFault) {
         self.table.injected_fault = Some(fault);
@@ -156,33 +156,33 @@
         self.incarnation
     }
 
-    /// Datagrams since the start of the process.
+    /// Counters of datagrams since the start of the process.
     pub fn traffic(&self) -> &TrafficCounters {
         &self.traffic
     }
 
-    /// Whether a member has answered since the last pause of this process. Until then it cannot
-    /// tell who is alive.
+    /// Whether a member has replied since the last pause of this process. Until then this process
+    /// cannot determine which members are alive.
     pub fn is_reachable(&self) -> bool {
         self.min_confirming_probe.is_none()
     }
 
-    /// How often this process was paused.
+    /// The number of times that this process was paused.
     pub fn pause_count(&self) -> u64 {
         self.pause_count
     }
 
-    /// When [`Cluster::run_timers`] has to be called at the latest.
+    /// The latest time at which [`Cluster::run_timers`] must be called.
     pub fn next_timer(&self) -> Micros {
         self.timers.next().unwrap_or(Micros::MAX)
     }
 
-    /// Takes the datagrams to send.
+    /// Removes and returns the datagrams to send.
     pub fn take_datagrams(&mut self) -> Vec<OutgoingDatagram> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// Takes the membership events since the last call.
+    /// Removes and returns the membership events since the last call.
     pub fn take_events(&mut self) -> Vec<MembershipEvent> {
         std::mem::take(&mut self.table.events)
     }
@@ -213,13 +213,13 @@
             Timer::TableSync => self.sync_table(),
             Timer::DeadProbe => self.probe_dead_member(),
             Timer::Seeds => self.contact_seed(),
-            // A timer that was replaced by an earlier one has nothing to do.
+            // A timer that was replaced by one with an earlier time has no effect.
             Timer::LeaseManager if self.now >= self.lease_timer_at => self.run_lease_timers(),
             Timer::LeaseManager => {}
         }
     }
 
-    /// Advances the time, and notices if the process did not run meanwhile.
+    /// Advances the time, and detects whether the process did not run in the meantime.
     fn advance_time(&mut self, now: Micros) {
         self.now = self.now.max(now);
         let late = self.now.saturating_sub(self.next_timer());
@@ -229,8 +229,8 @@
         }
     }
 
-    /// Records that the process did not run for `duration`. The caller may know so by other means
-    /// as well.
+    /// Records that the process did not run for `duration`. The caller may detect a pause by other
+    /// means, too.
     pub fn record_pause(&mut self, now: Micros, duration: Micros) {
         self.now = self.now.max(now);
         if self.table.has_fault(InjectedFault::PauseUnnoticed) {
@@ -238,8 +238,8 @@
         }
         self.pause_count += 1;
         self.table.events.push(MembershipEvent::Paused(duration));
-        // Only a reply to a probe sent from now on shows that others receive us: older ones lay in
-        // the socket.
+        // Only a reply to a probe sent from now on shows that other members receive this one: older
+        // replies waited in the socket.
         self.min_confirming_probe = Some(self.failure_detector.last_number.wrapping_add(1));
         self.failure_detector.current_probe = None;
         self.failure_detector.increase_health_penalty();
@@ -250,7 +250,8 @@
         self.send_lease_messages();
     }
 
-    /// Takes seeds, intervals, confirmations and key from a new configuration. The identity stays.
+    /// Applies the seeds, intervals, confirmations and key of a new configuration. The identity of
+    /// the member does not change.
     pub fn update_config(&mut self, config: &MemberConfig, key: Key) {
         self.key = key;
         self.config.seeds.clone_from(&config.seeds);
@@ -280,7 +281,7 @@
         }
     }
 
-    /// Counts a datagram or record that was not accepted.
+    /// Counts a rejected datagram or record, and returns the new count for the reason.
     fn count_dropped(&mut self, reason: DropReason) -> u64 {
         let count = self.traffic.dropped.entry(reason).or_default();
         *count += 1;
--- a/crates/cluster/src/cluster/probing.rs
+++ b/crates/cluster/src/cluster/probing.rs
@@ -1,4 +1,5 @@
-//! Probing of members: one each round, repeated and relayed through others if there is no reply.
+//! Probing of members: one member in each round. A probe without a reply is repeated and relayed
+//! through other members.
 
 use std::rc::Rc;
 
@@ -9,7 +10,7 @@
 use crate::messages::{MemberRecord, MemberState, Message};
 use crate::timers::Timer;
 
-/// How many members are asked to relay a probe.
+/// The number of members that are requested to relay a probe.
 const PROBE_REQUESTS: usize = 3;
 
 impl Cluster {
@@ -56,8 +57,8 @@
         self.timers.schedule(retry_at, Timer::ProbeRetry);
     }
 
-    /// Repeats a probe that got no reply, and asks others to relay it, since the fault may lie in
-    /// the network between or with this process.
+    /// Repeats a probe that has had no reply, and requests other members to relay it, since the
+    /// fault may be in the network path or in this process.
     pub(super) fn retry_probe(&mut self) {
         let Some(probe) = &self.failure_detector.current_probe else {
             return;
@@ -102,8 +103,8 @@
         if probe.is_answered {
             return self.failure_detector.decrease_health_penalty();
         }
-        // If members that were asked to relay do not even report, the fault may be with this
-        // process.
+        // If members that were requested to relay the probe do not report a result either, the
+        // fault may be in this process.
         if probe.relays_reported < probe.relays_requested {
             self.failure_detector.increase_health_penalty();
         }
@@ -117,15 +118,15 @@
         {
             return;
         }
-        let is_first = known.state == MemberState::Alive;
+        let was_alive = known.state == MemberState::Alive;
         let record = MemberRecord {
             state: MemberState::Suspected,
             suspected_by: self.incarnation.random_id,
             ..known.clone()
         };
         self.merge_record(&record);
-        if is_first {
-            // The suspected member is told first, so that it can refute.
+        if was_alive {
+            // The suspicion is sent to the suspected member first, so that it can refute it.
             self.send(record.address, Message::Gossip, vec![record]);
         }
     }
@@ -164,10 +165,10 @@
         }
     }
 
-    /// A reply to a probe sent after a pause shows that others receive this member, so that missing
-    /// replies are a sign of their failure again.
+    /// Ends the time without suspicions after a pause. A reply to a probe sent after the pause
+    /// shows that other members receive this one, so missing replies indicate their failure again.
     fn confirm_reachable(&mut self, number: u32) {
-        // Numbers wrap around: those within half the range are later.
+        // Probe numbers wrap around: a number is later if it is ahead by less than half the range.
         let is_later = |from: u32| number.wrapping_sub(from) < u32::MAX / 2;
         if self.min_confirming_probe.is_some_and(is_later) {
             self.min_confirming_probe = None;
--- a/crates/cluster/src/cluster/receive.rs
+++ b/crates/cluster/src/cluster/receive.rs
@@ -1,4 +1,4 @@
-//! Received datagrams: checks, records, and the message.
+//! Received datagrams: checks, merging of the records, and handling of the message.
 
 use std::rc::Rc;
 
@@ -10,10 +10,10 @@
 use crate::messages::{MAX_NAME_BYTES, MemberRecord, MemberState, Message};
 use crate::timers::Timer;
 
-/// A sender with a superseded incarnation is replied to at most this often; a member that was dead
-/// and sends again is sent the table at most this often.
+/// The shortest interval between two replies to a sender with a superseded incarnation, and between
+/// two sends of the table to a member that was dead and sends again.
 const CORRECTION_INTERVAL_US: Micros = 500_000;
-/// How long this process sends nothing after another process proved to have its name.
+/// How long this process sends nothing after it was established that another process has its name.
 const NAME_CONFLICT_SEND_PAUSE_US: Micros = 30_000_000;
 
 impl Cluster {
@@ -56,8 +56,8 @@
         })
     }
 
-    /// Sends a process that lost its memory the record of the process before it, so that it takes a
-    /// greater refutation counter.
+    /// Sends a process that has lost its state in a restart the record of the previous process, so
+    /// that it chooses a greater refutation counter.
     fn reply_to_old_incarnation(&mut self, datagram: &Datagram) {
         let last_reply = self.old_incarnation_replies.get(&datagram.sender);
         if last_reply.is_some_and(|at| self.now < at + CORRECTION_INTERVAL_US) {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Merges a record and disseminates it if it is news.
+    /// Merges a record, and disseminates it if it changed the table.
     pub(super) fn merge_record(&mut self, record: &MemberRecord) {
         match self.table.merge(self.now, record) {
             MergeOutcome::Unchanged => {}
@@ -105,7 +105,8 @@
         }
     }
 
-    /// Records that a datagram of a member arrived, and tells it what is wrong about it here.
+    /// Records that a datagram of a member arrived. A member that is suspected or dead here is sent
+    /// its record, and a new or returning member is sent the table.
     fn record_sender(&mut self, index: usize, datagram: &Datagram, was_known: bool) {
         let name = Rc::clone(&self.table.members[index].record.name);
         self.table.record_received(&name, datagram.incarnation);
@@ -121,8 +122,8 @@
         let address = member.record.address;
         let state = member.record.state;
         let is_disputed = !matches!(state, MemberState::Alive | MemberState::Left);
-        // Gossip is not answered by gossip: two members that hold each other for dead would never
-        // end.
+        // There is no reply to gossip: two members that consider each other dead would reply to
+        // each other without end.
         if is_disputed && datagram.message != Message::Gossip {
             let record = member.record.clone();
             self.send(address, Message::Gossip, vec![record]);
--- a/crates/cluster/src/cluster/send.rs
+++ b/crates/cluster/src/cluster/send.rs
@@ -1,4 +1,4 @@
-//! Sending: choice of receivers, records that ride on messages, and sealing.
+//! Sending of messages: choice of receivers, piggybacked records, and sealing.
 
 use std::net::SocketAddr;
 
@@ -9,13 +9,13 @@
 use crate::membership::member::Member;
 use crate::messages::{MemberRecord, MemberState, Message};
 
-/// The largest number of table parts sent at once to a member that is new or came back.
+/// The largest number of table parts sent at once to a new or returning member.
 const MAX_PARTS_AT_ONCE: usize = 8;
 /// The number of members for which one table part is sent.
 const MEMBERS_PER_PART: usize = 8;
 
 impl Cluster {
-    /// Up to `count` random members that satisfy the condition, as indices into the table.
+    /// Returns up to `count` random members that satisfy the condition, as indices into the table.
     pub(super) fn random_members(
         &mut self,
         count: usize,
@@ -34,7 +34,7 @@
         indices
     }
 
-    /// Sends the table to a member that is new or came back, as far as a few datagrams hold it.
+    /// Sends the table to a new or returning member, in at most [`MAX_PARTS_AT_ONCE`] datagrams.
     pub(super) fn send_table(&mut self, index: usize) {
         let members = self.table.members.len();
         let parts = members
@@ -45,7 +45,8 @@
         }
     }
 
-    /// Sends as many records as fit into a datagram; the next part begins where this one ends.
+    /// Sends as many records as fit into a datagram. The next part begins after the first record
+    /// that did not fit.
     pub(super) fn send_table_part(&mut self, index: usize, reply_wanted: bool) {
         let Some(member) = self.table.members.get(index) else {
             return;
@@ -66,7 +67,7 @@
         self.seal_and_queue(address, &datagram);
     }
 
-    /// Sends a message to a member, with its own record if that is one it should refute.
+    /// Sends a message to a member, with the member's own record if the member should refute it.
     pub(super) fn send_to_member(&mut self, index: usize, message: Message) {
         let record = self.table.members[index].record.clone();
         let address = record.address;
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Sends a message with the given records and as many changed ones as fit beside them.
+    /// Sends a message with the given records and as many changed ones as fit into the datagram.
     pub(crate) fn send(
         &mut self,
         address: SocketAddr,
--- a/crates/cluster/src/cluster/suspicions.rs
+++ b/crates/cluster/src/cluster/suspicions.rs
@@ -1,4 +1,4 @@
-//! Suspicions: how long they last, and their end in death.
+//! Suspicions: their duration and their expiry.
 
 use std::rc::Rc;
 
@@ -7,15 +7,15 @@
 use crate::messages::{MemberRecord, MemberState};
 use crate::timers::Timer;
 
-/// The longest suspicion relative to the shortest one. Independent suspicions shorten it from the
-/// one to the other.
+/// The ratio of the longest suspicion to the shortest one. Independent suspicions shorten a
+/// suspicion from the longest to the shortest.
 const MAX_TO_MIN_SUSPICION_RATIO: f64 = 3.0;
-/// The number of independent suspicions at which it is shortest.
+/// The number of independent suspicions at which a suspicion is shortest.
 const SUSPICIONS_FOR_MIN_TIMEOUT: f64 = 3.0;
 
 impl Cluster {
-    /// How long a suspicion lasts: shorter the more processes share it, and longer in a larger
-    /// fleet, where news takes longer to arrive.
+    /// Returns how long a suspicion lasts: shorter if more processes share it, and longer in a
+    /// larger fleet, where a refutation takes longer to arrive.
     fn suspicion_timeout(&self, suspecting_count: usize) -> Micros {
         let members = self.table.members.len() as f64 + 1.0;
         let min = self.config.min_suspicion as f64 * members.log10().max(1.0);
@@ -25,7 +25,7 @@
         (min * factor) as Micros
     }
 
-    /// Schedules the end of the suspicion of a member, where there is one.
+    /// Schedules the expiry of the suspicion of a member, if there is one.
     pub(super) fn schedule_suspicion_timer(&mut self, name: &Rc<str>) {
         let member = self.table.member(name);
         let Some(suspicion) = member.and_then(|member| member.suspicion.as_ref()) else {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Declares a member dead if its suspicion has lasted its time.
+    /// Declares a member dead if its suspicion has lasted for the timeout.
     pub(super) fn expire_suspicion(&mut self, name: &str) {
         let Some(member) = self.table.member(name) else {
             return;
@@ -59,8 +59,8 @@
             return;
         };
         let ends_at = suspicion.started_at + self.suspicion_timeout(suspicion.suspecting_ids.len());
-        // Without replies after a pause nobody is declared dead; suspicions restart with the first
-        // reply.
+        // After a pause of this process no member is declared dead until one has replied.
+        // Suspicions restart with the first reply.
         if !self.is_reachable() || ends_at > self.now {
             return;
         }
--- a/crates/cluster/src/datagram.rs
+++ b/crates/cluster/src/datagram.rs
@@ -1,5 +1,5 @@
-//! Datagrams and how they are sealed. Nothing of a datagram is read before its keyed hash has been
-//! checked; datagrams that are not accepted are counted by reason.
+//! Encoding and authentication of datagrams. The contents of a datagram are decoded only after its
+//! keyed hash has been checked. Rejected datagrams are counted by reason.
 
 mod replay_filter;
 
@@ -10,26 +10,26 @@
 
 pub use replay_filter::ReplayFilter;
 
-/// The largest datagram, which passes any network without fragmentation.
+/// The largest datagram, which crosses any network without fragmentation.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
-/// The shortest key; a shorter one could be guessed.
+/// The shortest accepted key; a shorter one could be guessed.
 pub const MIN_KEY_BYTES: usize = 16;
 /// The length of the keyed hash at the head of a datagram.
 const HASH_BYTES: usize = 32;
-/// The length of the version that follows it.
+/// The length of the protocol version, which follows the keyed hash.
 const VERSION_BYTES: usize = 1;
-/// The context of the key derivation: the derived key is of no use elsewhere.
+/// The context of the key derivation, which makes the derived key useless for any other purpose.
 const KEY_CONTEXT: &str = "pinefront accord datagrams 1";
-/// The oldest protocol version that is read.
+/// The oldest protocol version that is accepted.
 const MIN_READ_VERSION: u8 = 1;
 
 /// The secret that all members of a fleet share. It is never printed.
 #[derive(Clone)]
 pub struct Key([u8; 32]);
 
-/// A key file with too few bytes.
+/// The error for a key file with too few bytes.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the key has {0} bytes; {MIN_KEY_BYTES} are the fewest")]
+#[error("key has {0} bytes: expected at least {MIN_KEY_BYTES}")]
 pub struct KeyTooShort(usize);
 
 impl Key {
@@ -37,7 +37,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if fewer than [`MIN_KEY_BYTES`] are left.
+    /// Returns an error if fewer than [`MIN_KEY_BYTES`] remain.
     pub fn new(bytes: &[u8]) -> Result<Self, KeyTooShort> {
         let bytes = bytes.trim_ascii();
         if bytes.len() >= MIN_KEY_BYTES {
@@ -51,52 +51,54 @@
 /// The contents of a datagram.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub struct Datagram {
-    /// The fleet of the sender.
+    /// The name of the sender's fleet.
     pub fleet: String,
     /// The name of the sender.
     pub sender: String,
-    /// The process of the sender.
+    /// The incarnation of the sender's process.
     pub incarnation: Incarnation,
     /// The sender's refutation counter.
     pub refutation_counter: u64,
-    /// Increases with each datagram of the process.
+    /// The sequence number, which increases with each datagram of the process.
     pub sequence_number: u64,
     /// The message.
     pub message: Message,
-    /// Records of members, the sender's own first.
+    /// The records of members, the sender's own first.
     pub records: Vec<MemberRecord>,
 }
 
-/// Why a datagram was not accepted.
+/// The reason why a datagram was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DropReason {
-    /// Longer than [`MAX_DATAGRAM_BYTES`] or shorter than a hash.
+    /// The datagram is longer than [`MAX_DATAGRAM_BYTES`] or shorter than a hash.
     Size,
-    /// The keyed hash is wrong: another key, corrupted, or truncated.
+    /// The keyed hash does not match: the sender has another key, or the datagram was corrupted or
+    /// truncated.
     Hash,
-    /// A protocol version that is not read.
+    /// The protocol version is not accepted.
     Version,
-    /// It cannot be decoded, or holds invalid names.
+    /// The datagram cannot be decoded, or contains invalid names.
     #[serde(rename = "form")]
     Malformed,
-    /// From another fleet with the same key.
+    /// The sender belongs to another fleet that has the same key.
     #[serde(rename = "fleet")]
     ForeignFleet,
-    /// Its sequence number was seen before or is too old.
+    /// The sequence number was received before or is too old.
     Replayed,
-    /// From a process that a later one of the same name has superseded.
+    /// The sender has been superseded by a later process of the same name.
     #[serde(rename = "old")]
     OldIncarnation,
     /// The member table is full.
     #[serde(rename = "full")]
     TableFull,
-    /// Sent by this process itself.
+    /// The datagram was sent by this process itself.
     #[serde(rename = "own")]
     OwnDatagram,
 }
 
-/// Encodes and seals a datagram. Returns nothing if it would be longer than [`MAX_DATAGRAM_BYTES`].
+/// Encodes a datagram and prepends its keyed hash. Returns `None` if it would be longer than
+/// [`MAX_DATAGRAM_BYTES`].
 pub fn seal(key: &Key, datagram: &Datagram) -> Option<Vec<u8>> {
     let mut bytes = vec![0; HASH_BYTES];
     bytes.push(PROTOCOL_VERSION);
@@ -112,11 +114,11 @@
     HASH_BYTES + VERSION_BYTES + body
 }
 
-/// Opens a sealed datagram of a fleet.
+/// Verifies and decodes a sealed datagram of the given fleet.
 ///
 /// # Errors
 ///
-/// Fails with the reason why it is not accepted.
+/// Returns the reason if the datagram is rejected.
 pub fn open(key: &Key, fleet: &str, bytes: &[u8]) -> Result<Datagram, DropReason> {
     if bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(DropReason::Size);
--- a/crates/cluster/src/datagram/replay_filter.rs
+++ b/crates/cluster/src/datagram/replay_filter.rs
@@ -5,18 +5,19 @@
 use super::{Datagram, DropReason};
 use crate::Incarnation;
 
-/// How far datagrams of one process may overtake one another, in sequence numbers; later ones are
-/// rejected.
+/// The largest accepted distance by which datagrams of one process overtake one another, in
+/// sequence numbers. Datagrams that arrive later are rejected.
 pub(super) const REPLAY_WINDOW_LENGTH: u64 = 128;
-/// The largest number of senders whose sequence numbers are kept, above that of members.
+/// The largest number of senders whose sequence numbers are kept. It exceeds the largest number of
+/// members.
 pub(super) const MAX_REPLAY_WINDOWS: usize = 4_096;
 
-/// The sequence numbers seen of one process.
+/// The sequence numbers received from one process.
 struct ReplayWindow {
     incarnation: Incarnation,
     highest: u64,
-    /// Bit n is set if `highest - n` was seen.
-    seen: u128,
+    /// Bit n is set if `highest - n` was received.
+    received: u128,
     last_used: u64,
 }
 
@@ -25,7 +26,7 @@
         Self {
             incarnation: datagram.incarnation,
             highest: datagram.sequence_number,
-            seen: 1,
+            received: 1,
             last_used,
         }
     }
@@ -34,24 +35,24 @@
         if sequence_number > self.highest {
             let ahead = sequence_number - self.highest;
             let shifted = if ahead < REPLAY_WINDOW_LENGTH {
-                self.seen << ahead
+                self.received << ahead
             } else {
                 0
             };
-            self.seen = shifted | 1;
+            self.received = shifted | 1;
             self.highest = sequence_number;
             return Ok(());
         }
         let behind = self.highest - sequence_number;
-        if behind >= REPLAY_WINDOW_LENGTH || self.seen >> behind & 1 == 1 {
+        if behind >= REPLAY_WINDOW_LENGTH || self.received >> behind & 1 == 1 {
             return Err(DropReason::Replayed);
         }
-        self.seen |= 1 << behind;
+        self.received |= 1 << behind;
         Ok(())
     }
 }
 
-/// The sequence numbers seen of each sender. A new process of a name starts a new window.
+/// The sequence numbers received from each sender. A new process of a sender starts a new window.
 #[derive(Default)]
 pub struct ReplayFilter {
     windows: BTreeMap<String, ReplayWindow>,
@@ -61,11 +62,11 @@
 }
 
 impl ReplayFilter {
-    /// Accepts the sequence number of a datagram once.
+    /// Accepts each sequence number of a sender's process once.
     ///
     /// # Errors
     ///
-    /// Fails with [`DropReason::Replayed`] if it was seen before or is too old.
+    /// Returns [`DropReason::Replayed`] if the sequence number was received before or is too old.
     pub fn accept(&mut self, datagram: &Datagram) -> Result<(), DropReason> {
         #[cfg(feature = "planted")]
         if self.accepts_replays {
@@ -92,7 +93,7 @@
         self.windows.len()
     }
 
-    /// Removes the window that was used longest ago if there are too many.
+    /// Removes the least recently used window if there are [`MAX_REPLAY_WINDOWS`].
     fn evict_if_full(&mut self) {
         if self.windows.len() < MAX_REPLAY_WINDOWS {
             return;
--- a/crates/cluster/src/fault_injection.rs
+++ b/crates/cluster/src/fault_injection.rs
@@ -1,28 +1,29 @@
-//! Faults that tests inject to show that a check finds them.
+//! Faults that tests inject to verify that a check detects them.
 
-/// A deliberate fault in the membership protocol. Without the feature `planted` none is ever set.
+/// A deliberate fault in the membership protocol. A fault can be set only with the feature
+/// `planted`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
     /// A member does not refute suspicions of itself.
     NoRefutation,
     /// A refutation decreases the refutation counter.
     RefutationCounterDecreases,
-    /// A process that is dead to the others counts as stopped.
+    /// A process that other members consider dead is counted as stopped.
     UnresponsiveCountsAsStopped,
     /// Replayed datagrams are accepted.
     AcceptsReplays,
-    /// A member is suspected without asking others to probe it.
+    /// A member is suspected without a request to other members to probe it.
     SuspectsWithoutProbeRequests,
-    /// A member leaves without telling the others.
+    /// A member leaves without an announcement to other members.
     LeavesUnannounced,
     /// A record with an old refutation counter is accepted.
     AcceptsOldRecords,
-    /// A process does not notice that it was paused.
+    /// A process does not detect that it was paused.
     PauseUnnoticed,
 }
 
 impl InjectedFault {
-    /// All faults by their name on the command line.
+    /// All faults with their names on the command line.
     pub const ALL: [(&str, Self); 8] = [
         ("no-refutation", Self::NoRefutation),
         ("incarnation-goes-back", Self::RefutationCounterDecreases),
--- a/crates/cluster/src/incarnation.rs
+++ b/crates/cluster/src/incarnation.rs
@@ -1,16 +1,17 @@
-//! The identity of one process among all processes of a member's name.
+//! The identity of one process of a member.
 
 use std::fmt;
 use std::str::FromStr;
 
 use serde::{Deserialize, Serialize};
 
-/// One process of a member. A later process of the name usually has a greater incarnation.
+/// Identifies one process of a member. A later process of the same member usually has a greater
+/// incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation {
-    /// Unix time of the start in microseconds, by the process's own clock, which may be wrong.
+    /// The Unix time of the start in microseconds, by the process's own clock, which may be wrong.
     pub started_at_us: u64,
-    /// A random number that tells apart processes that started at once.
+    /// A random number that distinguishes processes with the same start time.
     pub random_id: u64,
 }
 
@@ -20,9 +21,9 @@
     }
 }
 
-/// A text that is no incarnation.
+/// The error for a text that is not a valid incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("is no life as /fleet shows it, such as 1878a0c41c8c0-00c0ffee00c0ffee")]
+#[error("expected a life as shown by /fleet, such as 1878a0c41c8c0-00c0ffee00c0ffee")]
 pub struct InvalidIncarnation;
 
 impl FromStr for Incarnation {
--- a/crates/cluster/src/leases/assignment.rs
+++ b/crates/cluster/src/leases/assignment.rs
@@ -1,18 +1,18 @@
 //! Assignment of leases to candidates, by rendezvous hashing with bounded loads (Thaler and
-//! Ravishankar, 1998; Mirrokni, Thorup and Zadimoghaddam, 2018). It decides who requests a lease
-//! first; that no two members hold one lease is ensured by the votes, so members with different
-//! views lose time and nothing else.
+//! Ravishankar, 1998; Mirrokni, Thorup and Zadimoghaddam, 2018). The assignment determines only
+//! which member requests a lease first. The votes ensure that no two members hold the same lease,
+//! so different views of the membership cost time, but not safety.
 
 use std::rc::Rc;
 
 use super::config::Lease;
 
-/// How many members may request one lease; the second and third are standbys.
+/// The number of members that may request a lease; the second and third are standbys.
 pub const CANDIDATES_PER_LEASE: usize = 3;
-/// The largest number of leases assigned to one member, relative to the mean.
+/// The largest ratio of the number of leases assigned to one member to the mean.
 const MAX_LOAD_TO_MEAN_RATIO: f64 = 1.3;
 
-/// A member that leases can be assigned to.
+/// A member to which leases can be assigned.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Candidate {
     /// The member's name.
@@ -21,7 +21,7 @@
     pub zone: Rc<str>,
 }
 
-/// The finalizer of splitmix64.
+/// The finalizer of the random number generator splitmix64.
 fn mix(mut value: u64) -> u64 {
     value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -37,7 +37,8 @@
         .unwrap_or_default()
 }
 
-/// All members by their preference for a lease: members of its zone first, then by hash.
+/// Returns the indices of all members in the order of preference for a lease: members of its zone
+/// first, then by hash.
 fn preference_order(lease: &Lease, members: &[Candidate], hashes: &[u64]) -> Vec<usize> {
     let seed = mix(u64::from(lease.id.0) ^ 0x9e37_79b9_7f4a_7c15);
     let is_outside_zone = |index: usize| {
@@ -57,7 +58,7 @@
     order
 }
 
-/// For each lease, the candidates most preferred first, as indices into `members`.
+/// Returns the candidates for each lease, most preferred first, as indices into `members`.
 pub fn assign(leases: &[Lease], members: &[Candidate]) -> Vec<Vec<usize>> {
     let hashes: Vec<u64> = members
         .iter()
--- a/crates/cluster/src/leases/config.rs
+++ b/crates/cluster/src/leases/config.rs
@@ -1,4 +1,4 @@
-//! What the members of a fleet configure about leases, and its limits.
+//! The configuration of leases, and its limits.
 
 use std::rc::Rc;
 
@@ -8,24 +8,25 @@
 /// The largest relative difference between the rates of any two clocks: each may be off by 1 %,
 /// plus rounding.
 pub const MAX_CLOCK_RATE_DIFFERENCE: f64 = 0.025;
-/// The longest lease duration a file may name. A voter that starts grants nothing for as long.
+/// The longest lease duration that an operator file may set. A voter that starts grants nothing for
+/// this time, extended by the clock margin.
 pub const MAX_LEASE_DURATION_US: Micros = 2_000_000;
-/// The shortest lease duration a file may name.
+/// The shortest lease duration that an operator file may set.
 pub const MIN_LEASE_DURATION_US: Micros = 200_000;
-/// The lease duration where a file names none.
+/// The lease duration if the operator file sets none.
 pub const DEFAULT_LEASE_DURATION_US: Micros = 1_500_000;
 /// The largest number of voters.
 pub const MAX_VOTERS: usize = 7;
 /// The largest number of leases in a fleet.
 pub const MAX_LEASES: usize = 4_096;
 
-/// Returns a span that covers `span` as measured by any other clock within
+/// Returns a duration that covers `duration` as measured by any other clock within
 /// [`MAX_CLOCK_RATE_DIFFERENCE`].
-pub fn with_clock_margin(span: Micros) -> Micros {
-    span + (span as f64 * MAX_CLOCK_RATE_DIFFERENCE).ceil() as Micros
+pub fn with_clock_margin(duration: Micros) -> Micros {
+    duration + (duration as f64 * MAX_CLOCK_RATE_DIFFERENCE).ceil() as Micros
 }
 
-/// A named lease, preferably held by a member of `zone` where one is given.
+/// A named lease, preferably held by a member of `zone` if one is given.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Lease {
     /// The identifier on the wire.
@@ -37,7 +38,7 @@
 }
 
 impl Lease {
-    /// Creates the lease of that name.
+    /// Creates the lease with the given name.
     pub fn new(name: &str, zone: Option<Rc<str>>) -> Self {
         Self {
             id: LeaseId::from_name(name),
@@ -57,14 +58,14 @@
 }
 
 impl LeaseConfig {
-    /// A hash of the voters' names, by which a voter recognizes a requester with the same voters.
+    /// A hash of the voters' names, by which a voter detects a requester with different voters.
     pub(super) fn fingerprint(&self) -> u32 {
         let mut names: Vec<_> = self.voters.iter().map(|name| &**name).collect();
         names.sort_unstable();
         LeaseId::from_name(&names.join("\n")).0
     }
 
-    /// The number of voters that is a majority.
+    /// The smallest number of voters that is a majority.
     pub(super) fn majority(&self) -> u32 {
         self.voters.len() as u32 / 2 + 1
     }
--- a/crates/cluster/src/leases/events.rs
+++ b/crates/cluster/src/leases/events.rs
@@ -5,16 +5,17 @@
 use super::term::{LeaseId, Term};
 use crate::Micros;
 
-/// Why a lease is no longer held.
+/// The reason why a lease is no longer held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LossReason {
-    /// No majority renewed it in time, or the process did not run.
+    /// No majority renewed the lease in time, or the process did not run.
     Expired,
-    /// Released in order: told to stop, or another member is preferred.
+    /// The lease was released deliberately: this member stops requesting it, or another member is
+    /// preferred.
     Released,
-    /// This process was paused too often to be trusted with it.
+    /// This process was paused too often to hold the lease reliably.
     ProcessPaused,
-    /// Another member knows a later term.
+    /// Another member reported a later term.
     Superseded,
 }
 
@@ -37,42 +38,42 @@
     Acquired {
         /// The name of the lease.
         lease: Rc<str>,
-        /// The term under which it is held.
+        /// The term under which the lease is held.
         term: Term,
-        /// When it expires without renewal.
-        until: Micros,
+        /// The time at which the lease expires without renewal.
+        expires_at: Micros,
     },
     /// This member no longer holds the lease.
     Lost {
         /// The name of the lease.
         lease: Rc<str>,
-        /// The term under which it was held.
+        /// The term under which the lease was held.
         term: Term,
-        /// The last moment at which it may have been held.
-        until: Micros,
-        /// Why it is lost.
+        /// The latest time at which the lease may have been held.
+        held_until: Micros,
+        /// The reason why the lease is no longer held.
         reason: LossReason,
     },
-    /// No majority of voters answers; each member falls back to what it does without leases.
+    /// No majority of voters replies. Each member falls back to its behavior without leases.
     QuorumLost,
-    /// A majority of voters answers again.
+    /// A majority of voters replies again.
     QuorumRestored,
-    /// A member has other voters in its file.
+    /// The named member has other voters in its operator file.
     VotersDiffer(Rc<str>),
-    /// A command from a lease holder whose term is the greatest known.
+    /// A command arrived from a lease holder whose term is the greatest known.
     CommandReceived {
-        /// The sender.
+        /// The name of the sender.
         from: Rc<str>,
-        /// The lease in whose name it was sent.
+        /// The lease under which the command was sent.
         lease: LeaseId,
         /// The sender's term.
         term: Term,
-        /// The command, empty where a new holder announces its term.
+        /// The command; empty if a new holder announces its term.
         body: Vec<u8>,
     },
-    /// A note about a lease from a member that need not hold it.
+    /// A note about a lease arrived from a member that need not hold it.
     NoteReceived {
-        /// The sender.
+        /// The name of the sender.
         from: Rc<str>,
         /// The lease.
         lease: LeaseId,
--- a/crates/cluster/src/leases/fault_injection.rs
+++ b/crates/cluster/src/leases/fault_injection.rs
@@ -1,24 +1,24 @@
-//! Faults that tests inject to show that a check finds them.
+//! Faults that tests inject to verify that a check detects them.
 
 /// A deliberate fault in the lease protocol. Only tests and the state explorer set one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum InjectedFault {
     /// The holder counts its lease from the grant instead of from the bid.
     CountsFromGrant,
-    /// A voter grants at once after it lost its memory.
+    /// A voter grants immediately after a restart, in which it lost its earlier grants.
     NoStartupWait,
-    /// Voters count a lease no longer than its holder does.
+    /// Voters do not extend the duration of a grant by the clock margin.
     NoClockMargin,
-    /// Terms are told apart by their number alone.
+    /// Terms are distinguished by their number alone.
     EqualTermNumbersGranted,
-    /// A release frees the lease whatever its term.
+    /// A release of any term frees the lease.
     ReleaseOfAnyTerm,
     /// Commands of older terms are accepted.
     NoFencing,
 }
 
 impl InjectedFault {
-    /// All faults by their name on the command line.
+    /// All faults with their names on the command line.
     pub const ALL: [(&str, Self); 6] = [
         ("counts-from-grant", Self::CountsFromGrant),
         ("no-silence", Self::NoStartupWait),
--- a/crates/cluster/src/leases/fencing.rs
+++ b/crates/cluster/src/leases/fencing.rs
@@ -23,12 +23,12 @@
     }
 
     /// The greatest known term of a lease.
-    pub fn known(&self, lease: LeaseId) -> Option<Term> {
+    pub fn greatest_known_term(&self, lease: LeaseId) -> Option<Term> {
         self.known.get(&lease).copied()
     }
 
-    /// Records a term. Beyond [`MAX_LEASES`] leases nothing is recorded, so that their commands are
-    /// rejected.
+    /// Records a term. No terms are recorded for leases beyond [`MAX_LEASES`], so that commands
+    /// under them are rejected.
     pub fn record(&mut self, lease: LeaseId, term: Term) {
         if self.known.len() >= MAX_LEASES && !self.known.contains_key(&lease) {
             return;
@@ -47,7 +47,7 @@
     /// Returns the greatest known term if the command's term is older.
     pub fn accept(&mut self, lease: LeaseId, term: Term) -> Result<(), Term> {
         self.record(lease, term);
-        match self.known(lease) {
+        match self.greatest_known_term(lease) {
             Some(known) if known == term => Ok(()),
             Some(known) => Err(known),
             None => Err(term),
--- a/crates/cluster/src/leases/manager/mod.rs
+++ b/crates/cluster/src/leases/manager/mod.rs
@@ -1,5 +1,5 @@
-//! The lease manager of one member: requests, renews and releases leases, votes where it is a
-//! voter, and checks the terms of commands.
+//! The lease manager of one member: it requests, renews and releases leases, votes if the member is
+//! a voter, and checks the terms of commands.
 
 mod receive;
 mod release;
@@ -24,56 +24,56 @@
 use super::voter::Voter;
 use crate::Micros;
 
-/// How long a round of voters may take before missing replies count as none.
+/// How long the replies of voters to a round may take.
 const ROUND_TIMEOUT_US: Micros = 250_000;
 /// The shortest time between two assignments of candidates.
 const REASSIGN_INTERVAL_US: Micros = 300_000;
 
-/// A lease that this member holds, as seen from outside.
+/// A lease that this member holds.
 #[derive(Clone, Copy, Debug)]
 pub struct HeldLeaseView<'a> {
     /// The lease.
     pub lease: &'a Lease,
-    /// The term under which it is held.
+    /// The term under which the lease is held.
     pub term: Term,
-    /// Since when it is held.
+    /// The time at which the lease was acquired.
     pub acquired_at: Micros,
-    /// When it expires without renewal.
+    /// The time at which the lease expires without renewal.
     pub expires_at: Micros,
 }
 
-/// A message with the name of the member it is for.
+/// A message with the name of its receiver.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct AddressedMessage {
-    /// The receiver's name.
+    /// The name of the receiver.
     pub to: Rc<str>,
     /// The message.
     pub message: LeaseMessage,
 }
 
-/// The leases of one member: those it requests or holds, and its votes.
+/// The leases of one member: the leases that it requests or holds, and its votes.
 ///
-/// It does no I/O and reads no clock: it is given times, messages and the members that are alive,
-/// and returns messages, events and the time of its next timer.
+/// The manager does no I/O and reads no clock: its caller passes in times, messages and the members
+/// that are alive, and takes messages, events and the time of the next timer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseManager {
     config: LeaseConfig,
     /// The fingerprint of the configured voters, sent with each query and bid.
     voters_fingerprint: u32,
     own_name: Rc<str>,
-    /// The random identifier of this process, which completes its term numbers.
+    /// The random identifier of this process, which is part of its terms.
     own_incarnation_id: u64,
-    /// Unix milliseconds at local time 0 by this process's clock.
+    /// The Unix time in milliseconds at local time 0, by this process's clock.
     wall_clock_offset_ms: u64,
     voter: Option<Voter>,
     tracked: BTreeMap<LeaseId, TrackedLease>,
     fencing_tokens: FencingTokens,
     round: u32,
-    /// When each recent round was sent.
+    /// The time at which each recent round was sent.
     sent_rounds: BTreeMap<u32, Micros>,
     renew_at: Micros,
     assigned_at: Micros,
-    /// The members that the current candidates were drawn from; empty where a new assignment is
+    /// The members from which the current candidates were chosen; empty if a new assignment is
     /// needed.
     assigned_members: Vec<Candidate>,
     next_transfer_at: Micros,
@@ -83,9 +83,9 @@
     /// The greatest term number that this process may have used for a lease no longer tracked.
     min_term_number: u64,
     is_quorum_lost: bool,
-    /// Successive rounds without a majority of replies.
+    /// The number of successive rounds without a majority of replies.
     unanswered_rounds: u32,
-    /// Members known to have other voters in their files.
+    /// The members that have other voters in their operator files.
     differing_members: Vec<Rc<str>>,
     stale_commands: u64,
     outgoing: Vec<AddressedMessage>,
@@ -94,9 +94,10 @@
 }
 
 impl LeaseManager {
-    /// Creates the manager of a process. `own_incarnation_id` is the random identifier of the process;
-    /// `wall_clock_offset_ms` is Unix milliseconds at local time 0, where term numbers start if the
-    /// whole fleet forgot its terms.
+    /// Creates the manager of a process. `own_incarnation_id` is the random identifier of the
+    /// process. `wall_clock_offset_ms` is the Unix time in milliseconds at local time 0: term
+    /// numbers are at least the Unix time in milliseconds, so that they increase even if all
+    /// members have lost their terms.
     pub fn new(
         now: Micros,
         config: LeaseConfig,
@@ -143,8 +144,8 @@
         self
     }
 
-    /// Continues the rounds and term numbers of an earlier manager of this process, so that replies
-    /// to that one do not pass for replies to this one.
+    /// Continues the round and term numbers of an earlier manager of this process, so that replies
+    /// to the earlier manager are not mistaken for replies to this one.
     #[must_use]
     pub fn with_numbering_of(mut self, before: &Self) -> Self {
         self.round = before.round;
@@ -158,12 +159,12 @@
         self
     }
 
-    /// Whether it was told to stop and requests nothing more.
+    /// Whether the manager has been stopped and requests no more leases.
     pub fn is_stopping(&self) -> bool {
         self.is_stopping
     }
 
-    /// The configuration it was created with.
+    /// The configuration with which the manager was created.
     pub fn config(&self) -> &LeaseConfig {
         &self.config
     }
@@ -189,8 +190,9 @@
         self.assigned_members.clear();
     }
 
-    /// The term under which a lease is held now and for at least `required` longer. Call this at
-    /// the act itself: nothing else entitles to act in the name of the lease.
+    /// Returns the term under which a lease is held now and for at least `required` longer. This
+    /// must be called immediately before each action under the lease: no other check makes such an
+    /// action safe.
     pub fn holds(&self, now: Micros, lease: LeaseId, required: Micros) -> Option<Term> {
         match &self.tracked.get(&lease)?.state {
             LeaseState::Held(held) if now + required < held.expires_at => Some(held.term),
@@ -198,12 +200,12 @@
         }
     }
 
-    /// The greatest known term of a lease, whoever holds it.
+    /// The greatest known term of a lease, held by this member or another one.
     pub fn greatest_known_term(&self, lease: LeaseId) -> Option<Term> {
-        self.fencing_tokens.known(lease)
+        self.fencing_tokens.greatest_known_term(lease)
     }
 
-    /// Whether a majority of voters answers.
+    /// Whether a majority of voters replies.
     pub fn has_quorum(&self) -> bool {
         !self.is_quorum_lost
     }
@@ -214,7 +216,7 @@
             .filter(move |held| now < held.expires_at)
     }
 
-    /// The leases acquired and not yet reported as lost, expired or not.
+    /// The leases that were acquired and not yet reported as lost, including expired ones.
     pub fn acquired_not_reported_lost(&self) -> impl Iterator<Item = HeldLeaseView<'_>> {
         self.tracked
             .values()
@@ -241,23 +243,23 @@
             .is_some_and(|voter| voter.is_in_startup_wait(now))
     }
 
-    /// How many commands were rejected because their term was stale.
+    /// The number of commands that were rejected because their term was stale.
     pub fn stale_command_count(&self) -> u64 {
         self.stale_commands
     }
 
-    /// Takes the messages to send.
+    /// Removes and returns the messages to send.
     pub fn take_messages(&mut self) -> Vec<AddressedMessage> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// Takes the events since the last call.
+    /// Removes and returns the events since the last call.
     pub fn take_events(&mut self) -> Vec<LeaseEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Sends a command in the name of a lease if it is held now and for as long as sending may
-    /// take. Returns whether it was sent.
+    /// Sends a command under a lease if the lease is held now and for at least `required` longer,
+    /// which is the time that sending may take. Returns whether the command was sent.
     pub fn send_command(
         &mut self,
         now: Micros,
@@ -288,7 +290,7 @@
         self.outgoing.push(AddressedMessage { to, message });
     }
 
-    /// When [`LeaseManager::run_timers`] has to be called at the latest.
+    /// The latest time at which [`LeaseManager::run_timers`] must be called.
     pub fn next_timer(&self) -> Micros {
         let timer_of = |tracked: &TrackedLease| match &tracked.state {
             LeaseState::Idle { retry_at } if tracked.rank.is_some() => Some(*retry_at),
@@ -306,9 +308,9 @@
         first.unwrap_or(Micros::MAX).min(reassign_at)
     }
 
-    /// Runs the timers that have expired. `alive` are all members that nobody suspects, this one
-    /// included. A member that is not `fit`, since nobody has answered it after a pause, requests
-    /// nothing.
+    /// Runs the timers that have expired. `alive` contains all members that are alive and not
+    /// suspected, this one included. `can_request` is false if this member must not request leases,
+    /// since it has had no reply after a pause or another process has its name.
     pub fn run_timers(&mut self, now: Micros, alive: &[Candidate], can_request: bool) {
         self.expire_held(now);
         self.reassign(now, alive);
@@ -322,7 +324,7 @@
         self.transfer_one_due_lease(now);
     }
 
-    /// Assigns candidates anew where the members that are alive have changed.
+    /// Assigns candidates again if the members that are alive have changed.
     fn reassign(&mut self, now: Micros, alive: &[Candidate]) {
         let is_recent = now < self.assigned_at + REASSIGN_INTERVAL_US;
         if is_recent && !self.assigned_members.is_empty() {
--- a/crates/cluster/src/leases/manager/receive.rs
+++ b/crates/cluster/src/leases/manager/receive.rs
@@ -1,4 +1,4 @@
-//! Messages from other members: votes as a voter, commands and notes.
+//! Messages from other members: requests for votes, replies of voters, commands and notes.
 
 use std::rc::Rc;
 
@@ -11,19 +11,20 @@
 use crate::Micros;
 
 impl LeaseManager {
-    /// Receives a message from a member whose process has that random identifier.
+    /// Receives a message from a member, the process of which has the random identifier
+    /// `sender_incarnation_id`.
     pub fn receive(
         &mut self,
         now: Micros,
         sender: &Rc<str>,
-        sender_id: u64,
+        sender_incarnation_id: u64,
         message: &LeaseMessage,
     ) {
         match message {
             LeaseMessage::Query { .. }
             | LeaseMessage::Bid { .. }
             | LeaseMessage::Release { .. } => {
-                self.receive_as_voter(now, sender, sender_id, message);
+                self.receive_as_voter(now, sender, sender_incarnation_id, message);
             }
             LeaseMessage::QueryReply { round, statuses } => {
                 if let Some(voter) = self.config.voter_index(sender) {
@@ -53,12 +54,12 @@
         }
     }
 
-    /// Receives a message that asks this member for votes.
+    /// Receives a message that is addressed to this member as a voter.
     fn receive_as_voter(
         &mut self,
         now: Micros,
         sender: &Rc<str>,
-        sender_id: u64,
+        sender_incarnation_id: u64,
         message: &LeaseMessage,
     ) {
         match message {
@@ -76,11 +77,17 @@
                 bids,
             } if self.has_same_voters(sender, *voters) => {
                 let duration = Micros::from(*duration_us);
-                self.vote(now, sender, *round, duration, terms_of(bids, sender_id));
+                self.vote(
+                    now,
+                    sender,
+                    *round,
+                    duration,
+                    terms_of(bids, sender_incarnation_id),
+                );
             }
             LeaseMessage::Release { terms } => {
                 if let Some(voter) = &mut self.voter {
-                    for (lease, term) in terms_of(terms, sender_id) {
+                    for (lease, term) in terms_of(terms, sender_incarnation_id) {
                         voter.release(now, lease, term);
                     }
                 }
@@ -89,8 +96,8 @@
         }
     }
 
-    /// Whether a requester has the same voters in its file. Otherwise nothing is granted to it,
-    /// since majorities of different voters need not overlap.
+    /// Whether a requester has the same voters in its operator file. Otherwise nothing is granted
+    /// to it, since majorities of different voters need not overlap.
     fn has_same_voters(&mut self, sender: &Rc<str>, fingerprint: u32) -> bool {
         let is_same = fingerprint == self.voters_fingerprint;
         let is_reported = self.differing_members.contains(sender);
@@ -140,7 +147,7 @@
         self.reply(now, sender, reply);
     }
 
-    /// Sends a voter's reply; this member receives its own at once.
+    /// Sends a voter's reply. A reply to this member itself is received immediately.
     fn reply(&mut self, now: Micros, to: &Rc<str>, message: LeaseMessage) {
         if *to == self.own_name {
             let own_name = Rc::clone(&self.own_name);
@@ -184,7 +191,7 @@
     }
 }
 
-/// The terms of a message, completed with the identifier of the sender's process.
+/// Returns the terms of a message, with the identifier of the sender's process.
 fn terms_of(terms: &[TermNumber], incarnation_id: u64) -> Vec<(LeaseId, Term)> {
     terms
         .iter()
--- a/crates/cluster/src/leases/manager/release.rs
+++ b/crates/cluster/src/leases/manager/release.rs
@@ -1,4 +1,4 @@
-//! How leases end: expiry, release, transfer and pauses of this process.
+//! The end of leases: by expiry, by release, by transfer and after pauses of this process.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -12,20 +12,20 @@
 
 /// The shortest time between two transfers to preferred members.
 const TRANSFER_INTERVAL_US: Micros = 500_000;
-/// After this many pauses of its process within [`PAUSE_WINDOW_US`] a member releases everything,
-/// and requests nothing for as long.
+/// After this many pauses of its process within [`PAUSE_WINDOW_US`] a member releases all its
+/// leases, and requests none for the same time.
 pub(in super::super) const MAX_PAUSES: usize = 3;
 const PAUSE_WINDOW_US: Micros = 30_000_000;
 
 impl LeaseManager {
-    /// Releases all leases and requests nothing more.
+    /// Releases all leases and requests no more.
     pub fn stop(&mut self, now: Micros) {
         self.is_stopping = true;
         self.release_all(now, LossReason::Released);
     }
 
-    /// Records that this process did not run for a while. What has expired meanwhile is lost; a
-    /// process that is paused again and again releases everything.
+    /// Records a pause of this process. Leases that expired during the pause are lost. A process
+    /// that is paused repeatedly releases all its leases.
     pub fn record_pause(&mut self, now: Micros) {
         self.expire_held(now);
         self.recent_pauses.push_back(now);
@@ -52,7 +52,7 @@
                 self.events.push(LeaseEvent::Lost {
                     lease: Rc::clone(&tracked.lease.name),
                     term: held.term,
-                    until: held.expires_at,
+                    held_until: held.expires_at,
                     reason: LossReason::Expired,
                 });
                 tracked.start_cooldown(now);
@@ -65,7 +65,8 @@
         self.release(now, &all, reason);
     }
 
-    /// Gives up what is held or bid for of these leases, and tells the next candidates.
+    /// Releases those of the given leases that are held or bid for, and notifies the next
+    /// candidates.
     pub(super) fn release(&mut self, now: Micros, leases: &[LeaseId], reason: LossReason) {
         let mut terms = Vec::new();
         let mut vacated: BTreeMap<Rc<str>, Vec<LeaseId>> = BTreeMap::new();
@@ -80,7 +81,7 @@
                     self.events.push(LeaseEvent::Lost {
                         lease: Rc::clone(&tracked.lease.name),
                         term: held.term,
-                        until: held.expires_at.min(now),
+                        held_until: held.expires_at.min(now),
                         reason,
                     });
                     let number = held.term.number;
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Tells the voters which terms are given up.
+    /// Notifies the voters that the given terms are released.
     pub(super) fn send_release(&mut self, now: Micros, terms: &[TermNumber]) {
         for terms in terms.chunks(MAX_LEASES_PER_MESSAGE) {
             let terms = terms.to_vec();
@@ -130,7 +131,8 @@
         }
     }
 
-    /// Records a term that another member held; a lease held under an earlier term is lost.
+    /// Records a term of another member. A lease that this member holds under an earlier term is
+    /// lost.
     pub(super) fn record_term(&mut self, now: Micros, lease: LeaseId, term: Term) {
         self.fencing_tokens.record(lease, term);
         let Some(tracked) = self.tracked.get_mut(&lease) else {
--- a/crates/cluster/src/leases/manager/replies.rs
+++ b/crates/cluster/src/leases/manager/replies.rs
@@ -14,7 +14,8 @@
 use crate::Micros;
 
 impl LeaseManager {
-    /// Receives a voter's reply to a query, and bids for what a majority reports as available.
+    /// Receives a voter's reply to a query, and bids for the leases that a majority reports as
+    /// available.
     pub(super) fn receive_query_reply(
         &mut self,
         now: Micros,
@@ -42,8 +43,8 @@
             if query.has_available_majority(majority) {
                 available.push(status.lease);
             } else if query.cannot_reach_majority(majority, voters) {
-                // Held by another member whatever the other voters reply: retried when enough
-                // grants have expired.
+                // Another member holds the lease, regardless of the replies still missing. The
+                // query is repeated when enough grants have expired.
                 let delay = query.majority_available_in(majority).max(RANK_DELAY_US);
                 tracked.backoff = 0;
                 tracked.retry_after(now, delay);
@@ -73,7 +74,7 @@
             Some(InjectedFault::CountsFromGrant) => now,
             _ => sent_at,
         };
-        let until = counted_from + self.config.duration;
+        let expires_at = counted_from + self.config.duration;
         let majority = self.config.majority();
         for &TermNumber { lease, number } in granted {
             let Some(tracked) = self.tracked.get_mut(&lease) else {
@@ -82,18 +83,18 @@
             match &mut tracked.state {
                 LeaseState::Bidding(bid) if bid.round == round && bid.term.number == number => {
                     bid.granted |= 1 << voter;
-                    if bid.granted.count_ones() >= majority && until > now {
-                        self.acquire(now, lease, until);
+                    if bid.granted.count_ones() >= majority && expires_at > now {
+                        self.acquire(now, lease, expires_at);
                         self.renew_at = self
                             .renew_at
                             .min(sent_at + self.config.duration / RENEWALS_PER_LEASE);
                     }
                 }
-                // A renewal that arrives after the lease has expired is too late.
+                // A grant that arrives after the lease has expired does not renew it.
                 LeaseState::Held(held) if held.term.number == number && now < held.expires_at => {
                     let grants = held.record_grant(round, voter);
                     if grants >= majority {
-                        held.expires_at = held.expires_at.max(until);
+                        held.expires_at = held.expires_at.max(expires_at);
                     }
                 }
                 _ => {}
@@ -103,7 +104,7 @@
 
     /// Makes this member the holder under the term it bid for, and announces the term to all
     /// members.
-    fn acquire(&mut self, now: Micros, lease: LeaseId, until: Micros) {
+    fn acquire(&mut self, now: Micros, lease: LeaseId, expires_at: Micros) {
         let Some(tracked) = self.tracked.get_mut(&lease) else {
             return;
         };
@@ -112,14 +113,14 @@
         };
         let term = bid.term;
         tracked.backoff = 0;
-        tracked.state = LeaseState::Held(HeldLease::new(term, now, until));
+        tracked.state = LeaseState::Held(HeldLease::new(term, now, expires_at));
         self.fencing_tokens.record(lease, term);
         self.events.push(LeaseEvent::Acquired {
             lease: Rc::clone(&tracked.lease.name),
             term,
-            until,
+            expires_at,
         });
-        // An empty command makes commands of older terms void everywhere.
+        // An empty command makes its receivers reject commands of older terms.
         let announcement = LeaseMessage::Command {
             lease,
             term,
@@ -135,7 +136,7 @@
         }));
     }
 
-    /// Receives a voter's refusals; a bid that can no longer reach a majority is given up.
+    /// Receives a voter's refusals, and withdraws bids that can no longer reach a majority.
     pub(super) fn receive_refusals(
         &mut self,
         now: Micros,
--- a/crates/cluster/src/leases/manager/rounds.rs
+++ b/crates/cluster/src/leases/manager/rounds.rs
@@ -11,22 +11,24 @@
 use super::{AddressedMessage, LeaseManager, ROUND_TIMEOUT_US};
 use crate::Micros;
 
-/// Renewals within one lease duration; two of them may be lost.
+/// The number of renewals within one lease duration, two of which may be lost.
 pub(super) const RENEWALS_PER_LEASE: u64 = 3;
-/// Successive unanswered rounds after which the quorum counts as lost.
+/// The number of successive rounds without enough replies after which the quorum is lost.
 const UNANSWERED_ROUNDS_WITHOUT_QUORUM: u32 = 2;
 
 impl LeaseManager {
     fn next_round(&mut self, now: Micros) -> u32 {
         self.round = self.round.wrapping_add(1);
         self.sent_rounds.insert(self.round, now);
-        // Replies to a round older than a lease can grant nothing.
+        // Replies to a round older than the longest lease duration can grant nothing, so the round
+        // is discarded.
         self.sent_rounds
             .retain(|_, sent_at| *sent_at + MAX_LEASE_DURATION_US >= now);
         self.round
     }
 
-    /// Sends a message to all voters; this member receives it at once where it is one.
+    /// Sends a message to all voters. If this member is a voter, it receives the message
+    /// immediately.
     pub(super) fn send_to_voters(&mut self, now: Micros, message: &LeaseMessage) {
         let others = self
             .config
@@ -78,7 +80,7 @@
             let round = self.next_round(now);
             let mut bids = Vec::new();
             for &lease in leases {
-                let known = self.fencing_tokens.known(lease);
+                let known = self.fencing_tokens.greatest_known_term(lease);
                 let Some(tracked) = self.tracked.get_mut(&lease) else {
                     continue;
                 };
@@ -134,7 +136,7 @@
         self.send_to_voters(now, &bid);
     }
 
-    /// Ends the rounds that have waited long enough for replies.
+    /// Ends the rounds that have timed out.
     pub(super) fn expire_rounds(&mut self, now: Micros) {
         let majority = self.config.majority();
         let mut expired_bids = Vec::new();
--- a/crates/cluster/src/leases/messages.rs
+++ b/crates/cluster/src/leases/messages.rs
@@ -8,7 +8,7 @@
 /// header, the sender's record and that of a suspected receiver take up to 570 of a datagram's
 /// 1,200 bytes.
 pub const MAX_LEASES_PER_MESSAGE: usize = 20;
-/// The largest body of a command or note.
+/// The largest body of a command or note, in bytes.
 pub const MAX_BODY_BYTES: usize = 600;
 
 /// The state of a lease as a voter reports it.
@@ -16,14 +16,14 @@
 pub struct GrantStatus {
     /// The lease.
     pub lease: LeaseId,
-    /// The greatest term this voter has granted since it started.
+    /// The greatest term that the voter has granted since it started.
     pub term: Option<Term>,
-    /// Microseconds until it would grant another bid; 0 means at once.
+    /// Microseconds until the voter would grant another bid; 0 means immediately.
     pub available_in_us: u32,
 }
 
-/// A lease with the number of a term, which is complete with the process identifier of the sender
-/// or receiver.
+/// A lease with the number of a term. The number and the incarnation identifier of the sender or
+/// receiver together are the term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TermNumber {
     /// The lease.
@@ -35,13 +35,13 @@
 /// A message about leases.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum LeaseMessage {
-    /// Asks a voter for the state of leases, without a bid.
+    /// Requests the state of leases from a voter, without a bid.
     Query {
         /// The sender's round, repeated in the reply.
         round: u32,
         /// The fingerprint of the sender's voters.
         voters: u32,
-        /// The leases in question.
+        /// The leases whose state is requested.
         leases: Vec<LeaseId>,
     },
     /// A voter's reply to a query.
@@ -51,7 +51,7 @@
         /// The state of each lease.
         statuses: Vec<GrantStatus>,
     },
-    /// Asks a voter to grant or renew leases under the sender's terms.
+    /// Requests a voter to grant or renew leases under the sender's terms.
     Bid {
         /// The sender's round, repeated in the reply.
         round: u32,
@@ -71,23 +71,23 @@
         /// The state of the leases that are not granted.
         refused: Vec<GrantStatus>,
     },
-    /// Tells voters that the sender gives up these terms.
+    /// Notifies voters that the sender releases the given terms.
     Release {
         /// The leases and term numbers.
         terms: Vec<TermNumber>,
     },
-    /// Tells the next candidate that these leases are available.
+    /// Notifies the next candidate that the given leases are available.
     Vacated {
         /// The leases.
         leases: Vec<LeaseId>,
     },
-    /// A command in the name of a lease. A receiver that knows a later term rejects it.
+    /// A command under a lease. A receiver that has recorded a later term rejects it.
     Command {
         /// The lease.
         lease: LeaseId,
         /// The sender's term.
         term: Term,
-        /// The command; empty where a new holder announces its term.
+        /// The command; empty if a new holder announces its term.
         body: Vec<u8>,
     },
     /// A note about a lease, to its holder.
--- a/crates/cluster/src/leases/mod.rs
+++ b/crates/cluster/src/leases/mod.rs
@@ -1,12 +1,14 @@
-//! Leases: work that must be done once in a fleet. Each lease is held by at most one member at
-//! every instant, granted by a majority of named voters (as in Gray and Cheriton's leases, 1989,
-//! made safe without a disk as in `PaxosLease`, Trencseni, Gazso, Reinhardt, 2012).
+//! Leases for work that must be done by one member of a fleet at a time. At every instant at most
+//! one member holds a lease. A lease is granted by a majority of configured voters (as in Gray and
+//! Cheriton, 1989), and is safe without storage on disk (as in `PaxosLease`, Trencseni, Gazso,
+//! Reinhardt, 2012).
 //!
-//! Why two members never hold one lease: a holder needs grants of its term from a majority, and
-//! counts the lease from before it sent its bid. A voter grants another term only when the grant
-//! has expired by its own clock, for which it counts longer by [`MAX_CLOCK_RATE_DIFFERENCE`]. Two
-//! majorities share a voter, which granted the second term after the first lease had expired by its
-//! holder's clock. A voter that lost its memory grants nothing for the longest lease.
+//! Why two members never hold the same lease: a holder needs grants of its term from a majority of
+//! voters, and counts the lease duration from before it sent its bid. A voter grants another term
+//! only when the previous grant was released or has expired by the voter's own clock, on which the
+//! grant lasts longer by [`MAX_CLOCK_RATE_DIFFERENCE`]. Two majorities share a voter, and this
+//! voter granted the second term after the first lease had ended by its holder's clock. A voter
+//! that has lost its grants in a restart grants nothing for the longest lease duration.
 
 pub mod assignment;
 mod config;
--- a/crates/cluster/src/leases/state.rs
+++ b/crates/cluster/src/leases/state.rs
@@ -4,25 +4,26 @@
 use super::term::Term;
 use crate::Micros;
 
-/// A set of voters, one bit each by their index in the configuration.
+/// A set of voters: bit n is the voter with index n in the configuration.
 pub type Votes = u8;
 
-/// How many renewal rounds may still collect grants.
+/// The number of last renewal rounds whose grants are counted.
 const MAX_COUNTED_ROUNDS: usize = 4;
 
 /// The state of a lease at this member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum LeaseState {
-    /// Not held. The voters are queried at `retry_at` if this member is a candidate.
+    /// The lease is not held by this member, which queries the voters at `retry_at` if it is a
+    /// candidate.
     Idle {
-        /// When to query next.
+        /// The time of the next query.
         retry_at: Micros,
     },
-    /// Voters are queried.
+    /// This member queries the voters.
     Querying(Query),
-    /// Voters are asked to grant a term.
+    /// This member requests the voters to grant a term.
     Bidding(Bid),
-    /// Held by this member.
+    /// This member holds the lease.
     Held(HeldLease),
 }
 
@@ -31,11 +32,11 @@
 pub struct Query {
     /// The round of the query.
     pub round: u32,
-    /// When it was sent.
+    /// The time at which the query was sent.
     pub sent_at: Micros,
     /// The voters that replied.
     pub replied: Votes,
-    /// The voters that would grant a bid at once.
+    /// The voters that would grant a bid immediately.
     pub available: Votes,
     /// For each voter that replied, the time until it would grant a bid.
     available_in: [Micros; MAX_VOTERS],
@@ -62,17 +63,17 @@
         self.available_in[voter] = available_in;
     }
 
-    /// Whether so many voters replied.
+    /// Whether at least `majority` voters replied.
     pub fn has_reply_majority(&self, majority: u32) -> bool {
         self.replied.count_ones() >= majority
     }
 
-    /// Whether so many voters would grant a bid at once.
+    /// Whether at least `majority` voters would grant a bid immediately.
     pub fn has_available_majority(&self, majority: u32) -> bool {
         self.available.count_ones() >= majority
     }
 
-    /// Whether too few of all `voters` can still report the lease as available.
+    /// Whether fewer than `majority` of all `voters` can still report the lease as available.
     pub fn cannot_reach_majority(&self, majority: u32, voters: u32) -> bool {
         self.available.count_ones() + voters - self.replied.count_ones() < majority
     }
@@ -95,15 +96,15 @@
 /// A bid and the votes on it so far.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Bid {
-    /// The term that is bid for.
+    /// The term for which this member bids.
     pub term: Term,
     /// The round of the bid.
     pub round: u32,
-    /// When it was sent.
+    /// The time at which the bid was sent.
     pub sent_at: Micros,
-    /// The voters that granted it.
+    /// The voters that granted the bid.
     pub granted: Votes,
-    /// The voters that refused it.
+    /// The voters that refused the bid.
     pub refused: Votes,
 }
 
@@ -127,17 +128,17 @@
     granted: Votes,
 }
 
-/// A lease held up to `expires_at` by this process's clock.
+/// A lease held until `expires_at` by this process's clock.
 ///
-/// Invariant: a majority granted `term` for a whole lease duration in one round, and `expires_at` is
-/// that duration counted from the moment before that round was sent.
+/// Invariant: a majority granted `term` for a whole lease duration in one round, and `expires_at`
+/// is that duration counted from the moment before that round was sent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct HeldLease {
-    /// The term under which it is held.
+    /// The term under which the lease is held.
     pub term: Term,
-    /// Since when it is held.
+    /// The time at which the lease was acquired.
     pub acquired_at: Micros,
-    /// When it expires without renewal.
+    /// The time at which the lease expires without renewal.
     pub expires_at: Micros,
     rounds: Vec<RenewalRound>,
 }
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Begins a renewal round, dropping the oldest one if there are too many.
+    /// Begins a renewal round, and discards the oldest one if there are `MAX_COUNTED_ROUNDS`.
     pub fn begin_round(&mut self, round: u32) {
         if self.rounds.len() >= MAX_COUNTED_ROUNDS {
             self.rounds.remove(0);
--- a/crates/cluster/src/leases/tracked.rs
+++ b/crates/cluster/src/leases/tracked.rs
@@ -1,4 +1,4 @@
-//! One lease as this member follows it, held or not.
+//! The state of one lease at this member, which may hold it or not.
 
 use std::rc::Rc;
 
@@ -8,19 +8,20 @@
 use super::state::LeaseState;
 use crate::Micros;
 
-/// The delay between candidates of successive rank, so that they do not bid at once.
+/// The delay between candidates of successive rank, so that they do not bid at the same time.
 pub(super) const RANK_DELAY_US: Micros = 60_000;
-/// How long a member that lost or released a lease leaves it to others. With
-/// [`CANDIDATES_PER_LEASE`] candidates a lease changes hands at most that many times in this span.
+/// How long a member that lost or released a lease does not request it, so that other members can
+/// acquire it. With [`CANDIDATES_PER_LEASE`] candidates the holder of a lease changes at most that
+/// many times in this duration.
 const COOLDOWN_AFTER_LOSS_US: Micros = 10_000_000;
-/// The first and the longest wait after voters did not answer.
+/// The first and the longest delay before a retry after a round without enough replies of voters.
 const MIN_BACKOFF_US: Micros = 200_000;
 const MAX_BACKOFF_US: Micros = 4_000_000;
-/// A transfer waits until the preferred member has been alive and the lease has been held for this
-/// long.
+/// A lease is transferred to a preferred member only when that member has been alive and the lease
+/// has been held for this long.
 const MIN_HOLD_BEFORE_TRANSFER_US: Micros = 10_000_000;
 
-/// A lease that this member knows of, with its state here.
+/// A lease of the fleet with its state at this member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct TrackedLease {
     pub lease: Lease,
@@ -29,12 +30,12 @@
     pub candidates: Vec<Rc<str>>,
     /// This member's position among the candidates.
     pub rank: Option<usize>,
-    /// The greatest term number used here or reported by others.
+    /// The greatest term number used by this member or reported by others.
     pub greatest_term_number: u64,
-    /// Since when a more preferred candidate has been alive.
+    /// The time since which a more preferred candidate has been alive.
     pub outranked_since: Option<Micros>,
     pub backoff: Micros,
-    /// Until when it is left to others after a loss.
+    /// The time until which this member does not request the lease after a loss.
     pub cooldown_until: Micros,
 }
 
@@ -52,7 +53,8 @@
         }
     }
 
-    /// Ends holding or bidding; where there are other candidates, they go first for a while.
+    /// Ends holding or bidding. If there are other candidates, this member does not request the
+    /// lease for [`COOLDOWN_AFTER_LOSS_US`].
     pub fn start_cooldown(&mut self, now: Micros) {
         self.cooldown_until = if self.candidates.len() > 1 {
             now + COOLDOWN_AFTER_LOSS_US
@@ -64,7 +66,7 @@
         };
     }
 
-    /// Retries after `delay` and this member's delay by rank.
+    /// Schedules a query after `delay` plus the delay for this member's rank.
     pub fn retry_after(&mut self, now: Micros, delay: Micros) {
         let rank = self.rank.unwrap_or(CANDIDATES_PER_LEASE) as Micros;
         self.state = LeaseState::Idle {
@@ -72,26 +74,26 @@
         };
     }
 
-    /// Doubles the backoff and retries after it.
+    /// Doubles the backoff and schedules a query after it.
     pub fn back_off(&mut self, now: Micros) {
         self.backoff = (self.backoff * 2).clamp(MIN_BACKOFF_US, MAX_BACKOFF_US);
         self.retry_after(now, self.backoff);
     }
 
-    /// Records the greatest term a voter granted. It is a number to exceed and nothing more:
-    /// whoever was granted it need not have held the lease.
+    /// Records the greatest term that a voter granted. It is only a lower bound for the next term
+    /// number: the process that was granted it need not have held the lease.
     pub fn observe_status(&mut self, status: &GrantStatus) {
         self.greatest_term_number = self
             .greatest_term_number
             .max(status.term.map_or(0, |term| term.number));
     }
 
-    /// Takes a new list of candidates.
+    /// Replaces the list of candidates.
     pub fn set_candidates(&mut self, now: Micros, candidates: Vec<Rc<str>>, own_name: &str) {
         self.candidates = candidates;
         let rank = self.candidates.iter().position(|name| **name == *own_name);
         let moved_up = rank.is_some_and(|rank| self.rank.is_none_or(|before| rank < before));
-        // A member that moved up need not wait as long as its former rank did.
+        // A member that moved up need not wait for the delay of its former rank.
         if let (LeaseState::Idle { retry_at }, true) = (&mut self.state, moved_up) {
             *retry_at = (*retry_at)
                 .min(now + rank.unwrap_or(0) as Micros * RANK_DELAY_US)
@@ -107,11 +109,11 @@
     /// Whether the lease is to be transferred to a candidate that has been preferred for long
     /// enough.
     pub fn is_transfer_due(&self, now: Micros) -> bool {
-        let is_settled = |since: Micros| since + MIN_HOLD_BEFORE_TRANSFER_US <= now;
+        let has_lasted = |since: Micros| since + MIN_HOLD_BEFORE_TRANSFER_US <= now;
         match &self.state {
             LeaseState::Held(held) => {
-                is_settled(held.acquired_at)
-                    && self.outranked_since.is_some_and(is_settled)
+                has_lasted(held.acquired_at)
+                    && self.outranked_since.is_some_and(has_lasted)
                     && !self.candidates.is_empty()
             }
             _ => false,
--- a/crates/cluster/src/leases/voter.rs
+++ b/crates/cluster/src/leases/voter.rs
@@ -1,6 +1,6 @@
-//! A voter grants each lease to one bidder at a time. It stores nothing on disk: when it starts it
-//! grants nothing for the longest lease duration, so that every grant it may have forgotten has
-//! expired.
+//! A voter grants each lease to one bidder at a time. It stores nothing on disk: when it starts, it
+//! grants nothing for the longest lease duration, so that every grant that it may have lost in a
+//! restart has expired.
 
 use std::collections::BTreeMap;
 
@@ -21,7 +21,8 @@
 struct Grant {
     term: Term,
     expires_at: Micros,
-    /// Released by its holder: the lease is available at once, and the term is used up.
+    /// Whether the holder released the term: then the lease is available immediately, and the term
+    /// cannot be granted again.
     released: bool,
 }
 
@@ -31,7 +32,7 @@
     }
 }
 
-/// A member's part as a voter.
+/// The state of a member as a voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Voter {
     startup_wait_until: Micros,
@@ -40,28 +41,28 @@
 }
 
 impl Voter {
-    /// Starts a voter, silent for the longest lease duration.
+    /// Creates a voter that grants nothing for the longest lease duration.
     pub fn new(now: Micros, injected_fault: Option<InjectedFault>) -> Self {
-        let silence = if injected_fault == Some(InjectedFault::NoStartupWait) {
+        let startup_wait = if injected_fault == Some(InjectedFault::NoStartupWait) {
             0
         } else {
             with_clock_margin(MAX_LEASE_DURATION_US)
         };
         Self {
-            startup_wait_until: now + silence,
+            startup_wait_until: now + startup_wait,
             grants: BTreeMap::new(),
             injected_fault,
         }
     }
 
-    /// Whether it grants nothing yet because it has just started.
+    /// Whether the voter grants nothing yet because it has just started.
     pub fn is_in_startup_wait(&self, now: Micros) -> bool {
         now < self.startup_wait_until
     }
 
     /// The state of a lease.
     pub fn status(&self, now: Micros, lease: LeaseId) -> GrantStatus {
-        let silent = self.startup_wait_until.saturating_sub(now);
+        let startup_wait = self.startup_wait_until.saturating_sub(now);
         let grant = self.grants.get(&lease);
         let granted = grant
             .filter(|grant| !grant.released)
@@ -69,7 +70,7 @@
         GrantStatus {
             lease,
             term: grant.map(|grant| grant.term),
-            available_in_us: u32::try_from(silent.max(granted)).unwrap_or(u32::MAX),
+            available_in_us: u32::try_from(startup_wait.max(granted)).unwrap_or(u32::MAX),
         }
     }
 
@@ -112,8 +113,8 @@
             );
             return Ok(());
         }
-        // Only a later term follows, and only after the one before has expired here or was
-        // released.
+        // Only a later term is granted, and only after the previous grant has expired by this
+        // voter's clock or was released.
         if term <= grant.term || grant.is_active(now) {
             return refused;
         }
@@ -121,8 +122,8 @@
         Ok(())
     }
 
-    /// Releases a term. A release that overtakes its own bid uses the term up; one of an earlier
-    /// term has no effect.
+    /// Releases a term. A release that arrives before the bid for the same term prevents that term
+    /// from being granted; a release of an earlier term has no effect.
     pub fn release(&mut self, now: Micros, lease: LeaseId, term: Term) {
         let Some(grant) = self.grants.get_mut(&lease) else {
             return;
@@ -138,7 +139,7 @@
         }
     }
 
-    /// How long a grant counts by this voter's clock.
+    /// How long a grant lasts by this voter's clock.
     fn grant_duration(&self, duration: Micros) -> Micros {
         match self.injected_fault {
             Some(InjectedFault::NoClockMargin) => duration,
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,19 +1,20 @@
 //! Membership, leases and the shared endpoint list of a fleet of load balancers.
 //!
-//! [`Cluster`] is the state of one member. It does no I/O, reads no clock and starts no thread: it
-//! is given datagrams, times and the expiry of timers, and returns datagrams to send, events and
-//! the time of its next timer. The same inputs and seed give the same datagrams to the byte.
+//! [`Cluster`] is the state of one member. It does no I/O, reads no clock and starts no thread: its
+//! caller passes in datagrams and the current time, and takes datagrams to send, events and the
+//! time of the next timer. The same inputs and seed produce the same datagrams, byte for byte.
 //!
-//! - [`membership`] tells which members are alive, and which processes may still serve although
+//! - [`membership`] tracks which members are alive, and which processes may still serve although
 //!   they are unresponsive.
 //! - [`leases`] grants work that must be done once in a fleet to one member at a time.
-//! - [`shared_list`] passes the endpoint list from the member that polls discovery to the others of
-//!   its zone.
-//! - [`datagram`] seals and opens what is sent; [`messages`] are its contents.
+//! - [`shared_list`] distributes the endpoint list from the member that polls discovery to the
+//!   other members of its zone.
+//! - [`datagram`] encodes, authenticates and decodes datagrams; [`messages`] defines their
+//!   contents.
 
 #![cfg_attr(
     test,
-    // A test that lists its cases in a row reads better whole.
+    // A test that consists of a list of cases is easier to read in one function.
     allow(
         clippy::default_trait_access,
         clippy::needless_for_each,
@@ -38,6 +39,6 @@
 pub use fault_injection::InjectedFault;
 pub use incarnation::{Incarnation, InvalidIncarnation};
 
-/// A time or span in whole microseconds, of a clock that never goes back and runs on while the
-/// process is stopped.
+/// A point in time or a duration in whole microseconds, by a monotonic clock that advances while
+/// the process is stopped, too.
 pub type Micros = u64;
--- a/crates/cluster/src/membership/dissemination.rs
+++ b/crates/cluster/src/membership/dissemination.rs
@@ -1,14 +1,15 @@
-//! Dissemination of changed records, which ride on all messages.
+//! Dissemination of changed records, which are piggybacked on all messages.
 
 use std::rc::Rc;
 
-/// How often a changed record is sent, times the logarithm of the number of members, so that all
-/// receive it although datagrams are lost (SWIM, section 4.1).
+/// The number of times a changed record is sent, for each unit of the decimal logarithm of the
+/// number of members, so that all members receive it although datagrams are lost (SWIM, section
+/// 4.1).
 const TRANSMISSIONS_PER_LOG_MEMBERS: f64 = 5.0;
 /// The smallest number of times a changed record is sent.
 const MIN_TRANSMISSIONS: u32 = 3;
 
-/// A changed record by the name of its member.
+/// A changed record, identified by the name of its member.
 struct Change {
     name: Rc<str>,
     transmissions: u32,
@@ -21,7 +22,7 @@
 }
 
 impl Dissemination {
-    /// Begins to disseminate the record of a member anew.
+    /// Starts or restarts the dissemination of a member's record.
     pub fn add(&mut self, name: &Rc<str>) {
         self.changes.retain(|change| change.name != *name);
         self.changes.push(Change {
@@ -30,13 +31,13 @@
         });
     }
 
-    /// Whether nothing is to be sent.
+    /// Whether there are no changed records to send.
     pub fn is_empty(&self) -> bool {
         self.changes.is_empty()
     }
 
-    /// Offers the names of changed records to `add_to_datagram`, least sent first, until it returns
-    /// false since a record does not fit.
+    /// Passes the names of changed records to `add_to_datagram`, least sent first, until it returns
+    /// false because a record does not fit.
     pub fn offer_changes(&mut self, members: usize, mut add_to_datagram: impl FnMut(&str) -> bool) {
         self.changes.sort_by_key(|change| change.transmissions);
         for change in &mut self.changes {
--- a/crates/cluster/src/membership/failure_detector.rs
+++ b/crates/cluster/src/membership/failure_detector.rs
@@ -15,27 +15,27 @@
 
 /// The probe in progress.
 pub struct Probe {
-    /// Its number.
+    /// The number of the probe.
     pub number: u32,
     /// The name of the member that is probed.
     pub target: Rc<str>,
-    /// The process of that member.
+    /// The incarnation of the probed process.
     pub incarnation: Incarnation,
-    /// Whether a reply came, direct or relayed.
+    /// Whether a direct or relayed reply has arrived.
     pub is_answered: bool,
-    /// How many members were asked to relay it.
+    /// The number of members that were requested to relay the probe.
     pub relays_requested: u32,
-    /// How many of them reported a result.
+    /// The number of members that reported the result of relaying the probe.
     pub relays_reported: u32,
 }
 
 /// A probe relayed for another member.
 pub struct RelayedProbe {
-    /// The number of the probe here.
+    /// This process's number for the probe.
     pub number: u32,
     /// The address of the member that requested it.
     pub requester: SocketAddr,
-    /// The number of the probe there.
+    /// The requester's number for the probe.
     pub requester_number: u32,
 }
 
@@ -45,24 +45,24 @@
     /// The probe of this round.
     pub current_probe: Option<Probe>,
     relayed_probes: Vec<RelayedProbe>,
-    /// The members still to probe before any is probed again.
+    /// The members still to be probed before any member is probed again.
     remaining_targets: Vec<Rc<str>>,
-    /// Scales timeouts up while replies fail, as the fault may be with this process; 0 while all is
-    /// well.
+    /// Lengthens timeouts while replies are missing, since the fault may be in this process; 0
+    /// while replies arrive.
     health_penalty: u32,
     /// The number of the last probe.
     pub last_number: u32,
 }
 
 impl FailureDetector {
-    /// The number of a new probe.
+    /// Returns the number for a new probe.
     pub fn next_number(&mut self) -> u32 {
         self.last_number = self.last_number.wrapping_add(1);
         self.last_number
     }
 
-    /// The next member to probe. All of `names` are probed in random order before any is probed
-    /// again.
+    /// Returns the next member to probe. All of `names` are probed in random order before any is
+    /// probed again.
     pub fn next_target(
         &mut self,
         rng: &mut WyRand,
@@ -85,12 +85,13 @@
         self.health_penalty = self.health_penalty.saturating_sub(1);
     }
 
-    /// Scales a span by the health penalty.
-    pub fn scaled(&self, span: Micros) -> Micros {
-        span * (2 + u64::from(self.health_penalty)) / 2
+    /// Lengthens a duration by the health penalty.
+    pub fn scaled(&self, duration: Micros) -> Micros {
+        duration * (2 + u64::from(self.health_penalty)) / 2
     }
 
-    /// Accepts a probe to relay and returns its number here; nothing if there are too many.
+    /// Accepts a probe to relay and returns this process's number for it, or `None` if too many
+    /// probes are being relayed.
     pub fn relay_probe(&mut self, requester: SocketAddr, requester_number: u32) -> Option<u32> {
         if self.relayed_probes.len() >= MAX_RELAYED_PROBES {
             return None;
@@ -104,7 +105,7 @@
         Some(number)
     }
 
-    /// Ends a relayed probe.
+    /// Removes and returns a relayed probe.
     pub fn take_relayed_probe(&mut self, number: u32) -> Option<RelayedProbe> {
         let index = self
             .relayed_probes
--- a/crates/cluster/src/membership/member.rs
+++ b/crates/cluster/src/membership/member.rs
@@ -1,4 +1,4 @@
-//! What is known of one member, and whether its processes may still serve.
+//! The state of one member in the table, and whether its processes may still serve.
 
 use std::net::SocketAddr;
 
@@ -7,43 +7,43 @@
 use crate::messages::{MemberRecord, MemberState};
 use crate::{Incarnation, Micros};
 
-/// An earlier process of a member's name that is not known to have ended.
+/// An earlier process of a member that is not known to have ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EarlierIncarnation {
-    /// The process.
+    /// The incarnation of the process.
     pub incarnation: Incarnation,
-    /// The address at which it was reached.
+    /// The last known address of the process.
     pub address: SocketAddr,
 }
 
 /// A suspicion of a member.
 #[derive(Clone, Debug)]
 pub struct Suspicion {
-    /// When it began.
+    /// The time at which the suspicion began or was restarted.
     pub started_at: Micros,
     /// The random identifiers of the processes that suspect the member.
     pub suspecting_ids: Vec<u64>,
 }
 
-/// What is known of a member.
+/// A member in the table.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Its current record.
+    /// The current record of the member.
     pub record: MemberRecord,
-    /// When a datagram of its current process last arrived.
+    /// The time at which a datagram of the current process last arrived.
     pub last_received_at: Option<Micros>,
-    /// Since when it has its state.
+    /// The time at which the state or the incarnation last changed.
     pub state_since: Micros,
-    /// The suspicion, where it is suspected.
+    /// The suspicion, if the member is suspected.
     pub suspicion: Option<Suspicion>,
-    /// Earlier processes of its name that may still serve.
+    /// Earlier processes of the member that may still serve.
     pub earlier_processes: Vec<EarlierIncarnation>,
-    /// How many more of them there are.
+    /// The number of further earlier processes that may still serve and are not listed.
     pub unlisted_earlier_count: usize,
 }
 
 impl Member {
-    /// A member of which nothing but a record is known.
+    /// Creates a member from its first record.
     pub(super) fn new(now: Micros, record: &MemberRecord) -> Self {
         let suspicion = (record.state == MemberState::Suspected).then(|| Suspicion {
             started_at: now,
@@ -60,41 +60,41 @@
     }
 }
 
-/// Why a process may still serve.
+/// The reason why a process may still serve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MayServeReason {
-    /// It is alive as far as anybody knows.
+    /// No member suspects the process.
     #[serde(rename = "present")]
     Alive,
-    /// It is suspected to be dead.
+    /// The process is suspected to be dead.
     #[serde(rename = "doubted")]
     Suspected,
-    /// It has been unresponsive for long: dead, cut off or paused.
+    /// The process was declared dead: it may have ended, or be unreachable or paused.
     #[serde(rename = "silent")]
     Unresponsive,
-    /// Another process of its name runs at another address.
+    /// Another process of the same member runs at another address.
     #[serde(rename = "followed")]
     Superseded,
 }
 
-/// How it is known that a process has stopped serving.
+/// The proof that a process has stopped serving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StopProof {
-    /// It announced so after its last response.
+    /// The process announced it after its last response.
     #[serde(rename = "said_so")]
     Announced,
-    /// The operators confirmed it, and no datagram of it has arrived since.
+    /// The operators confirmed it, and no datagram of the process has arrived since.
     #[serde(rename = "struck")]
     ConfirmedDead,
 }
 
-/// Whether a process may serve. A process that is merely unresponsive may.
+/// Whether a process may still serve. A process that is only unresponsive may.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServingStatus {
-    /// It may serve.
+    /// The process may still serve.
     MayServe(MayServeReason),
-    /// It has stopped.
+    /// The process has stopped serving.
     ProvenStopped(StopProof),
 }
--- a/crates/cluster/src/membership/merge.rs
+++ b/crates/cluster/src/membership/merge.rs
@@ -8,13 +8,13 @@
 use crate::messages::{MemberRecord, MemberState};
 use crate::{InjectedFault, Micros};
 
-/// The largest number of earlier processes of one name that are listed; more are only counted.
+/// The largest number of earlier processes listed for one member; further ones are only counted.
 const MAX_EARLIER_INCARNATIONS: usize = 8;
-/// The largest number of processes counted that suspect one member.
+/// The largest number of independent suspicions counted for one member.
 const MAX_SUSPECTING_IDS: usize = 3;
 
 impl MemberTable {
-    /// Merges a record that was received or that this process made.
+    /// Merges a record that was received or created by this process.
     pub fn merge(&mut self, now: Micros, record: &MemberRecord) -> MergeOutcome {
         if record.name == self.own.name {
             return self.merge_own(record);
@@ -44,7 +44,7 @@
         MergeOutcome::Changed
     }
 
-    /// Merges a record that does not supersede the known one: it may be a further suspicion.
+    /// Merges a record that does not supersede the known one. It may be a further suspicion.
     fn merge_superseded(&mut self, index: usize, record: &MemberRecord) -> MergeOutcome {
         let accepts_old = self.has_fault(InjectedFault::AcceptsOldRecords);
         let member = &mut self.members[index];
@@ -99,7 +99,8 @@
         MergeOutcome::Changed
     }
 
-    /// The member none of whose processes may serve that changed its state first.
+    /// Returns the index of the member to replace: among the members none of whose processes may
+    /// serve, the one whose state changed first.
     fn oldest_replaceable(&self) -> Option<usize> {
         let is_replaceable = |member: &Member| {
             member.record.state >= MemberState::Dead && self.count_possibly_serving_of(member) == 0
@@ -109,8 +110,8 @@
             .min_by_key(|&index| self.members[index].state_since)
     }
 
-    /// Merges what others hold of this process, which alone decides its state: what is wrong is
-    /// refuted by a greater refutation counter.
+    /// Merges a record about this member. Only this process decides its state, so it refutes a
+    /// wrong record by a greater refutation counter.
     fn merge_own(&mut self, record: &MemberRecord) -> MergeOutcome {
         let is_other_process = record.incarnation != self.own.incarnation;
         let is_wrong = record.state != MemberState::Alive || is_other_process;
@@ -121,8 +122,8 @@
             return MergeOutcome::Unchanged;
         }
         if is_other_process {
-            // Records of an ended process do not answer refutations; those of a running one come
-            // again and again.
+            // An ended process does not react to refutations, while a running one keeps superseding
+            // this process.
             self.name_conflicts += 1;
             if self.name_conflicts == NAME_CONFLICT_THRESHOLD {
                 self.events.push(MembershipEvent::NameConflict);
@@ -144,11 +145,10 @@
 }
 
 impl Member {
-    /// Keeps the process before the current one among the earlier ones, unless it is known to have
-    /// ended.
+    /// Adds the previous process to the earlier ones, unless it is known to have ended.
     fn keep_earlier(&mut self, before: &MemberRecord) {
-        // A process keeps its socket until it ends, so one whose address is used by another has
-        // ended.
+        // A process keeps its socket until it ends, so a process whose address is used by another
+        // one has ended.
         let address = self.record.address;
         let has_ended = before.state == MemberState::Left || address == before.address;
         if !has_ended {
@@ -161,7 +161,8 @@
                 self.unlisted_earlier_count += 1;
             }
         }
-        // Only of this name: of two names nobody knows whose record is the later one.
+        // This applies only to processes of the same name: the records of two names have no order,
+        // so it is unknown which of two processes is the later one.
         self.earlier_processes
             .retain(|earlier| earlier.address != address);
         self.last_received_at = None;
--- a/crates/cluster/src/membership/mod.rs
+++ b/crates/cluster/src/membership/mod.rs
@@ -1,4 +1,4 @@
-//! Membership in the manner of SWIM (Das, Gupta, Motivala, 2002) with Lifeguard's extensions for
+//! Membership by the SWIM protocol (Das, Gupta, Motivala, 2002) with Lifeguard's extensions for
 //! slow processes (Dadgar, Phillips, Currey, 2018): the member table, the failure detector, and the
 //! dissemination of changes.
 
--- a/crates/cluster/src/membership/table.rs
+++ b/crates/cluster/src/membership/table.rs
@@ -8,13 +8,14 @@
 use crate::messages::{MemberRecord, MemberState};
 use crate::{Incarnation, InjectedFault};
 
-/// The largest number of members, this one included. Further ones are not added, and are counted.
+/// The largest number of members, this one included. Further members are not added, but counted.
 pub const MAX_MEMBERS: usize = 1_024;
-/// How often another process of this name must have superseded this one, in spite of refutations,
-/// before the name is in conflict. Records left behind by an earlier process run out before that.
+/// The number of times that another process of this name must have superseded this one, in spite of
+/// refutations, before a name conflict is reported. Records that remain of an earlier process
+/// supersede this one fewer times.
 pub(super) const NAME_CONFLICT_THRESHOLD: u32 = 4;
 
-/// The members of a fleet as this process knows them.
+/// The members of a fleet in the view of this process.
 pub struct MemberTable {
     /// The record of this process.
     pub own: MemberRecord,
@@ -25,18 +26,18 @@
     pub events: Vec<MembershipEvent>,
     /// Processes that the operators confirmed dead.
     confirmed_dead: BTreeSet<(Rc<str>, Incarnation)>,
-    /// Those of them from which a datagram arrived all the same.
+    /// Processes that the operators confirmed dead, but from which a datagram arrived later.
     revoked_confirmations: BTreeSet<(Rc<str>, Incarnation)>,
-    /// How often this process refuted that it is suspected or dead.
+    /// The number of times that this process refuted a record that it is suspected or dead.
     pub refutations: u64,
-    /// How often another process of this name superseded this one.
+    /// The number of times that another process of this name superseded this one.
     pub(super) name_conflicts: u32,
     #[cfg(feature = "planted")]
     pub(crate) injected_fault: Option<InjectedFault>,
 }
 
 impl MemberTable {
-    /// Creates a table with this process only.
+    /// Creates a table that contains only this process.
     pub fn new(own: MemberRecord) -> Self {
         Self {
             own,
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Whether that fault is injected; never without the feature.
+    /// Whether the given fault is injected; always false without the feature `planted`.
     pub(crate) fn has_fault(&self, _fault: InjectedFault) -> bool {
         #[cfg(feature = "planted")]
         return self.injected_fault == Some(_fault);
@@ -60,31 +61,31 @@
         false
     }
 
-    /// The index of the member with that name.
+    /// The index of the member with the given name.
     pub fn index(&self, name: &str) -> Option<usize> {
         self.by_name.get(name).copied()
     }
 
-    /// The member with that name.
+    /// The member with the given name.
     pub fn member(&self, name: &str) -> Option<&Member> {
         self.index(name).map(|index| &self.members[index])
     }
 
-    /// Whether another running process has this member's name. Of the two the one that started
-    /// later stays silent.
+    /// Whether another running process has this member's name. Of the two processes, the one that
+    /// started later stops sending.
     pub fn has_name_conflict(&self) -> bool {
         self.name_conflicts >= NAME_CONFLICT_THRESHOLD
     }
 
-    /// The other members that nobody suspects.
+    /// The other members that are alive and not suspected.
     pub fn alive(&self) -> impl Iterator<Item = &Member> {
         self.members
             .iter()
             .filter(|member| member.record.state == MemberState::Alive)
     }
 
-    /// How many processes beside this one may serve. It never falls because a process is
-    /// unresponsive.
+    /// The number of processes besides this one that may serve. It never decreases because a
+    /// process is unresponsive.
     pub fn count_possibly_serving(&self) -> usize {
         self.members
             .iter()
@@ -129,8 +130,8 @@
                 .contains(&(Rc::clone(name), incarnation))
     }
 
-    /// Whether the current process of a member may serve. The operators' word counts for dead
-    /// members only.
+    /// Whether the current process of a member may serve. A confirmation by the operators applies
+    /// only to dead members.
     pub fn serving_status_of(&self, member: &Member) -> ServingStatus {
         let record = &member.record;
         match record.state {
@@ -144,7 +145,7 @@
         }
     }
 
-    /// The earlier processes of a member's name that may serve.
+    /// The earlier processes of a member that may serve.
     pub fn possibly_serving_earlier<'a>(
         &'a self,
         member: &'a Member,
@@ -155,7 +156,7 @@
             .filter(|earlier| !self.is_confirmed_dead(&member.record.name, earlier.incarnation))
     }
 
-    /// How many processes of a member's name may serve.
+    /// The number of processes of a member that may serve, earlier ones included.
     pub fn count_possibly_serving_of(&self, member: &Member) -> usize {
         let current = usize::from(matches!(
             self.serving_status_of(member),
@@ -164,7 +165,7 @@
         current + self.possibly_serving_earlier(member).count() + member.unlisted_earlier_count
     }
 
-    /// Whether a process may serve; nothing if it was never known here.
+    /// Whether a process may serve; `None` if this member has no record of the process.
     pub fn serving_status(&self, name: &str, incarnation: Incarnation) -> Option<ServingStatus> {
         let member = self.member(name)?;
         if member.record.incarnation == incarnation {
--- a/crates/cluster/src/messages.rs
+++ b/crates/cluster/src/messages.rs
@@ -1,5 +1,5 @@
-//! Messages between members, before they are sealed. Fields and variants are encoded by their
-//! order.
+//! Messages between members, which [`datagram`](crate::datagram) seals. Fields and variants are
+//! encoded by their order.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,51 +11,51 @@
 
 /// The protocol version that this implementation sends.
 pub const PROTOCOL_VERSION: u8 = 1;
-/// The largest length of a member's or zone's name.
+/// The largest length of the name of a member or zone.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// The state of a member. Of two records with one refutation counter the one with the later state
-/// supersedes the other.
+/// The state of a member. Of two records of a process with the same refutation counter, the one
+/// with the later state supersedes the other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
-    /// Nobody suspects it.
+    /// No member suspects this one.
     #[serde(rename = "present")]
     Alive,
-    /// A member could not reach it.
+    /// At least one member received no reply to its probes of this one.
     #[serde(rename = "doubted")]
     Suspected,
-    /// The suspicion was not refuted in time. The process may have died, be cut off or paused, and
-    /// may still serve.
+    /// The suspicion was not refuted in time. The process may have ended, or it may be unreachable
+    /// or paused, and may still serve.
     #[serde(rename = "gone")]
     Dead,
-    /// It announced that it no longer serves.
+    /// The member announced that it no longer serves.
     Left,
 }
 
-/// What is known of a member.
+/// The record of a member that members exchange.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
     /// The member's name.
     pub name: Rc<str>,
-    /// The address at which others reach it.
+    /// The address to which other members send datagrams.
     pub address: SocketAddr,
-    /// Its zone; may be empty.
+    /// The member's zone; may be empty.
     pub zone: Rc<str>,
-    /// The process of that name.
+    /// The incarnation of the member's current process.
     pub incarnation: Incarnation,
-    /// The counter that the process increases to refute what others hold of it.
+    /// The counter that the process increases to refute wrong records about it.
     pub refutation_counter: u64,
-    /// Its state.
+    /// The member's state.
     pub state: MemberState,
-    /// The random identifier of the process that suspects it, by which independent suspicions are
-    /// counted; 0 where nobody does.
+    /// The random identifier of the process that suspects the member, by which independent
+    /// suspicions are counted; 0 if no process suspects it.
     pub suspected_by: u64,
-    /// The protocol version it speaks.
+    /// The protocol version that the member sends.
     pub version: u8,
 }
 
-/// Whether a text may be a name: short, and of visible ASCII characters.
+/// Whether a text is a valid name: 1 to [`MAX_NAME_BYTES`] visible ASCII characters.
 pub fn is_valid_name(text: &str) -> bool {
     !text.is_empty()
         && text.len() <= MAX_NAME_BYTES
@@ -75,8 +75,9 @@
             address,
             zone: Rc::from(zone),
             incarnation,
-            // Above that of earlier processes of the name if the clock is right; otherwise they
-            // tell.
+            // If the clock is right, this exceeds the counters of earlier processes of the name.
+            // Otherwise other members reply with the earlier record, and this process increases its
+            // counter.
             refutation_counter: incarnation.started_at_us,
             state: MemberState::Alive,
             suspected_by: 0,
@@ -84,19 +85,20 @@
         }
     }
 
-    /// Whether its name and zone are valid; the zone may be empty.
+    /// Whether the name and zone are valid; the zone may be empty.
     pub fn is_well_formed(&self) -> bool {
         is_valid_name(&self.name) && (self.zone.is_empty() || is_valid_name(&self.zone))
     }
 
-    /// Whether it supersedes another record of the same name. Of two processes with one refutation
-    /// counter the greater incarnation wins, so that all members decide alike.
+    /// Whether this record supersedes another record of the same name. Of two processes with the
+    /// same refutation counter, the one with the greater incarnation wins, so that all members
+    /// decide in the same way.
     pub fn supersedes(&self, other: &Self) -> bool {
         let order = |record: &Self| (record.refutation_counter, record.incarnation, record.state);
         order(self) > order(other)
     }
 
-    /// Whether another record is of the same process and refutation counter.
+    /// Whether another record has the same incarnation and refutation counter.
     pub fn is_same_process_and_counter(&self, other: &Self) -> bool {
         self.refutation_counter == other.refutation_counter && self.incarnation == other.incarnation
     }
@@ -126,11 +128,11 @@
 /// A message between members. Each is sent with records of members, the sender's own first.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Nothing but records.
+    /// A message that carries only records.
     Gossip,
-    /// A health check. Answered by the target, or by any receiver where none is named.
+    /// A health check. The target replies, or any receiver if no target is named.
     Probe {
-        /// The sender's number of the probe.
+        /// The sender's number for the probe.
         number: u32,
         /// The name of the member that is probed.
         target: Option<Rc<str>>,
@@ -140,17 +142,17 @@
         /// The number of the probe.
         number: u32,
     },
-    /// Asks the receiver to probe a member for the sender.
+    /// Requests the receiver to probe a member for the sender.
     ProbeRequest {
-        /// The sender's number of the probe.
+        /// The sender's number for the probe.
         number: u32,
         /// The name of the member to probe.
         target: Rc<str>,
         /// The address of that member.
         address: SocketAddr,
     },
-    /// The result of a requested probe. That it arrives at all shows that the link to its sender
-    /// works.
+    /// The result of a requested probe. Its arrival, whatever the result, shows that the link to
+    /// its sender works.
     ProbeReport {
         /// The number of the probe request.
         number: u32,
@@ -159,7 +161,7 @@
     },
     /// A part of the member table.
     TableSync {
-        /// Whether the receiver is to send a part of its own table back.
+        /// Whether the receiver should reply with a part of its own table.
         reply_wanted: bool,
     },
     /// A message about leases.
--- a/crates/cluster/src/shared_list/mod.rs
+++ b/crates/cluster/src/shared_list/mod.rs
@@ -1,14 +1,16 @@
-//! The endpoint list of a zone, polled from discovery by the holder of the lease `roster/ZONE` and
-//! passed on to the other members of the zone.
+//! The endpoint list of a zone, which the holder of the lease `roster/ZONE` polls from discovery
+//! and publishes to the other members of the zone, the subscribers.
 //!
-//! The holder follows discovery and cuts what it reports into numbered pages, which the others
-//! apply in order. Whoever misses chunks of a page requests them, or the full list. A heartbeat
-//! tells the number of the last page and that the holder's watch is open; without one for
-//! [`HEARTBEAT_TIMEOUT_US`] a subscriber polls discovery itself.
+//! The holder publishes each update from discovery as a numbered page, split into chunks.
+//! Subscribers apply the pages in order. A subscriber that misses chunks of a page requests them,
+//! or the full list. A heartbeat contains the number of the last page and whether the holder's
+//! watch is open. A subscriber without a valid heartbeat for [`HEARTBEAT_TIMEOUT_US`] polls
+//! discovery itself.
 //!
-//! A subscriber's list is at most as old as the last heartbeat it counted plus what the holder's
-//! own watch allows: a heartbeat says that the watch is open and that no later page was made before
-//! it was sent, and it counts only when all pages up to that one have been applied.
+//! The age of a subscriber's list is at most the time since the last valid heartbeat plus the delay
+//! that the holder's own watch allows. A heartbeat confirms that the watch is open and that no
+//! later page was published before the heartbeat was sent, and it is valid only if all pages up to
+//! that one have been applied.
 
 pub mod publisher;
 pub mod subscriber;
@@ -24,11 +26,11 @@
 pub const MAX_CHUNK_BYTES: usize = 560;
 /// The largest number of chunks of a page, enough for some thousand endpoints.
 pub const MAX_CHUNKS: u16 = 4_096;
-/// How often the holder sends a heartbeat.
+/// The interval between two heartbeats of the holder.
 pub const HEARTBEAT_INTERVAL_US: Micros = 400_000;
-/// Without a counting heartbeat for this long, a subscriber polls discovery itself.
+/// A subscriber polls discovery itself if no valid heartbeat has arrived for this long.
 pub const HEARTBEAT_TIMEOUT_US: Micros = 3_000_000;
-/// How long a holder that sent an impossible list is ignored.
+/// How long a holder that sent an invalid list is ignored.
 pub const REJECTION_PERIOD_US: Micros = 30_000_000;
 
 /// A chunk of a page. Fields are encoded by their order.
@@ -36,9 +38,9 @@
 pub struct Chunk {
     /// The number of the page.
     pub page: u32,
-    /// Whether the page is a full list, which replaces all pages up to its own.
+    /// Whether the page is a full list, which replaces all pages before it.
     pub is_full: bool,
-    /// The version that discovery gave the list.
+    /// The version of the list as assigned by discovery.
     pub version: u64,
     /// The index of the chunk.
     pub index: u16,
@@ -54,7 +56,7 @@
 pub enum ListMessage {
     /// A chunk of a page.
     Chunk(Chunk),
-    /// A sign that the list is up to date.
+    /// A confirmation that the list is up to date.
     Heartbeat {
         /// The number of the last page.
         page: u32,
@@ -69,13 +71,13 @@
         postcard::to_stdvec(self).ok()
     }
 
-    /// Decodes a message; nothing if it is malformed.
+    /// Decodes a message, or returns `None` if it is malformed.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
     }
 }
 
-/// What a subscriber requests of the holder. Fields and variants are encoded by their order.
+/// A request of a subscriber to the holder. Fields and variants are encoded by their order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListRequest {
     /// Chunks of a page.
@@ -87,7 +89,7 @@
         /// The indices of the chunks.
         indices: Vec<u16>,
     },
-    /// The full list as it is now.
+    /// The current full list.
     FullList,
 }
 
@@ -97,7 +99,7 @@
         postcard::to_stdvec(self).ok()
     }
 
-    /// Decodes a request; nothing if it is malformed.
+    /// Decodes a request, or returns `None` if it is malformed.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
     }
--- a/crates/cluster/src/shared_list/publisher.rs
+++ b/crates/cluster/src/shared_list/publisher.rs
@@ -1,11 +1,11 @@
-//! The holder's side: the list as it is now, and its last pages.
+//! The holder's side of a shared list: the current list and its last pages.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use super::{Chunk, HEARTBEAT_INTERVAL_US, ListMessage, ListRequest, MAX_CHUNK_BYTES, MAX_CHUNKS};
 use crate::Micros;
 
-/// How many pages are retained for subscribers that miss chunks of them.
+/// The number of pages that are retained for subscribers that miss chunks of them.
 const MAX_RETAINED_PAGES: usize = 64;
 
 /// An entry of a list as discovery reported it.
@@ -13,7 +13,7 @@
 pub struct Entry {
     /// The identifier of the endpoint.
     pub id: String,
-    /// Whether the endpoint has left, so that a full list does not name it.
+    /// Whether the endpoint has left, so that a full list does not contain it.
     pub has_left: bool,
     /// The entry's JSON text as discovery reported it.
     pub text: String,
@@ -26,7 +26,7 @@
     text: Vec<u8>,
 }
 
-/// The list that the holder of its lease passes on.
+/// The list that the holder of its lease publishes.
 #[derive(Default)]
 pub struct ListPublisher {
     entries: BTreeMap<String, String>,
@@ -69,11 +69,11 @@
 }
 
 impl ListPublisher {
-    /// Applies what discovery reported and returns the messages for all subscribers. The first page
-    /// under a term is a full list.
+    /// Applies an update from discovery and returns the messages for all subscribers. The first
+    /// page under a term is a full list.
     pub fn publish(&mut self, version: u64, is_full: bool, entries: &[Entry]) -> Vec<ListMessage> {
         self.apply(version, is_full, entries);
-        // Changes to a list that was never sent in full are of no use.
+        // Subscribers cannot apply changes to a list that was never sent in full.
         let is_first_change = self.last_page == 0 && !is_full;
         let is_empty_change = entries.is_empty() && !is_full;
         if is_first_change || is_empty_change {
@@ -126,7 +126,7 @@
         self.is_watching = is_watching;
     }
 
-    /// Answers the request of a subscriber.
+    /// Returns the messages that answer the request of a subscriber.
     pub fn answer(&self, request: &ListRequest) -> Vec<ListMessage> {
         if self.last_page == 0 {
             return Vec::new();
@@ -156,8 +156,8 @@
         }
     }
 
-    /// The list as it is now. The same entries give the same bytes, so that chunks of two of them
-    /// fit together.
+    /// The current full list. The same entries produce the same bytes, so that chunks of two such
+    /// pages can be combined.
     fn full_page(&self) -> Page {
         let entries = self.entries.values().map(String::as_str);
         Page {
@@ -168,7 +168,7 @@
         }
     }
 
-    /// The next heartbeat, if it is time for one.
+    /// Returns the next heartbeat if it is due.
     pub fn heartbeat(&mut self, now: Micros) -> Option<ListMessage> {
         if now < self.next_heartbeat_at || self.last_page == 0 {
             return None;
@@ -180,7 +180,7 @@
         })
     }
 
-    /// When [`ListPublisher::heartbeat`] is to be called.
+    /// The time at which [`ListPublisher::heartbeat`] must be called.
     pub fn next_timer(&self) -> Micros {
         if self.last_page == 0 {
             Micros::MAX
--- a/crates/cluster/src/shared_list/subscriber.rs
+++ b/crates/cluster/src/shared_list/subscriber.rs
@@ -1,4 +1,5 @@
-//! A subscriber's side: pages applied in order, and whether the list is up to date.
+//! The subscriber's side of a shared list: pages are applied in order, and heartbeats confirm that
+//! the list is up to date.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +9,8 @@
 use crate::Micros;
 use crate::leases::term::Term;
 
-/// The largest number of incomplete pages; beyond that the full list is requested.
+/// The largest number of incomplete pages. Beyond it they are discarded and the full list is
+/// requested.
 const MAX_PARTIAL_PAGES: usize = 16;
 /// The largest number of chunks in one request.
 const MAX_CHUNKS_PER_REQUEST: usize = 64;
@@ -60,22 +62,22 @@
     }
 }
 
-/// What a message of the holder leads to.
+/// The result of a message of the holder.
 #[derive(Debug, Default)]
 pub struct ListUpdate {
-    /// The texts of pages to apply now, in order, in discovery's own format.
+    /// The texts of pages to apply now, in order, in the format of discovery.
     pub pages: Vec<Vec<u8>>,
     /// A request to send to the holder.
     pub request: Option<ListRequest>,
 }
 
-/// A holder whose list was impossible.
+/// A term whose holder sent an invalid list.
 struct RejectedTerm {
     term: Term,
     until: Micros,
 }
 
-/// The list of a zone as one of its members receives it.
+/// The list of a zone as received by one of its members.
 #[derive(Default)]
 pub struct ListSubscriber {
     term: Option<Term>,
@@ -83,10 +85,10 @@
     applied_page: u32,
     version: Option<u64>,
     partial_pages: BTreeMap<u32, PartialPage>,
-    /// The last page of the holder as far as it is known.
+    /// The last known page of the holder.
     last_page: u32,
     next_request_at: Micros,
-    /// When the last heartbeat arrived that counts.
+    /// The time at which the last valid heartbeat arrived.
     last_heartbeat_at: Option<Micros>,
     rejected: Option<RejectedTerm>,
 }
@@ -99,13 +101,13 @@
             && !self.is_rejected(now)
     }
 
-    /// Until when the list is fresh without a further heartbeat.
+    /// The time until which the list is fresh without a further heartbeat.
     pub fn fresh_until(&self) -> Micros {
         self.last_heartbeat_at
             .map_or(0, |at| at + HEARTBEAT_TIMEOUT_US)
     }
 
-    /// The time since the last heartbeat that counted.
+    /// The time since the last valid heartbeat.
     pub fn age(&self, now: Micros) -> Option<Micros> {
         self.last_heartbeat_at.map(|at| now.saturating_sub(at))
     }
@@ -121,13 +123,13 @@
             .is_some_and(|rejected| Some(rejected.term) == self.term && now < rejected.until)
     }
 
-    /// Records the version of a list polled from discovery itself; that of a holder must not be
-    /// older.
+    /// Records the version of a list that this member polled from discovery itself. A list from a
+    /// holder must not be older.
     pub fn record_own_version(&mut self, version: u64) {
         self.version = Some(version);
     }
 
-    /// Receives a message of the holder under that term.
+    /// Receives a message of the holder under the given term.
     pub fn receive(&mut self, now: Micros, term: Term, message: &ListMessage) -> ListUpdate {
         if self.term.is_none_or(|known| known < term) {
             self.follow_holder(term);
@@ -160,7 +162,7 @@
         }
     }
 
-    /// Follows a new holder, which numbers its pages anew.
+    /// Switches to a new holder, whose page numbers start from 1 again.
     fn follow_holder(&mut self, term: Term) {
         self.term = Some(term);
         self.applied_page = 0;
@@ -186,7 +188,8 @@
             .entry(chunk.page)
             .or_insert_with(|| chunk.new_partial_page(now));
         if !chunk.matches_page(partial) {
-            // The same page as a change and as a full list: the full list needs no earlier page.
+            // The page was received both as a change and as a full list. The full list replaces the
+            // change, since it needs no earlier page.
             if !chunk.is_full {
                 return false;
             }
@@ -196,7 +199,7 @@
         true
     }
 
-    /// Takes all complete pages that follow on the last one applied.
+    /// Applies all complete pages that follow the last one applied, and returns their texts.
     fn apply_pages(&mut self, now: Micros) -> Vec<Vec<u8>> {
         let mut texts = Vec::new();
         while let Some((number, text)) = self.next_complete_page() {
@@ -206,8 +209,8 @@
             let is_older = self.version.is_some_and(|version| page.version < version);
             let is_empty = page.is_full && !text.windows(2).any(|pair| pair == b"[{");
             if is_older || is_empty {
-                // Discovery's versions do not decrease, and an empty list would remove all
-                // endpoints.
+                // The list is invalid: discovery's versions do not decrease, and an empty list
+                // would remove all endpoints.
                 self.rejected = self.term.map(|term| RejectedTerm {
                     term,
                     until: now + REJECTION_PERIOD_US,
@@ -224,8 +227,8 @@
         texts
     }
 
-    /// The first complete page that is a full list or follows on the last one applied, with its
-    /// text.
+    /// Returns the first complete page that is a full list or follows the last one applied, with
+    /// its text.
     fn next_complete_page(&self) -> Option<(u32, Vec<u8>)> {
         self.partial_pages.iter().find_map(|(number, page)| {
             let is_next = *number == self.applied_page + 1 && self.applied_page > 0;
@@ -234,7 +237,8 @@
         })
     }
 
-    /// A request for what is missing, unless one was made just now.
+    /// Returns a request for missing chunks or the full list, unless one was made less than
+    /// [`REQUEST_INTERVAL_US`] ago.
     fn next_request(&mut self, now: Micros) -> Option<ListRequest> {
         if self.last_page <= self.applied_page || now < self.next_request_at {
             return None;
@@ -246,7 +250,7 @@
             .iter()
             .find(|(number, page)| page.is_full || **number == next);
         match partial {
-            // Its chunks may still be on their way.
+            // The missing chunks may still be in transit.
             Some((_, page)) if now < page.started_at + REQUEST_INTERVAL_US => None,
             Some((number, page)) => Some(ListRequest::Chunks {
                 page: *number,
--- a/crates/cluster/src/timers.rs
+++ b/crates/cluster/src/timers.rs
@@ -5,30 +5,31 @@
 
 use crate::Micros;
 
-/// What happens when a timer expires.
+/// The action to run when a timer expires.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Timer {
-    /// The probe of this round is evaluated and the next one sent.
+    /// Evaluate the probe of this round and send the next one.
     ProbeRound,
-    /// The probe of this round is repeated if there is no reply.
+    /// Repeat the probe of this round if it has had no reply.
     ProbeRetry,
-    /// A probe relayed for another member, by its number, has timed out.
+    /// Report that the relayed probe with this number has timed out.
     RelayedProbe(u32),
-    /// The suspicion of the member with that name may have lasted its time.
+    /// Declare the named member dead if its suspicion has lasted long enough.
     Suspicion(Rc<str>),
-    /// Changed records are sent.
+    /// Send changed records.
     Gossip,
-    /// A part of the member table is sent.
+    /// Send a part of the member table.
     TableSync,
-    /// A dead member is probed.
+    /// Probe a dead member.
     DeadProbe,
-    /// A seed is contacted.
+    /// Contact a seed.
     Seeds,
-    /// The lease manager's timer has expired.
+    /// Run the timers of the lease manager.
     LeaseManager,
 }
 
-/// The time of a timer; timers of one time expire in the order in which they were scheduled.
+/// The sort key of a timer. Timers with the same time expire in the order in which they were
+/// scheduled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct TimerKey {
     at: Micros,
@@ -50,19 +51,19 @@
         self.scheduled.insert(TimerKey { at, order }, timer);
     }
 
-    /// When the next timer expires.
+    /// The time at which the next timer expires.
     pub fn next(&self) -> Option<Micros> {
         self.scheduled.first_key_value().map(|(key, _)| key.at)
     }
 
-    /// Takes the next timer that has expired.
+    /// Removes and returns the next timer that has expired.
     pub fn take_expired(&mut self, now: Micros) -> Option<Timer> {
         let first = self.scheduled.first_entry()?;
         (first.key().at <= now).then(|| first.remove())
     }
 
-    /// Reschedules to `now` what expired earlier, so that timers missed during a pause run after
-    /// it.
+    /// Reschedules all timers that expired before `now` to `now`, so that timers missed during a
+    /// pause run after it.
     pub fn reschedule_missed(&mut self, now: Micros) {
         let later = self.scheduled.split_off(&TimerKey { at: now, order: 0 });
         let missed = std::mem::replace(&mut self.scheduled, later);
--- a/crates/proxy/src/cluster/event_log.rs
+++ b/crates/proxy/src/cluster/event_log.rs
@@ -20,11 +20,11 @@
             LeaseEvent::Lost {
                 lease,
                 term,
-                until,
+                held_until,
                 reason,
             } => {
                 info!(log, "lease lost"; "lease" => &**lease, "term" => format_term(*term),
-                    "until_us" => until, "reason" => reason.code());
+                    "until_us" => held_until, "reason" => reason.code());
             }
             LeaseEvent::QuorumLost => {
                 warn!(log, "no majority of voters answers, leases are suspended");
--- a/crates/testbed/src/cluster/lease_checks.rs
+++ b/crates/testbed/src/cluster/lease_checks.rs
@@ -34,14 +34,14 @@
                 LeaseEvent::Lost {
                     lease,
                     term,
-                    until,
+                    held_until,
                     reason,
                 } => {
                     let cause = match reason {
                         LossReason::Released => "let go",
                         _ => "lost",
                     };
-                    let until = process.true_time(until);
+                    let until = process.true_time(held_until);
                     self.lease_history
                         .lost(until, member, &lease, lease_term(term), cause);
                 }
