--- a/crates/cluster/src/leases/tracked.rs
+++ b/crates/cluster/src/leases/tracked.rs
@@ -14,8 +14,9 @@
 /// acquire it. With [`CANDIDATES_PER_LEASE`] candidates the holder of a lease changes at most that
 /// many times in this duration.
 const COOLDOWN_AFTER_LOSS_US: Micros = 10_000_000;
-/// The first and the longest delay before a retry after a round without enough replies of voters.
+/// The first delay before a retry after a round without enough replies of voters.
 const MIN_BACKOFF_US: Micros = 200_000;
+/// The longest delay before a retry after a round without enough replies of voters.
 const MAX_BACKOFF_US: Micros = 4_000_000;
 /// A lease is transferred to a preferred member only when that member has been alive and the lease
 /// has been held for this long.
--- a/crates/proxy/src/cluster/event_log.rs
+++ b/crates/proxy/src/cluster/event_log.rs
@@ -33,7 +33,7 @@
             LeaseEvent::VotersDiffer(name) => {
                 warn!(log, "member has other voters in its file"; "member" => &**name);
             }
-            // Logged, if at all, by what they lead to.
+            // These events are not logged, only their effects.
             LeaseEvent::CommandReceived { .. } | LeaseEvent::NoteReceived { .. } => {}
         }
     }
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Logs a change of a member with the counts after it, this balancer included.
+    /// Logs a change of a member with the resulting counts, which include this balancer.
     fn log_member(&self, message: &'static str, name: &Rc<str>) {
         let table = &self.cluster.table;
         info!(self.log, "{}", message; "member" => &**name, "alive" => table.alive().count() + 1,
--- a/crates/proxy/src/cluster/lease_status.rs
+++ b/crates/proxy/src/cluster/lease_status.rs
@@ -1,4 +1,4 @@
-//! The state of a lease, for whoever acts in its name.
+//! The state of a lease, for code that acts under it.
 
 use pinefront_cluster::Micros;
 use pinefront_cluster::leases::term::Term;
@@ -7,24 +7,25 @@
 
 /// A lease that this process holds.
 pub struct HeldLeaseStatus {
-    /// The term under which it is held.
+    /// The term under which the lease is held.
     pub term: Term,
-    /// How long it has been held.
+    /// How long the lease has been held.
     pub held_for: Micros,
-    /// How long it may still be acted on.
+    /// How long the process may still act under the lease without a renewal.
     pub remaining: Micros,
 }
 
-/// The state of a lease as far as this process knows.
+/// The state of a lease in the view of this process.
 pub struct LeaseStatus {
-    /// Where this process holds it.
+    /// The held lease, if this process holds it.
     pub held: Option<HeldLeaseStatus>,
-    /// The greatest known term.
+    /// The greatest known term of the lease.
     pub greatest_known_term: Option<Term>,
 }
 
 impl ClusterNode {
-    /// The state of a lease; nothing where the operator file names none of that name.
+    /// Returns the state of a lease, or `None` if the operator file contains no lease with this
+    /// name.
     pub fn lease_status(&self, name: &str) -> Option<LeaseStatus> {
         let leases = self.cluster.lease_manager()?;
         let at = now();
@@ -41,7 +42,7 @@
     }
 }
 
-/// The text of a term. Texts compare as the terms do.
+/// Formats a term. The texts of terms have the same order as the terms.
 pub fn format_term(term: Term) -> String {
     format!("{:016x}-{:016x}", term.number, term.incarnation_id)
 }
--- a/crates/proxy/src/cluster/mod.rs
+++ b/crates/proxy/src/cluster/mod.rs
@@ -1,6 +1,6 @@
-//! The balancer's part in its fleet: the cluster member on a UDP socket, the operator file that
-//! configures it, its pages and log lines, and the shared endpoint list. It knows nothing of the
-//! rest of the balancer.
+//! The balancer as a member of its fleet: the cluster member on a UDP socket, the operator file
+//! that configures it, its pages and log lines, and the shared endpoint list. These modules do not
+//! depend on the rest of the balancer.
 
 mod event_log;
 mod lease_status;
--- a/crates/proxy/src/cluster/node.rs
+++ b/crates/proxy/src/cluster/node.rs
@@ -20,50 +20,50 @@
 #[cfg(test)]
 mod tests;
 
-/// The largest number of datagrams received in one loop iteration, so that a flood does not hold up
-/// requests.
+/// The largest number of datagrams received in one loop iteration, so that a flood of datagrams
+/// does not delay requests.
 const MAX_DATAGRAMS_PER_ITERATION: usize = 128;
 
-/// The time of a clock that runs on while the process is stopped and while the machine sleeps, and
-/// is never set.
+/// The time in microseconds of a clock that is never set, and that advances while the process is
+/// stopped or the machine is suspended, too.
 pub fn now() -> Micros {
     let now = clock_gettime(ClockId::Boottime);
     now.tv_sec as Micros * 1_000_000 + now.tv_nsec as Micros / 1_000
 }
 
-/// Why the socket of the fleet cannot be used.
+/// The reason why the UDP socket of the fleet cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum OpenError {
-    /// It cannot be bound.
-    #[error("cannot hear the fleet at {address}: {source}")]
+    /// The socket cannot be bound.
+    #[error("cannot bind the fleet socket to {address}: {source}")]
     Bind {
         /// The address in the operator file.
         address: SocketAddr,
-        /// The reason.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The event loop cannot watch it.
-    #[error("cannot watch the fleet's socket: {0}")]
+    /// The socket cannot be registered with the event loop.
+    #[error("cannot register the fleet socket with the event loop: {0}")]
     Watch(String),
 }
 
-/// This balancer's part in its fleet.
+/// This balancer as a member of its fleet.
 pub struct ClusterNode {
-    /// The state of the member.
+    /// The state of the cluster member.
     pub cluster: Cluster,
-    /// The operator file.
+    /// The settings from the operator file.
     pub settings: FleetSettings,
     /// The shared endpoint lists.
     pub shared_lists: SharedLists,
     socket: Rc<UdpSocket>,
     pub(super) log: Logger,
-    /// Datagrams that the socket did not accept.
+    /// The number of datagrams that the socket did not accept.
     pub(super) send_failures: u64,
 }
 
 impl ClusterNode {
-    /// Binds the socket for the whole life of the process: that another process uses its address
-    /// later shows the others that this one has ended.
+    /// Binds the socket, which stays bound until the process ends. Other members therefore conclude
+    /// that this process has ended when another process uses its address.
     pub fn open<D: 'static>(
         handle: &LoopHandle<'static, D>,
         mut settings: FleetSettings,
@@ -96,7 +96,7 @@
                 receiver.borrow_mut().receive();
                 Ok(PostAction::Continue)
             })
-            .map_err(|problem| OpenError::Watch(problem.to_string()))?;
+            .map_err(|error| OpenError::Watch(error.to_string()))?;
         Ok(node)
     }
 
@@ -106,9 +106,9 @@
         for _ in 0..MAX_DATAGRAMS_PER_ITERATION {
             match self.socket.recv_from(&mut bytes) {
                 Ok((length, _)) => self.cluster.receive(now(), &bytes[..length]),
-                Err(problem) if problem.kind() == io::ErrorKind::WouldBlock => break,
-                // The report of an earlier datagram that was refused; the next one may be a
-                // datagram.
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
+                // The error reports that a datagram sent earlier was refused. The next call may
+                // return a datagram.
                 Err(_) => {}
             }
         }
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Passes on a list that this balancer polled from discovery itself.
+    /// Publishes a list that this balancer polled from discovery itself.
     pub fn publish_list(&mut self, list: &serde_json::Value) {
         self.shared_lists.publish(now(), &mut self.cluster, list);
         self.process_output();
@@ -148,7 +148,8 @@
         self.process_output();
     }
 
-    /// For how long discovery need not be polled since another member passes its list on.
+    /// How long discovery need not be polled, since another member publishes its list; `None` if it
+    /// must be polled.
     pub fn list_fresh_for(&self) -> Option<Micros> {
         let now = now();
         self.shared_lists
@@ -162,8 +163,8 @@
         self.process_output();
     }
 
-    /// Applies a reloaded operator file. Returns the fields that changed and take effect only at
-    /// the next start.
+    /// Applies a reloaded operator file. Returns the changed fields that take effect only after a
+    /// restart.
     pub fn reload(&mut self, new: FleetSettings) -> Vec<&'static str> {
         let unapplied = fields_needing_restart(&self.settings, &new);
         self.cluster.update_config(&new.member, new.key.clone());
@@ -184,7 +185,7 @@
         unapplied
     }
 
-    /// Sends the datagrams, and logs and handles the events, that the cluster member has made.
+    /// Sends the datagrams of the cluster member, and logs and handles its events.
     fn process_output(&mut self) {
         for OutgoingDatagram { to, bytes } in self.cluster.take_datagrams() {
             let to = self
@@ -193,7 +194,8 @@
                 .get(&to)
                 .copied()
                 .unwrap_or(to);
-            // The protocol allows for loss, in a full socket as in the network.
+            // The protocol tolerates the loss of datagrams, in a full socket buffer as well as in
+            // the network.
             if self.socket.send_to(&bytes, to).is_err() {
                 self.send_failures += 1;
             }
@@ -248,8 +250,8 @@
 }
 
 fn new_cluster(settings: &FleetSettings, seed: u64) -> Cluster {
-    // Processes with one configuration, and successive ones of one balancer, must differ in their
-    // random choices.
+    // Processes with the same configuration, and successive processes of one balancer, must make
+    // different random choices.
     let process = u64::from(std::process::id()).rotate_left(32);
     let seed = seed ^ settings.member.started_at_us ^ process;
     let mut cluster = Cluster::new(settings.member.clone(), settings.key.clone(), seed, now());
@@ -259,7 +261,7 @@
     cluster
 }
 
-/// The fields that differ and can't change while the process runs.
+/// The fields that differ and cannot change while the process runs.
 fn fields_needing_restart(old: &FleetSettings, new: &FleetSettings) -> Vec<&'static str> {
     [
         ("fleet.listen", old.listen != new.listen),
--- a/crates/proxy/src/cluster/node/tests.rs
+++ b/crates/proxy/src/cluster/node/tests.rs
@@ -8,7 +8,8 @@
 use super::*;
 use crate::cluster::operator_file::FleetLeases;
 
-const LONG: Duration = Duration::from_secs(20);
+/// How long a condition may take to become true.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn open(
     event_loop: &EventLoop<'static, ()>,
@@ -18,14 +19,14 @@
     open_with(event_loop, name, seeds, false)
 }
 
-/// Opens a member, with a shared list of zone a where wanted, on whose lease b0 alone votes.
+/// Opens a member. With `shared_list` zone a has a shared list, on whose lease only b0 votes.
 fn open_with(
     event_loop: &EventLoop<'static, ()>,
     name: &str,
     seeds: Vec<std::net::SocketAddr>,
     shared_list: bool,
 ) -> Rc<RefCell<ClusterNode>> {
-    let free = UdpSocket::bind("127.0.0.1:0")
+    let free_address = UdpSocket::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
@@ -33,7 +34,7 @@
         fleet: "f".into(),
         name: name.into(),
         zone: "a".into(),
-        address: free,
+        address: free_address,
         seeds,
         started_at_us: 0,
         probe_interval: MemberConfig::DEFAULT_PROBE_INTERVAL,
@@ -56,7 +57,7 @@
         leases: vec![lease],
     });
     let settings = FleetSettings {
-        listen: free,
+        listen: free_address,
         member: config,
         key,
         leases,
@@ -67,40 +68,44 @@
     ClusterNode::open(&event_loop.handle(), settings, 1, &log).unwrap()
 }
 
-fn until(
+fn run_until(
     event_loop: &mut EventLoop<'static, ()>,
     all: &[Rc<RefCell<ClusterNode>>],
-    seen: impl Fn() -> bool,
+    condition: impl Fn() -> bool,
 ) {
-    let began = Instant::now();
-    while !seen() {
-        assert!(began.elapsed() < LONG, "it never came");
+    let started_at = Instant::now();
+    while !condition() {
+        assert!(started_at.elapsed() < TIMEOUT, "timed out");
         event_loop
             .dispatch(Some(Duration::from_millis(5)), &mut ())
             .unwrap();
-        all.iter().for_each(|fleet| fleet.borrow_mut().run_timers());
+        all.iter().for_each(|node| node.borrow_mut().run_timers());
     }
 }
 
-/// Also while a stranger sends: each of its datagrams costs a hash, and is counted.
+/// Datagrams from a sender without the key are counted as dropped by their hash, and do not prevent
+/// this.
 #[test]
-fn members_discover_each_other_by_their_sockets_and_announce_leaving() {
+fn members_discover_each_other_over_udp_and_announce_leaving() {
     let mut event_loop = EventLoop::try_new().unwrap();
     let first = open(&event_loop, "b0", Vec::new());
     let seed = first.borrow().settings.member.address;
     let second = open(&event_loop, "b1", vec![seed]);
-    let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
-    (0..50).for_each(|_| _ = stranger.send_to(&[7; 200], seed).unwrap());
+    let unauthenticated_sender = UdpSocket::bind("127.0.0.1:0").unwrap();
+    (0..50).for_each(|_| _ = unauthenticated_sender.send_to(&[7; 200], seed).unwrap());
     let all = [Rc::clone(&first), Rc::clone(&second)];
-    let knows = |one: &Rc<RefCell<ClusterNode>>| one.borrow().cluster.table.alive().count() == 1;
-    until(&mut event_loop, &all, || knows(&first) && knows(&second));
+    let has_one_peer =
+        |node: &Rc<RefCell<ClusterNode>>| node.borrow().cluster.table.alive().count() == 1;
+    run_until(&mut event_loop, &all, || {
+        has_one_peer(&first) && has_one_peer(&second)
+    });
     let page = first.borrow().fleet_page();
     assert!(
         page.contains("\"member\":\"b0\"") && page.contains("\"name\":\"b1\""),
         "{page}"
     );
     second.borrow_mut().leave();
-    until(&mut event_loop, &all[..1], || {
+    run_until(&mut event_loop, &all[..1], || {
         first.borrow().cluster.table.count_possibly_serving() == 0
     });
     assert!(
@@ -112,8 +117,8 @@
     assert!(first.borrow().fleet_page().contains("\"hash\":50"));
 }
 
-/// One member follows discovery; the other receives the full list and then its changes, and polls
-/// nothing meanwhile.
+/// One member polls discovery. The other receives the full list and then its changes, and need not
+/// poll discovery while the list is fresh.
 #[test]
 fn lease_holder_publishes_the_shared_list() {
     let mut event_loop = EventLoop::try_new().unwrap();
@@ -121,45 +126,58 @@
     let seed = first.borrow().settings.member.address;
     let second = open_with(&event_loop, "b1", vec![seed], true);
     let all = [Rc::clone(&first), Rc::clone(&second)];
-    let is_publishing = |one: &Rc<RefCell<ClusterNode>>| one.borrow().shared_lists.is_publishing();
-    until(&mut event_loop, &all, || {
+    let is_publishing =
+        |node: &Rc<RefCell<ClusterNode>>| node.borrow().shared_lists.is_publishing();
+    run_until(&mut event_loop, &all, || {
         is_publishing(&first) || is_publishing(&second)
     });
-    let (holder, reader) = if is_publishing(&first) {
+    let (publisher, subscriber) = if is_publishing(&first) {
         (&first, &second)
     } else {
         (&second, &first)
     };
     assert!(
-        holder.borrow_mut().shared_lists.take_full_list_request()
-            && !reader.borrow_mut().shared_lists.take_full_list_request()
+        publisher.borrow_mut().shared_lists.take_full_list_request()
+            && !subscriber
+                .borrow_mut()
+                .shared_lists
+                .take_full_list_request()
     );
-    let entry = |n: usize| serde_json::json!({"uid": format!("s{n}"), "state": "active", "note": "x".repeat(90)});
-    let whole = serde_json::json!({"rev": 4, "all": true, "targets": (0..40).map(entry).collect::<Vec<_>>()});
+    let entry = |n: usize| {
+        let note = "x".repeat(90);
+        serde_json::json!({"uid": format!("s{n}"), "state": "active", "note": note})
+    };
+    let entries: Vec<_> = (0..40).map(entry).collect();
+    let full_list = serde_json::json!({"rev": 4, "all": true, "targets": entries});
     let change = serde_json::json!({"rev": 5, "all": false, "targets": [entry(77)]});
-    holder.borrow_mut().publish_list(&whole);
-    holder.borrow_mut().publish_list(&change);
-    let taken = RefCell::new(Vec::new());
-    until(&mut event_loop, &all, || {
-        taken
+    publisher.borrow_mut().publish_list(&full_list);
+    publisher.borrow_mut().publish_list(&change);
+    let received = RefCell::new(Vec::new());
+    run_until(&mut event_loop, &all, || {
+        received
             .borrow_mut()
-            .extend(reader.borrow_mut().shared_lists.take_pages());
-        taken.borrow().len() == 2 && reader.borrow().list_fresh_for().is_some()
+            .extend(subscriber.borrow_mut().shared_lists.take_pages());
+        received.borrow().len() == 2 && subscriber.borrow().list_fresh_for().is_some()
     });
-    let lists: Vec<serde_json::Value> = taken
+    let lists: Vec<serde_json::Value> = received
         .borrow()
         .iter()
         .map(|page| serde_json::from_slice(page).unwrap())
         .collect();
-    let named = |list: &serde_json::Value| list["targets"].as_array().unwrap().len();
+    let entry_count = |list: &serde_json::Value| list["targets"].as_array().unwrap().len();
     assert_eq!(
-        (lists[0]["rev"].as_u64(), named(&lists[0]), named(&lists[1])),
+        (
+            lists[0]["rev"].as_u64(),
+            entry_count(&lists[0]),
+            entry_count(&lists[1])
+        ),
         (Some(4), 40, 1)
     );
-    assert!(holder.borrow().list_fresh_for().is_none());
-    // A failed poll: heartbeats no longer say that the list is fresh, and each member polls itself.
-    holder.borrow_mut().record_poll_failure();
-    until(&mut event_loop, &all, || {
-        reader.borrow().list_fresh_for().is_none()
+    assert!(publisher.borrow().list_fresh_for().is_none());
+    // After a failed poll the heartbeats no longer confirm that the list is fresh, and each member
+    // polls discovery itself.
+    publisher.borrow_mut().record_poll_failure();
+    run_until(&mut event_loop, &all, || {
+        subscriber.borrow().list_fresh_for().is_none()
     });
 }
--- a/crates/proxy/src/cluster/operator_file/error.rs
+++ b/crates/proxy/src/cluster/operator_file/error.rs
@@ -11,69 +11,78 @@
 /// The result of reading a part of the file.
 pub type Result<T> = std::result::Result<T, OperatorFileError>;
 
-/// Why an operator file is not accepted.
+/// The reason why an operator file is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorFileError {
     /// The file cannot be read.
-    #[error("cannot read {path}: {source}")]
+    #[error("cannot read operator file {path}: {source}")]
     Unreadable {
         /// The path of the file.
         path: String,
-        /// Why it cannot be read.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A field has a wrong value.
+    /// A field has an invalid value.
     #[error("{path}:{line}: {field}: {reason}")]
     Field {
         /// The path of the file.
         path: String,
-        /// The line, from 1.
+        /// The line number, counted from 1.
         line: usize,
-        /// The field with its table.
+        /// The field with the name of its table.
         field: String,
-        /// What is wrong with it.
+        /// The reason why the value is rejected.
         reason: FieldError,
     },
 }
 
-/// What is wrong with the value of a field.
+/// The reason why the value of a field is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum FieldError {
     #[error("{0}")]
     Syntax(String),
-    #[error("'{0}' is no IPv4 address and port")]
+    #[error("invalid socket address '{0}': expected IPV4:PORT")]
     InvalidAddress(String),
-    #[error("nobody can send to {0}")]
+    #[error("unreachable address {0}: expected a specific IP address and a port other than 0")]
     UnreachableAddress(SocketAddr),
-    #[error("names no address that others can send to: give fleet.advertise")]
-    NoReachableAddress,
-    #[error("'{}' is no name of 1 to {MAX_NAME_BYTES} letters, digits and signs", .0.escape_debug())]
+    #[error(
+        "address {0} is unreachable for other members: expected a specific IP address and a port \
+         other than 0, or fleet.advertise"
+    )]
+    NoReachableAddress(SocketAddr),
+    #[error(
+        "invalid name '{}': expected 1 to {MAX_NAME_BYTES} visible ASCII characters without quotes",
+        .0.escape_debug()
+    )]
     InvalidName(String),
-    #[error("'{0}' is no span from 5ms to 60s")]
+    #[error("invalid duration '{0}': expected 5ms to 60s")]
     InvalidDuration(String),
-    #[error("must be at most half of fleet.probe_every: there are two tries in it")]
+    #[error("must be at most half of fleet.probe_every, which must fit a probe and its retry")]
     TimeoutTooLong,
-    #[error("names {count} of {max} at most")]
+    #[error("{count} entries: expected at most {max}")]
     TooMany { count: usize, max: usize },
-    #[error("wants a name and a life, as /fleet shows them")]
-    InvalidProcess,
-    #[error("'{}' {source}", .text.escape_debug())]
+    #[error(
+        "invalid process '{}': expected a name and a life, as shown by /fleet",
+        .0.escape_debug()
+    )]
+    InvalidProcess(String),
+    #[error("invalid life '{}': {source}", .text.escape_debug())]
     InvalidIncarnation {
         text: String,
         source: InvalidIncarnation,
     },
-    #[error("names {0} twice")]
+    #[error("duplicate voter '{0}'")]
     DuplicateVoter(String),
-    #[error("names {0} members: 1, 3, 5 or {MAX_VOTERS} can have a majority")]
+    #[error("{0} voters: expected 1, 3, 5 or {MAX_VOTERS}, so that there is a majority")]
     VoterCount(usize),
-    #[error("'{0}' is no span from 200ms to 2s")]
+    #[error("invalid duration '{0}': expected 200ms to 2s")]
     InvalidLeaseDuration(String),
-    #[error("names '{0}' twice, or more than {MAX_LEASES} duties")]
+    #[error("duplicate duty '{0}', or more than {MAX_LEASES} duties")]
     DuplicateLease(String),
-    #[error("names '{0}' twice, or is one of duties.own")]
+    #[error("duplicate zone '{0}', or its duty is one of duties.own")]
     DuplicateZone(String),
-    #[error("{path}: {source}")]
+    #[error("cannot read key file {path}: {source}")]
     UnreadableKey { path: String, source: io::Error },
-    #[error("{path}: {source}")]
+    #[error("invalid key file {path}: {source}")]
     ShortKey { path: String, source: KeyTooShort },
 }
--- a/crates/proxy/src/cluster/operator_file/fields.rs
+++ b/crates/proxy/src/cluster/operator_file/fields.rs
@@ -12,8 +12,9 @@
 use super::FileReader;
 use super::error::{FieldError, OperatorFileError, Result};
 
-/// The shortest and the longest span that make sense between processes.
+/// The shortest duration that is useful between processes.
 const MIN_DURATION_US: Micros = 5_000;
+/// The longest duration that is useful between processes.
 const MAX_DURATION_US: Micros = 60_000_000;
 
 impl FileReader<'_> {
@@ -48,7 +49,7 @@
         }
     }
 
-    /// An address that others can send to.
+    /// Reads an address to which other members can send.
     pub(super) fn reachable_address(
         &self,
         value: &Spanned<String>,
@@ -70,7 +71,7 @@
         Err(self.error(value.span(), field, FieldError::InvalidName(text.clone())))
     }
 
-    /// A span in microseconds, or the default where none is given.
+    /// Reads a duration in microseconds, or returns the default if none is given.
     pub(super) fn duration(
         &self,
         value: Option<&Spanned<String>>,
@@ -83,8 +84,8 @@
         let text = value.get_ref();
         humantime::parse_duration(text)
             .ok()
-            .and_then(|span| Micros::try_from(span.as_micros()).ok())
-            .filter(|span| (MIN_DURATION_US..=MAX_DURATION_US).contains(span))
+            .and_then(|duration| Micros::try_from(duration.as_micros()).ok())
+            .filter(|duration| (MIN_DURATION_US..=MAX_DURATION_US).contains(duration))
             .ok_or_else(|| {
                 self.error(
                     value.span(),
@@ -94,15 +95,17 @@
             })
     }
 
-    /// A process by its name and incarnation, as `/fleet` shows them.
+    /// Reads the name and incarnation of a process, as shown by `/fleet`.
     pub(super) fn process(
         &self,
         value: &Spanned<String>,
         field: &str,
     ) -> Result<(Rc<str>, Incarnation)> {
-        let parts = value.get_ref().split_once(' ');
+        let text = value.get_ref();
+        let parts = text.split_once(' ');
         let Some((name, incarnation)) = parts.filter(|(name, _)| is_valid_name(name)) else {
-            return Err(self.error(value.span(), field, FieldError::InvalidProcess));
+            let reason = FieldError::InvalidProcess(text.clone());
+            return Err(self.error(value.span(), field, reason));
         };
         let parsed = incarnation.parse().map_err(|source| {
             let text = incarnation.to_owned();
@@ -112,7 +115,7 @@
         Ok((name.into(), parsed))
     }
 
-    /// The key in the file of that name.
+    /// Reads the key from the file at the given path.
     pub(super) fn key(&self, path: &Spanned<String>) -> Result<Key> {
         let field = "fleet.key_file";
         let name = path.get_ref();
--- a/crates/proxy/src/cluster/operator_file/leases.rs
+++ b/crates/proxy/src/cluster/operator_file/leases.rs
@@ -13,7 +13,7 @@
 use super::schema::LeaseTable;
 use super::{FileReader, FleetLeases, SharedListZones};
 
-/// The contents of the table; empty where there is none.
+/// The contents of the table; empty if the file has no such table.
 #[derive(Default)]
 pub struct LeaseSettings {
     pub leases: Option<FleetLeases>,
--- a/crates/proxy/src/cluster/operator_file/mod.rs
+++ b/crates/proxy/src/cluster/operator_file/mod.rs
@@ -1,6 +1,6 @@
-//! The operator file: what an installation configures beside the balancer's own configuration. TOML
-//! with a table for each subsystem. Unknown fields are refused, and each error names file, line and
-//! field.
+//! The operator file: the settings of an installation in addition to the balancer's own
+//! configuration. It is a TOML file with a table for each subsystem. Unknown fields are rejected,
+//! and each error contains the file, line and field.
 
 mod error;
 mod fields;
@@ -25,15 +25,15 @@
 #[cfg(test)]
 mod tests;
 
-/// The largest number of seeds; a file that names more is a mistake.
+/// The largest number of seeds; a file with more is probably a mistake.
 const MAX_SEEDS: usize = 64;
-/// The largest number of processes confirmed dead: as many as a table holds.
+/// The largest number of processes confirmed dead: the capacity of the member table.
 const MAX_CONFIRMED_DEAD: usize = pinefront_cluster::membership::table::MAX_MEMBERS;
 
-/// The shared endpoint lists of a fleet: the zone of each by its lease.
+/// The zones of a fleet that share an endpoint list, by the lease of the list.
 pub type SharedListZones = BTreeMap<LeaseId, Rc<str>>;
 
-/// The leases that a fleet has.
+/// The leases of a fleet with their configuration.
 #[derive(Clone)]
 pub struct FleetLeases {
     /// The voters and the duration.
@@ -44,21 +44,22 @@
 
 /// The contents of an operator file.
 pub struct FleetSettings {
-    /// The address of this balancer's socket.
+    /// The address to which this balancer's socket is bound.
     pub listen: SocketAddr,
-    /// This balancer as a member.
+    /// The configuration of this balancer as a member.
     pub member: MemberConfig,
     /// The key that all members share.
     pub key: Key,
-    /// The leases, where the file names voters.
+    /// The leases, if the file contains voters.
     pub leases: Option<FleetLeases>,
     /// The zones with a shared endpoint list.
     pub shared_list_zones: SharedListZones,
-    /// For members reached at another address than the one they announce: where to send instead.
+    /// The addresses to send to for members that are reached at another address than the one they
+    /// announce, by the announced address.
     pub address_overrides: BTreeMap<SocketAddr, SocketAddr>,
 }
 
-/// Reads an operator file. `name` and `zone` are used where the file names none.
+/// Reads an operator file. `name` and `zone` are the defaults if the file sets none.
 pub fn read(path: &str, name: &str, zone: &str) -> Result<FleetSettings> {
     let text = std::fs::read_to_string(path).map_err(|source| OperatorFileError::Unreadable {
         path: path.to_owned(),
@@ -99,14 +100,14 @@
     }
 
     fn parse(&self) -> Result<File> {
-        toml::from_str(self.text).map_err(|problem| {
-            let at = problem.span().unwrap_or(0..0);
+        toml::from_str(self.text).map_err(|error| {
+            let at = error.span().unwrap_or(0..0);
             let line_start = self.text[..at.start.min(self.text.len())]
                 .rfind('\n')
                 .map_or(0, |end| end + 1);
             let line = self.text[line_start..].lines().next().unwrap_or("");
             let field = line.split('=').next().unwrap_or("").trim();
-            let message = problem.message().replace('\n', " ");
+            let message = error.message().replace('\n', " ");
             self.error(at, field, FieldError::Syntax(message))
         })
     }
@@ -152,14 +153,14 @@
         })
     }
 
-    /// The address that other members send to.
+    /// Returns the address to which other members send.
     fn announced_address(&self, table: &FleetTable, listen: SocketAddr) -> Result<SocketAddr> {
         if let Some(advertise) = &table.advertise {
             return self.reachable_address(advertise, "fleet.advertise");
         }
         if listen.ip().is_unspecified() || listen.port() == 0 {
             let at = table.listen.span();
-            return Err(self.error(at, "fleet.listen", FieldError::NoReachableAddress));
+            return Err(self.error(at, "fleet.listen", FieldError::NoReachableAddress(listen)));
         }
         Ok(listen)
     }
@@ -191,7 +192,7 @@
             .collect()
     }
 
-    /// A probe and its retry have to fit into the interval.
+    /// Checks that a probe and its retry fit into the probe interval.
     fn check_timeouts(&self, table: &FleetTable, member: &MemberConfig) -> Result<()> {
         if member.probe_timeout * 2 <= member.probe_interval {
             return Ok(());
--- a/crates/proxy/src/cluster/operator_file/schema.rs
+++ b/crates/proxy/src/cluster/operator_file/schema.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use toml::Spanned;
 
-/// The whole file.
+/// The operator file.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct File {
@@ -14,7 +14,7 @@
     pub leases: Option<Spanned<LeaseTable>>,
 }
 
-/// `[fleet]`: the fleet, and how its members reach one another.
+/// The table `[fleet]`: the fleet, and how its members reach one another.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetTable {
@@ -38,7 +38,7 @@
     pub address_overrides: BTreeMap<Spanned<String>, Spanned<String>>,
 }
 
-/// `[duties]`: the voters of leases, and the leases.
+/// The table `[duties]`: the voters of leases, and the leases.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LeaseTable {
@@ -48,7 +48,7 @@
     /// Names of the operators' own leases.
     #[serde(default)]
     pub own: Vec<Spanned<String>>,
-    /// Zones in which one member polls discovery for all.
+    /// Zones in which one member polls discovery for all members.
     #[serde(default, rename = "roster")]
     pub shared_list_zones: Vec<Spanned<String>>,
 }
--- a/crates/proxy/src/cluster/operator_file/tests.rs
+++ b/crates/proxy/src/cluster/operator_file/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// A key file of the test, deleted with the value.
+/// A key file of one test, which is deleted when the value is dropped.
 struct KeyFile(std::path::PathBuf);
 
 impl KeyFile {
@@ -33,12 +33,12 @@
         text,
     }
     .settings("b1", "a")
-    .map_err(|problem| problem.to_string())
+    .map_err(|error| error.to_string())
 }
 
 #[test]
-fn missing_fields_come_from_the_configuration() {
-    let key = KeyFile::new("usual");
+fn missing_fields_have_the_defaults_of_the_configuration() {
+    let key = KeyFile::new("defaults");
     let settings =
         settings(&key.text("listen = '127.0.0.1:7400'\nseeds = ['127.0.0.1:7401']")).unwrap();
     let member = &settings.member;
@@ -54,74 +54,80 @@
 
 #[rstest]
 #[case::unknown_field("listen = '127.0.0.1:1'\nspeed = 3", "o.toml:5: speed: unknown field")]
-#[case::no_address("listen = 'here'", "o.toml:4: fleet.listen: 'here' is no IPv4 address")]
-#[case::nobody_can_send("listen = '0.0.0.0:7400'", "o.toml:4: fleet.listen: names no address")]
-#[case::odd_advertise(
+#[case::invalid_listen_address(
+    "listen = 'here'",
+    "o.toml:4: fleet.listen: invalid socket address 'here': expected IPV4:PORT"
+)]
+#[case::unspecified_listen_address(
+    "listen = '0.0.0.0:7400'",
+    "o.toml:4: fleet.listen: address 0.0.0.0:7400 is unreachable for other members: expected"
+)]
+#[case::unspecified_advertised_address(
     "listen = '0.0.0.0:7400'\nadvertise = '0.0.0.0:1'",
-    "o.toml:5: fleet.advertise: nobody can"
+    "o.toml:5: fleet.advertise: unreachable address 0.0.0.0:1: expected"
 )]
-#[case::odd_seed(
+#[case::seed_with_port_0(
     "listen = '127.0.0.1:1'\nseeds = ['127.0.0.1:2', '127.0.0.1:0']",
-    "o.toml:5: fleet.seeds: nobody"
+    "o.toml:5: fleet.seeds: unreachable address 127.0.0.1:0: expected"
 )]
-#[case::span(
+#[case::duration_without_unit(
     "listen = '127.0.0.1:1'\nprobe_every = '2'",
-    "o.toml:5: fleet.probe_every: '2' is no span"
+    "o.toml:5: fleet.probe_every: invalid duration '2': expected 5ms to 60s"
 )]
-#[case::spans(
+#[case::timeout_longer_than_half_the_interval(
     "listen = '127.0.0.1:1'\nanswer_within = '300ms'",
     "o.toml:5: fleet.answer_within: must be at most half"
 )]
-#[case::member(
+#[case::member_name_with_space(
     "listen = '127.0.0.1:1'\nmember = 'a b'",
-    "o.toml:5: fleet.member: 'a b' is no name"
+    "o.toml:5: fleet.member: invalid name 'a b': expected 1 to 64 visible ASCII characters"
 )]
-#[case::struck_without_life(
+#[case::confirmed_dead_without_incarnation(
     "listen = '127.0.0.1:1'\nstruck = ['b1']",
-    "o.toml:5: fleet.struck: wants a name and a life"
+    "o.toml:5: fleet.struck: invalid process 'b1': expected a name and a life"
 )]
-#[case::struck_no_life(
+#[case::confirmed_dead_with_invalid_incarnation(
     "listen = '127.0.0.1:1'\nstruck = ['b1 1-2', 'b1 x-y']",
-    "o.toml:5: fleet.struck: 'x-y' is no life"
+    "o.toml:5: fleet.struck: invalid life 'x-y': expected a life as shown by /fleet"
 )]
 #[case::two_voters(
     "listen = '127.0.0.1:1'\n[duties]\nvoters = ['b1', 'b2']",
-    "o.toml:6: duties.voters: names 2 members: 1, 3, 5 or 7"
+    "o.toml:6: duties.voters: 2 voters: expected 1, 3, 5 or 7"
 )]
-#[case::one_voter_twice(
+#[case::duplicate_voter(
     "listen = '127.0.0.1:1'\n[duties]\nvoters = ['b1', 'b2', 'b1']",
-    "o.toml:6: duties.voters: names b1 twice"
+    "o.toml:6: duties.voters: duplicate voter 'b1'"
 )]
-#[case::long_lease(
+#[case::lease_duration_over_the_maximum(
     "listen = '127.0.0.1:1'\n[duties]\nvoters = ['b1']\nlease = '3s'",
-    "o.toml:7: duties.lease: '3s' is no span from 200ms to 2s"
+    "o.toml:7: duties.lease: invalid duration '3s': expected 200ms to 2s"
 )]
-#[case::one_duty_twice(
+#[case::duplicate_lease(
     "listen = '127.0.0.1:1'\n[duties]\nvoters = ['b1']\nown = ['x', 'x']",
-    "o.toml:7: duties.own: names 'x' twice"
+    "o.toml:7: duties.own: duplicate duty 'x'"
 )]
-#[case::mistyped("listen = 5", "o.toml:4: listen: invalid type")]
-#[case::missing("", "o.toml:1: [fleet]: missing field `listen`")]
-fn errors_name_line_and_field(#[case] more: &str, #[case] problem: &str) {
-    let key = KeyFile::new(&format!("{:x}", more.len() * 1_000 + problem.len()));
-    let told = settings(&key.text(more)).err().unwrap();
-    assert!(told.starts_with(problem), "{told}");
+#[case::field_of_wrong_type("listen = 5", "o.toml:4: listen: invalid type")]
+#[case::missing_field("", "o.toml:1: [fleet]: missing field `listen`")]
+fn errors_contain_line_and_field(#[case] more: &str, #[case] expected: &str) {
+    let key = KeyFile::new(&format!("{:x}", more.len() * 1_000 + expected.len()));
+    let error = settings(&key.text(more)).err().unwrap();
+    assert!(error.starts_with(expected), "{error}");
 }
 
 #[test]
-fn missing_key_file_is_named() {
+fn error_for_a_missing_key_file_contains_its_path() {
     let text = "[fleet]\nname = 'f'\nkey_file = '/nowhere/key'\nlisten = '127.0.0.1:1'";
     assert!(
         settings(text)
             .err()
             .unwrap()
-            .starts_with("o.toml:3: fleet.key_file: /nowhere/key: ")
+            .starts_with("o.toml:3: fleet.key_file: cannot read key file /nowhere/key: ")
     );
 }
 
-/// The file as it is delivered, its key file replaced by the test's own; with `uncommented`,
-/// commented settings too.
-fn delivered(key: &KeyFile, uncommented: bool) -> String {
+/// The operator file of the distribution, with its key file replaced by that of the test. With
+/// `uncommented`, the settings in comments are included.
+fn distributed_file(key: &KeyFile, uncommented: bool) -> String {
     let text = include_str!("../../../../../deploy/operator.toml");
     let line = |line: &str| match line.strip_prefix("# ") {
         Some(rest) if uncommented && (rest.contains(" = ") || rest.starts_with('[')) => {
@@ -134,9 +140,9 @@
 }
 
 #[test]
-fn delivered_operator_file_is_read_as_it_stands() {
-    let key = KeyFile::new("delivered");
-    let settings = settings(&delivered(&key, false)).unwrap();
+fn distributed_operator_file_is_valid_without_changes() {
+    let key = KeyFile::new("distributed");
+    let settings = settings(&distributed_file(&key, false)).unwrap();
     let member = &settings.member;
     assert_eq!(member.fleet, "shop");
     assert_eq!(settings.listen, "0.0.0.0:7400".parse().unwrap());
@@ -155,7 +161,7 @@
 #[test]
 fn each_commented_setting_of_the_operator_file_is_read() {
     let key = KeyFile::new("uncommented");
-    let text = delivered(&key, true)
+    let text = distributed_file(&key, true)
         .replace("\"400ms\"", "\"500ms\"")
         .replace("\"100ms\"", "\"120ms\"")
         .replace("\"800ms\"", "\"900ms\"")
@@ -173,11 +179,11 @@
         member.confirmed_dead,
         [(Rc::from("b7"), incarnation)].into_iter().collect()
     );
-    let told: SocketAddr = "10.0.0.2:7400".parse().unwrap();
+    let announced: SocketAddr = "10.0.0.2:7400".parse().unwrap();
     let used: SocketAddr = "192.0.2.7:7400".parse().unwrap();
     assert_eq!(
         settings.address_overrides,
-        [(told, used)].into_iter().collect()
+        [(announced, used)].into_iter().collect()
     );
     let FleetLeases {
         config: lease_config,
@@ -198,16 +204,16 @@
 #[case::top("speed = 3\n", "", "speed")]
 #[case::table("", "[other]\nx = 1\n", "[other]")]
 #[case::leases("", "[duties]\nvoters = ['b1']\nspeed = 3\n", "speed")]
-fn unknown_keys_outside_of_fleet_are_refused(
+fn unknown_keys_outside_of_fleet_are_rejected(
     #[case] above: &str,
     #[case] below: &str,
     #[case] field: &str,
 ) {
     let key = KeyFile::new(&format!("unknown-{}", above.len() + below.len()));
     let text = format!("{above}{}\n{below}", key.text("listen = '127.0.0.1:1'"));
-    let problem = settings(&text).err().unwrap();
+    let error = settings(&text).err().unwrap();
     assert!(
-        problem.contains(&format!(": {field}: unknown field")),
-        "{problem}"
+        error.contains(&format!(": {field}: unknown field")),
+        "{error}"
     );
 }
--- a/crates/proxy/src/cluster/pages.rs
+++ b/crates/proxy/src/cluster/pages.rs
@@ -44,7 +44,7 @@
 }
 
 impl ClusterNode {
-    /// The body of `GET /fleet`: the members and leases as this balancer knows them.
+    /// The body of `GET /fleet`: the members and leases in the view of this balancer.
     pub fn fleet_page(&self) -> String {
         let now = now();
         let cluster = &self.cluster;
@@ -110,7 +110,7 @@
         })
     }
 
-    /// A lease: whether it is held here, and who is known to have held it last.
+    /// Returns the state of a lease: whether this balancer holds it, and the last known holder.
     fn lease_json(&self, name: &str) -> Option<Value> {
         let status = self.lease_status(name)?;
         let held = status.held.as_ref();
@@ -125,7 +125,7 @@
         }))
     }
 
-    /// The name of the member whose current process has that random identifier.
+    /// Returns the name of the member whose current process has the given random identifier.
     fn member_of_process(&self, random_id: u64) -> Option<&str> {
         if self.cluster.incarnation().random_id == random_id {
             return Some(&self.settings.member.name);
@@ -136,7 +136,8 @@
             .map(|member| &*member.record.name)
     }
 
-    /// Whether this balancer publishes the shared list or receives it, and how old it is.
+    /// Returns whether this balancer publishes or receives the shared list, and the age of the
+    /// list.
     fn shared_list_json(&self) -> Value {
         let now = now();
         let subscriber = self.shared_lists.subscriber();
@@ -148,8 +149,8 @@
         })
     }
 
-    /// Status and body of `GET /duty/NAME`: 200 where the lease is held here, 409 where it is not,
-    /// 404 where no file names it.
+    /// Returns the status and body of `GET /duty/NAME`: 200 if this balancer holds the lease, 409
+    /// if it does not, 404 if the operator file contains no such lease.
     pub fn lease_page(&self, name: &str) -> (u16, String) {
         let Some(status) = self.lease_status(name) else {
             return (404, "no such duty\n".into());
--- a/crates/proxy/src/cluster/pages/tests.rs
+++ b/crates/proxy/src/cluster/pages/tests.rs
@@ -1,5 +1,5 @@
-//! `GET /fleet` and `GET /duty/NAME` as recorded. Masked are the process's own address and
-//! incarnation and what depends on the clock, each by its key.
+//! The pages `GET /fleet` and `GET /duty/NAME` equal the recorded ones. The process's own address
+//! and incarnation are masked, as are the values that depend on the clock, by their keys.
 
 use std::cell::RefCell;
 use std::net::{SocketAddr, UdpSocket};
@@ -18,7 +18,7 @@
 use crate::cluster::operator_file::{FleetLeases, FleetSettings};
 
 const KEY: &[u8] = b"0123456789abcdef";
-/// Values of these keys depend on the clock or on chance.
+/// The keys of values that depend on the clock or on random choices.
 const MASKED: [&str; 8] = [
     "since_ms",
     "heard_ms",
@@ -30,9 +30,9 @@
     "unsent",
 ];
 
-/// Opens a fleet of one on a free port; with leases, it is the only voter.
+/// Opens a fleet with one member on a free port. With leases, the member is the only voter.
 fn open(event_loop: &EventLoop<'static, ()>, with_leases: bool) -> Rc<RefCell<ClusterNode>> {
-    let free = UdpSocket::bind("127.0.0.1:0")
+    let free_address = UdpSocket::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
@@ -41,7 +41,7 @@
         fleet: "shop".into(),
         name: "b0".into(),
         zone: "a".into(),
-        address: free,
+        address: free_address,
         seeds: Vec::new(),
         started_at_us: 0,
         probe_interval: MemberConfig::DEFAULT_PROBE_INTERVAL,
@@ -56,7 +56,7 @@
         duration: 1_500_000,
     };
     let settings = FleetSettings {
-        listen: free,
+        listen: free_address,
         member: config,
         key: Key::new(KEY).unwrap(),
         leases: with_leases.then_some(FleetLeases {
@@ -87,7 +87,7 @@
     MemberRecord { state, ..own }
 }
 
-/// The text with the values of masked keys and of the process's own address and life left out.
+/// Replaces the values of masked keys and the process's own address and incarnation.
 fn masked(fleet: &ClusterNode, text: &str) -> String {
     let own = fleet.cluster.incarnation();
     let mut text = text
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn fleet_page_shows_members_of_each_standing_as_recorded() {
+fn fleet_page_with_members_of_each_serving_status_is_as_recorded() {
     let event_loop = EventLoop::try_new().unwrap();
     let fleet = open(&event_loop, false);
     let mut fleet = fleet.borrow_mut();
@@ -138,12 +138,12 @@
     ] {
         fleet.cluster.table.merge(at, &record(number, state));
     }
-    // A later process of b6 at another address: the earlier one may still serve.
-    let mut followed = record(6, MemberState::Alive);
-    followed.incarnation.started_at_us += 1;
-    followed.refutation_counter += 1;
-    followed.address.set_port(9_106);
-    fleet.cluster.table.merge(at, &followed);
+    // There is a later process of b6 at another address, so the earlier one may still serve.
+    let mut later_process = record(6, MemberState::Alive);
+    later_process.incarnation.started_at_us += 1;
+    later_process.refutation_counter += 1;
+    later_process.address.set_port(9_106);
+    fleet.cluster.table.merge(at, &later_process);
     fleet
         .cluster
         .receive(at, &datagram(b"another key of length", "shop", 1, 1));
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn lease_pages_are_as_recorded_before_and_while_it_is_held() {
+fn lease_pages_are_as_recorded_before_and_while_the_lease_is_held() {
     let mut event_loop = EventLoop::try_new().unwrap();
     let fleet = open(&event_loop, true);
     let page = |name: &str| {
@@ -165,7 +165,7 @@
     };
     let before = page("nightly") + &page("unknown");
     assert_eq!(before, include_str!("../recorded/duty-before.txt"));
-    let began = Instant::now();
+    let started_at = Instant::now();
     while fleet
         .borrow()
         .cluster
@@ -175,20 +175,20 @@
         .count()
         < 2
     {
-        assert!(began.elapsed() < Duration::from_secs(20), "never held");
+        assert!(started_at.elapsed() < Duration::from_secs(20), "never held");
         event_loop
             .dispatch(Some(Duration::from_millis(5)), &mut ())
             .unwrap();
         fleet.borrow_mut().run_timers();
     }
     assert_eq!(page("nightly"), include_str!("../recorded/duty-held.txt"));
-    let whole = masked(&fleet.borrow(), &fleet.borrow().fleet_page());
-    assert_eq!(whole, include_str!("../recorded/fleet-duties.json"));
+    let fleet_page = masked(&fleet.borrow(), &fleet.borrow().fleet_page());
+    assert_eq!(fleet_page, include_str!("../recorded/fleet-duties.json"));
 }
 
 #[test]
-fn words_of_states_and_causes_are_as_recorded() {
-    let drops = [
+fn serialized_states_and_reasons_are_as_recorded() {
+    let drop_reasons = [
         DropReason::Size,
         DropReason::Hash,
         DropReason::Version,
@@ -205,13 +205,15 @@
         MemberState::Dead,
         MemberState::Left,
     ];
-    let unknown = [
+    let may_serve_reasons = [
         MayServeReason::Alive,
         MayServeReason::Suspected,
         MayServeReason::Unresponsive,
         MayServeReason::Superseded,
     ];
     let proofs = [StopProof::Announced, StopProof::ConfirmedDead];
-    let text = serde_json::to_string(&json!([drops, states, unknown, proofs])).unwrap() + "\n";
+    let text = serde_json::to_string(&json!([drop_reasons, states, may_serve_reasons, proofs]))
+        .unwrap()
+        + "\n";
     assert_eq!(text, include_str!("../recorded/words.json"));
 }
--- a/crates/proxy/src/cluster/shared_lists.rs
+++ b/crates/proxy/src/cluster/shared_lists.rs
@@ -1,5 +1,5 @@
 //! The endpoint list shared within a zone: the balancer that polls discovery publishes it to the
-//! others of its zone, which then poll nothing.
+//! other balancers of the zone, which then do not poll.
 
 use std::rc::Rc;
 
@@ -12,24 +12,26 @@
 
 use super::operator_file::SharedListZones;
 
-/// How long sending one message may take after the lease was checked.
+/// How long sending one message may take after the check that the lease is held.
 const MAX_SEND_TIME_US: Micros = 20_000;
 
-/// This balancer's part in shared lists: subscriber of its own zone's, publisher of any zone's.
+/// The shared lists at this balancer, which subscribes to the list of its own zone and publishes
+/// the lists of any zones whose lease it holds.
 pub struct SharedLists {
     zones: SharedListZones,
     /// The lease of this balancer's zone.
     own_lease: Option<LeaseId>,
     publisher: Option<ListPublisher>,
     subscriber: ListSubscriber,
-    /// Received lists not yet applied, in order.
+    /// Received pages that have not been applied yet, in order.
     received_pages: Vec<Vec<u8>>,
-    /// It has just become the publisher, and needs the full list from discovery.
+    /// Whether this balancer has just become the publisher, and needs the full list from discovery.
     needs_full_list: bool,
 }
 
 impl SharedLists {
-    /// `zones` are those with a shared list, by its lease; `own_zone` is this balancer's.
+    /// Creates the state without a publisher. `zones` are the zones with a shared list, by its
+    /// lease; `own_zone` is the zone of this balancer.
     pub fn new(zones: SharedListZones, own_zone: &str) -> Self {
         let own_lease = zones
             .iter()
@@ -45,12 +47,13 @@
         }
     }
 
-    /// Whether a lease is that of a shared list.
+    /// Whether a lease belongs to a shared list.
     pub fn has_lease(&self, lease: LeaseId) -> bool {
         self.zones.contains_key(&lease)
     }
 
-    /// Until when discovery need not be polled, since the list of another member is fresh.
+    /// The time until which discovery need not be polled, since the list of another member is
+    /// fresh; `None` if it must be polled.
     pub fn fresh_until(&self, now: Micros) -> Option<Micros> {
         let is_fresh = self.publisher.is_none() && self.subscriber.is_fresh(now);
         is_fresh.then(|| self.subscriber.fresh_until())
@@ -66,18 +69,18 @@
         &self.subscriber
     }
 
-    /// Takes the received lists to apply, in order.
+    /// Removes and returns the received pages to apply, in order.
     pub fn take_pages(&mut self) -> Vec<Vec<u8>> {
         std::mem::take(&mut self.received_pages)
     }
 
-    /// Whether the full list is to be polled; true once for each time this balancer becomes the
+    /// Whether the full list must be polled. Returns true once each time this balancer becomes the
     /// publisher.
     pub fn take_full_list_request(&mut self) -> bool {
         std::mem::take(&mut self.needs_full_list)
     }
 
-    /// Becomes the publisher or ceases to be it, by the leases that are held.
+    /// Starts or stops publishing, depending on whether a lease of a shared list is held.
     pub fn update_role(&mut self, now: Micros, cluster: &Cluster) {
         let is_held = |lease: &LeaseId| {
             cluster
@@ -93,8 +96,8 @@
         }
     }
 
-    /// Sends messages to all members of the zones whose lease is held; nothing where it is not, or
-    /// not for long enough.
+    /// Sends messages to all members of the zones whose lease is held for at least
+    /// [`MAX_SEND_TIME_US`] longer.
     fn send_to_zones(&self, now: Micros, cluster: &mut Cluster, messages: &[ListMessage]) {
         let bodies: Vec<_> = messages.iter().filter_map(ListMessage::encode).collect();
         for (lease, zone) in &self.zones {
@@ -120,7 +123,7 @@
             return;
         };
         let targets = list["targets"].as_array().into_iter().flatten();
-        let entries: Vec<Entry> = targets.filter_map(entry).collect();
+        let entries: Vec<Entry> = targets.filter_map(read_entry).collect();
         let is_full = list["all"] == Value::Bool(true);
         let messages = publisher.publish(version, is_full, &entries);
         self.send_to_zones(now, cluster, &messages);
@@ -133,7 +136,7 @@
         }
     }
 
-    /// Sends a heartbeat if it is time for one.
+    /// Sends a heartbeat if it is due.
     pub fn send_heartbeat(&mut self, now: Micros, cluster: &mut Cluster) {
         let publisher = self.publisher.as_mut();
         if let Some(heartbeat) = publisher.and_then(|publisher| publisher.heartbeat(now)) {
@@ -141,14 +144,15 @@
         }
     }
 
-    /// When [`SharedLists::send_heartbeat`] is to be called.
+    /// The time at which [`SharedLists::send_heartbeat`] must be called.
     pub fn next_timer(&self) -> Micros {
         self.publisher
             .as_ref()
             .map_or(Micros::MAX, ListPublisher::next_timer)
     }
 
-    /// Receives a message of the publisher of a zone, and returns what to request of it.
+    /// Receives a message of the publisher of a zone, and returns a request to send to it, if one
+    /// is needed.
     pub fn receive(
         &mut self,
         now: Micros,
@@ -188,8 +192,8 @@
     }
 }
 
-/// An entry of a list as discovery reports it; nothing without an identifier.
-fn entry(target: &Value) -> Option<Entry> {
+/// Reads an entry of a list as discovery reports it. Returns `None` if it has no identifier.
+fn read_entry(target: &Value) -> Option<Entry> {
     Some(Entry {
         id: target["uid"].as_str()?.to_owned(),
         has_left: target["state"] == "left",
--- a/crates/proxy/src/cluster/view_command.rs
+++ b/crates/proxy/src/cluster/view_command.rs
@@ -6,36 +6,36 @@
 
 use serde_json::Value;
 
-/// How long a balancer may take to connect, send or receive.
+/// The timeout for the connection, for each write and for each read.
 const TIMEOUT: Duration = Duration::from_secs(2);
-/// How often the view is requested while watching.
+/// The interval between two requests in watch mode.
 const WATCH_INTERVAL: Duration = Duration::from_secs(1);
-/// The largest response, twice that of a thousand members.
+/// The largest response in bytes, twice that of a thousand members.
 const MAX_RESPONSE_BYTES: u64 = 1 << 20;
 
-/// Why a view cannot be printed.
+/// The reason why a view cannot be printed.
 #[derive(Debug, thiserror::Error)]
 pub enum ViewError {
-    /// The argument is no address.
-    #[error("'{0}' is no address and port")]
+    /// The argument is not a socket address.
+    #[error("invalid socket address '{0}': expected IP:PORT")]
     InvalidAddress(String),
     /// The request failed.
-    #[error("cannot ask {address}: {source}")]
+    #[error("cannot request /fleet from {address}: {source}")]
     Request {
         /// The balancer's address.
         address: SocketAddr,
-        /// The reason.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The balancer has no such page.
-    #[error("{0} is in no fleet: was it started with --operator?")]
+    /// The balancer has no page `/fleet`.
+    #[error("{0} is not a member of a fleet: was it started with --operator?")]
     NoFleet(SocketAddr),
-    /// The response is no JSON.
-    #[error("{address} answered no JSON: {source}")]
+    /// The response is not JSON.
+    #[error("invalid response from {address}: expected JSON: {source}")]
     InvalidResponse {
         /// The balancer's address.
         address: SocketAddr,
-        /// The reason.
+        /// The error of the JSON parser.
         source: serde_json::Error,
     },
 }
@@ -111,7 +111,7 @@
         ""
     };
     format!(
-        "fleet {}, seen by {} ({}): {} alive, {} may be serving{warning}",
+        "fleet {}, view of {} ({}): {} alive, {} may be serving{warning}",
         text(&page["fleet"]),
         text(&page["member"]),
         text(&page["zone"]),
@@ -163,7 +163,7 @@
         ));
     }
     if page["duties"]["majority"] == Value::Bool(false) {
-        lines.push("no majority of voters answers: duties rest".into());
+        lines.push("no majority of voters answers: duties are suspended".into());
     }
     lines
 }
@@ -181,7 +181,7 @@
         reasons.join(", ")
     };
     format!(
-        "sent {} ({} bytes), taken {}, dropped: {dropped}",
+        "sent {} ({} bytes), accepted {}, dropped: {dropped}",
         text(&page["sent"]),
         text(&page["sent_bytes"]),
         text(&page["taken"])
