--- a/crates/cluster/src/cluster/tests.rs
+++ b/crates/cluster/src/cluster/tests.rs
@@ -40,54 +40,65 @@
     )
 }
 
-/// Delivers all datagrams of a span after a millisecond, but those from and to the members cut off.
-fn carry(all: &mut [Cluster], from: Micros, to: Micros, unheard: &[usize]) {
+/// Runs the members from `from` to `to` and delivers each datagram after a millisecond, except
+/// those from or to the `unreachable` members.
+fn run_members(members: &mut [Cluster], from: Micros, to: Micros, unreachable: &[usize]) {
     for now in (from..to).step_by(MS as usize) {
-        let sent: Vec<_> = all
+        let sent: Vec<_> = members
             .iter_mut()
             .enumerate()
-            .map(|(n, one)| (n, one.take_datagrams()))
+            .map(|(sender, member)| (sender, member.take_datagrams()))
             .collect();
-        for (n, sent) in sent {
+        for (sender, sent) in sent {
             for OutgoingDatagram { to, bytes } in sent {
-                let at = usize::from(to.port() - 7_000);
-                if !unheard.contains(&n) && !unheard.contains(&at) && at < all.len() {
-                    all[at].receive(now, &bytes);
+                let receiver = usize::from(to.port() - 7_000);
+                let is_delivered =
+                    !unreachable.contains(&sender) && !unreachable.contains(&receiver);
+                if is_delivered && receiver < members.len() {
+                    members[receiver].receive(now, &bytes);
                 }
             }
         }
-        all.iter_mut().for_each(|one| one.run_timers(now));
+        members.iter_mut().for_each(|member| member.run_timers(now));
     }
 }
 
-fn states(one: &Cluster) -> Vec<MemberState> {
-    let mut members: Vec<_> = one
+fn states(cluster: &Cluster) -> Vec<MemberState> {
+    let mut members: Vec<_> = cluster
         .table
         .members
         .iter()
-        .map(|m| (m.record.name.clone(), m.record.state))
+        .map(|member| (member.record.name.clone(), member.record.state))
         .collect();
     members.sort();
-    members.into_iter().map(|member| member.1).collect()
+    members.into_iter().map(|(_, state)| state).collect()
 }
 
 #[test]
 fn members_discover_each_other_through_one_seed() {
-    let mut all: Vec<Cluster> = (0..5).map(cluster).collect();
-    carry(&mut all, 0, 3 * SECOND, &[]);
-    assert!(all.iter().all(|one| states(one) == [MemberState::Alive; 4]));
-    assert!(all.iter().all(|one| one.traffic().dropped.is_empty()));
+    let mut members: Vec<Cluster> = (0..5).map(cluster).collect();
+    run_members(&mut members, 0, 3 * SECOND, &[]);
+    assert!(
+        members
+            .iter()
+            .all(|member| states(member) == [MemberState::Alive; 4])
+    );
+    assert!(
+        members
+            .iter()
+            .all(|member| member.traffic().dropped.is_empty())
+    );
 }
 
 #[test]
 fn unresponsive_member_is_suspected_then_dead_and_recovers() {
-    let mut all: Vec<Cluster> = (0..4).map(cluster).collect();
-    carry(&mut all, 0, 3 * SECOND, &[]);
-    all[0].take_events();
-    carry(&mut all, 3 * SECOND, 10 * SECOND, &[3]);
+    let mut members: Vec<Cluster> = (0..4).map(cluster).collect();
+    run_members(&mut members, 0, 3 * SECOND, &[]);
+    members[0].take_events();
+    run_members(&mut members, 3 * SECOND, 10 * SECOND, &[3]);
     let name: Rc<str> = "b3".into();
     assert_eq!(
-        all[0].take_events(),
+        members[0].take_events(),
         [
             MembershipEvent::Suspected(Rc::clone(&name)),
             MembershipEvent::Dead(Rc::clone(&name))
@@ -95,73 +106,83 @@
     );
     assert_eq!(
         (
-            all[0].table.count_possibly_serving(),
-            all[0].table.alive().count()
+            members[0].table.count_possibly_serving(),
+            members[0].table.alive().count()
         ),
         (3, 2)
     );
-    carry(&mut all, 10 * SECOND, 12 * SECOND, &[]);
-    let told = all[0].take_events();
-    assert!(told.contains(&MembershipEvent::Recovered(name)), "{told:?}");
-    assert!(all.iter().all(|one| states(one) == [MemberState::Alive; 3]));
+    run_members(&mut members, 10 * SECOND, 12 * SECOND, &[]);
+    let events = members[0].take_events();
+    assert!(
+        events.contains(&MembershipEvent::Recovered(name)),
+        "{events:?}"
+    );
+    assert!(
+        members
+            .iter()
+            .all(|member| states(member) == [MemberState::Alive; 3])
+    );
 }
 
 #[test]
 fn member_that_leaves_is_proven_stopped_at_once() {
-    let mut all: Vec<Cluster> = (0..4).map(cluster).collect();
-    carry(&mut all, 0, 3 * SECOND, &[]);
-    all[2].leave(3 * SECOND);
-    carry(&mut all, 3 * SECOND, 3 * SECOND + 300 * MS, &[]);
+    let mut members: Vec<Cluster> = (0..4).map(cluster).collect();
+    run_members(&mut members, 0, 3 * SECOND, &[]);
+    members[2].leave(3 * SECOND);
+    run_members(&mut members, 3 * SECOND, 3 * SECOND + 300 * MS, &[]);
     assert!(
         [0, 1, 3]
             .iter()
-            .all(|&n| all[n].table.count_possibly_serving() == 2)
+            .all(|&n| members[n].table.count_possibly_serving() == 2)
     );
 }
 
-/// A process that was stopped finds all its time-outs over at once, and would call everybody dead.
+/// When a process continues after a pause, all its timeouts have elapsed, so that without this rule
+/// it would declare all members dead.
 #[rstest]
-#[case::stopped(20 * SECOND, true)]
-#[case::a_little_late(200 * MS, false)]
-fn paused_process_suspects_nobody_until_reachable(
-    #[case] lasted: Micros,
-    #[case] pauses_seen: bool,
+#[case::pause(20 * SECOND, true)]
+#[case::delay_below_the_threshold(200 * MS, false)]
+fn paused_process_suspects_no_member_until_reachable(
+    #[case] duration: Micros,
+    #[case] is_pause_detected: bool,
 ) {
-    let mut all: Vec<Cluster> = (0..4).map(cluster).collect();
-    carry(&mut all, 0, 3 * SECOND, &[]);
-    all[1].take_events();
-    all[1].run_timers(3 * SECOND + lasted);
+    let mut members: Vec<Cluster> = (0..4).map(cluster).collect();
+    run_members(&mut members, 0, 3 * SECOND, &[]);
+    members[1].take_events();
+    members[1].run_timers(3 * SECOND + duration);
     assert_eq!(
-        (all[1].is_reachable(), all[1].pause_count()),
-        (!pauses_seen, u64::from(pauses_seen))
+        (members[1].is_reachable(), members[1].pause_count()),
+        (!is_pause_detected, u64::from(is_pause_detected))
     );
-    // It receives nothing: however long it waits, it suspects nobody.
+    // The process receives no datagrams for 10 seconds. If it detected a pause, it suspects no
+    // member in this time.
     for at in 0..100 {
-        all[1].run_timers(3 * SECOND + lasted + at * 100 * MS);
+        members[1].run_timers(3 * SECOND + duration + at * 100 * MS);
     }
-    let judged = all[1].take_events().iter().any(|event| {
+    let has_suspicions = members[1].take_events().iter().any(|event| {
         matches!(
             event,
             MembershipEvent::Suspected(_) | MembershipEvent::Dead(_)
         )
     });
-    assert_eq!(judged, !pauses_seen);
+    assert_eq!(has_suspicions, !is_pause_detected);
 }
 
-/// Times come from the caller's clock; a wall clock that jumps is seen only as `started_at_us`.
+/// Times come from the caller's monotonic clock. A jump of the wall clock affects only
+/// `started_at_us`.
 #[test]
-fn decreasing_time_changes_nothing() {
-    let mut all: Vec<Cluster> = (0..2).map(cluster).collect();
-    carry(&mut all, 0, 2 * SECOND, &[]);
-    all[0].run_timers(SECOND);
-    assert!(all[0].is_reachable() && all[0].next_timer() > 2 * SECOND - MS);
+fn decreasing_time_has_no_effect() {
+    let mut members: Vec<Cluster> = (0..2).map(cluster).collect();
+    run_members(&mut members, 0, 2 * SECOND, &[]);
+    members[0].run_timers(SECOND);
+    assert!(members[0].is_reachable() && members[0].next_timer() > 2 * SECOND - MS);
 }
 
 #[test]
 fn restarted_process_with_an_earlier_clock_is_accepted() {
-    let mut all: Vec<Cluster> = (0..3).map(cluster).collect();
-    carry(&mut all, 0, 3 * SECOND, &[]);
-    all[2] = Cluster::new(
+    let mut members: Vec<Cluster> = (0..3).map(cluster).collect();
+    run_members(&mut members, 0, 3 * SECOND, &[]);
+    members[2] = Cluster::new(
         MemberConfig {
             started_at_us: 7,
             ..config(2)
@@ -170,151 +191,159 @@
         99,
         3 * SECOND,
     );
-    carry(&mut all, 3 * SECOND, 6 * SECOND, &[]);
-    let incarnation = all[2].incarnation();
-    for one in &all[..2] {
-        let known = one.table.member("b2").unwrap();
+    run_members(&mut members, 3 * SECOND, 6 * SECOND, &[]);
+    let incarnation = members[2].incarnation();
+    for member in &members[..2] {
+        let known = member.table.member("b2").unwrap();
         assert_eq!(
             (
                 known.record.incarnation,
                 known.record.state,
-                one.table.count_possibly_serving_of(known)
+                member.table.count_possibly_serving_of(known)
             ),
             (incarnation, MemberState::Alive, 1)
         );
     }
-    assert!(!all[2].table.has_name_conflict());
+    assert!(!members[2].table.has_name_conflict());
 }
 
 #[test]
-fn later_of_two_processes_with_one_name_stays_silent() {
-    let mut all: Vec<Cluster> = (0..3).map(cluster).collect();
-    let elsewhere = MemberConfig {
+fn later_of_two_processes_with_the_same_name_stops_sending() {
+    let mut members: Vec<Cluster> = (0..3).map(cluster).collect();
+    let same_name_config = MemberConfig {
         address: SocketAddr::from(([127, 0, 0, 1], 7_003)),
         started_at_us: 9_000,
         ..config(1)
     };
-    all.push(Cluster::new(
-        elsewhere,
+    members.push(Cluster::new(
+        same_name_config,
         Key::new(b"0123456789abcdef").unwrap(),
         50,
         0,
     ));
-    carry(&mut all, 0, 10 * SECOND, &[]);
+    run_members(&mut members, 0, 10 * SECOND, &[]);
     assert!(
-        all[3]
+        members[3]
             .take_events()
             .contains(&MembershipEvent::NameConflict)
     );
-    let told = all[3].traffic().sent;
-    carry(&mut all, 10 * SECOND, 12 * SECOND, &[]);
-    assert_eq!(all[3].traffic().sent, told);
-    // Both may be serving, whoever speaks.
+    let sent_before = members[3].traffic().sent;
+    run_members(&mut members, 10 * SECOND, 12 * SECOND, &[]);
+    assert_eq!(members[3].traffic().sent, sent_before);
+    // Both processes may be serving, regardless of which one sends.
     assert_eq!(
-        all[0]
+        members[0]
             .table
-            .count_possibly_serving_of(all[0].table.member("b1").unwrap()),
+            .count_possibly_serving_of(members[0].table.member("b1").unwrap()),
         2
     );
 }
 
-/// A machine that died for good would count forever; the operators may confirm its death, and may
-/// be wrong.
+/// A process on a machine that failed permanently would be counted forever. The operators may
+/// confirm that it is dead, and the confirmation may be wrong.
 #[test]
-fn confirmation_of_death_holds_until_a_datagram_arrives() {
-    let mut all: Vec<Cluster> = (0..3).map(cluster).collect();
-    carry(&mut all, 0, 3 * SECOND, &[]);
-    let (incarnation, own) = (all[2].incarnation(), all[0].config.clone());
+fn confirmation_of_death_applies_until_a_datagram_arrives() {
+    let mut members: Vec<Cluster> = (0..3).map(cluster).collect();
+    run_members(&mut members, 0, 3 * SECOND, &[]);
+    let (incarnation, own_config) = (members[2].incarnation(), members[0].config.clone());
     let confirmed_dead = [(Rc::from("b2"), incarnation)].into();
-    all[0].update_config(
+    members[0].update_config(
         &MemberConfig {
             confirmed_dead,
-            ..own
+            ..own_config
         },
         Key::new(b"0123456789abcdef").unwrap(),
     );
-    // It is there: the word does not go for it.
-    let serving_status = |one: &Cluster| one.table.serving_status("b2", incarnation).unwrap();
+    // The process is alive, so the confirmation does not apply.
+    let serving_status = |member: &Cluster| member.table.serving_status("b2", incarnation).unwrap();
     assert_eq!(
         (
-            serving_status(&all[0]),
-            all[0].table.count_possibly_serving()
+            serving_status(&members[0]),
+            members[0].table.count_possibly_serving()
         ),
         (ServingStatus::MayServe(MayServeReason::Alive), 2)
     );
-    carry(&mut all, 3 * SECOND, 5 * SECOND, &[]);
+    run_members(&mut members, 3 * SECOND, 5 * SECOND, &[]);
     assert!(
-        all[0]
+        members[0]
             .take_events()
             .contains(&MembershipEvent::ConfirmationRevoked("b2".into()))
     );
-    all[2] = Cluster::new(
+    members[2] = Cluster::new(
         config(2),
         Key::new(b"0123456789abcdef").unwrap(),
         77,
         5 * SECOND,
     );
-    carry(&mut all, 5 * SECOND, 8 * SECOND, &[]);
-    let incarnation = all[2].incarnation();
-    let serving_status = |one: &Cluster| one.table.serving_status("b2", incarnation).unwrap();
-    carry(&mut all, 8 * SECOND, 15 * SECOND, &[2]);
-    all[0]
+    run_members(&mut members, 5 * SECOND, 8 * SECOND, &[]);
+    let incarnation = members[2].incarnation();
+    let serving_status = |member: &Cluster| member.table.serving_status("b2", incarnation).unwrap();
+    run_members(&mut members, 8 * SECOND, 15 * SECOND, &[2]);
+    members[0]
         .table
         .set_confirmed_dead(&[(Rc::from("b2"), incarnation)].into());
     assert_eq!(
         (
-            serving_status(&all[0]),
-            all[0].table.count_possibly_serving()
+            serving_status(&members[0]),
+            members[0].table.count_possibly_serving()
         ),
         (ServingStatus::ProvenStopped(StopProof::ConfirmedDead), 1)
     );
-    assert_eq!(all[1].table.count_possibly_serving(), 2);
-    all[0].take_events();
-    carry(&mut all, 15 * SECOND, 17 * SECOND, &[]);
+    assert_eq!(members[1].table.count_possibly_serving(), 2);
+    members[0].take_events();
+    run_members(&mut members, 15 * SECOND, 17 * SECOND, &[]);
     assert!(
-        all[0]
+        members[0]
             .take_events()
             .contains(&MembershipEvent::ConfirmationRevoked("b2".into()))
     );
-    carry(&mut all, 17 * SECOND, 25 * SECOND, &[2]);
-    // Confirmed once more: a datagram arrived after the first time, so it still counts.
-    all[0]
+    run_members(&mut members, 17 * SECOND, 25 * SECOND, &[2]);
+    // The process is confirmed dead again. A datagram arrived after the first confirmation, so the
+    // process is still counted.
+    members[0]
         .table
         .set_confirmed_dead(&[(Rc::from("b2"), incarnation)].into());
     assert_eq!(
         (
-            serving_status(&all[0]),
-            all[0].table.count_possibly_serving()
+            serving_status(&members[0]),
+            members[0].table.count_possibly_serving()
         ),
         (ServingStatus::MayServe(MayServeReason::Unresponsive), 2)
     );
 }
 
-/// Ten thousand a second from a stranger: each costs a hash, and nothing else happens.
+/// A sender without the key may send ten thousand datagrams per second. Each costs one hash and has
+/// no other effect.
 #[test]
-fn corrupted_and_replayed_datagrams_change_nothing() {
-    let mut all: Vec<Cluster> = (0..3).map(cluster).collect();
-    carry(&mut all, 0, 2 * SECOND, &[]);
-    all[0].take_datagrams();
-    all[1].run_timers(2 * SECOND + 400 * MS);
-    let sent = all[1]
+fn corrupted_and_replayed_datagrams_are_dropped_without_effect() {
+    let mut members: Vec<Cluster> = (0..3).map(cluster).collect();
+    run_members(&mut members, 0, 2 * SECOND, &[]);
+    members[0].take_datagrams();
+    members[1].run_timers(2 * SECOND + 400 * MS);
+    let sent = members[1]
         .take_datagrams()
         .into_iter()
         .find(|sent| sent.to.port() == 7_000)
         .unwrap()
         .bytes;
-    all[0].receive(2 * SECOND + 400 * MS, &sent);
-    let (taken, members) = (all[0].traffic().accepted, all[0].table.members.len());
+    members[0].receive(2 * SECOND + 400 * MS, &sent);
+    let (accepted, member_count) = (
+        members[0].traffic().accepted,
+        members[0].table.members.len(),
+    );
     for number in 0..1_000 {
-        all[0].receive(2 * SECOND + 400 * MS, &sent);
-        let mut spoilt = sent.clone();
-        spoilt[number % sent.len()] ^= 1;
-        all[0].receive(2 * SECOND + 400 * MS, &spoilt);
+        members[0].receive(2 * SECOND + 400 * MS, &sent);
+        let mut corrupted = sent.clone();
+        corrupted[number % sent.len()] ^= 1;
+        members[0].receive(2 * SECOND + 400 * MS, &corrupted);
     }
-    let dropped = &all[0].traffic().dropped;
+    let dropped = &members[0].traffic().dropped;
     assert_eq!(
-        (all[0].traffic().accepted, all[0].table.members.len()),
-        (taken, members)
+        (
+            members[0].traffic().accepted,
+            members[0].table.members.len()
+        ),
+        (accepted, member_count)
     );
     assert_eq!(
         (dropped[&DropReason::Replayed], dropped[&DropReason::Hash]),
@@ -322,51 +351,55 @@
     );
 }
 
-/// A file without voters and then with them again: released leases are acquired under a later term.
+/// The operator file is reloaded without voters and then with voters again. Leases that were
+/// released are acquired under a later term.
 #[test]
-fn disabled_leases_are_acquired_again() {
-    let mut all: Vec<Cluster> = (0..3).map(cluster).collect();
-    let terms = || LeaseConfig {
+fn disabled_leases_are_acquired_again_under_a_later_term() {
+    let mut members: Vec<Cluster> = (0..3).map(cluster).collect();
+    let lease_config = || LeaseConfig {
         voters: vec!["b0".into(), "b1".into(), "b2".into()],
         duration: 1_500 * MS,
     };
-    let take = |all: &mut [Cluster], now| {
-        all.iter_mut()
-            .for_each(|one| one.configure_leases(now, terms(), vec![Lease::new("d", None)]));
+    let configure = |members: &mut [Cluster], now| {
+        members.iter_mut().for_each(|member| {
+            member.configure_leases(now, lease_config(), vec![Lease::new("d", None)])
+        });
     };
-    let holders = |all: &[Cluster], now| -> Vec<crate::leases::term::Term> {
-        let held = |one: &Cluster| {
-            one.lease_manager()
+    let holders = |members: &[Cluster], now| -> Vec<crate::leases::term::Term> {
+        let held = |member: &Cluster| {
+            member
+                .lease_manager()
                 .and_then(|leases| leases.holds(now, LeaseId::from_name("d"), 0))
         };
-        all.iter().filter_map(held).collect()
+        members.iter().filter_map(held).collect()
     };
-    take(&mut all, 0);
-    carry(&mut all, 0, 6 * SECOND, &[]);
-    let first = holders(&all, 6 * SECOND);
-    all.iter_mut()
-        .for_each(|one| one.disable_leases(6 * SECOND));
-    carry(&mut all, 6 * SECOND, 8 * SECOND, &[]);
-    assert_eq!((first.len(), holders(&all, 8 * SECOND).len()), (1, 0));
-    take(&mut all, 8 * SECOND);
-    carry(&mut all, 8 * SECOND, 14 * SECOND, &[]);
-    let second = holders(&all, 14 * SECOND);
+    configure(&mut members, 0);
+    run_members(&mut members, 0, 6 * SECOND, &[]);
+    let first = holders(&members, 6 * SECOND);
+    members
+        .iter_mut()
+        .for_each(|member| member.disable_leases(6 * SECOND));
+    run_members(&mut members, 6 * SECOND, 8 * SECOND, &[]);
+    assert_eq!((first.len(), holders(&members, 8 * SECOND).len()), (1, 0));
+    configure(&mut members, 8 * SECOND);
+    run_members(&mut members, 8 * SECOND, 14 * SECOND, &[]);
+    let second = holders(&members, 14 * SECOND);
     assert!(second.len() == 1 && second > first, "{first:?} {second:?}");
 }
 
-/// The longest names and greatest numbers: a message that does not fit would never be sent, and its
-/// leases never held.
+/// The datagram has the longest names and greatest numbers. A message that does not fit is never
+/// sent, so that its leases would never be held.
 #[test]
 fn largest_reply_of_a_voter_fits_into_a_datagram() {
-    let long = "n".repeat(crate::messages::MAX_NAME_BYTES);
+    let long_name = "n".repeat(crate::messages::MAX_NAME_BYTES);
     let config = MemberConfig {
-        fleet: long.clone(),
-        name: long.clone(),
-        zone: long,
+        fleet: long_name.clone(),
+        name: long_name.clone(),
+        zone: long_name,
         started_at_us: u64::MAX,
         ..config(0)
     };
-    let mut one = Cluster::new(config, Key::new(b"0123456789abcdef").unwrap(), 1, 0);
+    let mut member = Cluster::new(config, Key::new(b"0123456789abcdef").unwrap(), 1, 0);
     let term = crate::leases::term::Term {
         number: u64::MAX,
         incarnation_id: u64::MAX,
@@ -381,43 +414,44 @@
         round: u32::MAX,
         statuses,
     };
-    one.sequence_number = u64::MAX - 1;
-    // With the record of the receiver, which is suspected.
+    member.sequence_number = u64::MAX - 1;
+    // The record of the receiver is included, since the receiver is suspected.
     let suspected = MemberRecord {
         state: MemberState::Suspected,
         suspected_by: u64::MAX,
-        ..one.table.own.clone()
+        ..member.table.own.clone()
     };
-    one.send(
+    member.send(
         "127.0.0.1:7001".parse().unwrap(),
         Message::Lease(message),
         vec![suspected],
     );
-    assert_eq!(one.take_datagrams().len(), 1);
+    assert_eq!(member.take_datagrams().len(), 1);
 }
 
 #[test]
-fn few_members_hold_many_leases() {
-    let mut all: Vec<Cluster> = (0..3).map(cluster).collect();
-    for one in &mut all {
-        let terms = LeaseConfig {
+fn three_members_hold_200_leases_in_balance() {
+    let mut members: Vec<Cluster> = (0..3).map(cluster).collect();
+    for member in &mut members {
+        let lease_config = LeaseConfig {
             voters: vec!["b0".into(), "b1".into(), "b2".into()],
             duration: 1_500 * MS,
         };
-        one.configure_leases(
+        member.configure_leases(
             0,
-            terms,
+            lease_config,
             (0..200)
                 .map(|n| Lease::new(&format!("d{n}"), None))
                 .collect(),
         );
     }
-    carry(&mut all, 0, 8 * SECOND, &[]);
-    let held = |one: &Cluster| {
-        one.lease_manager()
+    run_members(&mut members, 0, 8 * SECOND, &[]);
+    let held = |member: &Cluster| {
+        member
+            .lease_manager()
             .map_or(0, |leases| leases.held(8 * SECOND).count())
     };
-    let held: Vec<usize> = all.iter().map(held).collect();
+    let held: Vec<usize> = members.iter().map(held).collect();
     assert_eq!(held.iter().sum::<usize>(), 200, "{held:?}");
     assert!(held.iter().all(|&count| count <= 87), "{held:?}");
 }
--- a/crates/cluster/src/leases/assignment/tests.rs
+++ b/crates/cluster/src/leases/assignment/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn indices(names: impl Iterator<Item = usize>) -> Vec<Candidate> {
-    names
+fn candidates(numbers: impl Iterator<Item = usize>) -> Vec<Candidate> {
+    numbers
         .map(|n| Candidate {
             name: format!("b{n}").into(),
             zone: ["a", "b"][n % 2].into(),
@@ -18,7 +18,7 @@
 #[test]
 fn leases_are_balanced_and_few_move_when_a_member_joins() {
     let leases = leases(200);
-    let before = assign(&leases, &indices(0..30));
+    let before = assign(&leases, &candidates(0..30));
     let mut loads = vec![0; 30];
     before.iter().for_each(|order| loads[order[0]] += 1);
     assert!(
@@ -27,7 +27,7 @@
             .all(|&load| f64::from(load) <= 1.3 * 200.0 / 30.0),
         "{loads:?}"
     );
-    let after = assign(&leases, &indices(0..31));
+    let after = assign(&leases, &candidates(0..31));
     let moved = before
         .iter()
         .zip(&after)
@@ -42,7 +42,7 @@
         Lease::new("roster/a", Some("a".into())),
         Lease::new("roster/b", Some("b".into())),
     ];
-    let (members, empty) = (indices(0..7), assign(&leases, &[]));
+    let (members, without_members) = (candidates(0..7), assign(&leases, &[]));
     for (lease, order) in leases.iter().zip(assign(&leases, &members)) {
         assert_eq!(Some(&members[order[0]].zone), lease.zone.as_ref());
         assert!(
@@ -52,5 +52,5 @@
                 && order[0] != order[2]
         );
     }
-    assert_eq!(empty, [vec![], vec![]]);
+    assert_eq!(without_members, [vec![], vec![]]);
 }
--- a/crates/cluster/src/leases/tests.rs
+++ b/crates/cluster/src/leases/tests.rs
@@ -13,13 +13,13 @@
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
 
-/// Members with voters among them, and the network between them.
+/// A fleet of members, some of which are voters, and the network between them.
 struct Fleet {
     now: Micros,
-    all: Vec<LeaseManager>,
+    managers: Vec<LeaseManager>,
     names: Vec<Rc<str>>,
-    /// These members neither send nor receive.
-    cut: Vec<usize>,
+    /// The members that neither send nor receive.
+    disconnected: Vec<usize>,
     alive: Vec<usize>,
     events: Vec<(usize, LeaseEvent)>,
 }
@@ -34,46 +34,49 @@
 impl Fleet {
     fn new(members: usize, leases: &[&str]) -> Self {
         let names: Vec<Rc<str>> = (0..members).map(|n| Rc::from(format!("b{n}"))).collect();
-        let all = names.iter().enumerate().map(|(n, name)| {
-            let mut one =
+        let managers = names.iter().enumerate().map(|(n, name)| {
+            let mut manager =
                 LeaseManager::new(0, lease_config(), Rc::clone(name), n as u64 + 1, 1_000);
-            one.set_leases(
+            manager.set_leases(
                 0,
                 leases.iter().map(|name| Lease::new(name, None)).collect(),
             );
-            one
+            manager
         });
-        let all = all.collect();
+        let managers = managers.collect();
         Self {
             now: 0,
-            all,
+            managers,
             names,
-            cut: Vec::new(),
+            disconnected: Vec::new(),
             alive: (0..members).collect(),
             events: Vec::new(),
         }
     }
 
-    fn run(&mut self, span: Micros) {
-        for _ in 0..span / MS {
+    fn run(&mut self, duration: Micros) {
+        for _ in 0..duration / MS {
             self.now += MS;
-            let index = |n: &usize| Candidate {
+            let candidate = |n: &usize| Candidate {
                 name: Rc::clone(&self.names[*n]),
                 zone: "a".into(),
             };
-            let alive: Vec<Candidate> = self.alive.iter().map(index).collect();
-            for n in 0..self.all.len() {
-                if self.all[n].next_timer() <= self.now && !self.cut.contains(&n) {
-                    self.all[n].run_timers(self.now, &alive, true);
+            let alive: Vec<Candidate> = self.alive.iter().map(candidate).collect();
+            for n in 0..self.managers.len() {
+                if self.managers[n].next_timer() <= self.now && !self.disconnected.contains(&n) {
+                    self.managers[n].run_timers(self.now, &alive, true);
                 }
-                let (messages, events) = (self.all[n].take_messages(), self.all[n].take_events());
+                let (messages, events) = (
+                    self.managers[n].take_messages(),
+                    self.managers[n].take_events(),
+                );
                 self.events
                     .extend(events.into_iter().map(|event| (n, event)));
                 for AddressedMessage { to, message } in messages {
                     let to = self.names.iter().position(|name| *name == to).unwrap();
-                    if !self.cut.contains(&n) && !self.cut.contains(&to) {
+                    if !self.disconnected.contains(&n) && !self.disconnected.contains(&to) {
                         let (name, incarnation) = (Rc::clone(&self.names[n]), n as u64 + 1);
-                        self.all[to].receive(self.now, &name, incarnation, &message);
+                        self.managers[to].receive(self.now, &name, incarnation, &message);
                     }
                 }
             }
@@ -82,86 +85,93 @@
 
     fn holders(&self, lease: &str) -> Vec<usize> {
         let id = LeaseId::from_name(lease);
-        (0..self.all.len())
-            .filter(|&n| self.all[n].holds(self.now, id, 0).is_some())
+        (0..self.managers.len())
+            .filter(|&n| self.managers[n].holds(self.now, id, 0).is_some())
             .collect()
     }
 }
 
 #[test]
-fn each_lease_has_one_holder_and_keeps_it() {
+fn each_lease_has_one_holder_that_does_not_change() {
     let mut fleet = Fleet::new(6, &["a", "b", "c", "d"]);
     fleet.run(2_000 * MS);
-    // Voters that have just started are silent for the longest lease.
+    // Voters that have just started grant nothing for the longest lease duration.
     assert!(
         ["a", "b", "c", "d"]
             .iter()
             .all(|lease| fleet.holders(lease).is_empty())
     );
     fleet.run(3_000 * MS);
-    let first: Vec<_> = ["a", "b", "c", "d"]
+    let first_holders: Vec<_> = ["a", "b", "c", "d"]
         .map(|lease| fleet.holders(lease))
         .into();
-    assert!(first.iter().all(|holders| holders.len() == 1), "{first:?}");
+    assert!(
+        first_holders.iter().all(|holders| holders.len() == 1),
+        "{first_holders:?}"
+    );
     fleet.run(30 * SECOND);
-    let taken = fleet
+    let acquired_count = fleet
         .events
         .iter()
         .filter(|(_, event)| matches!(event, LeaseEvent::Acquired { .. }))
         .count();
-    assert_eq!(taken, 4);
-    // All others know the term, by what the holder announced.
-    let term = fleet.all[first[0][0]].holds(fleet.now, LeaseId::from_name("a"), 0);
+    assert_eq!(acquired_count, 4);
+    // All other members have recorded the term that the holder announced.
+    let term = fleet.managers[first_holders[0][0]].holds(fleet.now, LeaseId::from_name("a"), 0);
     assert!(
         fleet
-            .all
+            .managers
             .iter()
-            .all(|one| one.greatest_known_term(LeaseId::from_name("a")) == term)
+            .all(|manager| manager.greatest_known_term(LeaseId::from_name("a")) == term)
     );
 }
 
 #[test]
-fn holder_that_is_cut_off_loses_its_lease_before_another_acquires_it() {
+fn disconnected_holder_loses_its_lease_before_another_member_acquires_it() {
     let mut fleet = Fleet::new(5, &["a"]);
     fleet.run(5 * SECOND);
-    let first = fleet.holders("a")[0];
-    fleet.cut = vec![first];
-    let cut_at = fleet.now;
-    while fleet.holders("a") == [first] {
+    let first_holder = fleet.holders("a")[0];
+    fleet.disconnected = vec![first_holder];
+    let disconnected_at = fleet.now;
+    while fleet.holders("a") == [first_holder] {
         fleet.run(MS);
     }
-    assert!(fleet.now - cut_at <= DEFAULT_LEASE_DURATION_US);
+    assert!(fleet.now - disconnected_at <= DEFAULT_LEASE_DURATION_US);
     let lost_at = fleet.now;
-    fleet.alive.retain(|n| *n != first);
+    fleet.alive.retain(|n| *n != first_holder);
     while fleet.holders("a").is_empty() {
         fleet.run(MS);
     }
     assert!(fleet.now - lost_at < 600 * MS, "{} us", fleet.now - lost_at);
-    assert_ne!(fleet.holders("a"), [first]);
+    assert_ne!(fleet.holders("a"), [first_holder]);
 }
 
 #[test]
-fn released_lease_has_a_new_holder_within_a_third_of_a_second() {
+fn released_lease_has_a_new_holder_within_300_ms() {
     let mut fleet = Fleet::new(5, &["a"]);
     fleet.run(5 * SECOND);
-    let first = fleet.holders("a")[0];
-    fleet.all[first].stop(fleet.now);
-    let stopped = fleet.now;
+    let first_holder = fleet.holders("a")[0];
+    fleet.managers[first_holder].stop(fleet.now);
+    let released_at = fleet.now;
     while fleet.holders("a").is_empty() {
         fleet.run(MS);
     }
-    assert!(fleet.now - stopped < 300 * MS, "{} us", fleet.now - stopped);
+    assert!(
+        fleet.now - released_at < 300 * MS,
+        "{} us",
+        fleet.now - released_at
+    );
 }
 
 #[test]
-fn without_a_quorum_nobody_holds_and_that_is_reported() {
+fn without_a_quorum_no_lease_is_held_and_the_loss_is_reported() {
     let mut fleet = Fleet::new(5, &["a"]);
     fleet.run(5 * SECOND);
-    fleet.cut = vec![0, 1];
+    fleet.disconnected = vec![0, 1];
     fleet.alive = vec![2, 3, 4];
     fleet.run(6 * SECOND);
     assert!((2..5).all(|n| {
-        fleet.all[n]
+        fleet.managers[n]
             .holds(fleet.now, LeaseId::from_name("a"), 0)
             .is_none()
     }));
@@ -171,42 +181,45 @@
             .iter()
             .any(|(_, event)| *event == LeaseEvent::QuorumLost)
     );
-    // Both restart without memory: silent at first, then one holds it under a later term.
-    let before = fleet.all[2]
+    // Both voters restart without their grants. They grant nothing at first; then one member holds
+    // the lease under a later term.
+    let earlier_term = fleet.managers[2]
         .greatest_known_term(LeaseId::from_name("a"))
         .unwrap();
     for n in [0, 1] {
-        fleet.all[n] = LeaseManager::new(
+        fleet.managers[n] = LeaseManager::new(
             fleet.now,
             lease_config(),
             Rc::clone(&fleet.names[n]),
             n as u64 + 50,
             1_000,
         );
-        fleet.all[n].set_leases(fleet.now, vec![Lease::new("a", None)]);
+        fleet.managers[n].set_leases(fleet.now, vec![Lease::new("a", None)]);
     }
-    (fleet.cut, fleet.alive) = (vec![], (0..5).collect());
+    (fleet.disconnected, fleet.alive) = (vec![], (0..5).collect());
     fleet.run(2 * SECOND);
     assert!(fleet.holders("a").is_empty());
     fleet.run(6 * SECOND);
     let holder = fleet.holders("a");
     assert_eq!(holder.len(), 1);
-    assert!(fleet.all[holder[0]].holds(fleet.now, LeaseId::from_name("a"), 0) > Some(before));
+    assert!(
+        fleet.managers[holder[0]].holds(fleet.now, LeaseId::from_name("a"), 0) > Some(earlier_term)
+    );
 }
 
 #[test]
 fn member_paused_repeatedly_releases_its_leases() {
     let mut fleet = Fleet::new(4, &["a"]);
     fleet.run(5 * SECOND);
-    let first = fleet.holders("a")[0];
+    let first_holder = fleet.holders("a")[0];
     for _ in 0..MAX_PAUSES {
         fleet.run(400 * MS);
         let now = fleet.now;
-        fleet.all[first].record_pause(now);
+        fleet.managers[first_holder].record_pause(now);
     }
     fleet.run(2 * SECOND);
-    assert!(fleet.holders("a").len() == 1 && fleet.holders("a") != [first]);
-    let reason = |event: &LeaseEvent| {
+    assert!(fleet.holders("a").len() == 1 && fleet.holders("a") != [first_holder]);
+    let is_lost_by_pauses = |event: &LeaseEvent| {
         matches!(
             event,
             LeaseEvent::Lost {
@@ -219,23 +232,23 @@
         fleet
             .events
             .iter()
-            .any(|(n, event)| *n == first && reason(event))
+            .any(|(n, event)| *n == first_holder && is_lost_by_pauses(event))
     );
 }
 
-/// Two files with different voters would have majorities that share no voter.
+/// Majorities of two operator files with different voters need not share a voter.
 #[test]
 fn voter_grants_nothing_to_a_member_with_other_voters() {
     let mut fleet = Fleet::new(4, &["a"]);
-    let other = LeaseConfig {
+    let other_config = LeaseConfig {
         voters: ["b0", "b1", "b3"].map(Rc::from).into(),
         duration: DEFAULT_LEASE_DURATION_US,
     };
-    fleet.all[3] = LeaseManager::new(0, other, "b3".into(), 4, 1_000);
-    fleet.all[3].set_leases(0, vec![Lease::new("a", None)]);
+    fleet.managers[3] = LeaseManager::new(0, other_config, "b3".into(), 4, 1_000);
+    fleet.managers[3].set_leases(0, vec![Lease::new("a", None)]);
     fleet.run(8 * SECOND);
     assert!(
-        fleet.all[3]
+        fleet.managers[3]
             .holds(fleet.now, LeaseId::from_name("a"), 0)
             .is_none()
     );
@@ -248,14 +261,22 @@
 }
 
 #[rstest]
-#[case::not_asked_yet(0, 0, Err(()))]
-#[case::silent_at_first(0, with_clock_margin(MAX_LEASE_DURATION_US) - 1, Err(()))]
-#[case::then_granted(0, with_clock_margin(MAX_LEASE_DURATION_US), Ok(()))]
-#[case::longer_than_any_lease(MAX_LEASE_DURATION_US, with_clock_margin(MAX_LEASE_DURATION_US), Err(()))]
-fn started_voter_is_silent(
-    #[case] more: Micros,
+#[case::at_the_start(0, 0, Err(()))]
+#[case::before_the_end_of_the_startup_wait(
+    0,
+    with_clock_margin(MAX_LEASE_DURATION_US) - 1,
+    Err(())
+)]
+#[case::after_the_startup_wait(0, with_clock_margin(MAX_LEASE_DURATION_US), Ok(()))]
+#[case::duration_over_the_maximum(
+    MAX_LEASE_DURATION_US,
+    with_clock_margin(MAX_LEASE_DURATION_US),
+    Err(())
+)]
+fn voter_grants_nothing_during_the_startup_wait(
+    #[case] additional_duration: Micros,
     #[case] now: Micros,
-    #[case] granted: Result<(), ()>,
+    #[case] expected: Result<(), ()>,
 ) {
     let mut voter = Voter::new(0, None);
     let bid = voter.bid(
@@ -265,30 +286,35 @@
             number: 1,
             incarnation_id: 1,
         },
-        DEFAULT_LEASE_DURATION_US + more,
+        DEFAULT_LEASE_DURATION_US + additional_duration,
     );
-    assert_eq!(bid.map_err(|_| ()), granted);
+    assert_eq!(bid.map_err(|_| ()), expected);
 }
 
-/// A voter after one grant of a lease at time 10 s, and its vote on a further bid.
+/// A voter has granted a lease once at time 10 s. Each case is its vote on a further bid.
 #[rstest]
-#[case::renewed(9, 7, 100 * MS, true)]
-#[case::another_while_it_runs(10, 8, 100 * MS, false)]
-#[case::a_hair_too_early(10, 8, with_clock_margin(DEFAULT_LEASE_DURATION_US) - 1, false)]
-#[case::when_it_ran_out(10, 8, with_clock_margin(DEFAULT_LEASE_DURATION_US), true)]
-#[case::an_older_term(8, 8, 10 * SECOND, false)]
-#[case::one_number_of_another_life(9, 6, 10 * SECOND, false)]
+#[case::renewal(9, 7, 100 * MS, true)]
+#[case::later_term_before_expiry(10, 8, 100 * MS, false)]
+#[case::later_term_just_before_expiry(
+    10,
+    8,
+    with_clock_margin(DEFAULT_LEASE_DURATION_US) - 1,
+    false
+)]
+#[case::later_term_at_expiry(10, 8, with_clock_margin(DEFAULT_LEASE_DURATION_US), true)]
+#[case::earlier_term(8, 8, 10 * SECOND, false)]
+#[case::same_number_of_another_incarnation(9, 6, 10 * SECOND, false)]
 fn voter_grants_one_bidder_at_a_time(
     #[case] number: u64,
-    #[case] incarnation: u64,
-    #[case] after: Micros,
+    #[case] incarnation_id: u64,
+    #[case] elapsed: Micros,
     #[case] granted: bool,
 ) {
     let mut voter = Voter::new(0, None);
-    let at = 10 * SECOND;
+    let granted_at = 10 * SECOND;
     voter
         .bid(
-            at,
+            granted_at,
             LeaseId(1),
             Term {
                 number: 9,
@@ -298,11 +324,11 @@
         )
         .unwrap();
     let bid = voter.bid(
-        at + after,
+        granted_at + elapsed,
         LeaseId(1),
         Term {
             number,
-            incarnation_id: incarnation,
+            incarnation_id,
         },
         DEFAULT_LEASE_DURATION_US,
     );
@@ -310,7 +336,7 @@
 }
 
 #[test]
-fn release_frees_its_own_term_only_and_uses_it_up() {
+fn release_applies_only_to_its_own_term_which_cannot_be_granted_again() {
     let (mut voter, at) = (Voter::new(0, None), 10 * SECOND);
     let term = |number| Term {
         number,
@@ -323,7 +349,7 @@
     assert!(voter.status(at, LeaseId(1)).available_in_us > 0);
     voter.release(at, LeaseId(1), term(9));
     assert_eq!(voter.status(at, LeaseId(1)).available_in_us, 0);
-    // A renewal that was on its way when it was let go.
+    // A renewal that was in transit when the term was released is refused.
     assert!(
         voter
             .bid(at, LeaseId(1), term(9), DEFAULT_LEASE_DURATION_US)
@@ -340,7 +366,7 @@
 fn stale_commands_are_rejected_and_their_sender_is_notified() {
     let mut fleet = Fleet::new(2, &["a"]);
     let (lease, sender) = (LeaseId::from_name("a"), Rc::from("b0"));
-    let send_command = |number| LeaseMessage::Command {
+    let command = |number| LeaseMessage::Command {
         lease,
         term: Term {
             number,
@@ -348,21 +374,21 @@
         },
         body: vec![1],
     };
-    let one = &mut fleet.all[1];
+    let receiver = &mut fleet.managers[1];
     [5, 7, 6]
         .into_iter()
-        .for_each(|number| one.receive(0, &sender, 1, &send_command(number)));
-    let taken = one
+        .for_each(|number| receiver.receive(0, &sender, 1, &command(number)));
+    let accepted_count = receiver
         .take_events()
         .into_iter()
         .filter(|event| matches!(event, LeaseEvent::CommandReceived { .. }))
         .count();
-    assert_eq!((taken, one.stale_command_count()), (2, 1));
+    assert_eq!((accepted_count, receiver.stale_command_count()), (2, 1));
     let known = Term {
         number: 7,
         incarnation_id: 1,
     };
-    assert!(one.take_messages().contains(&AddressedMessage {
+    assert!(receiver.take_messages().contains(&AddressedMessage {
         to: sender,
         message: LeaseMessage::StaleTerm { lease, term: known }
     }));
--- a/crates/cluster/src/membership/table/tests.rs
+++ b/crates/cluster/src/membership/table/tests.rs
@@ -18,11 +18,12 @@
 };
 
 fn record(incarnation: Incarnation, refutation_counter: u64, state: MemberState) -> MemberRecord {
-    let own = MemberRecord::for_new_process("b1", "a", "127.0.0.1:9".parse().unwrap(), incarnation);
+    let new_record =
+        MemberRecord::for_new_process("b1", "a", "127.0.0.1:9".parse().unwrap(), incarnation);
     MemberRecord {
         refutation_counter,
         state,
-        ..own
+        ..new_record
     }
 }
 
@@ -36,7 +37,7 @@
 }
 
 #[rstest]
-#[case::older_news(
+#[case::older_record(
     record(FIRST, 9, MemberState::Dead),
     MergeOutcome::Unchanged,
     MemberState::Alive
@@ -46,59 +47,62 @@
     MergeOutcome::Changed,
     MemberState::Suspected
 )]
-#[case::refutations(
+#[case::refutation(
     record(FIRST, 11, MemberState::Alive),
     MergeOutcome::Changed,
     MemberState::Alive
 )]
-#[case::gone(
+#[case::dead(
     record(FIRST, 10, MemberState::Dead),
     MergeOutcome::Changed,
     MemberState::Dead
 )]
-fn at_one_refutation_counter_the_later_state_supersedes(
-    #[case] told: MemberRecord,
-    #[case] merged: MergeOutcome,
+fn later_state_supersedes_at_the_same_refutation_counter(
+    #[case] received: MemberRecord,
+    #[case] outcome: MergeOutcome,
     #[case] state: MemberState,
 ) {
     let mut table = table();
     table.merge(0, &record(FIRST, 10, MemberState::Alive));
     assert_eq!(
         (
-            table.merge(5, &told),
+            table.merge(5, &received),
             table.member("b1").unwrap().record.state
         ),
-        (merged, state)
+        (outcome, state)
     );
 }
 
 /// A slow-start budget or a limit must not grow because a member is unresponsive.
 #[rstest]
 #[case::alive(MemberState::Alive, 1)]
-#[case::doubted(MemberState::Suspected, 1)]
-#[case::silent(MemberState::Dead, 1)]
-#[case::said_so(MemberState::Left, 0)]
-fn only_a_member_that_left_has_stopped(#[case] state: MemberState, #[case] serving: usize) {
+#[case::suspected(MemberState::Suspected, 1)]
+#[case::dead(MemberState::Dead, 1)]
+#[case::left(MemberState::Left, 0)]
+fn only_a_member_that_left_is_proven_stopped(
+    #[case] state: MemberState,
+    #[case] possibly_serving: usize,
+) {
     let mut table = table();
     table.merge(0, &record(FIRST, 10, state));
-    assert_eq!(table.count_possibly_serving(), serving);
-    let proven = matches!(
+    assert_eq!(table.count_possibly_serving(), possibly_serving);
+    let is_proven_stopped = matches!(
         table.serving_status("b1", FIRST),
         Some(ServingStatus::ProvenStopped(StopProof::Announced))
     );
-    assert_eq!(proven, serving == 0);
+    assert_eq!(is_proven_stopped, possibly_serving == 0);
 }
 
 #[rstest]
 #[case::same_address("127.0.0.1:9", 1, None)]
-#[case::elsewhere(
+#[case::other_address(
     "127.0.0.1:10",
     2,
     Some(ServingStatus::MayServe(MayServeReason::Superseded))
 )]
-fn an_earlier_process_may_serve_unless_its_address_is_taken(
+fn earlier_process_may_serve_unless_its_address_is_used_again(
     #[case] address: &str,
-    #[case] serving: usize,
+    #[case] possibly_serving: usize,
     #[case] earlier: Option<ServingStatus>,
 ) {
     let mut table = table();
@@ -116,30 +120,30 @@
             table.count_possibly_serving(),
             table.serving_status("b1", FIRST)
         ),
-        (serving, earlier)
+        (possibly_serving, earlier)
     );
 }
 
 #[test]
 fn wrong_records_of_this_member_are_refuted_until_it_leaves() {
     let mut table = table();
-    let wrong = MemberRecord {
+    let wrong_record = MemberRecord {
         state: MemberState::Dead,
         ..table.own.clone()
     };
-    assert_eq!(table.merge(0, &wrong), MergeOutcome::Refuted);
+    assert_eq!(table.merge(0, &wrong_record), MergeOutcome::Refuted);
     assert_eq!(
         (table.own.refutation_counter, table.events.as_slice()),
         (2, [MembershipEvent::Refuted].as_slice())
     );
-    assert_eq!(table.merge(0, &wrong), MergeOutcome::Unchanged);
+    assert_eq!(table.merge(0, &wrong_record), MergeOutcome::Unchanged);
     table.own.state = MemberState::Left;
     assert_eq!(
         table.merge(
             0,
             &MemberRecord {
                 refutation_counter: 9,
-                ..wrong
+                ..wrong_record
             }
         ),
         MergeOutcome::Unchanged
@@ -147,7 +151,7 @@
 }
 
 #[test]
-fn name_conflict_is_reported_after_repeated_superseding() {
+fn name_conflict_is_reported_when_another_process_supersedes_repeatedly() {
     let mut table = table();
     for _ in 0..NAME_CONFLICT_THRESHOLD {
         assert!(!table.has_name_conflict());
@@ -164,7 +168,7 @@
 #[test]
 fn full_table_adds_a_member_only_in_place_of_one_that_left() {
     let mut table = table();
-    let named = |number: usize, state| {
+    let numbered_record = |number: usize, state| {
         let name = Rc::from(format!("n{number}"));
         MemberRecord {
             name,
@@ -172,9 +176,12 @@
         }
     };
     for number in 0..MAX_MEMBERS {
-        let merged = table.merge(number as Micros, &named(number, MemberState::Dead));
+        let outcome = table.merge(
+            number as Micros,
+            &numbered_record(number, MemberState::Dead),
+        );
         assert_eq!(
-            merged,
+            outcome,
             if number + 1 < MAX_MEMBERS {
                 MergeOutcome::Changed
             } else {
@@ -182,25 +189,25 @@
             }
         );
     }
-    table.merge(9, &named(7, MemberState::Left));
+    table.merge(9, &numbered_record(7, MemberState::Left));
     assert_eq!(
-        table.merge(10, &named(5_000, MemberState::Alive)),
+        table.merge(10, &numbered_record(5_000, MemberState::Alive)),
         MergeOutcome::Changed
     );
     assert!(table.member("n7").is_none() && table.members.len() == MAX_MEMBERS - 1);
 }
 
 #[test]
-fn suspicions_are_counted_once_for_each_process() {
+fn suspicions_are_counted_once_for_each_process_up_to_the_limit() {
     use MergeOutcome::{Changed, SuspicionConfirmed, Unchanged};
     let mut table = table();
-    let suspicion = |by| MemberRecord {
-        suspected_by: by,
+    let suspicion = |suspected_by| MemberRecord {
+        suspected_by,
         ..record(FIRST, 10, MemberState::Suspected)
     };
-    let merged = [5, 5, 6, 7, 8].map(|by| table.merge(0, &suspicion(by)));
+    let outcomes = [5, 5, 6, 7, 8].map(|id| table.merge(0, &suspicion(id)));
     assert_eq!(
-        merged,
+        outcomes,
         [
             Changed,
             Unchanged,
--- a/crates/cluster/src/shared_list/tests.rs
+++ b/crates/cluster/src/shared_list/tests.rs
@@ -5,13 +5,13 @@
 use super::*;
 use crate::leases::term::Term;
 
-const FIRST: Term = Term {
+const FIRST_TERM: Term = Term {
     number: 1,
     incarnation_id: 1,
 };
 const MS: Micros = 1_000;
 
-fn entries(names: std::ops::Range<usize>) -> Vec<Entry> {
+fn entries(numbers: std::ops::Range<usize>) -> Vec<Entry> {
     let entry = |n| {
         let id = format!("s{n}");
         Entry {
@@ -20,57 +20,62 @@
             has_left: false,
         }
     };
-    names.map(entry).collect()
+    numbers.map(entry).collect()
 }
 
-fn names(taken: &[Vec<u8>]) -> Vec<usize> {
-    taken
+fn entry_counts(pages: &[Vec<u8>]) -> Vec<usize> {
+    pages
         .iter()
         .map(|page| String::from_utf8_lossy(page).matches("\"uid\"").count())
         .collect()
 }
 
-/// Delivers all messages but the lost ones, and the answers to the subscriber's request.
-fn carry(
+/// Delivers all messages except those with the indices in `lost`, then a heartbeat and the answers
+/// to the subscriber's request. Returns the pages to apply.
+fn deliver_messages(
     subscriber: &mut ListSubscriber,
     publisher: &mut ListPublisher,
     now: Micros,
-    said: &[ListMessage],
+    messages: &[ListMessage],
     lost: &[usize],
 ) -> Vec<Vec<u8>> {
-    let mut taken = Vec::new();
-    for (_, one) in said
+    let mut pages = Vec::new();
+    for (_, message) in messages
         .iter()
         .enumerate()
-        .filter(|(place, _)| !lost.contains(place))
+        .filter(|(index, _)| !lost.contains(index))
     {
-        taken.extend(subscriber.receive(now, FIRST, one).pages);
+        pages.extend(subscriber.receive(now, FIRST_TERM, message).pages);
     }
     let heartbeat = publisher.heartbeat(now + 500 * MS).unwrap();
-    let update = subscriber.receive(now + 500 * MS, FIRST, &heartbeat);
-    taken.extend(update.pages);
-    for one in update
+    let update = subscriber.receive(now + 500 * MS, FIRST_TERM, &heartbeat);
+    pages.extend(update.pages);
+    for message in update
         .request
         .iter()
         .flat_map(|request| publisher.answer(request))
     {
-        taken.extend(subscriber.receive(now + 501 * MS, FIRST, &one).pages);
+        pages.extend(
+            subscriber
+                .receive(now + 501 * MS, FIRST_TERM, &message)
+                .pages,
+        );
     }
-    taken
+    pages
 }
 
 #[rstest]
-#[case::nothing(&[], &[20])]
-#[case::a_part(&[1], &[20])]
+#[case::none(&[], &[20])]
+#[case::one_chunk(&[1], &[20])]
 #[case::all(&[0, 1, 2, 3], &[20])]
-fn lost_chunks_are_requested(#[case] lost: &[usize], #[case] found: &[usize]) {
+fn lost_chunks_are_requested(#[case] lost: &[usize], #[case] expected: &[usize]) {
     let (mut publisher, mut subscriber) = (ListPublisher::default(), ListSubscriber::default());
-    let said = publisher.publish(7, true, &entries(0..20));
-    assert_eq!(said.len(), 4);
-    let taken = carry(&mut subscriber, &mut publisher, 0, &said, lost);
-    assert_eq!(names(&taken), found);
+    let messages = publisher.publish(7, true, &entries(0..20));
+    assert_eq!(messages.len(), 4);
+    let pages = deliver_messages(&mut subscriber, &mut publisher, 0, &messages, lost);
+    assert_eq!(entry_counts(&pages), expected);
     let heartbeat = publisher.heartbeat(1_000 * MS).unwrap();
-    subscriber.receive(1_000 * MS, FIRST, &heartbeat);
+    subscriber.receive(1_000 * MS, FIRST_TERM, &heartbeat);
     assert!(
         subscriber.is_fresh(1_000 * MS + HEARTBEAT_TIMEOUT_US - 1)
             && !subscriber.is_fresh(1_000 * MS + HEARTBEAT_TIMEOUT_US)
@@ -80,34 +85,37 @@
 #[test]
 fn changes_are_applied_in_order_and_a_full_list_replaces_earlier_pages() {
     let (mut publisher, mut subscriber) = (ListPublisher::default(), ListSubscriber::default());
-    let whole = publisher.publish(7, true, &entries(0..3));
+    let full_list = publisher.publish(7, true, &entries(0..3));
     let changes: Vec<_> = (8..12)
         .map(|version| publisher.publish(version, false, &entries(3..4)))
         .collect();
-    // The whole list comes last.
+    // The full list arrives last.
     for change in changes.iter().rev().flatten() {
-        assert!(subscriber.receive(0, FIRST, change).pages.is_empty());
+        assert!(subscriber.receive(0, FIRST_TERM, change).pages.is_empty());
     }
-    let taken: Vec<_> = whole
+    let pages: Vec<_> = full_list
         .iter()
-        .flat_map(|part| subscriber.receive(0, FIRST, part).pages)
+        .flat_map(|chunk| subscriber.receive(0, FIRST_TERM, chunk).pages)
         .collect();
     assert_eq!(
-        (names(&taken), subscriber.applied_page()),
+        (entry_counts(&pages), subscriber.applied_page()),
         (vec![3, 1, 1, 1, 1], 5)
     );
-    // A later subscriber gets the same from one full list.
-    let mut late = ListSubscriber::default();
-    let told: Vec<_> = publisher.answer(&ListRequest::FullList);
-    let taken: Vec<_> = told
+    // A subscriber that joins later obtains the same list from one full list.
+    let mut late_subscriber = ListSubscriber::default();
+    let answer: Vec<_> = publisher.answer(&ListRequest::FullList);
+    let pages: Vec<_> = answer
         .iter()
-        .flat_map(|part| late.receive(0, FIRST, part).pages)
+        .flat_map(|chunk| late_subscriber.receive(0, FIRST_TERM, chunk).pages)
         .collect();
-    assert_eq!((names(&taken), late.applied_page()), (vec![4], 5));
+    assert_eq!(
+        (entry_counts(&pages), late_subscriber.applied_page()),
+        (vec![4], 5)
+    );
 }
 
 #[test]
-fn endpoint_that_left_is_in_no_full_list() {
+fn full_list_does_not_contain_an_endpoint_that_left() {
     let mut publisher = ListPublisher::default();
     publisher.publish(7, true, &entries(0..3));
     publisher.publish(
@@ -118,9 +126,9 @@
             ..entries(1..2).remove(0)
         }],
     );
-    let told = publisher.answer(&ListRequest::FullList);
-    let ListMessage::Chunk(Chunk { bytes, version, .. }) = &told[0] else {
-        panic!("{told:?}")
+    let answer = publisher.answer(&ListRequest::FullList);
+    let ListMessage::Chunk(Chunk { bytes, version, .. }) = &answer[0] else {
+        panic!("{answer:?}")
     };
     assert_eq!(
         (
@@ -131,54 +139,55 @@
     );
 }
 
-/// The heartbeat tells that the watch is closed; a holder that is cut off sends none.
+/// Heartbeats contain that the watch is closed. A holder that is disconnected sends none.
 #[test]
-fn list_is_not_fresh_without_an_open_watch_of_the_holder() {
+fn list_is_not_fresh_while_the_watch_of_the_holder_is_closed() {
     let (mut publisher, mut subscriber) = (ListPublisher::default(), ListSubscriber::default());
-    let said = publisher.publish(7, true, &entries(0..3));
-    carry(&mut subscriber, &mut publisher, 0, &said, &[]);
+    let messages = publisher.publish(7, true, &entries(0..3));
+    deliver_messages(&mut subscriber, &mut publisher, 0, &messages, &[]);
     assert!(subscriber.is_fresh(600 * MS));
     publisher.set_watching(false);
     for at in 1..20 {
         let now = at * HEARTBEAT_INTERVAL_US + 600 * MS;
-        subscriber.receive(now, FIRST, &publisher.heartbeat(now).unwrap());
+        subscriber.receive(now, FIRST_TERM, &publisher.heartbeat(now).unwrap());
     }
     assert!(!subscriber.is_fresh(600 * MS + HEARTBEAT_TIMEOUT_US));
 }
 
 #[rstest]
-#[case::version_goes_back(6, 0..3, false)]
-#[case::nobody(9, 0..0, false)]
-#[case::sound(9, 0..2, true)]
-fn holder_with_an_impossible_list_is_ignored(
+#[case::older_version(6, 0..3, false)]
+#[case::empty_list(9, 0..0, false)]
+#[case::valid_list(9, 0..2, true)]
+fn holder_with_an_invalid_list_is_ignored(
     #[case] version: u64,
-    #[case] named: std::ops::Range<usize>,
-    #[case] taken: bool,
+    #[case] numbers: std::ops::Range<usize>,
+    #[case] is_accepted: bool,
 ) {
     let mut subscriber = ListSubscriber::default();
     subscriber.record_own_version(7);
     let mut publisher = ListPublisher::default();
-    let said = publisher.publish(version, true, &entries(named));
-    let pages = carry(&mut subscriber, &mut publisher, 0, &said, &[]);
+    let messages = publisher.publish(version, true, &entries(numbers));
+    let pages = deliver_messages(&mut subscriber, &mut publisher, 0, &messages, &[]);
     assert_eq!(
         (pages.len(), subscriber.is_fresh(600 * MS)),
-        (usize::from(taken), taken)
+        (usize::from(is_accepted), is_accepted)
     );
-    // A later holder is followed at once.
-    let later = Term {
+    // The list of a later holder is accepted immediately.
+    let later_term = Term {
         number: 2,
         incarnation_id: 1,
     };
-    let told: Vec<_> = ListPublisher::default().publish(9, true, &entries(0..4));
-    let pages: Vec<_> = told
+    let messages_of_later_holder: Vec<_> =
+        ListPublisher::default().publish(9, true, &entries(0..4));
+    let pages: Vec<_> = messages_of_later_holder
         .iter()
-        .flat_map(|part| subscriber.receive(700 * MS, later, part).pages)
+        .flat_map(|chunk| subscriber.receive(700 * MS, later_term, chunk).pages)
         .collect();
-    assert_eq!(names(&pages), [4]);
-    // And an earlier one no more.
+    assert_eq!(entry_counts(&pages), [4]);
+    // Messages of the earlier holder are ignored from then on.
     assert!(
         subscriber
-            .receive(800 * MS, FIRST, &said[0])
+            .receive(800 * MS, FIRST_TERM, &messages[0])
             .pages
             .is_empty()
     );
--- a/crates/cluster/tests/datagrams.rs
+++ b/crates/cluster/tests/datagrams.rs
@@ -1,8 +1,9 @@
-//! What members send one another, byte for byte as recorded: a sealed datagram of each kind of
-//! message, and all that three members send in their first seconds. The files under `recorded/` are
-//! the wire; they do not change.
+//! The datagrams that members send are equal to the recorded ones, byte for byte: a sealed datagram
+//! of each kind of message, and all datagrams that three members send in their first seconds. The
+//! files under `recorded/` define the protocol and must not change.
 
-#![allow(clippy::pedantic)] // As it was when the recording was made.
+// The test keeps the form that it had when the files were recorded.
+#![allow(clippy::pedantic)]
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -18,7 +19,7 @@
 use pinefront_cluster::{Cluster, Incarnation, MemberConfig, OutgoingDatagram};
 
 const KEY: &[u8] = b"recorded key of the datagram test\n";
-const LIFE: Incarnation = Incarnation {
+const INCARNATION: Incarnation = Incarnation {
     started_at_us: 1_700_000_000_123_456,
     random_id: 0x00c0_ffee_00c0_ffee,
 };
@@ -33,13 +34,13 @@
         .join(name)
 }
 
-/// Compares a text with the recorded file of that name.
+/// Compares a text with the recorded file of the given name.
 fn compare(name: &str, text: &str) {
-    let before = std::fs::read_to_string(recorded(name)).unwrap();
-    for (line, (is, was)) in text.lines().zip(before.lines()).enumerate() {
-        assert_eq!(is, was, "{name}, line {}", line + 1);
+    let expected = std::fs::read_to_string(recorded(name)).unwrap();
+    for (index, (line, expected_line)) in text.lines().zip(expected.lines()).enumerate() {
+        assert_eq!(line, expected_line, "{name}, line {}", index + 1);
     }
-    assert_eq!(text, before, "{name}");
+    assert_eq!(text, expected, "{name}");
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -52,15 +53,15 @@
         .collect()
 }
 
-fn record(name: &str, state: MemberState, by: u64) -> MemberRecord {
+fn record(name: &str, state: MemberState, suspected_by: u64) -> MemberRecord {
     MemberRecord {
         name: name.into(),
         address: "10.1.2.3:7400".parse().unwrap(),
         zone: "zone-a".into(),
-        incarnation: LIFE,
+        incarnation: INCARNATION,
         refutation_counter: 77,
         state,
-        suspected_by: by,
+        suspected_by,
         version: 1,
     }
 }
@@ -226,13 +227,13 @@
     ]
 }
 
-fn datagram(counter: u64, message: Message) -> Datagram {
+fn datagram(sequence_number: u64, message: Message) -> Datagram {
     Datagram {
         fleet: "shop".into(),
         sender: "b1".into(),
-        incarnation: LIFE,
+        incarnation: INCARNATION,
         refutation_counter: 77,
-        sequence_number: counter,
+        sequence_number,
         message,
         records: vec![
             record("b1", MemberState::Alive, 0),
@@ -244,7 +245,7 @@
 }
 
 #[test]
-fn each_kind_of_message_is_sealed_to_the_recorded_bytes_and_read_back() {
+fn each_kind_of_message_is_sealed_to_the_recorded_bytes_and_opened_again() {
     let key = Key::new(KEY).unwrap();
     let leases = lease_messages().into_iter().chain(list_messages());
     let all = membership_messages()
@@ -259,16 +260,16 @@
         .map(|(name, datagram)| format!("{name} = {}\n", hex(&seal(&key, datagram).unwrap())))
         .collect();
     compare("sealed-datagrams.txt", &text);
-    let before = std::fs::read_to_string(recorded("sealed-datagrams.txt")).unwrap();
-    assert_eq!(before.lines().count(), 20);
-    for ((name, datagram), line) in datagrams.iter().zip(before.lines()) {
+    let expected = std::fs::read_to_string(recorded("sealed-datagrams.txt")).unwrap();
+    assert_eq!(expected.lines().count(), 20);
+    for ((name, datagram), line) in datagrams.iter().zip(expected.lines()) {
         let bytes = from_hex(line.split_once(" = ").unwrap().1);
         assert_eq!(open(&key, "shop", &bytes).as_ref(), Ok(datagram), "{name}");
     }
 }
 
 #[test]
-fn bodies_of_the_shared_list_are_read_back() {
+fn bodies_of_shared_list_messages_are_decoded_and_encoded_to_the_same_bytes() {
     for (name, message) in list_messages() {
         match message {
             LeaseMessage::Command { body, .. } => {
@@ -291,14 +292,15 @@
 }
 
 #[test]
-fn texts_of_incarnations_and_identifiers_of_leases_stay() {
-    assert_eq!(LIFE.to_string(), "60a2418202240-00c0ffee00c0ffee");
-    assert_eq!("60a2418202240-00c0ffee00c0ffee".parse(), Ok(LIFE));
+fn texts_of_incarnations_and_identifiers_of_leases_do_not_change() {
+    assert_eq!(INCARNATION.to_string(), "60a2418202240-00c0ffee00c0ffee");
+    assert_eq!("60a2418202240-00c0ffee00c0ffee".parse(), Ok(INCARNATION));
     assert_eq!(LeaseId::from_name("roster/a").0, 2_156_073_173);
 }
 
-/// Three members on a virtual network that delivers all within 3 ms, one of which starts late and
-/// leaves early. The same seeds and times give the same datagrams.
+/// Three members exchange datagrams over a virtual network that delivers each within 3 ms. One
+/// member starts late, and another leaves early. The same seeds and times produce the same
+/// datagrams.
 #[test]
 fn three_members_send_the_recorded_datagrams() {
     let address = |n: usize| SocketAddr::from(([127, 0, 0, 1], 7400 + n as u16));
@@ -317,7 +319,7 @@
             zone: ["a", "b"][n % 2].into(),
             address: address(n),
             seeds: vec![address(0)],
-            started_at_us: LIFE.started_at_us + now,
+            started_at_us: INCARNATION.started_at_us + now,
             probe_interval: MemberConfig::DEFAULT_PROBE_INTERVAL,
             probe_timeout: MemberConfig::DEFAULT_PROBE_TIMEOUT,
             min_suspicion: MemberConfig::DEFAULT_MIN_SUSPICION,
@@ -329,14 +331,14 @@
     };
     let mut members = vec![start(0, 1_000_000), start(1, 1_000_000)];
     let mut network: Vec<(u64, SocketAddr, Vec<u8>)> = Vec::new();
-    let (mut lines, mut all, mut sent) = (Vec::new(), blake3::Hasher::new(), 0);
+    let (mut lines, mut hasher, mut sent) = (Vec::new(), blake3::Hasher::new(), 0);
     for now in (1_000_000..9_000_000).step_by(1_000) {
         if now == 2_000_000 {
             members.push(start(2, now));
         }
-        let (arrived, rest): (Vec<_>, Vec<_>) =
+        let (arrived, in_transit): (Vec<_>, Vec<_>) =
             network.into_iter().partition(|datagram| datagram.0 <= now);
-        network = rest;
+        network = in_transit;
         for (_, to, bytes) in arrived {
             if let Some(n) = (0..members.len()).find(|&n| address(n) == to) {
                 members[n].receive(now, &bytes);
@@ -351,7 +353,7 @@
             }
             for OutgoingDatagram { to, bytes } in member.take_datagrams() {
                 sent += 1;
-                all.update(&bytes);
+                hasher.update(&bytes);
                 if sent % 16 == 1 {
                     lines.push(format!("{sent} {now} b{n} {to} {}\n", hex(&bytes)));
                 }
@@ -359,6 +361,6 @@
             }
         }
     }
-    lines.push(format!("{sent} datagrams {}\n", all.finalize().to_hex()));
+    lines.push(format!("{sent} datagrams {}\n", hasher.finalize().to_hex()));
     compare("three-members.txt", &lines.concat());
 }
