--- a/crates/cluster/src/cluster/mod.rs
+++ b/crates/cluster/src/cluster/mod.rs
@@ -233,7 +233,7 @@
     /// means, too.
     pub fn record_pause(&mut self, now: Micros, duration: Micros) {
         self.now = self.now.max(now);
-        if self.table.has_fault(InjectedFault::PauseUnnoticed) {
+        if self.table.has_fault(InjectedFault::PauseUndetected) {
             return;
         }
         self.pause_count += 1;
--- a/crates/cluster/src/cluster/tests.rs
+++ b/crates/cluster/src/cluster/tests.rs
@@ -362,7 +362,7 @@
     };
     let configure = |members: &mut [Cluster], now| {
         members.iter_mut().for_each(|member| {
-            member.configure_leases(now, lease_config(), vec![Lease::new("d", None)])
+            member.configure_leases(now, lease_config(), vec![Lease::new("d", None)]);
         });
     };
     let holders = |members: &[Cluster], now| -> Vec<crate::leases::term::Term> {
--- a/crates/cluster/src/fault_injection.rs
+++ b/crates/cluster/src/fault_injection.rs
@@ -19,7 +19,7 @@
     /// A record with an old refutation counter is accepted.
     AcceptsOldRecords,
     /// A process does not detect that it was paused.
-    PauseUnnoticed,
+    PauseUndetected,
 }
 
 impl InjectedFault {
@@ -32,6 +32,6 @@
         ("doubts-without-asking", Self::SuspectsWithoutProbeRequests),
         ("leaves-untold", Self::LeavesUnannounced),
         ("keeps-old-incarnation", Self::AcceptsOldRecords),
-        ("sleep-unnoticed", Self::PauseUnnoticed),
+        ("sleep-unnoticed", Self::PauseUndetected),
     ];
 }
--- a/crates/proxy/src/cluster/node.rs
+++ b/crates/proxy/src/cluster/node.rs
@@ -35,7 +35,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum OpenError {
     /// The socket cannot be bound.
-    #[error("cannot bind the fleet socket to {address}: {source}")]
+    #[error("cannot bind the fleet socket to fleet.listen {address}: {source}")]
     Bind {
         /// The address in the operator file.
         address: SocketAddr,
--- a/crates/testbed/src/cluster/tests.rs
+++ b/crates/testbed/src/cluster/tests.rs
@@ -39,7 +39,7 @@
 #[case::incarnation(InjectedFault::RefutationCounterDecreases)]
 #[case::silent(InjectedFault::UnresponsiveCountsAsStopped)]
 #[case::asking(InjectedFault::SuspectsWithoutProbeRequests)]
-#[case::sleep(InjectedFault::PauseUnnoticed)]
+#[case::sleep(InjectedFault::PauseUndetected)]
 fn injected_fault_is_found(#[case] injected_fault: InjectedFault) {
     let report = run(
         &options(0..400, Some(injected_fault)),
