--- a/crates/cluster/src/cluster/lease_control.rs
+++ b/crates/cluster/src/cluster/lease_control.rs
@@ -32,7 +32,7 @@
     fn replace_leases(&mut self, config: LeaseConfig) {
         let wall_clock_offset_ms =
             (self.config.started_at_us / 1_000).saturating_sub(self.started_at / 1_000);
-        let own_name = Rc::clone(&self.table.own.name);
+        let own_name = Rc::clone(&self.table.own_record.name);
         let own_incarnation_id = self.incarnation.random_id;
         let new = LeaseManager::new(
             self.now,
@@ -105,7 +105,7 @@
             zone: Rc::clone(&record.zone),
         };
         let others = self.table.alive().map(|member| &member.record);
-        let alive: Vec<Candidate> = [&self.table.own]
+        let alive: Vec<Candidate> = [&self.table.own_record]
             .into_iter()
             .chain(others)
             .map(candidate)
--- a/crates/cluster/src/cluster/mod.rs
+++ b/crates/cluster/src/cluster/mod.rs
@@ -264,14 +264,14 @@
     /// Announces that this process has stopped serving, and releases its leases.
     pub fn leave(&mut self, now: Micros) {
         self.now = self.now.max(now);
-        if self.table.own.state == MemberState::Left {
+        if self.table.own_record.state == MemberState::Left {
             return;
         }
         if let Some(leases) = &mut self.lease_manager {
             leases.stop(self.now);
         }
         self.send_lease_messages();
-        self.table.own.state = MemberState::Left;
+        self.table.own_record.state = MemberState::Left;
         if self.table.has_fault(InjectedFault::LeavesUnannounced) {
             return;
         }
--- a/crates/cluster/src/cluster/receive.rs
+++ b/crates/cluster/src/cluster/receive.rs
@@ -68,16 +68,16 @@
         }
         self.old_incarnation_replies
             .insert(datagram.sender.clone(), self.now);
-        let theirs = datagram
+        let sender_record = datagram
             .records
             .iter()
             .find(|record| *record.name == *datagram.sender);
-        let known = self
+        let known_record = self
             .table
             .member(&datagram.sender)
             .map(|member| member.record.clone());
-        if let Some((theirs, known)) = theirs.zip(known) {
-            self.send(theirs.address, Message::Gossip, vec![known]);
+        if let Some((sender_record, known_record)) = sender_record.zip(known_record) {
+            self.send(sender_record.address, Message::Gossip, vec![known_record]);
         }
     }
 
@@ -92,7 +92,7 @@
             }
             MergeOutcome::Refuted => {
                 self.failure_detector.increase_health_penalty();
-                let own_name = Rc::clone(&self.table.own.name);
+                let own_name = Rc::clone(&self.table.own_record.name);
                 self.dissemination.add(&own_name);
                 if self.table.has_name_conflict() && record.incarnation < self.incarnation {
                     self.send_disabled_until = self.now + NAME_CONFLICT_SEND_PAUSE_US;
@@ -114,21 +114,21 @@
         if member.record.incarnation != datagram.incarnation {
             return;
         }
-        let is_recent = member
+        let was_received_recently = member
             .last_received_at
             .is_some_and(|at| self.now < at + CORRECTION_INTERVAL_US);
-        let was_away = member.record.state == MemberState::Dead && !is_recent;
+        let was_dead = member.record.state == MemberState::Dead && !was_received_recently;
         member.last_received_at = Some(self.now);
         let address = member.record.address;
         let state = member.record.state;
-        let is_disputed = !matches!(state, MemberState::Alive | MemberState::Left);
+        let is_suspected_or_dead = !matches!(state, MemberState::Alive | MemberState::Left);
         // There is no reply to gossip: two members that consider each other dead would reply to
         // each other without end.
-        if is_disputed && datagram.message != Message::Gossip {
+        if is_suspected_or_dead && datagram.message != Message::Gossip {
             let record = member.record.clone();
             self.send(address, Message::Gossip, vec![record]);
         }
-        if (!was_known || was_away) && state != MemberState::Left {
+        if (!was_known || was_dead) && state != MemberState::Left {
             self.send_table(index);
         }
     }
--- a/crates/cluster/src/cluster/send.rs
+++ b/crates/cluster/src/cluster/send.rs
@@ -79,12 +79,12 @@
     }
 
     fn new_datagram(&self, message: Message, records: Vec<MemberRecord>) -> Datagram {
-        let own = self.table.own.clone();
+        let own = self.table.own_record.clone();
         Datagram {
             fleet: self.config.fleet.clone(),
             sender: self.config.name.clone(),
             incarnation: self.incarnation,
-            refutation_counter: self.table.own.refutation_counter,
+            refutation_counter: self.table.own_record.refutation_counter,
             sequence_number: self.sequence_number,
             message,
             records: [own].into_iter().chain(records).collect(),
--- a/crates/cluster/src/cluster/suspicions.rs
+++ b/crates/cluster/src/cluster/suspicions.rs
@@ -19,9 +19,10 @@
     fn suspicion_timeout(&self, suspecting_count: usize) -> Micros {
         let members = self.table.members.len() as f64 + 1.0;
         let min = self.config.min_suspicion as f64 * members.log10().max(1.0);
-        let shared = (suspecting_count.max(1) as f64).ln() / SUSPICIONS_FOR_MIN_TIMEOUT.ln();
-        let factor =
-            MAX_TO_MIN_SUSPICION_RATIO - (MAX_TO_MIN_SUSPICION_RATIO - 1.0) * shared.min(1.0);
+        let confirmed_ratio =
+            (suspecting_count.max(1) as f64).ln() / SUSPICIONS_FOR_MIN_TIMEOUT.ln();
+        let factor = MAX_TO_MIN_SUSPICION_RATIO
+            - (MAX_TO_MIN_SUSPICION_RATIO - 1.0) * confirmed_ratio.min(1.0);
         (min * factor) as Micros
     }
 
--- a/crates/cluster/src/cluster/tests.rs
+++ b/crates/cluster/src/cluster/tests.rs
@@ -419,7 +419,7 @@
     let suspected = MemberRecord {
         state: MemberState::Suspected,
         suspected_by: u64::MAX,
-        ..member.table.own.clone()
+        ..member.table.own_record.clone()
     };
     member.send(
         "127.0.0.1:7001".parse().unwrap(),
--- a/crates/cluster/src/leases/manager/release.rs
+++ b/crates/cluster/src/leases/manager/release.rs
@@ -74,9 +74,9 @@
             let Some(tracked) = self.tracked.get_mut(&lease) else {
                 continue;
             };
-            let before = tracked.state.clone();
+            let previous_state = tracked.state.clone();
             tracked.start_cooldown(now);
-            match before {
+            match previous_state {
                 LeaseState::Held(held) => {
                     self.events.push(LeaseEvent::Lost {
                         lease: Rc::clone(&tracked.lease.name),
--- a/crates/cluster/src/membership/merge.rs
+++ b/crates/cluster/src/membership/merge.rs
@@ -16,7 +16,7 @@
 impl MemberTable {
     /// Merges a record that was received or created by this process.
     pub fn merge(&mut self, now: Micros, record: &MemberRecord) -> MergeOutcome {
-        if record.name == self.own.name {
+        if record.name == self.own_record.name {
             return self.merge_own(record);
         }
         let Some(index) = self.index(&record.name) else {
@@ -113,11 +113,11 @@
     /// Merges a record about this member. Only this process decides its state, so it refutes a
     /// wrong record by a greater refutation counter.
     fn merge_own(&mut self, record: &MemberRecord) -> MergeOutcome {
-        let is_other_process = record.incarnation != self.own.incarnation;
+        let is_other_process = record.incarnation != self.own_record.incarnation;
         let is_wrong = record.state != MemberState::Alive || is_other_process;
-        if self.own.state == MemberState::Left
+        if self.own_record.state == MemberState::Left
             || !is_wrong
-            || record.refutation_counter < self.own.refutation_counter
+            || record.refutation_counter < self.own_record.refutation_counter
         {
             return MergeOutcome::Unchanged;
         }
@@ -132,9 +132,9 @@
         if self.has_fault(InjectedFault::NoRefutation) && !is_other_process {
             return MergeOutcome::Unchanged;
         }
-        self.own.refutation_counter = record.refutation_counter.saturating_add(1);
+        self.own_record.refutation_counter = record.refutation_counter.saturating_add(1);
         if self.has_fault(InjectedFault::RefutationCounterDecreases) {
-            self.own.refutation_counter = record.refutation_counter.saturating_sub(1);
+            self.own_record.refutation_counter = record.refutation_counter.saturating_sub(1);
         }
         if !is_other_process {
             self.refutations += 1;
--- a/crates/cluster/src/membership/table.rs
+++ b/crates/cluster/src/membership/table.rs
@@ -18,7 +18,7 @@
 /// The members of a fleet in the view of this process.
 pub struct MemberTable {
     /// The record of this process.
-    pub own: MemberRecord,
+    pub own_record: MemberRecord,
     /// All other members.
     pub members: Vec<Member>,
     pub(super) by_name: BTreeMap<Rc<str>, usize>,
@@ -38,9 +38,9 @@
 
 impl MemberTable {
     /// Creates a table that contains only this process.
-    pub fn new(own: MemberRecord) -> Self {
+    pub fn new(own_record: MemberRecord) -> Self {
         Self {
-            own,
+            own_record,
             members: Vec::new(),
             by_name: BTreeMap::new(),
             events: Vec::new(),
--- a/crates/cluster/src/membership/table/tests.rs
+++ b/crates/cluster/src/membership/table/tests.rs
@@ -129,15 +129,15 @@
     let mut table = table();
     let wrong_record = MemberRecord {
         state: MemberState::Dead,
-        ..table.own.clone()
+        ..table.own_record.clone()
     };
     assert_eq!(table.merge(0, &wrong_record), MergeOutcome::Refuted);
     assert_eq!(
-        (table.own.refutation_counter, table.events.as_slice()),
+        (table.own_record.refutation_counter, table.events.as_slice()),
         (2, [MembershipEvent::Refuted].as_slice())
     );
     assert_eq!(table.merge(0, &wrong_record), MergeOutcome::Unchanged);
-    table.own.state = MemberState::Left;
+    table.own_record.state = MemberState::Left;
     assert_eq!(
         table.merge(
             0,
@@ -157,8 +157,8 @@
         assert!(!table.has_name_conflict());
         let other = MemberRecord {
             incarnation: SECOND,
-            refutation_counter: table.own.refutation_counter + 1,
-            ..table.own.clone()
+            refutation_counter: table.own_record.refutation_counter + 1,
+            ..table.own_record.clone()
         };
         assert_eq!(table.merge(0, &other), MergeOutcome::Refuted);
     }
--- a/crates/proxy/src/cluster/operator_file/error.rs
+++ b/crates/proxy/src/cluster/operator_file/error.rs
@@ -2,6 +2,7 @@
 
 use std::io;
 use std::net::SocketAddr;
+use std::time::Duration;
 
 use pinefront_cluster::InvalidIncarnation;
 use pinefront_cluster::datagram::KeyTooShort;
@@ -51,14 +52,23 @@
     )]
     NoReachableAddress(SocketAddr),
     #[error(
-        "invalid name '{}': expected 1 to {MAX_NAME_BYTES} visible ASCII characters without quotes",
+        "invalid name '{}': expected 1 to {MAX_NAME_BYTES} visible ASCII characters without \
+         double quotes",
         .0.escape_debug()
     )]
     InvalidName(String),
     #[error("invalid duration '{0}': expected 5ms to 60s")]
     InvalidDuration(String),
-    #[error("must be at most half of fleet.probe_every, which must fit a probe and its retry")]
-    TimeoutTooLong,
+    #[error(
+        "{} is too long: expected at most half of fleet.probe_every ({}), so that a probe and its \
+         retry fit into it",
+        humantime::format_duration(*.timeout),
+        humantime::format_duration(*.interval)
+    )]
+    TimeoutTooLong {
+        timeout: Duration,
+        interval: Duration,
+    },
     #[error("{count} entries: expected at most {max}")]
     TooMany { count: usize, max: usize },
     #[error(
--- a/crates/proxy/src/cluster/operator_file/mod.rs
+++ b/crates/proxy/src/cluster/operator_file/mod.rs
@@ -10,6 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
+use std::time::Duration;
 
 use pinefront_cluster::datagram::Key;
 use pinefront_cluster::leases::term::LeaseId;
@@ -202,6 +203,10 @@
             .as_ref()
             .or(table.probe_interval.as_ref());
         let at = named.map_or(table.name.span(), Spanned::span);
-        Err(self.error(at, "fleet.answer_within", FieldError::TimeoutTooLong))
+        let reason = FieldError::TimeoutTooLong {
+            timeout: Duration::from_micros(member.probe_timeout),
+            interval: Duration::from_micros(member.probe_interval),
+        };
+        Err(self.error(at, "fleet.answer_within", reason))
     }
 }
--- a/crates/proxy/src/cluster/operator_file/tests.rs
+++ b/crates/proxy/src/cluster/operator_file/tests.rs
@@ -76,11 +76,13 @@
 )]
 #[case::timeout_longer_than_half_the_interval(
     "listen = '127.0.0.1:1'\nanswer_within = '300ms'",
-    "o.toml:5: fleet.answer_within: must be at most half"
+    "o.toml:5: fleet.answer_within: 300ms is too long: expected at most half of \
+     fleet.probe_every (400ms)"
 )]
 #[case::member_name_with_space(
     "listen = '127.0.0.1:1'\nmember = 'a b'",
-    "o.toml:5: fleet.member: invalid name 'a b': expected 1 to 64 visible ASCII characters"
+    "o.toml:5: fleet.member: invalid name 'a b': expected 1 to 64 visible ASCII characters \
+     without double quotes"
 )]
 #[case::confirmed_dead_without_incarnation(
     "listen = '127.0.0.1:1'\nstruck = ['b1']",
--- a/crates/proxy/src/cluster/pages.rs
+++ b/crates/proxy/src/cluster/pages.rs
@@ -63,7 +63,7 @@
             "zone": config.zone,
             "address": config.address.to_string(),
             "life": cluster.incarnation().to_string(),
-            "incarnation": table.own.refutation_counter,
+            "incarnation": table.own_record.refutation_counter,
             "heard": cluster.is_reachable(),
             "slept": cluster.pause_count(),
             "name_taken": table.has_name_conflict(),
--- a/crates/testbed/src/cluster/checker.rs
+++ b/crates/testbed/src/cluster/checker.rs
@@ -197,7 +197,7 @@
     }
 
     fn check_counters(&mut self, now: Micros, member: usize, cluster: &Cluster) {
-        let own = cluster.table.own.refutation_counter;
+        let own = cluster.table.own_record.refutation_counter;
         if own < self.refutation_counters[member] {
             self.violation(now, &format!("the refutation counter of b{member} fell"));
         }
