--- a/crates/cluster/src/cluster/probing.rs
+++ b/crates/cluster/src/cluster/probing.rs
@@ -1,4 +1,5 @@
-//! Probing of members: one each round, repeated and relayed through others if there is no reply.
+//! Probing of members: one member in each round. A probe without a reply is repeated and relayed
+//! through other members.
 
 use std::rc::Rc;
 
@@ -9,13 +10,13 @@
 use crate::messages::{MemberRecord, MemberState, Message};
 use crate::timers::Timer;
 
-/// How many members are asked to relay a probe.
+/// The number of members that are requested to relay a probe.
 const PROBE_REQUESTS: usize = 3;
 
 impl Cluster {
     /// Evaluates the probe of this round and begins the next round.
     pub(super) fn end_probe_round(&mut self) {
-        if let Some(probe) = self.failure_detector.pending.take() {
+        if let Some(probe) = self.failure_detector.current_probe.take() {
             self.evaluate_probe(&probe);
         }
         let next_round = self.now + self.failure_detector.scaled(self.config.probe_interval);
@@ -44,22 +45,22 @@
         let number = self.failure_detector.next_number();
         let target = Some(Rc::clone(&record.name));
         self.send_to_member(index, Message::Probe { number, target });
-        self.failure_detector.pending = Some(Probe {
+        self.failure_detector.current_probe = Some(Probe {
             number,
             target: record.name,
             incarnation: record.incarnation,
             is_answered: false,
-            requested: 0,
-            reported: 0,
+            relays_requested: 0,
+            relays_reported: 0,
         });
         let retry_at = self.now + self.failure_detector.scaled(self.config.probe_timeout);
         self.timers.schedule(retry_at, Timer::ProbeRetry);
     }
 
-    /// Repeats a probe that got no reply, and asks others to relay it, since the fault may lie in
-    /// the network between or with this process.
+    /// Repeats a probe that has had no reply, and requests other members to relay it, since the
+    /// fault may be in the network path or in this process.
     pub(super) fn retry_probe(&mut self) {
-        let Some(probe) = &self.failure_detector.pending else {
+        let Some(probe) = &self.failure_detector.current_probe else {
             return;
         };
         if probe.is_answered {
@@ -85,8 +86,8 @@
         let relays = self.random_members(PROBE_REQUESTS, |member| {
             member.record.state == MemberState::Alive && *member.record.name != *target
         });
-        if let Some(probe) = &mut self.failure_detector.pending {
-            probe.requested = relays.len() as u32;
+        if let Some(probe) = &mut self.failure_detector.current_probe {
+            probe.relays_requested = relays.len() as u32;
         }
         for relay in relays {
             let request = Message::ProbeRequest {
@@ -100,14 +101,14 @@
 
     fn evaluate_probe(&mut self, probe: &Probe) {
         if probe.is_answered {
-            return self.failure_detector.improve_health();
+            return self.failure_detector.decrease_health_penalty();
         }
-        // If members that were asked to relay do not even report, the fault may be with this
-        // process.
-        if probe.reported < probe.requested {
-            self.failure_detector.degrade_health();
+        // If members that were requested to relay the probe do not report a result either, the
+        // fault may be in this process.
+        if probe.relays_reported < probe.relays_requested {
+            self.failure_detector.increase_health_penalty();
         }
-        let Some(member) = self.table.named(&probe.target) else {
+        let Some(member) = self.table.member(&probe.target) else {
             return;
         };
         let known = &member.record;
@@ -117,22 +118,22 @@
         {
             return;
         }
-        let is_first = known.state == MemberState::Alive;
+        let was_alive = known.state == MemberState::Alive;
         let record = MemberRecord {
             state: MemberState::Suspected,
             suspected_by: self.incarnation.random_id,
             ..known.clone()
         };
-        self.learn(&record);
-        if is_first {
-            // The suspected member is told first, so that it can refute.
+        self.merge_record(&record);
+        if was_alive {
+            // The suspicion is sent to the suspected member first, so that it can refute it.
             self.send(record.address, Message::Gossip, vec![record]);
         }
     }
 
     pub(super) fn receive_ack(&mut self, number: u32, sender: &str) {
         self.confirm_reachable(number);
-        if let Some(probe) = &mut self.failure_detector.pending
+        if let Some(probe) = &mut self.failure_detector.current_probe
             && probe.number == number
             && *probe.target == *sender
         {
@@ -143,10 +144,10 @@
     }
 
     pub(super) fn receive_probe_report(&mut self, number: u32, answered: bool) {
-        if let Some(probe) = &mut self.failure_detector.pending
+        if let Some(probe) = &mut self.failure_detector.current_probe
             && probe.number == number
         {
-            probe.reported += 1;
+            probe.relays_reported += 1;
             probe.is_answered |= answered;
         }
         self.confirm_reachable(number);
@@ -164,13 +165,13 @@
         }
     }
 
-    /// A reply to a probe sent after a pause shows that others receive this member, so that missing
-    /// replies are a sign of their failure again.
+    /// Ends the time without suspicions after a pause. A reply to a probe sent after the pause
+    /// shows that other members receive this one, so missing replies indicate their failure again.
     fn confirm_reachable(&mut self, number: u32) {
-        // Numbers wrap around: those within half the range are later.
+        // Probe numbers wrap around: a number is later if it is ahead by less than half the range.
         let is_later = |from: u32| number.wrapping_sub(from) < u32::MAX / 2;
-        if self.unreachable_until.is_some_and(is_later) {
-            self.unreachable_until = None;
+        if self.min_confirming_probe.is_some_and(is_later) {
+            self.min_confirming_probe = None;
             self.table.events.push(MembershipEvent::Reconnected);
             self.restart_suspicions();
         }
--- a/crates/cluster/src/cluster/receive.rs
+++ b/crates/cluster/src/cluster/receive.rs
@@ -1,4 +1,4 @@
-//! Received datagrams: checks, records, and the message.
+//! Received datagrams: checks, merging of the records, and handling of the message.
 
 use std::rc::Rc;
 
@@ -10,11 +10,11 @@
 use crate::messages::{MAX_NAME_BYTES, MemberRecord, MemberState, Message};
 use crate::timers::Timer;
 
-/// A sender with a superseded incarnation is replied to at most this often; a member that was dead
-/// and sends again is sent the table at most this often.
-const OLD_REPLY_INTERVAL_US: Micros = 500_000;
-/// How long this process sends nothing after another process proved to have its name.
-const NAME_CONFLICT_SILENCE_US: Micros = 30_000_000;
+/// The shortest interval between two replies to a sender with a superseded incarnation, and between
+/// two sends of the table to a member that was dead and sends again.
+const CORRECTION_INTERVAL_US: Micros = 500_000;
+/// How long this process sends nothing after it was established that another process has its name.
+const NAME_CONFLICT_SEND_PAUSE_US: Micros = 30_000_000;
 
 impl Cluster {
     pub(super) fn receive_datagram(&mut self, bytes: &[u8]) -> Result<(), DropReason> {
@@ -34,7 +34,7 @@
         self.traffic.accepted += 1;
         let was_known = self.table.index(&datagram.sender).is_some();
         for record in &datagram.records {
-            self.learn(record);
+            self.merge_record(record);
         }
         let Some(index) = self.table.index(&datagram.sender) else {
             return if has_own_name {
@@ -50,17 +50,17 @@
 
     /// Whether a later process of the sender's name is known.
     fn is_superseded(&self, datagram: &Datagram) -> bool {
-        self.table.named(&datagram.sender).is_some_and(|member| {
+        self.table.member(&datagram.sender).is_some_and(|member| {
             member.record.incarnation != datagram.incarnation
                 && datagram.refutation_counter <= member.record.refutation_counter
         })
     }
 
-    /// Sends a process that lost its memory the record of the process before it, so that it takes a
-    /// greater refutation counter.
+    /// Sends a process that has lost its state in a restart the record of the previous process, so
+    /// that it chooses a greater refutation counter.
     fn reply_to_old_incarnation(&mut self, datagram: &Datagram) {
         let last_reply = self.old_incarnation_replies.get(&datagram.sender);
-        if last_reply.is_some_and(|at| self.now < at + OLD_REPLY_INTERVAL_US) {
+        if last_reply.is_some_and(|at| self.now < at + CORRECTION_INTERVAL_US) {
             return;
         }
         if self.old_incarnation_replies.len() >= MAX_MEMBERS {
@@ -68,21 +68,21 @@
         }
         self.old_incarnation_replies
             .insert(datagram.sender.clone(), self.now);
-        let theirs = datagram
+        let sender_record = datagram
             .records
             .iter()
             .find(|record| *record.name == *datagram.sender);
-        let known = self
+        let known_record = self
             .table
-            .named(&datagram.sender)
+            .member(&datagram.sender)
             .map(|member| member.record.clone());
-        if let Some((theirs, known)) = theirs.zip(known) {
-            self.send(theirs.address, Message::Gossip, vec![known]);
+        if let Some((sender_record, known_record)) = sender_record.zip(known_record) {
+            self.send(sender_record.address, Message::Gossip, vec![known_record]);
         }
     }
 
-    /// Merges a record and disseminates it if it is news.
-    pub(super) fn learn(&mut self, record: &MemberRecord) {
+    /// Merges a record, and disseminates it if it changed the table.
+    pub(super) fn merge_record(&mut self, record: &MemberRecord) {
         match self.table.merge(self.now, record) {
             MergeOutcome::Unchanged => {}
             MergeOutcome::TableFull => {
@@ -91,11 +91,11 @@
                 }
             }
             MergeOutcome::Refuted => {
-                self.failure_detector.degrade_health();
-                let own_name = Rc::clone(&self.table.own.name);
+                self.failure_detector.increase_health_penalty();
+                let own_name = Rc::clone(&self.table.own_record.name);
                 self.dissemination.add(&own_name);
                 if self.table.has_name_conflict() && record.incarnation < self.incarnation {
-                    self.silent_until = self.now + NAME_CONFLICT_SILENCE_US;
+                    self.send_disabled_until = self.now + NAME_CONFLICT_SEND_PAUSE_US;
                 }
             }
             MergeOutcome::Changed | MergeOutcome::SuspicionConfirmed => {
@@ -105,7 +105,8 @@
         }
     }
 
-    /// Records that a datagram of a member arrived, and tells it what is wrong about it here.
+    /// Records that a datagram of a member arrived. A member that is suspected or dead here is sent
+    /// its record, and a new or returning member is sent the table.
     fn record_sender(&mut self, index: usize, datagram: &Datagram, was_known: bool) {
         let name = Rc::clone(&self.table.members[index].record.name);
         self.table.record_received(&name, datagram.incarnation);
@@ -113,22 +114,22 @@
         if member.record.incarnation != datagram.incarnation {
             return;
         }
-        let is_recent = member
+        let was_received_recently = member
             .last_received_at
-            .is_some_and(|at| self.now < at + OLD_REPLY_INTERVAL_US);
-        let was_away = member.record.state == MemberState::Dead && !is_recent;
+            .is_some_and(|at| self.now < at + CORRECTION_INTERVAL_US);
+        let was_dead = member.record.state == MemberState::Dead && !was_received_recently;
         member.last_received_at = Some(self.now);
         let address = member.record.address;
         let state = member.record.state;
-        let is_disputed = !matches!(state, MemberState::Alive | MemberState::Left);
-        // Gossip is not answered by gossip: two members that hold each other for dead would never
-        // end.
-        if is_disputed && datagram.message != Message::Gossip {
+        let is_suspected_or_dead = !matches!(state, MemberState::Alive | MemberState::Left);
+        // There is no reply to gossip: two members that consider each other dead would reply to
+        // each other without end.
+        if is_suspected_or_dead && datagram.message != Message::Gossip {
             let record = member.record.clone();
             self.send(address, Message::Gossip, vec![record]);
         }
-        if (!was_known || was_away) && state != MemberState::Left {
-            self.send_whole_table(index);
+        if (!was_known || was_dead) && state != MemberState::Left {
+            self.send_table(index);
         }
     }
 
@@ -169,7 +170,7 @@
             }
             Message::Lease(message) => {
                 let name = Rc::clone(&self.table.members[index].record.name);
-                if let Some(leases) = &mut self.leases {
+                if let Some(leases) = &mut self.lease_manager {
                     leases.receive(self.now, &name, datagram.incarnation.random_id, message);
                 }
                 self.send_lease_messages();
--- a/crates/cluster/src/leases/manager/release.rs
+++ b/crates/cluster/src/leases/manager/release.rs
@@ -1,4 +1,4 @@
-//! How leases end: expiry, release, transfer and pauses of this process.
+//! The end of leases: by expiry, by release, by transfer and after pauses of this process.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -7,25 +7,25 @@
 use super::super::messages::{LeaseMessage, MAX_LEASES_PER_MESSAGE, TermNumber};
 use super::super::state::LeaseState;
 use super::super::term::{LeaseId, Term};
-use super::Leases;
+use super::LeaseManager;
 use crate::Micros;
 
 /// The shortest time between two transfers to preferred members.
 const TRANSFER_INTERVAL_US: Micros = 500_000;
-/// After this many pauses of its process within [`PAUSE_WINDOW_US`] a member releases everything,
-/// and requests nothing for as long.
+/// After this many pauses of its process within [`PAUSE_WINDOW_US`] a member releases all its
+/// leases, and requests none for the same time.
 pub(in super::super) const MAX_PAUSES: usize = 3;
 const PAUSE_WINDOW_US: Micros = 30_000_000;
 
-impl Leases {
-    /// Releases all leases and requests nothing more.
+impl LeaseManager {
+    /// Releases all leases and requests no more.
     pub fn stop(&mut self, now: Micros) {
         self.is_stopping = true;
         self.release_all(now, LossReason::Released);
     }
 
-    /// Records that this process did not run for a while. What has expired meanwhile is lost; a
-    /// process that is paused again and again releases everything.
+    /// Records a pause of this process. Leases that expired during the pause are lost. A process
+    /// that is paused repeatedly releases all its leases.
     pub fn record_pause(&mut self, now: Micros) {
         self.expire_held(now);
         self.recent_pauses.push_back(now);
@@ -38,7 +38,7 @@
         }
         if self.recent_pauses.len() >= MAX_PAUSES {
             self.recent_pauses.clear();
-            self.rests_until = now + PAUSE_WINDOW_US;
+            self.cooldown_until = now + PAUSE_WINDOW_US;
             self.release_all(now, LossReason::ProcessPaused);
         }
     }
@@ -47,15 +47,15 @@
     pub(super) fn expire_held(&mut self, now: Micros) {
         for tracked in self.tracked.values_mut() {
             if let LeaseState::Held(held) = &tracked.state
-                && now >= held.until
+                && now >= held.expires_at
             {
                 self.events.push(LeaseEvent::Lost {
                     lease: Rc::clone(&tracked.lease.name),
                     term: held.term,
-                    until: held.until,
+                    held_until: held.expires_at,
                     reason: LossReason::Expired,
                 });
-                tracked.rest(now);
+                tracked.start_cooldown(now);
             }
         }
     }
@@ -65,7 +65,8 @@
         self.release(now, &all, reason);
     }
 
-    /// Gives up what is held or bid for of these leases, and tells the next candidates.
+    /// Releases those of the given leases that are held or bid for, and notifies the next
+    /// candidates.
     pub(super) fn release(&mut self, now: Micros, leases: &[LeaseId], reason: LossReason) {
         let mut terms = Vec::new();
         let mut vacated: BTreeMap<Rc<str>, Vec<LeaseId>> = BTreeMap::new();
@@ -73,14 +74,14 @@
             let Some(tracked) = self.tracked.get_mut(&lease) else {
                 continue;
             };
-            let before = tracked.state.clone();
-            tracked.rest(now);
-            match before {
+            let previous_state = tracked.state.clone();
+            tracked.start_cooldown(now);
+            match previous_state {
                 LeaseState::Held(held) => {
                     self.events.push(LeaseEvent::Lost {
                         lease: Rc::clone(&tracked.lease.name),
                         term: held.term,
-                        until: held.until.min(now),
+                        held_until: held.expires_at.min(now),
                         reason,
                     });
                     let number = held.term.number;
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Tells the voters which terms are given up.
+    /// Notifies the voters that the given terms are released.
     pub(super) fn send_release(&mut self, now: Micros, terms: &[TermNumber]) {
         for terms in terms.chunks(MAX_LEASES_PER_MESSAGE) {
             let terms = terms.to_vec();
@@ -115,7 +116,7 @@
     }
 
     /// Releases one lease for which another candidate has been preferred for long enough.
-    pub(super) fn transfer_one(&mut self, now: Micros) {
+    pub(super) fn transfer_one_due_lease(&mut self, now: Micros) {
         if now < self.next_transfer_at {
             return;
         }
@@ -130,13 +131,14 @@
         }
     }
 
-    /// Records a term that another member held; a lease held under an earlier term is lost.
-    pub(super) fn learn_term(&mut self, now: Micros, lease: LeaseId, term: Term) {
-        self.fencing_tokens.learn(lease, term);
+    /// Records a term of another member. A lease that this member holds under an earlier term is
+    /// lost.
+    pub(super) fn record_term(&mut self, now: Micros, lease: LeaseId, term: Term) {
+        self.fencing_tokens.record(lease, term);
         let Some(tracked) = self.tracked.get_mut(&lease) else {
             return;
         };
-        tracked.number = tracked.number.max(term.number);
+        tracked.greatest_term_number = tracked.greatest_term_number.max(term.number);
         if matches!(&tracked.state, LeaseState::Held(held) if held.term < term) {
             self.release(now, &[lease], LossReason::Superseded);
         }
--- a/crates/cluster/src/leases/manager/replies.rs
+++ b/crates/cluster/src/leases/manager/replies.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use super::super::config::MAX_LEASE_US;
+use super::super::config::MAX_LEASE_DURATION_US;
 use super::super::events::LeaseEvent;
 use super::super::fault_injection::InjectedFault;
 use super::super::messages::{GrantStatus, LeaseMessage, TermNumber};
@@ -10,11 +10,12 @@
 use super::super::term::LeaseId;
 use super::super::tracked::RANK_DELAY_US;
 use super::rounds::RENEWALS_PER_LEASE;
-use super::{AddressedMessage, Leases};
+use super::{AddressedMessage, LeaseManager};
 use crate::Micros;
 
-impl Leases {
-    /// Receives a voter's reply to a query, and bids for what a majority reports as available.
+impl LeaseManager {
+    /// Receives a voter's reply to a query, and bids for the leases that a majority reports as
+    /// available.
     pub(super) fn receive_query_reply(
         &mut self,
         now: Micros,
@@ -38,12 +39,12 @@
                 continue;
             }
             query.record_reply(voter, Micros::from(status.available_in_us));
-            has_majority |= query.has_replies(majority);
-            if query.has_available(majority) {
+            has_majority |= query.has_reply_majority(majority);
+            if query.has_available_majority(majority) {
                 available.push(status.lease);
-            } else if query.is_lost(majority, voters) {
-                // Held by another member whatever the other voters reply: retried when enough
-                // grants have expired.
+            } else if query.cannot_reach_majority(majority, voters) {
+                // Another member holds the lease, regardless of the replies still missing. The
+                // query is repeated when enough grants have expired.
                 let delay = query.majority_available_in(majority).max(RANK_DELAY_US);
                 tracked.backoff = 0;
                 tracked.retry_after(now, delay);
@@ -73,7 +74,7 @@
             Some(InjectedFault::CountsFromGrant) => now,
             _ => sent_at,
         };
-        let until = counted_from + self.config.duration;
+        let expires_at = counted_from + self.config.duration;
         let majority = self.config.majority();
         for &TermNumber { lease, number } in granted {
             let Some(tracked) = self.tracked.get_mut(&lease) else {
@@ -82,18 +83,18 @@
             match &mut tracked.state {
                 LeaseState::Bidding(bid) if bid.round == round && bid.term.number == number => {
                     bid.granted |= 1 << voter;
-                    if bid.granted.count_ones() >= majority && until > now {
-                        self.acquire(now, lease, until);
+                    if bid.granted.count_ones() >= majority && expires_at > now {
+                        self.acquire(now, lease, expires_at);
                         self.renew_at = self
                             .renew_at
                             .min(sent_at + self.config.duration / RENEWALS_PER_LEASE);
                     }
                 }
-                // A renewal that arrives after the lease has expired is too late.
-                LeaseState::Held(held) if held.term.number == number && now < held.until => {
+                // A grant that arrives after the lease has expired does not renew it.
+                LeaseState::Held(held) if held.term.number == number && now < held.expires_at => {
                     let grants = held.record_grant(round, voter);
                     if grants >= majority {
-                        held.until = held.until.max(until);
+                        held.expires_at = held.expires_at.max(expires_at);
                     }
                 }
                 _ => {}
@@ -103,7 +104,7 @@
 
     /// Makes this member the holder under the term it bid for, and announces the term to all
     /// members.
-    fn acquire(&mut self, now: Micros, lease: LeaseId, until: Micros) {
+    fn acquire(&mut self, now: Micros, lease: LeaseId, expires_at: Micros) {
         let Some(tracked) = self.tracked.get_mut(&lease) else {
             return;
         };
@@ -112,14 +113,14 @@
         };
         let term = bid.term;
         tracked.backoff = 0;
-        tracked.state = LeaseState::Held(HeldLease::new(term, now, until));
-        self.fencing_tokens.learn(lease, term);
+        tracked.state = LeaseState::Held(HeldLease::new(term, now, expires_at));
+        self.fencing_tokens.record(lease, term);
         self.events.push(LeaseEvent::Acquired {
             lease: Rc::clone(&tracked.lease.name),
             term,
-            until,
+            expires_at,
         });
-        // An empty command makes commands of older terms void everywhere.
+        // An empty command makes its receivers reject commands of older terms.
         let announcement = LeaseMessage::Command {
             lease,
             term,
@@ -135,7 +136,7 @@
         }));
     }
 
-    /// Receives a voter's refusals; a bid that can no longer reach a majority is given up.
+    /// Receives a voter's refusals, and withdraws bids that can no longer reach a majority.
     pub(super) fn receive_refusals(
         &mut self,
         now: Micros,
@@ -166,7 +167,8 @@
                     lease: status.lease,
                     number: bid.term.number,
                 });
-                let delay = Micros::from(status.available_in_us).clamp(RANK_DELAY_US, MAX_LEASE_US);
+                let delay = Micros::from(status.available_in_us)
+                    .clamp(RANK_DELAY_US, MAX_LEASE_DURATION_US);
                 tracked.retry_after(now, delay);
             }
         }
--- a/crates/cluster/src/membership/merge.rs
+++ b/crates/cluster/src/membership/merge.rs
@@ -8,15 +8,15 @@
 use crate::messages::{MemberRecord, MemberState};
 use crate::{InjectedFault, Micros};
 
-/// The largest number of earlier processes of one name that are listed; more are only counted.
+/// The largest number of earlier processes listed for one member; further ones are only counted.
 const MAX_EARLIER_INCARNATIONS: usize = 8;
-/// The largest number of processes counted that suspect one member.
-const MAX_SUSPECTERS: usize = 3;
+/// The largest number of independent suspicions counted for one member.
+const MAX_SUSPECTING_IDS: usize = 3;
 
 impl MemberTable {
-    /// Merges a record that was received or that this process made.
+    /// Merges a record that was received or created by this process.
     pub fn merge(&mut self, now: Micros, record: &MemberRecord) -> MergeOutcome {
-        if record.name == self.own.name {
+        if record.name == self.own_record.name {
             return self.merge_own(record);
         }
         let Some(index) = self.index(&record.name) else {
@@ -31,11 +31,11 @@
             member.keep_earlier(&before);
         }
         if record.state != before.state || record.incarnation != before.incarnation {
-            member.since = now;
+            member.state_since = now;
         }
         member.suspicion = (record.state == MemberState::Suspected).then(|| Suspicion {
             started_at: now,
-            suspecters: [record.suspected_by]
+            suspecting_ids: [record.suspected_by]
                 .into_iter()
                 .filter(|by| *by != 0)
                 .collect(),
@@ -44,7 +44,7 @@
         MergeOutcome::Changed
     }
 
-    /// Merges a record that does not supersede the known one: it may be a further suspicion.
+    /// Merges a record that does not supersede the known one. It may be a further suspicion.
     fn merge_superseded(&mut self, index: usize, record: &MemberRecord) -> MergeOutcome {
         let accepts_old = self.has_fault(InjectedFault::AcceptsOldRecords);
         let member = &mut self.members[index];
@@ -55,7 +55,7 @@
             member.record.state = MemberState::Dead;
             return MergeOutcome::Changed;
         }
-        let is_same_suspicion = record.is_same_version(&member.record)
+        let is_same_suspicion = record.is_same_process_and_counter(&member.record)
             && record.state == MemberState::Suspected
             && member.record.state == MemberState::Suspected;
         if !is_same_suspicion || record.suspected_by == 0 {
@@ -64,12 +64,12 @@
         let Some(suspicion) = &mut member.suspicion else {
             return MergeOutcome::Unchanged;
         };
-        if suspicion.suspecters.len() >= MAX_SUSPECTERS
-            || suspicion.suspecters.contains(&record.suspected_by)
+        if suspicion.suspecting_ids.len() >= MAX_SUSPECTING_IDS
+            || suspicion.suspecting_ids.contains(&record.suspected_by)
         {
             return MergeOutcome::Unchanged;
         }
-        suspicion.suspecters.push(record.suspected_by);
+        suspicion.suspecting_ids.push(record.suspected_by);
         member.record.suspected_by = record.suspected_by;
         MergeOutcome::SuspicionConfirmed
     }
@@ -99,30 +99,31 @@
         MergeOutcome::Changed
     }
 
-    /// The member none of whose processes may serve that changed its state first.
+    /// Returns the index of the member to replace: among the members none of whose processes may
+    /// serve, the one whose state changed first.
     fn oldest_replaceable(&self) -> Option<usize> {
         let is_replaceable = |member: &Member| {
-            member.record.state >= MemberState::Dead && self.may_serve(member) == 0
+            member.record.state >= MemberState::Dead && self.count_possibly_serving_of(member) == 0
         };
         (0..self.members.len())
             .filter(|&index| is_replaceable(&self.members[index]))
-            .min_by_key(|&index| self.members[index].since)
+            .min_by_key(|&index| self.members[index].state_since)
     }
 
-    /// Merges what others hold of this process, which alone decides its state: what is wrong is
-    /// refuted by a greater refutation counter.
+    /// Merges a record about this member. Only this process decides its state, so it refutes a
+    /// wrong record by a greater refutation counter.
     fn merge_own(&mut self, record: &MemberRecord) -> MergeOutcome {
-        let is_other_process = record.incarnation != self.own.incarnation;
+        let is_other_process = record.incarnation != self.own_record.incarnation;
         let is_wrong = record.state != MemberState::Alive || is_other_process;
-        if self.own.state == MemberState::Left
+        if self.own_record.state == MemberState::Left
             || !is_wrong
-            || record.refutation_counter < self.own.refutation_counter
+            || record.refutation_counter < self.own_record.refutation_counter
         {
             return MergeOutcome::Unchanged;
         }
         if is_other_process {
-            // Records of an ended process do not answer refutations; those of a running one come
-            // again and again.
+            // An ended process does not react to refutations, while a running one keeps superseding
+            // this process.
             self.name_conflicts += 1;
             if self.name_conflicts == NAME_CONFLICT_THRESHOLD {
                 self.events.push(MembershipEvent::NameConflict);
@@ -131,9 +132,9 @@
         if self.has_fault(InjectedFault::NoRefutation) && !is_other_process {
             return MergeOutcome::Unchanged;
         }
-        self.own.refutation_counter = record.refutation_counter.saturating_add(1);
+        self.own_record.refutation_counter = record.refutation_counter.saturating_add(1);
         if self.has_fault(InjectedFault::RefutationCounterDecreases) {
-            self.own.refutation_counter = record.refutation_counter.saturating_sub(1);
+            self.own_record.refutation_counter = record.refutation_counter.saturating_sub(1);
         }
         if !is_other_process {
             self.refutations += 1;
@@ -144,25 +145,26 @@
 }
 
 impl Member {
-    /// Keeps the process before the current one among the earlier ones, unless it is known to have
-    /// ended.
+    /// Adds the previous process to the earlier ones, unless it is known to have ended.
     fn keep_earlier(&mut self, before: &MemberRecord) {
-        // A process keeps its socket until it ends, so one whose address is used by another has
-        // ended.
+        // A process keeps its socket until it ends, so a process whose address is used by another
+        // one has ended.
         let address = self.record.address;
         let has_ended = before.state == MemberState::Left || address == before.address;
         if !has_ended {
-            if self.earlier.len() < MAX_EARLIER_INCARNATIONS {
-                self.earlier.push(EarlierIncarnation {
+            if self.earlier_processes.len() < MAX_EARLIER_INCARNATIONS {
+                self.earlier_processes.push(EarlierIncarnation {
                     incarnation: before.incarnation,
                     address: before.address,
                 });
             } else {
-                self.earlier_uncounted += 1;
+                self.unlisted_earlier_count += 1;
             }
         }
-        // Only of this name: of two names nobody knows whose record is the later one.
-        self.earlier.retain(|earlier| earlier.address != address);
+        // This applies only to processes of the same name: the records of two names have no order,
+        // so it is unknown which of two processes is the later one.
+        self.earlier_processes
+            .retain(|earlier| earlier.address != address);
         self.last_received_at = None;
     }
 }
--- a/crates/cluster/src/membership/table.rs
+++ b/crates/cluster/src/membership/table.rs
@@ -8,16 +8,17 @@
 use crate::messages::{MemberRecord, MemberState};
 use crate::{Incarnation, InjectedFault};
 
-/// The largest number of members, this one included. Further ones are not added, and are counted.
+/// The largest number of members, this one included. Further members are not added, but counted.
 pub const MAX_MEMBERS: usize = 1_024;
-/// How often another process of this name must have superseded this one, in spite of refutations,
-/// before the name is in conflict. Records left behind by an earlier process run out before that.
+/// The number of times that another process of this name must have superseded this one, in spite of
+/// refutations, before a name conflict is reported. Records that remain of an earlier process
+/// supersede this one fewer times.
 pub(super) const NAME_CONFLICT_THRESHOLD: u32 = 4;
 
-/// The members of a fleet as this process knows them.
+/// The members of a fleet in the view of this process.
 pub struct MemberTable {
     /// The record of this process.
-    pub own: MemberRecord,
+    pub own_record: MemberRecord,
     /// All other members.
     pub members: Vec<Member>,
     pub(super) by_name: BTreeMap<Rc<str>, usize>,
@@ -25,21 +26,21 @@
     pub events: Vec<MembershipEvent>,
     /// Processes that the operators confirmed dead.
     confirmed_dead: BTreeSet<(Rc<str>, Incarnation)>,
-    /// Those of them from which a datagram arrived all the same.
+    /// Processes that the operators confirmed dead, but from which a datagram arrived later.
     revoked_confirmations: BTreeSet<(Rc<str>, Incarnation)>,
-    /// How often this process refuted that it is suspected or dead.
+    /// The number of times that this process refuted a record that it is suspected or dead.
     pub refutations: u64,
-    /// How often another process of this name superseded this one.
+    /// The number of times that another process of this name superseded this one.
     pub(super) name_conflicts: u32,
     #[cfg(feature = "planted")]
     pub(crate) injected_fault: Option<InjectedFault>,
 }
 
 impl MemberTable {
-    /// Creates a table with this process only.
-    pub fn new(own: MemberRecord) -> Self {
+    /// Creates a table that contains only this process.
+    pub fn new(own_record: MemberRecord) -> Self {
         Self {
-            own,
+            own_record,
             members: Vec::new(),
             by_name: BTreeMap::new(),
             events: Vec::new(),
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Whether that fault is injected; never without the feature.
+    /// Whether the given fault is injected; always false without the feature `planted`.
     pub(crate) fn has_fault(&self, _fault: InjectedFault) -> bool {
         #[cfg(feature = "planted")]
         return self.injected_fault == Some(_fault);
@@ -60,45 +61,45 @@
         false
     }
 
-    /// The index of the member with that name.
+    /// The index of the member with the given name.
     pub fn index(&self, name: &str) -> Option<usize> {
         self.by_name.get(name).copied()
     }
 
-    /// The member with that name.
-    pub fn named(&self, name: &str) -> Option<&Member> {
+    /// The member with the given name.
+    pub fn member(&self, name: &str) -> Option<&Member> {
         self.index(name).map(|index| &self.members[index])
     }
 
-    /// Whether another running process has this member's name. Of the two the one that started
-    /// later stays silent.
+    /// Whether another running process has this member's name. Of the two processes, the one that
+    /// started later stops sending.
     pub fn has_name_conflict(&self) -> bool {
         self.name_conflicts >= NAME_CONFLICT_THRESHOLD
     }
 
-    /// The other members that nobody suspects.
+    /// The other members that are alive and not suspected.
     pub fn alive(&self) -> impl Iterator<Item = &Member> {
         self.members
             .iter()
             .filter(|member| member.record.state == MemberState::Alive)
     }
 
-    /// How many processes beside this one may serve. It never falls because a process is
-    /// unresponsive.
-    pub fn count_may_serve(&self) -> usize {
+    /// The number of processes besides this one that may serve. It never decreases because a
+    /// process is unresponsive.
+    pub fn count_possibly_serving(&self) -> usize {
         self.members
             .iter()
-            .map(|member| self.counted_may_serve(member))
+            .map(|member| self.reported_possibly_serving_of(member))
             .sum()
     }
 
-    fn counted_may_serve(&self, member: &Member) -> usize {
+    fn reported_possibly_serving_of(&self, member: &Member) -> usize {
         let is_ignored = self.has_fault(InjectedFault::UnresponsiveCountsAsStopped)
             && member.record.state == MemberState::Dead;
         if is_ignored {
             0
         } else {
-            self.may_serve(member)
+            self.count_possibly_serving_of(member)
         }
     }
 
@@ -118,7 +119,7 @@
             self.confirmed_dead.remove(&process);
             self.revoked_confirmations.insert(process);
             self.events
-                .push(MembershipEvent::ConfirmedDeadAlive(Rc::clone(name)));
+                .push(MembershipEvent::ConfirmationRevoked(Rc::clone(name)));
         }
     }
 
@@ -129,8 +130,8 @@
                 .contains(&(Rc::clone(name), incarnation))
     }
 
-    /// Whether the current process of a member may serve. The operators' word counts for dead
-    /// members only.
+    /// Whether the current process of a member may serve. A confirmation by the operators applies
+    /// only to dead members.
     pub fn serving_status_of(&self, member: &Member) -> ServingStatus {
         let record = &member.record;
         match record.state {
@@ -144,31 +145,32 @@
         }
     }
 
-    /// The earlier processes of a member's name that may serve.
-    pub fn earlier_of<'a>(
+    /// The earlier processes of a member that may serve.
+    pub fn possibly_serving_earlier<'a>(
         &'a self,
         member: &'a Member,
     ) -> impl Iterator<Item = &'a EarlierIncarnation> {
         member
-            .earlier
+            .earlier_processes
             .iter()
             .filter(|earlier| !self.is_confirmed_dead(&member.record.name, earlier.incarnation))
     }
 
-    /// How many processes of a member's name may serve.
-    pub fn may_serve(&self, member: &Member) -> usize {
+    /// The number of processes of a member that may serve, earlier ones included.
+    pub fn count_possibly_serving_of(&self, member: &Member) -> usize {
         let current = usize::from(matches!(
             self.serving_status_of(member),
             ServingStatus::MayServe(_)
         ));
-        current + self.earlier_of(member).count() + member.earlier_uncounted
+        current + self.possibly_serving_earlier(member).count() + member.unlisted_earlier_count
     }
 
-    /// Whether a process may serve; nothing if it was never known here.
+    /// Whether a process may serve; `None` if this member has no record of the process.
     pub fn serving_status(&self, name: &str, incarnation: Incarnation) -> Option<ServingStatus> {
-        let member = self.named(name)?;
+        let member = self.member(name)?;
         if member.record.incarnation == incarnation {
-            let is_ignored = self.counted_may_serve(member) == 0 && self.may_serve(member) > 0;
+            let is_ignored = self.reported_possibly_serving_of(member) == 0
+                && self.count_possibly_serving_of(member) > 0;
             return Some(if is_ignored {
                 ServingStatus::ProvenStopped(StopProof::Announced)
             } else {
@@ -176,7 +178,7 @@
             });
         }
         member
-            .earlier
+            .earlier_processes
             .iter()
             .find(|earlier| earlier.incarnation == incarnation)?;
         Some(
--- a/crates/cluster/src/shared_list/subscriber.rs
+++ b/crates/cluster/src/shared_list/subscriber.rs
@@ -1,14 +1,16 @@
-//! A subscriber's side: pages applied in order, and whether the list is up to date.
+//! The subscriber's side of a shared list: pages are applied in order, and heartbeats confirm that
+//! the list is up to date.
 
 use std::collections::BTreeMap;
 
 use super::{
-    Chunk, DISTRUST_PERIOD_US, HEARTBEAT_TIMEOUT_US, ListMessage, ListRequest, MAX_CHUNKS,
+    Chunk, HEARTBEAT_TIMEOUT_US, ListMessage, ListRequest, MAX_CHUNKS, REJECTION_PERIOD_US,
 };
 use crate::Micros;
 use crate::leases::term::Term;
 
-/// The largest number of incomplete pages; beyond that the full list is requested.
+/// The largest number of incomplete pages. Beyond it they are discarded and the full list is
+/// requested.
 const MAX_PARTIAL_PAGES: usize = 16;
 /// The largest number of chunks in one request.
 const MAX_CHUNKS_PER_REQUEST: usize = 64;
@@ -44,7 +46,7 @@
 }
 
 impl Chunk {
-    fn new_page(&self, now: Micros) -> PartialPage {
+    fn new_partial_page(&self, now: Micros) -> PartialPage {
         PartialPage {
             is_full: self.is_full,
             version: self.version,
@@ -53,29 +55,29 @@
         }
     }
 
-    fn is_of(&self, page: &PartialPage) -> bool {
+    fn matches_page(&self, page: &PartialPage) -> bool {
         self.is_full == page.is_full
             && self.version == page.version
             && usize::from(self.count) == page.chunks.len()
     }
 }
 
-/// What a message of the holder leads to.
+/// The result of a message of the holder.
 #[derive(Debug, Default)]
 pub struct ListUpdate {
-    /// The texts of pages to apply now, in order, in discovery's own format.
+    /// The texts of pages to apply now, in order, in the format of discovery.
     pub pages: Vec<Vec<u8>>,
     /// A request to send to the holder.
     pub request: Option<ListRequest>,
 }
 
-/// A holder whose list was impossible.
-struct DistrustedTerm {
+/// A term whose holder sent an invalid list.
+struct RejectedTerm {
     term: Term,
     until: Micros,
 }
 
-/// The list of a zone as one of its members receives it.
+/// The list of a zone as received by one of its members.
 #[derive(Default)]
 pub struct ListSubscriber {
     term: Option<Term>,
@@ -83,12 +85,12 @@
     applied_page: u32,
     version: Option<u64>,
     partial_pages: BTreeMap<u32, PartialPage>,
-    /// The last page of the holder as far as it is known.
+    /// The last known page of the holder.
     last_page: u32,
     next_request_at: Micros,
-    /// When the last heartbeat arrived that counts.
+    /// The time at which the last valid heartbeat arrived.
     last_heartbeat_at: Option<Micros>,
-    distrusted: Option<DistrustedTerm>,
+    rejected: Option<RejectedTerm>,
 }
 
 impl ListSubscriber {
@@ -96,16 +98,16 @@
     pub fn is_fresh(&self, now: Micros) -> bool {
         self.last_heartbeat_at
             .is_some_and(|at| now < at + HEARTBEAT_TIMEOUT_US)
-            && !self.is_distrusted(now)
+            && !self.is_rejected(now)
     }
 
-    /// Until when the list is fresh without a further heartbeat.
+    /// The time until which the list is fresh without a further heartbeat.
     pub fn fresh_until(&self) -> Micros {
         self.last_heartbeat_at
             .map_or(0, |at| at + HEARTBEAT_TIMEOUT_US)
     }
 
-    /// The time since the last heartbeat that counted.
+    /// The time since the last valid heartbeat.
     pub fn age(&self, now: Micros) -> Option<Micros> {
         self.last_heartbeat_at.map(|at| now.saturating_sub(at))
     }
@@ -115,24 +117,24 @@
         self.applied_page
     }
 
-    fn is_distrusted(&self, now: Micros) -> bool {
-        self.distrusted
+    fn is_rejected(&self, now: Micros) -> bool {
+        self.rejected
             .as_ref()
-            .is_some_and(|distrusted| Some(distrusted.term) == self.term && now < distrusted.until)
+            .is_some_and(|rejected| Some(rejected.term) == self.term && now < rejected.until)
     }
 
-    /// Records the version of a list polled from discovery itself; that of a holder must not be
-    /// older.
+    /// Records the version of a list that this member polled from discovery itself. A list from a
+    /// holder must not be older.
     pub fn record_own_version(&mut self, version: u64) {
         self.version = Some(version);
     }
 
-    /// Receives a message of the holder under that term.
+    /// Receives a message of the holder under the given term.
     pub fn receive(&mut self, now: Micros, term: Term, message: &ListMessage) -> ListUpdate {
         if self.term.is_none_or(|known| known < term) {
             self.follow_holder(term);
         }
-        if self.term != Some(term) || self.is_distrusted(now) {
+        if self.term != Some(term) || self.is_rejected(now) {
             return ListUpdate::default();
         }
         match message {
@@ -160,7 +162,7 @@
         }
     }
 
-    /// Follows a new holder, which numbers its pages anew.
+    /// Switches to a new holder, whose page numbers start from 1 again.
     fn follow_holder(&mut self, term: Term) {
         self.term = Some(term);
         self.applied_page = 0;
@@ -184,19 +186,20 @@
         let partial = self
             .partial_pages
             .entry(chunk.page)
-            .or_insert_with(|| chunk.new_page(now));
-        if !chunk.is_of(partial) {
-            // The same page as a change and as a full list: the full list needs no earlier page.
+            .or_insert_with(|| chunk.new_partial_page(now));
+        if !chunk.matches_page(partial) {
+            // The page was received both as a change and as a full list. The full list replaces the
+            // change, since it needs no earlier page.
             if !chunk.is_full {
                 return false;
             }
-            *partial = chunk.new_page(now);
+            *partial = chunk.new_partial_page(now);
         }
         partial.chunks[usize::from(chunk.index)] = Some(chunk.bytes.clone());
         true
     }
 
-    /// Takes all complete pages that follow on the last one applied.
+    /// Applies all complete pages that follow the last one applied, and returns their texts.
     fn apply_pages(&mut self, now: Micros) -> Vec<Vec<u8>> {
         let mut texts = Vec::new();
         while let Some((number, text)) = self.next_complete_page() {
@@ -206,11 +209,11 @@
             let is_older = self.version.is_some_and(|version| page.version < version);
             let is_empty = page.is_full && !text.windows(2).any(|pair| pair == b"[{");
             if is_older || is_empty {
-                // Discovery's versions do not decrease, and an empty list would remove all
-                // endpoints.
-                self.distrusted = self.term.map(|term| DistrustedTerm {
+                // The list is invalid: discovery's versions do not decrease, and an empty list
+                // would remove all endpoints.
+                self.rejected = self.term.map(|term| RejectedTerm {
                     term,
-                    until: now + DISTRUST_PERIOD_US,
+                    until: now + REJECTION_PERIOD_US,
                 });
                 self.last_heartbeat_at = None;
                 self.partial_pages.clear();
@@ -224,8 +227,8 @@
         texts
     }
 
-    /// The first complete page that is a full list or follows on the last one applied, with its
-    /// text.
+    /// Returns the first complete page that is a full list or follows the last one applied, with
+    /// its text.
     fn next_complete_page(&self) -> Option<(u32, Vec<u8>)> {
         self.partial_pages.iter().find_map(|(number, page)| {
             let is_next = *number == self.applied_page + 1 && self.applied_page > 0;
@@ -234,7 +237,8 @@
         })
     }
 
-    /// A request for what is missing, unless one was made just now.
+    /// Returns a request for missing chunks or the full list, unless one was made less than
+    /// [`REQUEST_INTERVAL_US`] ago.
     fn next_request(&mut self, now: Micros) -> Option<ListRequest> {
         if self.last_page <= self.applied_page || now < self.next_request_at {
             return None;
@@ -246,7 +250,7 @@
             .iter()
             .find(|(number, page)| page.is_full || **number == next);
         match partial {
-            // Its chunks may still be on their way.
+            // The missing chunks may still be in transit.
             Some((_, page)) if now < page.started_at + REQUEST_INTERVAL_US => None,
             Some((number, page)) => Some(ListRequest::Chunks {
                 page: *number,
--- a/crates/proxy/src/cluster/event_log.rs
+++ b/crates/proxy/src/cluster/event_log.rs
@@ -20,11 +20,11 @@
             LeaseEvent::Lost {
                 lease,
                 term,
-                until,
+                held_until,
                 reason,
             } => {
                 info!(log, "lease lost"; "lease" => &**lease, "term" => format_term(*term),
-                    "until_us" => until, "reason" => reason.code());
+                    "until_us" => held_until, "reason" => reason.code());
             }
             LeaseEvent::QuorumLost => {
                 warn!(log, "no majority of voters answers, leases are suspended");
@@ -33,7 +33,7 @@
             LeaseEvent::VotersDiffer(name) => {
                 warn!(log, "member has other voters in its file"; "member" => &**name);
             }
-            // Logged, if at all, by what they lead to.
+            // These events are not logged, only their effects.
             LeaseEvent::CommandReceived { .. } | LeaseEvent::NoteReceived { .. } => {}
         }
     }
@@ -56,17 +56,17 @@
                 warn!(log, "another process uses this member's name";
                     "member" => &self.settings.member.name);
             }
-            MembershipEvent::ConfirmedDeadAlive(name) => {
+            MembershipEvent::ConfirmationRevoked(name) => {
                 warn!(log, "member confirmed dead is alive, counted again"; "member" => &**name);
             }
             MembershipEvent::TableFull => warn!(log, "member table is full"),
         }
     }
 
-    /// Logs a change of a member with the counts after it, this balancer included.
+    /// Logs a change of a member with the resulting counts, which include this balancer.
     fn log_member(&self, message: &'static str, name: &Rc<str>) {
         let table = &self.cluster.table;
         info!(self.log, "{}", message; "member" => &**name, "alive" => table.alive().count() + 1,
-            "may_serve" => table.count_may_serve() + 1);
+            "may_serve" => table.count_possibly_serving() + 1);
     }
 }
--- a/crates/proxy/src/cluster/operator_file/mod.rs
+++ b/crates/proxy/src/cluster/operator_file/mod.rs
@@ -1,6 +1,6 @@
-//! The operator file: what an installation configures beside the balancer's own configuration. TOML
-//! with a table for each subsystem. Unknown fields are refused, and each error names file, line and
-//! field.
+//! The operator file: the settings of an installation in addition to the balancer's own
+//! configuration. It is a TOML file with a table for each subsystem. Unknown fields are rejected,
+//! and each error contains the file, line and field.
 
 mod error;
 mod fields;
@@ -10,6 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
+use std::time::Duration;
 
 use pinefront_cluster::datagram::Key;
 use pinefront_cluster::leases::term::LeaseId;
@@ -25,15 +26,15 @@
 #[cfg(test)]
 mod tests;
 
-/// The largest number of seeds; a file that names more is a mistake.
+/// The largest number of seeds; a file with more is probably a mistake.
 const MAX_SEEDS: usize = 64;
-/// The largest number of processes confirmed dead: as many as a table holds.
+/// The largest number of processes confirmed dead: the capacity of the member table.
 const MAX_CONFIRMED_DEAD: usize = pinefront_cluster::membership::table::MAX_MEMBERS;
 
-/// The shared endpoint lists of a fleet: the zone of each by its lease.
+/// The zones of a fleet that share an endpoint list, by the lease of the list.
 pub type SharedListZones = BTreeMap<LeaseId, Rc<str>>;
 
-/// The leases that a fleet has.
+/// The leases of a fleet with their configuration.
 #[derive(Clone)]
 pub struct FleetLeases {
     /// The voters and the duration.
@@ -44,21 +45,22 @@
 
 /// The contents of an operator file.
 pub struct FleetSettings {
-    /// The address of this balancer's socket.
+    /// The address to which this balancer's socket is bound.
     pub listen: SocketAddr,
-    /// This balancer as a member.
+    /// The configuration of this balancer as a member.
     pub member: MemberConfig,
     /// The key that all members share.
     pub key: Key,
-    /// The leases, where the file names voters.
+    /// The leases, if the file contains voters.
     pub leases: Option<FleetLeases>,
     /// The zones with a shared endpoint list.
     pub shared_list_zones: SharedListZones,
-    /// For members reached at another address than the one they announce: where to send instead.
-    pub via: BTreeMap<SocketAddr, SocketAddr>,
+    /// The addresses to send to for members that are reached at another address than the one they
+    /// announce, by the announced address.
+    pub address_overrides: BTreeMap<SocketAddr, SocketAddr>,
 }
 
-/// Reads an operator file. `name` and `zone` are used where the file names none.
+/// Reads an operator file. `name` and `zone` are the defaults if the file sets none.
 pub fn read(path: &str, name: &str, zone: &str) -> Result<FleetSettings> {
     let text = std::fs::read_to_string(path).map_err(|source| OperatorFileError::Unreadable {
         path: path.to_owned(),
@@ -81,7 +83,7 @@
         let address = self.announced_address(table, listen)?;
         self.check_count(&table.seeds, MAX_SEEDS, "fleet.seeds")?;
         self.check_count(&table.confirmed_dead, MAX_CONFIRMED_DEAD, "fleet.struck")?;
-        let via = self.via(table)?;
+        let address_overrides = self.address_overrides(table)?;
         let member = self.member(table, address, name, zone)?;
         self.check_timeouts(table, &member)?;
         let lease_settings = match &file.leases {
@@ -94,19 +96,19 @@
             key: self.key(&table.key_file)?,
             leases: lease_settings.leases,
             shared_list_zones: lease_settings.shared_list_zones,
-            via,
+            address_overrides,
         })
     }
 
     fn parse(&self) -> Result<File> {
-        toml::from_str(self.text).map_err(|problem| {
-            let at = problem.span().unwrap_or(0..0);
+        toml::from_str(self.text).map_err(|error| {
+            let at = error.span().unwrap_or(0..0);
             let line_start = self.text[..at.start.min(self.text.len())]
                 .rfind('\n')
                 .map_or(0, |end| end + 1);
             let line = self.text[line_start..].lines().next().unwrap_or("");
             let field = line.split('=').next().unwrap_or("").trim();
-            let message = problem.message().replace('\n', " ");
+            let message = error.message().replace('\n', " ");
             self.error(at, field, FieldError::Syntax(message))
         })
     }
@@ -133,17 +135,17 @@
             address,
             seeds: self.seeds(table)?,
             started_at_us: 0,
-            probe_interval: self.span(
+            probe_interval: self.duration(
                 table.probe_interval.as_ref(),
                 "fleet.probe_every",
                 MemberConfig::DEFAULT_PROBE_INTERVAL,
             )?,
-            probe_timeout: self.span(
+            probe_timeout: self.duration(
                 table.probe_timeout.as_ref(),
                 "fleet.answer_within",
                 MemberConfig::DEFAULT_PROBE_TIMEOUT,
             )?,
-            min_suspicion: self.span(
+            min_suspicion: self.duration(
                 table.min_suspicion.as_ref(),
                 "fleet.doubt_least",
                 MemberConfig::DEFAULT_MIN_SUSPICION,
@@ -152,14 +154,14 @@
         })
     }
 
-    /// The address that other members send to.
+    /// Returns the address to which other members send.
     fn announced_address(&self, table: &FleetTable, listen: SocketAddr) -> Result<SocketAddr> {
         if let Some(advertise) = &table.advertise {
             return self.reachable_address(advertise, "fleet.advertise");
         }
         if listen.ip().is_unspecified() || listen.port() == 0 {
             let at = table.listen.span();
-            return Err(self.error(at, "fleet.listen", FieldError::NoReachableAddress));
+            return Err(self.error(at, "fleet.listen", FieldError::NoReachableAddress(listen)));
         }
         Ok(listen)
     }
@@ -180,9 +182,9 @@
             .collect()
     }
 
-    fn via(&self, table: &FleetTable) -> Result<BTreeMap<SocketAddr, SocketAddr>> {
+    fn address_overrides(&self, table: &FleetTable) -> Result<BTreeMap<SocketAddr, SocketAddr>> {
         table
-            .via
+            .address_overrides
             .iter()
             .map(|(announced, used)| {
                 let announced = self.address(announced, "fleet.via")?;
@@ -191,7 +193,7 @@
             .collect()
     }
 
-    /// A probe and its retry have to fit into the interval.
+    /// Checks that a probe and its retry fit into the probe interval.
     fn check_timeouts(&self, table: &FleetTable, member: &MemberConfig) -> Result<()> {
         if member.probe_timeout * 2 <= member.probe_interval {
             return Ok(());
@@ -201,6 +203,10 @@
             .as_ref()
             .or(table.probe_interval.as_ref());
         let at = named.map_or(table.name.span(), Spanned::span);
-        Err(self.error(at, "fleet.answer_within", FieldError::TimeoutTooLong))
+        let reason = FieldError::TimeoutTooLong {
+            timeout: Duration::from_micros(member.probe_timeout),
+            interval: Duration::from_micros(member.probe_interval),
+        };
+        Err(self.error(at, "fleet.answer_within", reason))
     }
 }
--- a/crates/proxy/src/cluster/pages.rs
+++ b/crates/proxy/src/cluster/pages.rs
@@ -1,6 +1,6 @@
 //! The pages `GET /fleet` and `GET /duty/NAME`.
 
-use pinefront_cluster::leases::Leases;
+use pinefront_cluster::leases::LeaseManager;
 use pinefront_cluster::membership::member::{Member, ServingStatus};
 use pinefront_cluster::membership::table::MemberTable;
 use serde_json::{Value, json};
@@ -24,7 +24,7 @@
         ServingStatus::ProvenStopped(proof) => json!({"proven_gone": proof}),
     };
     let earlier: Vec<String> = table
-        .earlier_of(member)
+        .possibly_serving_earlier(member)
         .map(|earlier| earlier.incarnation.to_string())
         .collect();
     json!({
@@ -36,15 +36,15 @@
         "version": record.version,
         "state": record.state,
         "standing": standing,
-        "since_ms": elapsed_ms(member.since),
+        "since_ms": elapsed_ms(member.state_since),
         "heard_ms": member.last_received_at.map(elapsed_ms),
         "earlier": earlier,
-        "earlier_uncounted": member.earlier_uncounted,
+        "earlier_uncounted": member.unlisted_earlier_count,
     })
 }
 
 impl ClusterNode {
-    /// The body of `GET /fleet`: the members and leases as this balancer knows them.
+    /// The body of `GET /fleet`: the members and leases in the view of this balancer.
     pub fn fleet_page(&self) -> String {
         let now = now();
         let cluster = &self.cluster;
@@ -63,17 +63,17 @@
             "zone": config.zone,
             "address": config.address.to_string(),
             "life": cluster.incarnation().to_string(),
-            "incarnation": table.own.refutation_counter,
+            "incarnation": table.own_record.refutation_counter,
             "heard": cluster.is_reachable(),
             "slept": cluster.pause_count(),
             "name_taken": table.has_name_conflict(),
             "refuted": table.refutations,
             "present": table.alive().count() + 1,
-            "may_be_serving": table.count_may_serve() + 1,
+            "may_be_serving": table.count_possibly_serving() + 1,
             "members": members,
             "sent": traffic.sent,
             "sent_bytes": traffic.sent_bytes,
-            "unsent": self.unsent,
+            "unsent": self.send_failures,
             "taken": traffic.accepted,
             "dropped": traffic.dropped,
             "duties": self.leases_json(),
@@ -82,13 +82,13 @@
     }
 
     fn leases_json(&self) -> Value {
-        match (self.cluster.leases(), &self.settings.leases) {
+        match (self.cluster.lease_manager(), &self.settings.leases) {
             (Some(leases), Some(settings)) => self.active_leases_json(leases, settings),
             _ => Value::Null,
         }
     }
 
-    fn active_leases_json(&self, leases: &Leases, settings: &FleetLeases) -> Value {
+    fn active_leases_json(&self, leases: &LeaseManager, settings: &FleetLeases) -> Value {
         let voters: Vec<&str> = settings
             .config
             .voters
@@ -104,17 +104,17 @@
             "lease_ms": milliseconds(settings.config.duration),
             "majority": leases.has_quorum(),
             "roster": self.shared_list_json(),
-            "silent_voter": leases.is_silent_voter(now()),
-            "old_acts_refused": leases.stale_commands(),
+            "silent_voter": leases.is_voter_in_startup_wait(now()),
+            "old_acts_refused": leases.stale_command_count(),
             "all": all,
         })
     }
 
-    /// A lease: whether it is held here, and who is known to have held it last.
+    /// Returns the state of a lease: whether this balancer holds it, and the last known holder.
     fn lease_json(&self, name: &str) -> Option<Value> {
         let status = self.lease_status(name)?;
         let held = status.held.as_ref();
-        let term = held.map(|held| held.term).or(status.known_term);
+        let term = held.map(|held| held.term).or(status.greatest_known_term);
         Some(json!({
             "name": name,
             "held": held.is_some(),
@@ -125,7 +125,7 @@
         }))
     }
 
-    /// The name of the member whose current process has that random identifier.
+    /// Returns the name of the member whose current process has the given random identifier.
     fn member_of_process(&self, random_id: u64) -> Option<&str> {
         if self.cluster.incarnation().random_id == random_id {
             return Some(&self.settings.member.name);
@@ -136,7 +136,8 @@
             .map(|member| &*member.record.name)
     }
 
-    /// Whether this balancer publishes the shared list or receives it, and how old it is.
+    /// Returns whether this balancer publishes or receives the shared list, and the age of the
+    /// list.
     fn shared_list_json(&self) -> Value {
         let now = now();
         let subscriber = self.shared_lists.subscriber();
@@ -148,8 +149,8 @@
         })
     }
 
-    /// Status and body of `GET /duty/NAME`: 200 where the lease is held here, 409 where it is not,
-    /// 404 where no file names it.
+    /// Returns the status and body of `GET /duty/NAME`: 200 if this balancer holds the lease, 409
+    /// if it does not, 404 if the operator file contains no such lease.
     pub fn lease_page(&self, name: &str) -> (u16, String) {
         let Some(status) = self.lease_status(name) else {
             return (404, "no such duty\n".into());
@@ -169,7 +170,7 @@
                 json!({
                     "duty": name,
                     "held": false,
-                    "term": status.known_term.map(format_term),
+                    "term": status.greatest_known_term.map(format_term),
                 }),
             ),
         };
--- a/crates/proxy/src/lifecycle/reload/tests.rs
+++ b/crates/proxy/src/lifecycle/reload/tests.rs
@@ -432,7 +432,7 @@
         let state = harness.proxy.state.borrow();
         let duties = |node: &ClusterNode| {
             node.cluster
-                .leases()
+                .lease_manager()
                 .map_or(0, |leases| leases.tracked().count())
         };
         state
