--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -1,9 +1,9 @@
-//! Fields of JSON objects, with errors that name them.
+//! Reads fields of JSON objects. Errors contain the name of the field.
 
 use serde_json::Value;
 use thiserror::Error;
 
-/// Why a field of a JSON object could not be read.
+/// The reason why a field of a JSON object could not be read.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum FieldError {
     /// The object has no such field.
@@ -12,37 +12,37 @@
         /// Name of the field.
         field: String,
     },
-    /// The value is of another JSON type, or not in the range of the type.
+    /// The value has another JSON type than expected, or is out of the range of the type.
     #[error("field '{field}' has the wrong type")]
     WrongType {
         /// Name of the field.
         field: String,
     },
-    /// The number does not fit into the machine's word.
+    /// The number exceeds the range of `usize`.
     #[error("field '{field}' is too large")]
     TooLarge {
         /// Name of the field.
         field: String,
     },
-    /// The text is none of the known values.
+    /// The string is not one of the known values.
     #[error("field '{field}' holds unknown '{value}'")]
     Unknown {
         /// Name of the field.
         field: String,
-        /// Its value.
+        /// Value of the field.
         value: String,
     },
 }
 
 impl FieldError {
-    /// The error for a field that the object does not have.
+    /// Creates the error for a field that the object does not have.
     #[must_use]
     pub fn missing(field: &str) -> Self {
         let field = field.to_owned();
         Self::Missing { field }
     }
 
-    /// The error for a text that is none of the known values.
+    /// Creates the error for a string that is not one of the known values.
     #[must_use]
     pub fn unknown(field: &str, value: &str) -> Self {
         Self::Unknown {
@@ -88,7 +88,7 @@
 ///
 /// # Errors
 ///
-/// The field is missing or no unsigned integer.
+/// The field is missing or is not an unsigned integer.
 pub fn unsigned(object: &Value, name: &str) -> Result<u64, FieldError> {
     field(object, name, Value::as_u64)
 }
@@ -97,7 +97,7 @@
 ///
 /// # Errors
 ///
-/// The field is missing or no number.
+/// The field is missing or is not a number.
 pub fn number(object: &Value, name: &str) -> Result<f64, FieldError> {
     field(object, name, Value::as_f64)
 }
@@ -106,7 +106,7 @@
 ///
 /// # Errors
 ///
-/// The field is missing or no string.
+/// The field is missing or is not a string.
 pub fn text<'a>(object: &'a Value, name: &str) -> Result<&'a str, FieldError> {
     field(object, name, Value::as_str)
 }
@@ -115,16 +115,16 @@
 ///
 /// # Errors
 ///
-/// The field is missing or no array.
+/// The field is missing or is not an array.
 pub fn list<'a>(object: &'a Value, name: &str) -> Result<&'a Vec<Value>, FieldError> {
     field(object, name, Value::as_array)
 }
 
-/// Reads an optional boolean; `false` without it.
+/// Reads an optional boolean. A missing or null field counts as `false`.
 ///
 /// # Errors
 ///
-/// The field is no boolean.
+/// The field is not a boolean.
 pub fn flag(object: &Value, name: &str) -> Result<bool, FieldError> {
     Ok(optional(object, name, Value::as_bool)?.unwrap_or(false))
 }
@@ -133,7 +133,7 @@
 ///
 /// # Errors
 ///
-/// The field is missing or no object.
+/// The field is missing or is not an object.
 pub fn object<'a>(parent: &'a Value, name: &str) -> Result<&'a Value, FieldError> {
     field(parent, name, |value| value.is_object().then_some(value))
 }
@@ -142,7 +142,7 @@
 ///
 /// # Errors
 ///
-/// The field is missing, no unsigned integer, or too large.
+/// The field is missing, is not an unsigned integer or exceeds the range of `usize`.
 pub fn count(object: &Value, name: &str) -> Result<usize, FieldError> {
     usize::try_from(unsigned(object, name)?).map_err(|_| FieldError::TooLarge {
         field: name.to_owned(),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,11 +1,12 @@
-//! Decodes the settings of a deployment from JSON. The simulator adapter and the proxy receive the
-//! same document.
+//! Decodes the settings of a deployment from JSON. The simulator adapter and the proxy read the
+//! same document format.
 //!
-//! The keys are those of the document; the decoded [`Settings`] have the names of the policy.
+//! String literals hold the keys of the document; the fields of the decoded [`Settings`] are named
+//! by the policy crate.
 
 #![cfg_attr(
     test,
-    // A test that lists its cases in a row reads better whole.
+    // Tests that list many cases in one function are easier to read as a single list.
     allow(
         clippy::default_trait_access,
         clippy::needless_for_each,
@@ -21,20 +22,20 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// Longest cooldown of a key: one hour. No request waits that long, and beyond it times could
-/// overflow.
+/// Longest valid cooldown of a key, in microseconds: one hour. No request waits that long, and
+/// sums of times could overflow with longer cooldowns.
 const MAX_KEY_COOLDOWN_US: Micros = 3_600_000_000;
-/// Priority weight of a class that states none.
+/// Priority weight of a class whose settings contain no weight.
 const DEFAULT_PRIORITY_WEIGHT: f64 = 1.0;
 
-/// Why settings were refused.
+/// The reason why a settings document is invalid.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum SettingsError {
     /// A field could not be read.
     #[error(transparent)]
     Field(#[from] FieldError),
     /// The fleet has no balancers.
-    #[error("field 'fleetSize' is 0")]
+    #[error("field 'fleetSize' is 0: expected at least 1")]
     EmptyFleet,
     /// The balancer's index is not below the number of balancers.
     #[error("field 'me' is {own_index} in a fleet of {balancers}")]
@@ -45,7 +46,7 @@
         balancers: usize,
     },
     /// The cooldown of a key is too long.
-    #[error("field 'turnGapUs' is {cooldown}, and {MAX_KEY_COOLDOWN_US} is the longest")]
+    #[error("field 'turnGapUs' is {cooldown}: expected at most {MAX_KEY_COOLDOWN_US}")]
     KeyCooldownTooLong {
         /// The cooldown in microseconds.
         cooldown: Micros,
@@ -53,12 +54,12 @@
     /// The priority weight of a class is not above 0.
     #[error("field 'earnings' is {weight}, not above 0")]
     PriorityWeightNotPositive {
-        /// The weight.
+        /// The invalid weight.
         weight: f64,
     },
 }
 
-/// How the endpoints report their load.
+/// The way in which endpoints report their load.
 #[derive(Clone, Copy, PartialEq)]
 enum LoadReports {
     WithResponses,
@@ -66,7 +67,7 @@
     Off,
 }
 
-/// The size of the fleet and the place of this balancer in it.
+/// The number of balancers in the fleet and the index of this balancer among them.
 struct FleetPosition {
     balancers: usize,
     own_index: usize,
@@ -76,8 +77,7 @@
 ///
 /// # Errors
 ///
-/// A key is missing, has the wrong type, or holds a value that no balancer can run with. The error
-/// names the key.
+/// A key is missing, has the wrong type or has an invalid value. The error names the key.
 pub fn decode_settings(document: &Value) -> Result<Settings, SettingsError> {
     let capabilities = object(document, "caps")?;
     let rules = object(document, "rules")?;
--- a/crates/settings/tests/settings_keys.rs
+++ b/crates/settings/tests/settings_keys.rs
@@ -1,14 +1,14 @@
-//! Each key of the settings: what it is decoded to, and the text of the error where it is missing or
-//! has the wrong type.
+//! Checks for each key of the settings the decoded value, and the error text for a missing value
+//! and for a value of the wrong type.
 
-#![allow(clippy::pedantic)] // As it was when the recording was made.
+#![allow(clippy::pedantic)] // The test keeps the form in which its expected values were recorded.
 
 use pinefront_policy::{Idempotency, IdempotencyScope, RequestClass, Settings, SlowStart};
 use pinefront_settings::decode_settings;
 use rstest::rstest;
 use serde_json::{Value, json};
 
-/// Settings that hold every key.
+/// Settings that contain every key.
 fn every_key() -> Value {
     json!({
         "fleetSize": 5,
@@ -94,13 +94,13 @@
         .unwrap();
     match value {
         Some(value) => _ = object.insert(key.to_owned(), value),
-        None => assert!(object.remove(key).is_some(), "{pointer} is no key"),
+        None => assert!(object.remove(key).is_some(), "unknown key {pointer}"),
     }
     settings
 }
 
 #[test]
-fn every_key_is_read_back() {
+fn settings_with_every_key_are_decoded_completely() {
     assert_eq!(decoded(&every_key()), Ok(expected()));
 }
 
@@ -108,39 +108,71 @@
 #[case::fleet_size("/fleetSize", json!(7), |s: &mut Settings| s.balancers = 7)]
 #[case::me("/me", json!(0), |s: &mut Settings| s.own_index = 0)]
 #[case::zone("/zone", json!(9), |s: &mut Settings| s.zone = 9)]
-#[case::registry_mode("/registryMode", json!("push"), |s: &mut Settings| s.max_poll_interval = None)]
+#[case::registry_mode("/registryMode", json!("push"), |s: &mut Settings| {
+    s.max_poll_interval = None;
+})]
 #[case::weight_kind("/weightKind", json!("off"), |s: &mut Settings| s.weights_listed = false)]
 #[case::cancel("/caps/cancel", json!(false), |s: &mut Settings| s.can_cancel = false)]
 #[case::probes("/caps/probes", json!(false), |s: &mut Settings| s.load_from_probes = false)]
 #[case::peers("/caps/peers", json!(false), |s: &mut Settings| s.gossip_allowed = false)]
 #[case::retry_after("/caps/retryAfter", json!(false), |s: &mut Settings| s.max_retry_after = 0)]
-#[case::max_retry_after("/caps/maxRetryAfterUs", json!(5), |s: &mut Settings| s.max_retry_after = 5)]
+#[case::max_retry_after("/caps/maxRetryAfterUs", json!(5), |s: &mut Settings| {
+    s.max_retry_after = 5;
+})]
 #[case::max_dispatches("/caps/maxDispatches", json!(1), |s: &mut Settings| s.max_attempts = 1)]
 #[case::inline("/report/source", json!("inline"), |s: &mut Settings| s.load_from_probes = false)]
 #[case::off("/report/source", json!("off"), |s: &mut Settings| {
     s.load_from_probes = false;
     s.load_unreported = true;
 })]
-#[case::ask_within("/rules/askWithinUs", json!(5), |s: &mut Settings| s.max_poll_interval = Some(5))]
-#[case::turn_gap("/rules/turnGapUs", json!(3_600_000_000_u64), |s: &mut Settings| s.key_cooldown = 3_600_000_000)]
-#[case::dropped_stay_open("/rules/droppedStayOpen", json!(false), |s: &mut Settings| s.unlisted_stay_usable = false)]
-#[case::cold_from("/rules/coldFrom", json!(1), |s: &mut Settings| s.slow_start.initial_capacity = 1.0)]
+#[case::ask_within("/rules/askWithinUs", json!(5), |s: &mut Settings| {
+    s.max_poll_interval = Some(5);
+})]
+#[case::turn_gap("/rules/turnGapUs", json!(3_600_000_000_u64), |s: &mut Settings| {
+    s.key_cooldown = 3_600_000_000;
+})]
+#[case::dropped_stay_open("/rules/droppedStayOpen", json!(false), |s: &mut Settings| {
+    s.unlisted_stay_usable = false;
+})]
+#[case::cold_from("/rules/coldFrom", json!(1), |s: &mut Settings| {
+    s.slow_start.initial_capacity = 1.0;
+})]
 #[case::warm_up("/rules/warmUpUs", json!(5), |s: &mut Settings| s.slow_start.duration = 5)]
-#[case::tip_multiple("/rules/tipMultiple", json!(1.5), |s: &mut Settings| s.slow_start.overload_multiple = 1.5)]
+#[case::tip_multiple("/rules/tipMultiple", json!(1.5), |s: &mut Settings| {
+    s.slow_start.overload_multiple = 1.5;
+})]
 #[case::fall("/rules/fallUs", json!(5), |s: &mut Settings| s.slow_start.overload_window = 5)]
-#[case::promised_time("/useCases/0/promisedTimeUs", json!(5), |s: &mut Settings| s.classes[0].latency_objective = 5)]
-#[case::safe("/useCases/0/effect", json!("safe"), |s: &mut Settings| s.classes[0].idempotency = Idempotency::Idempotent)]
-#[case::unsafe_effect("/useCases/0/effect", json!("unsafe"), |s: &mut Settings| s.classes[0].idempotency = Idempotency::NonIdempotent)]
-#[case::scope_all("/useCases/0/dedupScope", json!("all"), |s: &mut Settings| set_scope(s, IdempotencyScope::All))]
-#[case::scope_zone("/useCases/0/dedupScope", json!("zone"), |s: &mut Settings| set_scope(s, IdempotencyScope::Zone))]
-#[case::window("/useCases/0/dedupWindowUs", json!(5), |s: &mut Settings| s.classes[0].idempotency = Idempotency::IdempotencyKey {
-    scope: IdempotencyScope::Cell,
-    window: 5,
-})]
-#[case::earnings("/useCases/0/earnings", json!(1), |s: &mut Settings| s.classes[0].priority_weight = 1.0)]
-#[case::in_order("/useCases/0/inOrder", json!(false), |s: &mut Settings| s.classes[0].ordered_by_key = false)]
-#[case::allowance("/accounts/0/allowancePerS", json!(3), |s: &mut Settings| s.tenant_quotas = vec![3.0])]
-fn each_key_changes_its_own_field(
+#[case::promised_time("/useCases/0/promisedTimeUs", json!(5), |s: &mut Settings| {
+    s.classes[0].latency_objective = 5;
+})]
+#[case::safe("/useCases/0/effect", json!("safe"), |s: &mut Settings| {
+    s.classes[0].idempotency = Idempotency::Idempotent;
+})]
+#[case::unsafe_effect("/useCases/0/effect", json!("unsafe"), |s: &mut Settings| {
+    s.classes[0].idempotency = Idempotency::NonIdempotent;
+})]
+#[case::scope_all("/useCases/0/dedupScope", json!("all"), |s: &mut Settings| {
+    set_scope(s, IdempotencyScope::All);
+})]
+#[case::scope_zone("/useCases/0/dedupScope", json!("zone"), |s: &mut Settings| {
+    set_scope(s, IdempotencyScope::Zone);
+})]
+#[case::window("/useCases/0/dedupWindowUs", json!(5), |s: &mut Settings| {
+    s.classes[0].idempotency = Idempotency::IdempotencyKey {
+        scope: IdempotencyScope::Cell,
+        window: 5,
+    };
+})]
+#[case::earnings("/useCases/0/earnings", json!(1), |s: &mut Settings| {
+    s.classes[0].priority_weight = 1.0;
+})]
+#[case::in_order("/useCases/0/inOrder", json!(false), |s: &mut Settings| {
+    s.classes[0].ordered_by_key = false;
+})]
+#[case::allowance("/accounts/0/allowancePerS", json!(3), |s: &mut Settings| {
+    s.tenant_quotas = vec![3.0];
+})]
+fn a_changed_key_changes_only_its_own_field(
     #[case] pointer: &str,
     #[case] value: Value,
     #[case] change: fn(&mut Settings),
@@ -157,9 +189,9 @@
     };
 }
 
-/// Required keys: the error names the key, without and with a value of the wrong type.
+/// The error names the key, both for a missing value and for a value of the wrong type.
 #[rstest]
-fn required_keys(
+fn invalid_required_keys_are_rejected(
     #[values(
         "/fleetSize",
         "/me",
@@ -195,18 +227,20 @@
     }
 }
 
-/// Optional keys: the default without the key or with null, and the error with the wrong type.
+/// The default applies without the key and with null; a value of the wrong type is rejected.
 #[rstest]
 #[case::cancel("/caps/cancel", |s: &mut Settings| s.can_cancel = false)]
 #[case::probes("/caps/probes", |s: &mut Settings| s.load_from_probes = false)]
 #[case::peers("/caps/peers", |s: &mut Settings| s.gossip_allowed = false)]
 #[case::retry_after("/caps/retryAfter", |s: &mut Settings| s.max_retry_after = 0)]
 #[case::turn_gap("/rules/turnGapUs", |s: &mut Settings| s.key_cooldown = 0)]
-#[case::dropped_stay_open("/rules/droppedStayOpen", |s: &mut Settings| s.unlisted_stay_usable = false)]
+#[case::dropped_stay_open("/rules/droppedStayOpen", |s: &mut Settings| {
+    s.unlisted_stay_usable = false;
+})]
 #[case::earnings("/useCases/0/earnings", |s: &mut Settings| s.classes[0].priority_weight = 1.0)]
 #[case::in_order("/useCases/0/inOrder", |s: &mut Settings| s.classes[0].ordered_by_key = false)]
 #[case::accounts("/accounts", |s: &mut Settings| s.tenant_quotas = Vec::new())]
-fn optional_keys(#[case] pointer: &str, #[case] change: fn(&mut Settings)) {
+fn missing_optional_keys_have_defaults(#[case] pointer: &str, #[case] change: fn(&mut Settings)) {
     let key = pointer.rsplit('/').next().unwrap();
     let mut settings = expected();
     change(&mut settings);
@@ -218,13 +252,16 @@
     );
 }
 
-/// Without a report, loads come with responses.
+/// Without the key `report`, endpoints report their load with responses.
 #[rstest]
 #[case::missing(None, Ok(false))]
 #[case::null(Some(Value::Null), Ok(false))]
 #[case::no_source(Some(json!({})), Err("field 'source' is missing"))]
 #[case::mistyped(Some(json!(5)), Err("field 'source' is missing"))]
-fn report(#[case] value: Option<Value>, #[case] from_probes: Result<bool, &str>) {
+fn load_report_source_is_optional(
+    #[case] value: Option<Value>,
+    #[case] from_probes: Result<bool, &str>,
+) {
     let settings = decoded(&with("/report", value));
     assert_eq!(
         settings.map(|settings| settings.load_from_probes),
@@ -233,15 +270,19 @@
 }
 
 #[rstest]
-#[case("/fleetSize", json!(0), "field 'fleetSize' is 0")]
+#[case("/fleetSize", json!(0), "field 'fleetSize' is 0: expected at least 1")]
 #[case("/me", json!(5), "field 'me' is 5 in a fleet of 5")]
 #[case("/me", json!(-1), "field 'me' has the wrong type")]
 #[case("/report/source", json!("later"), "field 'source' holds unknown 'later'")]
-#[case("/rules/turnGapUs", json!(3_600_000_001_u64), "field 'turnGapUs' is 3600000001, and 3600000000 is the longest")]
+#[case(
+    "/rules/turnGapUs",
+    json!(3_600_000_001_u64),
+    "field 'turnGapUs' is 3600000001: expected at most 3600000000"
+)]
 #[case("/useCases/0/effect", json!("other"), "field 'effect' holds unknown 'other'")]
 #[case("/useCases/0/dedupScope", json!("other"), "field 'dedupScope' holds unknown 'other'")]
 #[case("/useCases/0/earnings", json!(0), "field 'earnings' is 0, not above 0")]
 #[case("/useCases/0/earnings", json!(-2.5), "field 'earnings' is -2.5, not above 0")]
-fn values_that_are_refused(#[case] pointer: &str, #[case] value: Value, #[case] error: &str) {
+fn invalid_values_are_rejected(#[case] pointer: &str, #[case] value: Value, #[case] error: &str) {
     assert_eq!(decoded(&with(pointer, Some(value))), Err(error.to_owned()));
 }
