--- a/crates/simulator-adapter/src/actions.rs
+++ b/crates/simulator-adapter/src/actions.rs
@@ -1,4 +1,4 @@
-//! The actions of an instance as the simulator reads them.
+//! Encodes the actions of balancer instances in the simulator's wire format.
 
 use std::cell::RefCell;
 use std::fmt::{self, Write as _};
@@ -14,20 +14,20 @@
 }
 
 impl Reply {
-    /// Begins the reply to a batch.
+    /// Writes the start of the reply to a batch.
     pub fn begin(&self) {
         self.line.borrow_mut().push_str("{\"orders\":[");
     }
 
-    /// Ends the reply, and returns its line.
-    pub fn take(&self) -> String {
+    /// Completes the reply, returns its line and leaves the buffer empty.
+    pub fn finish(&self) -> String {
         let mut line = self.line.take();
         line.push_str("]}\n");
         line
     }
 }
 
-/// Writes the actions of one instance into the reply.
+/// Appends the actions of one instance to the reply.
 pub struct SimulatorHost {
     instance: u64,
     reply: Reply,
@@ -38,7 +38,7 @@
         Self { instance, reply }
     }
 
-    /// Appends an action with its fields, each with a comma before it.
+    /// Appends an action. `fields` are its JSON fields, each preceded by a comma.
     fn append(&self, action: &str, fields: fmt::Arguments) {
         let mut line = self.reply.line.borrow_mut();
         let comma = if line.ends_with('}') { "," } else { "" };
@@ -51,14 +51,14 @@
     }
 }
 
-/// Text as JSON, with quotes and escapes.
-fn quoted(text: &str) -> Value {
+/// Converts a text to a JSON string, which is displayed with quotes and escapes.
+fn json_string(text: &str) -> Value {
     Value::from(text)
 }
 
 impl Host for SimulatorHost {
     fn start_attempt(&mut self, request: &str, endpoint: &str, expire_at: Micros) {
-        let (request, endpoint) = (quoted(request), quoted(endpoint));
+        let (request, endpoint) = (json_string(request), json_string(endpoint));
         self.append(
             "Try",
             format_args!(",\"req\":{request},\"expireAtUs\":{expire_at},\"upstream\":{endpoint}"),
@@ -66,7 +66,7 @@
     }
 
     fn cancel_attempt(&mut self, request: &str, attempt: usize) {
-        let request = quoted(request);
+        let request = json_string(request);
         self.append(
             "CallOff",
             format_args!(",\"req\":{request},\"trial\":{attempt}"),
@@ -74,7 +74,7 @@
     }
 
     fn reject(&mut self, request: &str, retry_after: Micros) {
-        let request = quoted(request);
+        let request = json_string(request);
         self.append(
             "PushBack",
             format_args!(",\"req\":{request},\"waitUs\":{retry_after}"),
@@ -82,7 +82,7 @@
     }
 
     fn fail(&mut self, request: &str) {
-        self.append("Fail", format_args!(",\"req\":{}", quoted(request)));
+        self.append("Fail", format_args!(",\"req\":{}", json_string(request)));
     }
 
     fn set_timer(&mut self, after: Micros, timer: u64) {
@@ -97,18 +97,18 @@
     }
 
     fn probe(&mut self, endpoint: &str) {
-        let endpoint = quoted(endpoint);
+        let endpoint = json_string(endpoint);
         self.append("Probe", format_args!(",\"upstream\":{endpoint}"));
     }
 
     fn close_idle_connections(&mut self, endpoint: &str) {
-        let endpoint = quoted(endpoint);
+        let endpoint = json_string(endpoint);
         self.append("Close", format_args!(",\"upstream\":{endpoint}"));
     }
 
     fn send_gossip(&mut self, balancer: Option<usize>, message: &str) {
         let target = balancer.map_or(Value::from("all"), Value::from);
-        let message = quoted(message);
+        let message = json_string(message);
         self.append(
             "Publish",
             format_args!(",\"target\":{target},\"contents\":{message}"),
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the adapter.
+//! Error types of the adapter.
 
 use std::io;
 
@@ -7,7 +7,7 @@
 use pinefront_settings::fields::FieldError;
 use thiserror::Error;
 
-/// Why a message was refused.
+/// The reason why a message is invalid.
 #[derive(Debug, Error)]
 pub enum MessageError {
     #[error(transparent)]
@@ -16,20 +16,20 @@
     Settings(#[from] SettingsError),
 }
 
-/// Why the adapter stopped.
+/// The reason why the adapter stopped.
 #[derive(Debug, Error)]
 pub enum AdapterError {
-    #[error("cannot read: {0}")]
+    #[error("cannot read standard input: {0}")]
     Read(#[source] io::Error),
-    #[error("cannot write: {0}")]
+    #[error("cannot write to standard output: {0}")]
     Write(#[source] io::Error),
-    #[error("not a batch: {0}")]
+    #[error("invalid batch: {0}")]
     Batch(#[source] serde_json::Error),
     #[error("message {position} of batch {time}: {error}")]
     Message {
         /// Position of the message in its batch, counted from 0.
         position: usize,
-        /// Time of the batch.
+        /// Time of the batch in microseconds.
         time: Micros,
         error: MessageError,
     },
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -1,5 +1,5 @@
-//! The events of the simulator, as they are on the wire. The wire's names are mapped here and in
-//! `actions.rs`, and nowhere else.
+//! Decodes the events of the simulator. Only this module, `actions.rs` and the event kinds in
+//! `instances.rs` contain names of the simulator's wire format.
 
 use std::borrow::Cow;
 
@@ -10,10 +10,10 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-/// Bit of `state_bits` that says that the work hint holds.
-const HINT_HOLDS_BIT: u64 = 1;
+/// Bit of `state_bits` that is set if the work hint is valid.
+const WORK_HINT_VALID_BIT: u64 = 1;
 
-/// The events of one time.
+/// The events that occur at the same time.
 #[derive(Deserialize)]
 pub struct Batch<'a> {
     #[serde(rename = "tUs")]
@@ -22,7 +22,7 @@
     pub events: Vec<Event<'a>>,
 }
 
-/// An event of an instance. Each kind has some of the fields.
+/// An event for an instance. Each kind of event has a different subset of the fields.
 #[derive(Deserialize)]
 pub struct Event<'a> {
     #[serde(rename = "t")]
@@ -70,7 +70,7 @@
     message: Option<Cow<'a, str>>,
 }
 
-/// An endpoint on the list.
+/// An entry of the endpoint list.
 #[derive(Deserialize)]
 pub struct EndpointEntry<'a> {
     #[serde(rename = "upstream")]
@@ -98,25 +98,25 @@
     in_flight: Option<f64>,
 }
 
-/// Which part of the endpoint list an event holds.
+/// The part of the endpoint list that an event contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
     /// All endpoints.
     Complete,
-    /// The endpoints that have changed.
+    /// Only the endpoints that have changed.
     Changes,
-    /// None: the list could not be read.
+    /// No endpoints, because the poll of the list failed.
     Failed,
 }
 
-/// The state of an endpoint on the list.
+/// The state of an endpoint in the endpoint list.
 pub enum EndpointState<'a> {
     Listed(ListedEndpoint<'a>),
     Draining(&'a str),
     Removed(&'a str),
 }
 
-/// The load of an endpoint.
+/// A load report and the endpoint that sent it.
 pub struct ReportedLoad<'a> {
     pub endpoint: &'a str,
     pub load: LoadReport,
@@ -153,13 +153,13 @@
     }
 
     pub fn arrival(&self) -> Result<RequestArrival<'a>, FieldError> {
-        let hint_holds = self.state_bits.unwrap_or(0) & HINT_HOLDS_BIT != 0;
+        let is_hint_valid = self.state_bits.unwrap_or(0) & WORK_HINT_VALID_BIT != 0;
         Ok(RequestArrival {
             id: self.request()?,
             class: required(self.class, "qos")?,
             tenant: self.tenant.unwrap_or(0),
             deadline: required(self.deadline, "deadlineUs")?,
-            work_hint: self.work_hint.filter(|_| hint_holds),
+            work_hint: self.work_hint.filter(|_| is_hint_valid),
             key: self.key,
         })
     }
@@ -191,7 +191,7 @@
         required(self.endpoint, "upstream")
     }
 
-    /// The load that came with the event.
+    /// The load report that the event contains, if any.
     pub fn reported_load(&self) -> Result<Option<ReportedLoad<'a>>, FieldError> {
         let Some(load) = &self.load else {
             return Ok(None);
--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -1,4 +1,5 @@
-//! The instances of the simulator, one balancer each; they share nothing.
+//! The balancer instances of the simulator. They share no state apart from the reply that collects
+//! their actions.
 
 use std::collections::HashMap;
 
@@ -16,7 +17,7 @@
 }
 
 impl Instances {
-    /// No instances. Their actions will go into `reply`.
+    /// Creates an empty set of instances that append their actions to `reply`.
     pub fn new(reply: Reply) -> Self {
         Self {
             balancers: HashMap::new(),
@@ -24,7 +25,8 @@
         }
     }
 
-    /// Passes an event to its instance. Unknown kinds and events of unknown instances are ignored.
+    /// Passes an event to its instance. Events of unknown kinds and for unknown instances are
+    /// ignored.
     pub fn handle(&mut self, now: Micros, event: &Event) -> Result<(), MessageError> {
         match event.kind {
             "Enlist" => self.start(now, event),
@@ -33,7 +35,7 @@
                 Ok(())
             }
             _ => match self.balancers.get_mut(&event.instance) {
-                Some(balancer) => pass_on(balancer, now, event),
+                Some(balancer) => dispatch_event(balancer, now, event),
                 None => Ok(()),
             },
         }
@@ -48,26 +50,26 @@
     }
 }
 
-/// Passes an event to the balancer.
-fn pass_on(
+/// Calls the method of the balancer that handles the event.
+fn dispatch_event(
     balancer: &mut Balancer<SimulatorHost>,
     now: Micros,
     event: &Event,
 ) -> Result<(), MessageError> {
     match event.kind {
-        "Sync" => pass_endpoint_list(balancer, now, event)?,
+        "Sync" => update_endpoint_list(balancer, now, event)?,
         "Call" => balancer.request_arrived(now, event.arrival()?),
         "Ended" => {
-            pass_load(balancer, now, event)?;
+            update_load(balancer, now, event)?;
             balancer.attempt_ended(now, event.request()?, event.attempt_end()?);
         }
         "FirstByte" => balancer.response_started(event.request()?),
         "Gone" => balancer.client_disconnected(now, event.request()?),
         "Elapsed" => balancer.timer_expired(now, event.timer()?),
         "CheckResult" => {
-            pass_load(balancer, now, event)?;
-            let answered = event.outcome()? == AttemptOutcome::Succeeded;
-            balancer.probe_completed(now, event.endpoint()?, answered);
+            update_load(balancer, now, event)?;
+            let is_answered = event.outcome()? == AttemptOutcome::Succeeded;
+            balancer.probe_completed(now, event.endpoint()?, is_answered);
         }
         "Datagram" => {
             let message = event.message()?;
@@ -78,7 +80,7 @@
     Ok(())
 }
 
-fn pass_endpoint_list(
+fn update_endpoint_list(
     balancer: &mut Balancer<SimulatorHost>,
     now: Micros,
     event: &Event,
@@ -100,7 +102,7 @@
     Ok(())
 }
 
-fn pass_load(
+fn update_load(
     balancer: &mut Balancer<SimulatorHost>,
     now: Micros,
     event: &Event,
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,6 +1,6 @@
-//! Plays the decisions of pinefront on a simulator's wire: batches of events on standard input, one
-//! line of actions for each on standard output. It decodes fields and passes them on; it decides
-//! nothing.
+//! Runs the balancing policy for a simulator: reads batches of events from standard input, and
+//! writes one line of actions for each batch to standard output. The adapter only converts between
+//! the simulator's wire format and the interface of the policy.
 
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
@@ -15,7 +15,7 @@
 mod events;
 mod instances;
 
-/// Answers every batch of the input.
+/// Writes a reply for every batch of the input.
 fn run(input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let reply = Reply::default();
     let mut instances = Instances::new(reply.clone());
@@ -33,7 +33,7 @@
                 })?;
         }
         output
-            .write_all(reply.take().as_bytes())
+            .write_all(reply.finish().as_bytes())
             .and_then(|()| output.flush())
             .map_err(AdapterError::Write)?;
     }
--- a/crates/simulator-adapter/tests/refused_lines.rs
+++ b/crates/simulator-adapter/tests/refused_lines.rs
@@ -1,7 +1,7 @@
-//! Lines that the adapter refuses: it exits with an error that names the batch, the message and the
-//! field, and writes no line for the batch.
+//! Invalid input lines: the adapter exits with an error that names the batch, the message and the
+//! field, and writes no reply to the batch.
 
-#![allow(clippy::pedantic)] // As it was when the recording was made.
+#![allow(clippy::pedantic)] // The test keeps the form in which its expected values were recorded.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -30,7 +30,7 @@
     adapter.wait_with_output().unwrap()
 }
 
-/// What the adapter writes to its standard error for a message to a started instance.
+/// Returns the standard error of the adapter for a message to a running instance.
 fn error_for(message: Value) -> String {
     let start = json!({"t": "Enlist", "i": 1, "nonce64": 7, "conf": settings()});
     let first = json!({"tUs": 5, "msgs": [start]});
@@ -42,7 +42,7 @@
 }
 
 #[track_caller]
-fn assert_refused(message: Value, error: &str) {
+fn assert_rejected(message: Value, error: &str) {
     assert_eq!(
         error_for(message),
         format!("pinefront-simulator-adapter: message 1 of batch 6: {error}\n")
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn missing_fields_are_named() {
+fn missing_field_is_rejected_with_its_name() {
     for (message, field) in [
         (json!({"t": "Enlist", "i": 2, "nonce64": 7}), "conf"),
         (
@@ -87,22 +87,22 @@
             "author",
         ),
     ] {
-        assert_refused(message, &format!("field '{field}' is missing"));
+        assert_rejected(message, &format!("field '{field}' is missing"));
     }
 }
 
 #[test]
-fn missing_fields_of_an_endpoint_are_named() {
+fn missing_field_of_an_endpoint_is_rejected_with_its_name() {
     let mut entry = json!({"upstream": "u", "phase": "IN"});
     for field in ["site", "generationHw", "group", "weight"] {
         let message = json!({"t": "Sync", "i": 1, "scope": "delta", "membersList": [entry]});
-        assert_refused(message, &format!("field '{field}' is missing"));
+        assert_rejected(message, &format!("field '{field}' is missing"));
         entry[field] = json!(1);
     }
 }
 
 #[test]
-fn unknown_values_are_named() {
+fn unknown_value_is_rejected_with_its_field() {
     let listed = json!([{"upstream": "u", "phase": "other"}]);
     for (message, error) in [
         (
@@ -122,16 +122,16 @@
             "field 'how' holds unknown 'other'",
         ),
     ] {
-        assert_refused(message, error);
+        assert_rejected(message, error);
     }
 }
 
 #[test]
-fn settings_that_are_refused_are_named() {
+fn invalid_settings_are_rejected_with_the_field() {
     let mut conf = settings();
     conf["fleetSize"] = json!(0);
     let message = json!({"t": "Enlist", "i": 2, "nonce64": 7, "conf": conf});
-    assert_refused(message, "field 'fleetSize' is 0");
+    assert_rejected(message, "field 'fleetSize' is 0: expected at least 1");
 }
 
 #[test]
@@ -143,11 +143,11 @@
 }
 
 #[test]
-fn line_that_is_no_batch_is_refused() {
+fn line_that_is_not_a_batch_is_rejected() {
     let output = run("{}\n");
     assert_eq!(output.status.code(), Some(1));
     assert_eq!(
         String::from_utf8(output.stderr).unwrap(),
-        "pinefront-simulator-adapter: not a batch: missing field `tUs` at line 1 column 2\n"
+        "pinefront-simulator-adapter: invalid batch: missing field `tUs` at line 1 column 2\n"
     );
 }
--- a/crates/simulator-adapter/tests/simulator_wire.rs
+++ b/crates/simulator-adapter/tests/simulator_wire.rs
@@ -1,10 +1,11 @@
-//! The simulator's wire, held in place: a seeded script plays several instances against the adapter, and every line
-//! that it answers is compared byte for byte with the recorded one.
+//! Regression test of the simulator's wire format and of the balancing decisions: a seeded script
+//! simulates the environment of several instances, and every reply of the adapter is compared byte
+//! for byte with the recorded one.
 //!
-//! `RECORD_WIRE=1 cargo test -p pinefront-simulator-adapter` writes the recording anew; only a change that is meant
-//! to alter the wire or the decisions may do so.
+//! `RECORD_WIRE=1 cargo test -p pinefront-simulator-adapter` replaces the recording. Do so only
+//! with a change that intentionally alters the wire format or the decisions.
 
-#![allow(clippy::pedantic)] // As it was when the recording was made.
+#![allow(clippy::pedantic)] // The test keeps the form in which its replies were recorded.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -20,7 +21,8 @@
 const STEPS: u64 = 1_500;
 const STEP_US: u64 = 4_000;
 
-/// A small generator of its own, so that the script never changes with a dependency.
+/// A xorshift generator. It is implemented here because another version of a library could draw
+/// other numbers and thereby change the script.
 struct Random(u64);
 
 impl Random {
@@ -38,7 +40,8 @@
     }
 }
 
-/// The settings of each instance; between them every field and every value of the decoder is met.
+/// Returns the settings of an instance. All instances together cover every key and every value
+/// that the decoder accepts.
 fn settings(instance: usize) -> Value {
     let source = ["inline", "on_probe", "off"][instance % 3];
     let scope = ["all", "zone", "cell"][instance % 3];
@@ -47,15 +50,18 @@
         "registryMode": if instance.is_multiple_of(2) { "ask" } else { "push" },
         "weightKind": if instance < 2 { "off" } else { "nominal" },
         "report": {"source": source},
-        "caps": {"cancel": instance != 3, "probes": true, "peers": instance % 3 == 2, "maxDispatches": 2 + instance % 4,
+        "caps": {"cancel": instance != 3, "probes": true, "peers": instance % 3 == 2,
+                 "maxDispatches": 2 + instance % 4,
                  "retryAfter": instance != 1, "maxRetryAfterUs": 1_000_000},
-        "rules": {"askWithinUs": 900_000, "turnGapUs": 60_000, "droppedStayOpen": instance == 4, "coldFrom": 0.25,
-                  "warmUpUs": 2_000_000, "tipMultiple": 3.0, "fallUs": 400_000},
+        "rules": {"askWithinUs": 900_000, "turnGapUs": 60_000, "droppedStayOpen": instance == 4,
+                  "coldFrom": 0.25, "warmUpUs": 2_000_000, "tipMultiple": 3.0, "fallUs": 400_000},
         "accounts": [{"allowancePerS": 300.0}, {"allowancePerS": 20.5}],
         "useCases": [
             {"promisedTimeUs": 60_000, "effect": "safe", "earnings": 2.0},
-            {"promisedTimeUs": 90_000, "effect": "keyed", "dedupScope": scope, "dedupWindowUs": 200_000},
-            {"promisedTimeUs": 80_000, "effect": "unsafe", "earnings": 5.5, "inOrder": instance >= 3},
+            {"promisedTimeUs": 90_000, "effect": "keyed", "dedupScope": scope,
+             "dedupWindowUs": 200_000},
+            {"promisedTimeUs": 80_000, "effect": "unsafe", "earnings": 5.5,
+             "inOrder": instance >= 3},
         ],
     })
 }
@@ -64,10 +70,11 @@
     format!("node-{number}-\u{e9}")
 }
 
-fn listed(random: &mut Random, number: u64, now: u64) -> Value {
+fn listed_endpoint(random: &mut Random, number: u64, now: u64) -> Value {
     let launched = if random.one_in(4) { now } else { 0 };
-    json!({"upstream": endpoint_name(number), "phase": "IN", "site": number % 2, "generationHw": number % 3,
-           "group": number % 4, "weight": 1.0 + number as f64 / 4.0, "launchedUs": launched})
+    json!({"upstream": endpoint_name(number), "phase": "IN", "site": number % 2,
+           "generationHw": number % 3, "group": number % 4,
+           "weight": 1.0 + number as f64 / 4.0, "launchedUs": launched})
 }
 
 fn list_event(random: &mut Random, instance: usize, now: u64, scope: &str) -> Value {
@@ -81,14 +88,15 @@
                 members.push(json!({"upstream": endpoint_name(number), "phase": "OUT"}))
             }
             ("delta", 2..8) | ("full", 2) => {}
-            _ => members.push(listed(random, number, now)),
+            _ => members.push(listed_endpoint(random, number, now)),
         }
     }
     json!({"t": "Sync", "i": instance, "scope": scope, "membersList": members})
 }
 
 fn load(random: &mut Random) -> Value {
-    json!({"busy": random.below(100) as f64 / 90.0, "q": random.below(9) as f64, "rif": random.below(14) as f64})
+    json!({"busy": random.below(100) as f64 / 90.0, "q": random.below(9) as f64,
+           "rif": random.below(14) as f64})
 }
 
 fn outcome(random: &mut Random) -> &'static str {
@@ -103,66 +111,73 @@
     }
 }
 
-/// The simulated world: what is due, by time, and which requests have their final answer.
+/// A simulated environment of the instances.
 struct Script {
     random: Random,
+    /// Current time in microseconds.
     now: u64,
-    due: BTreeMap<(u64, u64), Value>,
-    order: u64,
+    /// Pending events by time in microseconds and order of scheduling.
+    pending_events: BTreeMap<(u64, u64), Value>,
+    /// Number of events scheduled so far.
+    scheduled_events: u64,
+    /// Number of attempts by instance and request.
     attempts: BTreeMap<(u64, String), u64>,
+    /// Whether a request has its final response, by instance and request.
     settled: BTreeMap<(u64, String), bool>,
+    /// Number of requests so far.
     requests: u64,
 }
 
 impl Script {
     fn new() -> Self {
-        let (due, attempts, settled) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         Self {
             random: Random(SEED),
             now: 1_000_000,
-            due,
-            order: 0,
-            attempts,
-            settled,
+            pending_events: BTreeMap::new(),
+            scheduled_events: 0,
+            attempts: BTreeMap::new(),
+            settled: BTreeMap::new(),
             requests: 0,
         }
     }
 
-    fn after(&mut self, wait_us: u64, event: Value) {
-        self.order += 1;
-        self.due.insert((self.now + wait_us, self.order), event);
+    fn schedule(&mut self, delay_us: u64, event: Value) {
+        self.scheduled_events += 1;
+        let key = (self.now + delay_us, self.scheduled_events);
+        self.pending_events.insert(key, event);
     }
 
     fn start(&mut self) {
         for instance in 0..INSTANCES {
             let nonce = 77 + instance as u64;
-            self.after(
+            self.schedule(
                 0,
                 json!({"t": "Enlist", "i": instance, "nonce64": nonce, "conf": settings(instance)}),
             );
             let list = list_event(&mut self.random, instance, self.now, "cached");
-            self.after(1_000, list);
+            self.schedule(1_000, list);
             if instance % 2 == 1 {
                 self.push_lists(instance);
             }
         }
-        self.after(3_000_000, json!({"t": "Killed", "i": 1}));
-        let again = json!({"t": "Enlist", "i": 1, "nonce64": 5, "conf": settings(1)});
-        self.after(3_100_000, again);
-        self.after(3_200_000, json!({"t": "Unheard", "i": 0}));
+        self.schedule(3_000_000, json!({"t": "Killed", "i": 1}));
+        let restart = json!({"t": "Enlist", "i": 1, "nonce64": 5, "conf": settings(1)});
+        self.schedule(3_100_000, restart);
+        self.schedule(3_200_000, json!({"t": "UnknownEvent", "i": 0}));
     }
 
     fn push_lists(&mut self, instance: usize) {
-        for turn in 1..12 {
-            let scope = if turn % 3 == 0 { "full" } else { "delta" };
+        for number in 1..12 {
+            let scope = if number % 3 == 0 { "full" } else { "delta" };
             let list = list_event(&mut self.random, instance, self.now, scope);
-            self.after(turn * 500_000, list);
+            self.schedule(number * 500_000, list);
         }
     }
 
-    /// Requests that arrive in this step, some of them with a hint of their work, a key, or a client that leaves.
-    fn arrivals(&mut self) {
-        // A quiet time, so that connections rest.
+    /// Schedules the requests that arrive in this step. Some of them have a work hint, a key, or a
+    /// client that disconnects.
+    fn schedule_arrivals(&mut self) {
+        // A period without requests, in which connections become idle.
         if (300..400).contains(&(self.now / STEP_US % 500)) {
             return;
         }
@@ -178,7 +193,8 @@
             let classes = if self.random.one_in(200) { 5 } else { 3 };
             let class = self.random.below(classes);
             let mut event = json!({"t": "Call", "i": instance, "req": id, "qos": class,
-                "clientGroup": self.random.below(2), "deadlineUs": self.now + 50_000 + self.random.below(400_000)});
+                "clientGroup": self.random.below(2),
+                "deadlineUs": self.now + 50_000 + self.random.below(400_000)});
             if self.random.one_in(2) {
                 event["hintUs"] = json!(3_000 + self.random.below(20_000));
                 event["stateBits"] = json!(self.random.below(4));
@@ -188,39 +204,40 @@
             }
             self.settled.insert((instance, id.clone()), false);
             if self.random.one_in(25) {
-                let wait = self.random.below(80_000);
-                self.after(wait, json!({"t": "Gone", "i": instance, "req": id}));
+                let delay = self.random.below(80_000);
+                self.schedule(delay, json!({"t": "Gone", "i": instance, "req": id}));
             }
-            self.after(0, event);
+            self.schedule(0, event);
         }
     }
 
-    /// What an order of an instance brings about.
-    fn take(&mut self, order: &Value) {
-        let instance = order["i"].as_u64().expect("an instance");
-        let id = order["req"].as_str().map(str::to_owned);
-        match order["t"].as_str().expect("a name") {
-            "Try" => self.take_attempt(instance, id.expect("a request"), order),
+    /// Schedules the events that an action of an instance causes.
+    fn apply_action(&mut self, action: &Value) {
+        let instance = action["i"].as_u64().expect("action has an instance");
+        let id = action["req"].as_str().map(str::to_owned);
+        match action["t"].as_str().expect("action has a kind") {
+            "Try" => self.run_attempt(instance, id.expect("attempt has a request"), action),
             "CallOff" => {
-                let event = json!({"t": "Ended", "i": instance, "req": id, "trial": order["trial"],
-                    "delaySeenUs": 1_000, "how": "undone", "settled": self.random.one_in(2)});
-                self.after(500, event);
+                let event = json!({"t": "Ended", "i": instance, "req": id,
+                    "trial": action["trial"], "delaySeenUs": 1_000, "how": "undone",
+                    "settled": self.random.one_in(2)});
+                self.schedule(500, event);
             }
             "PushBack" | "Fail" => {
                 self.settled
-                    .insert((instance, id.expect("a request")), true);
+                    .insert((instance, id.expect("response has a request")), true);
             }
             "SetAlarm" => {
-                let wait = order["fromNowUs"].as_u64().expect("a wait");
-                self.after(
-                    wait,
-                    json!({"t": "Elapsed", "i": instance, "keyBack": order["keyBack"]}),
+                let delay = action["fromNowUs"].as_u64().expect("timer has a delay");
+                self.schedule(
+                    delay,
+                    json!({"t": "Elapsed", "i": instance, "keyBack": action["keyBack"]}),
                 );
             }
             "Follow" => {
                 let scope = ["failed", "delta", "delta", "full"][self.random.below(4) as usize];
                 let list = list_event(&mut self.random, instance as usize, self.now, scope);
-                self.after(30_000, list);
+                self.schedule(30_000, list);
                 if scope != "failed" {
                     let scope = if self.random.one_in(2) {
                         "failed"
@@ -228,143 +245,152 @@
                         "delta"
                     };
                     let next = list_event(&mut self.random, instance as usize, self.now, scope);
-                    self.after(700_000, next);
+                    self.schedule(700_000, next);
                 }
             }
             "Probe" => {
                 let (how, stats) = (outcome(&mut self.random), load(&mut self.random));
-                let event = json!({"t": "CheckResult", "i": instance, "upstream": order["upstream"], "how": how,
-                    "delaySeenUs": 700, "serverStats": stats});
-                self.after(700 + 50 * self.order % 9_000, event);
+                let event = json!({"t": "CheckResult", "i": instance,
+                    "upstream": action["upstream"], "how": how, "delaySeenUs": 700,
+                    "serverStats": stats});
+                self.schedule(700 + 50 * self.scheduled_events % 9_000, event);
             }
-            "Publish" => self.take_gossip(instance, order),
+            "Publish" => self.deliver_gossip(instance, action),
             "Close" => {}
-            other => panic!("an order that the script does not know: {other}"),
+            other => panic!("unknown action '{other}'"),
         }
     }
 
-    fn take_attempt(&mut self, instance: u64, id: String, order: &Value) {
+    fn run_attempt(&mut self, instance: u64, id: String, action: &Value) {
         let attempt = self.attempts.entry((instance, id.clone())).or_insert(0);
         let number = *attempt;
         *attempt += 1;
         let how = outcome(&mut self.random);
-        let until = order["expireAtUs"]
+        let timeout = action["expireAtUs"]
             .as_u64()
-            .expect("an end")
+            .expect("attempt has an expiry time")
             .saturating_sub(self.now);
-        let mut took = 2_000 + self.random.below(30_000);
+        let mut duration = 2_000 + self.random.below(30_000);
         if how == "cut" {
-            took = 300;
+            duration = 300;
         }
-        if how == "too_slow" || took > until {
-            took = until;
+        if how == "too_slow" || duration > timeout {
+            duration = timeout;
         }
-        let how = if took == until { "too_slow" } else { how };
-        let concluded = self
+        let how = if duration == timeout { "too_slow" } else { how };
+        let was_settled = self
             .settled
             .get(&(instance, id.clone()))
             .copied()
             .unwrap_or(true);
-        let settled = concluded || how == "pass";
-        if settled {
+        let is_settled = was_settled || how == "pass";
+        if is_settled {
             self.settled.insert((instance, id.clone()), true);
         }
-        let mut event = json!({"t": "Ended", "i": instance, "req": id, "settled": settled,
-            "upstream": order["upstream"], "trial": number, "delaySeenUs": took, "how": how});
+        let mut event = json!({"t": "Ended", "i": instance, "req": id, "settled": is_settled,
+            "upstream": action["upstream"], "trial": number, "delaySeenUs": duration,
+            "how": how});
         if instance.is_multiple_of(3) && self.random.one_in(2) {
             event["serverStats"] = load(&mut self.random);
         }
         if self.random.one_in(30) {
-            self.after(
-                took / 2,
+            self.schedule(
+                duration / 2,
                 json!({"t": "FirstByte", "i": instance, "req": event["req"]}),
             );
         }
-        self.after(took, event);
+        self.schedule(duration, event);
     }
 
-    fn take_gossip(&mut self, author: u64, order: &Value) {
-        let target = order["target"].as_u64();
-        for instance in
-            (0..INSTANCES as u64).filter(|to| *to != author && target.is_none_or(|one| one == *to))
+    /// Schedules the delivery of a gossip message. A few messages are replaced by malformed ones.
+    fn deliver_gossip(&mut self, sender: u64, action: &Value) {
+        let target = action["target"].as_u64();
+        for instance in (0..INSTANCES as u64)
+            .filter(|instance| *instance != sender && target.is_none_or(|one| one == *instance))
         {
             let contents = match self.random.below(100) {
                 0 => json!("+ nonsense"),
                 1 => json!("~ 30d40"),
-                _ => order["contents"].clone(),
+                _ => action["contents"].clone(),
             };
-            self.after(
+            self.schedule(
                 900,
-                json!({"t": "Datagram", "i": instance, "author": author, "contents": contents}),
+                json!({"t": "Datagram", "i": instance, "author": sender, "contents": contents}),
             );
         }
     }
 
-    /// The batch of the next step.
-    fn batch(&mut self) -> Value {
+    /// Advances the time by one step and returns the batch of events that are due.
+    fn next_batch(&mut self) -> Value {
         self.now += STEP_US;
-        self.arrivals();
-        let later = self.due.split_off(&(self.now + 1, 0));
-        let events: Vec<Value> = std::mem::replace(&mut self.due, later)
+        self.schedule_arrivals();
+        let later = self.pending_events.split_off(&(self.now + 1, 0));
+        let events: Vec<Value> = std::mem::replace(&mut self.pending_events, later)
             .into_values()
             .collect();
         json!({"tUs": self.now, "msgs": events})
     }
 }
 
-/// Plays the script against the adapter; its answers, a line for each batch.
-fn play() -> Vec<String> {
+/// Runs the script against the adapter. Returns the replies of the adapter, one line for each
+/// batch.
+fn run_script() -> Vec<String> {
     let mut adapter = Command::new(env!("CARGO_BIN_EXE_pinefront-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .spawn()
-        .expect("the adapter starts");
-    let mut input = adapter.stdin.take().expect("its input");
-    let mut output = BufReader::new(adapter.stdout.take().expect("its output"));
+        .expect("cannot start the adapter");
+    let mut input = adapter.stdin.take().expect("standard input is piped");
+    let mut output = BufReader::new(adapter.stdout.take().expect("standard output is piped"));
     let mut script = Script::new();
     script.start();
-    let mut answers = Vec::new();
+    let mut replies = Vec::new();
     for _ in 0..STEPS {
-        writeln!(input, "{}", script.batch()).expect("a batch is taken");
-        let mut answer = String::new();
-        output.read_line(&mut answer).expect("an answer comes");
-        let orders: Value = serde_json::from_str(&answer).expect("an answer is JSON");
-        for order in orders["orders"].as_array().expect("orders") {
-            script.take(order);
+        writeln!(input, "{}", script.next_batch()).expect("cannot write a batch");
+        let mut line = String::new();
+        output.read_line(&mut line).expect("cannot read a reply");
+        let reply: Value = serde_json::from_str(&line).expect("reply is not JSON");
+        for action in reply["orders"].as_array().expect("reply has no actions") {
+            script.apply_action(action);
         }
-        answers.push(answer.trim_end_matches('\n').to_owned());
+        replies.push(line.trim_end_matches('\n').to_owned());
     }
     drop(input);
-    assert!(adapter.wait().expect("it ends").success());
-    answers
+    assert!(
+        adapter
+            .wait()
+            .expect("cannot wait for the adapter")
+            .success()
+    );
+    replies
 }
 
 #[test]
-fn every_line_is_as_recorded() {
+fn replies_equal_the_recording() {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join(RECORDED);
-    let answers = play();
+    let replies = run_script();
     if std::env::var_os("RECORD_WIRE").is_some() {
-        std::fs::write(&path, answers.join("\n") + "\n").expect("the recording is written");
+        std::fs::write(&path, replies.join("\n") + "\n").expect("cannot write the recording");
     }
-    let recorded = std::fs::read_to_string(&path).expect("the recording is there");
-    for (number, (answer, recorded)) in answers.iter().zip(recorded.lines()).enumerate() {
+    let recorded = std::fs::read_to_string(&path).expect("cannot read the recording");
+    for (number, (reply, recorded)) in replies.iter().zip(recorded.lines()).enumerate() {
         assert_eq!(
-            answer, recorded,
-            "answer {number} is another than the recorded one"
+            reply, recorded,
+            "reply {number} differs from the recorded one"
         );
     }
-    assert_eq!(answers.len(), recorded.lines().count());
+    assert_eq!(replies.len(), recorded.lines().count());
 }
 
-/// The recording is worth something only as long as it meets every kind of order.
+/// A kind of action that the recording does not contain would not be tested.
 #[test]
-fn the_recording_meets_every_order() {
+fn the_recording_contains_every_kind_of_action() {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join(RECORDED);
-    let recorded = std::fs::read_to_string(&path).expect("the recording is there");
+    let recorded = std::fs::read_to_string(&path).expect("cannot read the recording");
     for name in [
         "Try", "CallOff", "PushBack", "Fail", "SetAlarm", "Follow", "Probe", "Close", "Publish",
     ] {
         let count = recorded.matches(&format!("\"t\":\"{name}\"")).count();
-        assert!(count >= 3, "{name} is met {count} times");
+        assert!(count >= 3, "the recording contains {name} {count} times");
     }
 }
