--- a/crates/model/src/checker.rs
+++ b/crates/model/src/checker.rs
@@ -93,7 +93,7 @@
     requests: BTreeMap<u64, RequestHistory>,
     servers: BTreeMap<usize, ServerHistory>,
     /// When each balancer was last killed or suspended.
-    disturbed_at: BTreeMap<usize, Micros>,
+    interrupted_at: BTreeMap<usize, Micros>,
     violations: Vec<Violation>,
     /// Number of observations so far.
     recorded: u64,
@@ -108,7 +108,7 @@
             classes: classes.map(|class| class.get_ref().clone()).collect(),
             requests: BTreeMap::new(),
             servers: BTreeMap::new(),
-            disturbed_at: BTreeMap::new(),
+            interrupted_at: BTreeMap::new(),
             violations: Vec::new(),
             recorded: 0,
         }
@@ -150,8 +150,8 @@
             Observation::ResponseReceived {
                 request,
                 outcome,
-                genuine,
-            } => self.response_received(at, request, outcome, genuine),
+                is_genuine,
+            } => self.response_received(at, request, outcome, is_genuine),
             Observation::TimeoutAdvertised { .. } => self.check_advertised_timeout(at, observation),
             Observation::ConnectionLost { .. } | Observation::ClientDisconnected { .. } => {
                 self.connection_ended(at, observation);
@@ -159,14 +159,14 @@
             Observation::EndpointReported {
                 balancer,
                 server,
-                draining,
-            } => self.endpoint_reported(at, balancer, server, draining),
+                is_draining,
+            } => self.endpoint_reported(at, balancer, server, is_draining),
             Observation::BalancerKilled { balancer } => self.balancer_killed(at, balancer),
             Observation::BalancerStalled { balancer } => self.excuse_requests(at, balancer),
             Observation::ServerOverloaded { server } => {
                 self.add_violation(4, at, None, format!("s{server} overloaded in slow start"));
             }
-            Observation::AttemptNotRun { .. } | Observation::AttemptRan { .. } => {}
+            Observation::AttemptNotProcessed { .. } | Observation::AttemptProcessed { .. } => {}
         }
     }
 
@@ -232,9 +232,9 @@
         }
     }
 
-    fn endpoint_reported(&mut self, at: Micros, balancer: usize, server: usize, draining: bool) {
+    fn endpoint_reported(&mut self, at: Micros, balancer: usize, server: usize, is_draining: bool) {
         let notified = &mut self.servers.entry(server).or_default().drain_notified_at;
-        if draining {
+        if is_draining {
             notified.entry(balancer).or_insert(at);
         } else {
             notified.remove(&balancer);
@@ -251,7 +251,7 @@
 
     /// Excuses the open requests of a balancer.
     fn excuse_requests(&mut self, at: Micros, balancer: usize) {
-        self.disturbed_at.insert(balancer, at);
+        self.interrupted_at.insert(balancer, at);
         for history in self.requests.values_mut() {
             let received = history.received;
             let is_open = history.answered_at.is_none()
--- a/crates/model/src/checker/observation.rs
+++ b/crates/model/src/checker/observation.rs
@@ -64,14 +64,14 @@
         remaining: Micros,
     },
     /// The server proved that it did not process an attempt.
-    AttemptNotRun {
+    AttemptNotProcessed {
         /// The request.
         request: u64,
         /// The server.
         server: usize,
     },
     /// The server processed an attempt.
-    AttemptRan {
+    AttemptProcessed {
         /// The request.
         request: u64,
         /// The server.
@@ -84,7 +84,7 @@
         /// How the request ended.
         outcome: Outcome,
         /// Whether the response is the one that a server made for this request.
-        genuine: bool,
+        is_genuine: bool,
     },
     /// The client's connection ended without a complete response.
     ConnectionLost {
@@ -103,7 +103,7 @@
         /// The server.
         server: usize,
         /// Whether the server drains or is removed.
-        draining: bool,
+        is_draining: bool,
     },
     /// A balancer was killed, which excuses its open requests.
     BalancerKilled {
@@ -129,8 +129,8 @@
             Self::RequestReceived { request, .. }
             | Self::AttemptReceived { request, .. }
             | Self::TimeoutAdvertised { request, .. }
-            | Self::AttemptNotRun { request, .. }
-            | Self::AttemptRan { request, .. }
+            | Self::AttemptNotProcessed { request, .. }
+            | Self::AttemptProcessed { request, .. }
             | Self::ResponseReceived { request, .. }
             | Self::ConnectionLost { request }
             | Self::ClientDisconnected { request } => Some(request),
@@ -159,19 +159,21 @@
             Self::TimeoutAdvertised { remaining, .. } => {
                 write!(out, "advertised {remaining} us remaining")
             }
-            Self::AttemptNotRun { server, .. } => write!(out, "rejected unrun by s{server}"),
-            Self::AttemptRan { server, .. } => write!(out, "ran at s{server}"),
+            Self::AttemptNotProcessed { server, .. } => write!(out, "rejected unrun by s{server}"),
+            Self::AttemptProcessed { server, .. } => write!(out, "ran at s{server}"),
             Self::ResponseReceived {
-                outcome, genuine, ..
-            } => write!(out, "{outcome:?}{}", genuineness(*genuine)),
+                outcome,
+                is_genuine,
+                ..
+            } => write!(out, "{outcome:?}{}", genuineness(*is_genuine)),
             Self::ConnectionLost { .. } => write!(out, "connection ended without a response"),
             Self::ClientDisconnected { .. } => write!(out, "client disconnected"),
             Self::EndpointReported {
                 balancer,
                 server,
-                draining,
+                is_draining,
             } => {
-                let state = if *draining { "draining" } else { "active" };
+                let state = if *is_draining { "draining" } else { "active" };
                 write!(
                     out,
                     "balancer {balancer} notified that s{server} is {state}"
@@ -186,8 +188,8 @@
     }
 }
 
-fn genuineness(genuine: bool) -> &'static str {
-    if genuine {
+fn genuineness(is_genuine: bool) -> &'static str {
+    if is_genuine {
         ""
     } else {
         " with a response that no server made for it"
--- a/crates/model/src/checker/rules.rs
+++ b/crates/model/src/checker/rules.rs
@@ -11,22 +11,22 @@
 
 /// An attempt that may have run.
 #[derive(Clone, Copy)]
-struct PossibleRun {
+struct PossibleExecution {
     at: Micros,
     target: AttemptTarget,
 }
 
 impl RequestHistory {
     /// The attempts that may have run, since nothing proves the contrary.
-    fn possible_runs(&self) -> Vec<PossibleRun> {
-        let mut runs: Vec<PossibleRun> = Vec::new();
+    fn possible_executions(&self) -> Vec<PossibleExecution> {
+        let mut runs: Vec<PossibleExecution> = Vec::new();
         for (at, observation) in &self.observations {
             match observation {
-                Observation::AttemptReceived { target, .. } => runs.push(PossibleRun {
+                Observation::AttemptReceived { target, .. } => runs.push(PossibleExecution {
                     at: *at,
                     target: *target,
                 }),
-                Observation::AttemptNotRun { server, .. } => {
+                Observation::AttemptNotProcessed { server, .. } => {
                     let proven = runs.iter().position(|run| run.target.server == *server);
                     if let Some(index) = proven {
                         runs.remove(index);
@@ -41,11 +41,11 @@
 
 impl Checker {
     pub(super) fn request_received(&mut self, at: Micros, request: u64, received: Received) {
-        let disturbed_at = self.disturbed_at.get(&received.balancer);
-        let is_disturbed = disturbed_at.is_some_and(|disturbed| *disturbed >= at);
+        let interrupted_at = self.interrupted_at.get(&received.balancer);
+        let is_interrupted = interrupted_at.is_some_and(|interrupted| *interrupted >= at);
         let history = self.requests.entry(request).or_default();
         history.received = Some(received);
-        history.excused |= is_disturbed;
+        history.excused |= is_interrupted;
         // Attempts and the response may have been recorded before.
         let answered_at = history.answered_at;
         let earlier: Vec<_> = history
@@ -104,16 +104,16 @@
         at: Micros,
         request: u64,
         outcome: Outcome,
-        genuine: bool,
+        is_genuine: bool,
     ) {
         let history = self.requests.entry(request).or_default();
         if history.answered_at.replace(at).is_some() {
             return self.add_violation(1, at, Some(request), "a second final response");
         }
         let received = history.received;
-        let may_have_run = !history.possible_runs().is_empty();
+        let may_have_run = !history.possible_executions().is_empty();
         self.check_deadline(request, at);
-        if !genuine {
+        if !is_genuine {
             let what = "answered with a response that no server made for it";
             self.add_violation(1, at, Some(request), what);
         }
@@ -134,14 +134,14 @@
         started_at: Micros,
         work: f64,
     ) {
-        self.check_attempt_is_wanted(at, request, started_at);
+        self.check_attempt_is_needed(at, request, started_at);
         self.check_idempotency(at, request, target, started_at);
         self.check_drain(at, request, target, started_at);
         self.check_slow_start(at, request, target, work);
     }
 
     /// Rule 1: no attempt starts after the final response, or after the client disconnected.
-    fn check_attempt_is_wanted(&mut self, at: Micros, request: u64, started_at: Micros) {
+    fn check_attempt_is_needed(&mut self, at: Micros, request: u64, started_at: Micros) {
         let slack = self.rules.slack.0;
         let history = self.requests.entry(request).or_default();
         let (answered_at, disconnected_at) = (history.answered_at, history.disconnected_at);
@@ -176,7 +176,7 @@
             .received
             .and_then(|received| self.classes.get(received.class));
         // The last run is this attempt.
-        let mut earlier = history.possible_runs();
+        let mut earlier = history.possible_executions();
         earlier.pop();
         let slack = self.rules.slack.0;
         let what = class.and_then(|class| match class.idempotency {
@@ -186,7 +186,7 @@
             }
             Idempotency::IdempotencyKey => earlier
                 .iter()
-                .find_map(|run| unsafe_repeat(class, run, target, started_at, slack)),
+                .find_map(|run| unsafe_retry_reason(class, run, target, started_at, slack)),
         });
         if let Some(what) = what {
             self.add_violation(2, at, Some(request), what);
@@ -254,9 +254,9 @@
 }
 
 /// Why a further attempt of a request with an idempotency key may be processed again, if it may.
-fn unsafe_repeat(
+fn unsafe_retry_reason(
     class: &RequestClass,
-    earlier: &PossibleRun,
+    earlier: &PossibleExecution,
     target: AttemptTarget,
     started_at: Micros,
     slack: Micros,
--- a/crates/model/src/checker/tests.rs
+++ b/crates/model/src/checker/tests.rs
@@ -6,7 +6,7 @@
 
 /// Use cases: 0 redoable, 1 labelled within its cell for 2.5 s, 2 irreversible.
 fn checker() -> Checker {
-    Checker::new(&validation::read("name = 'd'\nlength = '20s'", "d.toml").unwrap())
+    Checker::new(&validation::decode_scenario("name = 'd'\nlength = '20s'", "d.toml").unwrap())
 }
 
 fn target(server: usize) -> AttemptTarget {
@@ -37,10 +37,10 @@
     Observation::ResponseReceived {
         request: 1,
         outcome,
-        genuine: true,
+        is_genuine: true,
     }
 }
-const NOT_RUN: Observation = Observation::AttemptNotRun {
+const NOT_RUN: Observation = Observation::AttemptNotProcessed {
     request: 1,
     server: 0,
 };
@@ -55,17 +55,17 @@
 const DRAINING: Observation = Observation::EndpointReported {
     balancer: 0,
     server: 0,
-    draining: true,
+    is_draining: true,
 };
 const ACTIVE: Observation = Observation::EndpointReported {
     balancer: 0,
     server: 0,
-    draining: false,
+    is_draining: false,
 };
 const FORGED: Observation = Observation::ResponseReceived {
     request: 1,
     outcome: Outcome::Succeeded,
-    genuine: false,
+    is_genuine: false,
 };
 use Outcome::{Failed, Rejected, Succeeded};
 
@@ -178,7 +178,7 @@
             Observation::ResponseReceived {
                 request,
                 outcome: Succeeded,
-                genuine: true,
+                is_genuine: true,
             },
         );
     }
@@ -203,7 +203,7 @@
             let at = request * 10_000;
             checker.record(at, Observation::RequestReceived { request, balancer: 0, class: 0, deadline: at + SECOND });
             if request != owed {
-                checker.record(at + 5, Observation::ResponseReceived { request, outcome: Succeeded, genuine: true });
+                checker.record(at + 5, Observation::ResponseReceived { request, outcome: Succeeded, is_genuine: true });
             }
         }
         prop_assert!(checker.retained() < 6_000, "{} retained", checker.retained());
@@ -220,7 +220,7 @@
     #[case] at: Micros,
     #[case] record_violation: usize,
 ) {
-    let scenario = validation::read(
+    let scenario = validation::decode_scenario(
         "name = 'd'\nlength = '20s'\n[rules]\nlate = '500ms'",
         "d.toml",
     )
--- a/crates/model/src/discovery.rs
+++ b/crates/model/src/discovery.rs
@@ -1,63 +1,63 @@
-//! The versioned endpoint list of discovery. Each change becomes visible some time after it
-//! happened.
+//! The versioned endpoint list of discovery. A change becomes visible with a delay.
 
 use crate::Micros;
 use crate::random::RandomSource;
 use crate::scenario::Discovery;
 
-/// State of a server in the list.
+/// State of a server in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
-    /// Accepts requests.
+pub enum EndpointState {
+    /// The server accepts requests.
     Active,
-    /// Finishes its requests and accepts no new ones.
+    /// The server finishes its requests and accepts no new ones.
     Draining,
-    /// No longer exists.
+    /// The server no longer exists.
     Removed,
 }
 
-/// One server of the list.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Entry {
-    /// The server's number.
+pub struct EndpointEntry {
+    /// Number of the server.
     pub server: usize,
-    /// Its state.
-    pub state: State,
-    /// When it last started; none where that was long before the scenario.
+    /// State of the server.
+    pub state: EndpointState,
+    /// Time of the last start of the server; `None` if it started long before the scenario.
     pub started_at: Option<Micros>,
 }
 
-/// Some entries of the list, and the version that they belong to.
+/// Entries of the endpoint list and the version of the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VersionedEntries {
     /// The version of the list.
     pub version: u64,
-    /// The entries, in order of the servers' numbers.
-    pub entries: Vec<Entry>,
+    /// The entries in ascending order of the server numbers.
+    pub entries: Vec<EndpointEntry>,
 }
 
-/// A change and when it becomes visible.
+/// A change of the endpoint list and the time at which it becomes visible.
 struct Change {
     visible_at: Micros,
-    entry: Entry,
+    entry: EndpointEntry,
 }
 
-/// All changes so far, in order of time. Version `n` of the list contains the first `n` changes.
-pub struct Registry {
+/// The endpoint list as a chronological log of all changes. Version `n` of the list contains the
+/// first `n` changes.
+pub struct EndpointRegistry {
     changes: Vec<Change>,
-    /// Minimum and maximum delay of a change.
+    /// Minimum and maximum delay until a change becomes visible, in microseconds.
     propagation_delay: [Micros; 2],
     random: RandomSource,
 }
 
-impl Registry {
-    /// A list of that many active servers.
+impl EndpointRegistry {
+    /// Creates a list of `servers` active servers.
     pub fn new(discovery: &Discovery, servers: usize, seed: u64) -> Self {
         let active = |server| Change {
             visible_at: 0,
-            entry: Entry {
+            entry: EndpointEntry {
                 server,
-                state: State::Active,
+                state: EndpointState::Active,
                 started_at: None,
             },
         };
@@ -68,9 +68,9 @@
         }
     }
 
-    /// Records a change. Returns when it becomes visible: after a random delay, and not before any
-    /// earlier change.
-    pub fn change(&mut self, now: Micros, entry: Entry) -> Micros {
+    /// Records a change and returns the time at which it becomes visible. The delay is random, and
+    /// no change becomes visible before an earlier one.
+    pub fn change(&mut self, now: Micros, entry: EndpointEntry) -> Micros {
         let [min, max] = self.propagation_delay.map(|delay| delay as f64);
         let delay = self.random.between(min, max) as Micros;
         let previous = self.changes.last().map_or(0, |last| last.visible_at);
@@ -79,21 +79,22 @@
         visible_at
     }
 
-    /// The version that is visible now.
+    /// Returns the version that is visible at `now`.
     pub fn version(&self, now: Micros) -> u64 {
         let visible = |change: &Change| change.visible_at <= now;
         self.changes.partition_point(visible) as u64
     }
 
-    /// The complete list that is visible now.
+    /// Returns the complete list that is visible at `now`, without removed servers.
     pub fn list(&self, now: Micros) -> VersionedEntries {
         let version = self.version(now);
         let mut entries = latest_entries(&self.changes[..version as usize]);
-        entries.retain(|entry| entry.state != State::Removed);
+        entries.retain(|entry| entry.state != EndpointState::Removed);
         VersionedEntries { version, entries }
     }
 
-    /// The latest entry of each server that changed between `since` and the visible version.
+    /// Returns the latest entry of each server that changed between version `since` and the visible
+    /// version.
     pub fn changes_since(&self, now: Micros, since: u64) -> VersionedEntries {
         let version = self.version(now);
         let from = since.min(version) as usize;
@@ -101,7 +102,8 @@
         VersionedEntries { version, entries }
     }
 
-    /// When a newer version than that becomes visible, if a change is pending or visible.
+    /// Returns the time at which the version after `version` becomes visible, or `None` if there is
+    /// no later version.
     pub fn next_change(&self, version: u64) -> Option<Micros> {
         self.changes
             .get(version as usize)
@@ -109,10 +111,12 @@
     }
 }
 
-/// The last entry of each server, in order of the servers' numbers.
-fn latest_entries(changes: &[Change]) -> Vec<Entry> {
-    let mut entries: Vec<Entry> = changes.iter().map(|change| change.entry.clone()).collect();
-    // The sort is stable, so the latest entry of a server stays behind its earlier ones.
+/// Returns the last entry of each server, in ascending order of the server numbers.
+fn latest_entries(changes: &[Change]) -> Vec<EndpointEntry> {
+    let mut entries: Vec<EndpointEntry> =
+        changes.iter().map(|change| change.entry.clone()).collect();
+    // The sort is stable and keeps the entries of one server in chronological order. Since
+    // `dedup_by_key` keeps the first entry of a server, it is applied to the reversed list.
     entries.sort_by_key(|entry| entry.server);
     entries.reverse();
     entries.dedup_by_key(|entry| entry.server);
--- a/crates/model/src/discovery/tests.rs
+++ b/crates/model/src/discovery/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use crate::scenario::Span;
 
-fn entry(server: usize, state: State) -> Entry {
-    Entry {
+fn entry(server: usize, state: EndpointState) -> EndpointEntry {
+    EndpointEntry {
         server,
         state,
         started_at: None,
@@ -12,7 +12,7 @@
 #[test]
 fn changes_become_visible_late_in_order_and_each_server_once() {
     let delay = [Span(100), Span(1000)];
-    let mut registry = Registry::new(
+    let mut registry = EndpointRegistry::new(
         &Discovery {
             propagation_delay: delay,
             ..Discovery::default()
@@ -21,8 +21,8 @@
         5,
     );
     assert_eq!(registry.list(0).version, 3);
-    let first = registry.change(0, entry(1, State::Draining));
-    let second = registry.change(0, entry(1, State::Removed));
+    let first = registry.change(0, entry(1, EndpointState::Draining));
+    let second = registry.change(0, entry(1, EndpointState::Removed));
     assert!((100..=1000).contains(&first) && second >= first);
     assert_eq!(
         (registry.version(first - 1), registry.next_change(3)),
@@ -32,7 +32,7 @@
         registry.changes_since(second, 3),
         VersionedEntries {
             version: 5,
-            entries: vec![entry(1, State::Removed)]
+            entries: vec![entry(1, EndpointState::Removed)]
         }
     );
     let list = registry.list(second);
--- a/crates/model/src/fleet/tests.rs
+++ b/crates/model/src/fleet/tests.rs
@@ -3,7 +3,7 @@
 
 #[test]
 fn types_and_zones_are_assigned_evenly_and_alike_for_one_seed() {
-    let scenario = validation::read(
+    let scenario = validation::decode_scenario(
         "name = 'd'\nlength = '10s'\n[fleet]\nservers = 40",
         "d.toml",
     )
--- a/crates/model/src/lease_history.rs
+++ b/crates/model/src/lease_history.rs
@@ -16,7 +16,7 @@
 
 /// A span in which a member held a lease.
 #[derive(Clone, Debug)]
-struct Holding {
+struct LeaseHolding {
     member: usize,
     term: LeaseTerm,
     from: Micros,
@@ -25,7 +25,7 @@
     end: Option<&'static str>,
 }
 
-impl Holding {
+impl LeaseHolding {
     fn end_or(&self, now: Micros) -> Micros {
         self.to.unwrap_or(now)
     }
@@ -38,7 +38,7 @@
 /// All spans in which leases were held.
 #[derive(Clone, Debug, Default)]
 pub struct LeaseHistory {
-    by_lease: BTreeMap<String, Vec<Holding>>,
+    by_lease: BTreeMap<String, Vec<LeaseHolding>>,
     /// The greatest term of which each process accepted a command, by process and lease.
     accepted: BTreeMap<(u64, String), LeaseTerm>,
     /// Commands that were accepted although one of a later term had been accepted before.
@@ -74,7 +74,7 @@
 impl LeaseHistory {
     /// Records that a member holds a lease from now on.
     pub fn acquired(&mut self, now: Micros, member: usize, lease: &str, term: LeaseTerm) {
-        let holding = Holding {
+        let holding = LeaseHolding {
             member,
             term,
             from: now,
@@ -98,7 +98,7 @@
         cause: &'static str,
     ) {
         let holdings = self.by_lease.get_mut(lease).into_iter().flatten();
-        let is_open = |holding: &&mut Holding| {
+        let is_open = |holding: &&mut LeaseHolding| {
             holding.member == member && holding.term == term && holding.to.is_none()
         };
         for holding in holdings.filter(is_open) {
@@ -109,8 +109,8 @@
 
     /// Records that the process of a member ended, and with it all that it held by then. Deaths may
     /// be reported late: what was acquired afterwards stays.
-    pub fn killed(&mut self, now: Micros, member: usize) {
-        let is_open = |holding: &&mut Holding| {
+    pub fn process_ended(&mut self, now: Micros, member: usize) {
+        let is_open = |holding: &&mut LeaseHolding| {
             holding.member == member && holding.to.is_none() && holding.from <= now
         };
         for holding in self.by_lease.values_mut().flatten().filter(is_open) {
@@ -120,7 +120,7 @@
     }
 
     /// The number of leases that were ever held.
-    pub fn count(&self) -> usize {
+    pub fn lease_count(&self) -> usize {
         self.by_lease.len()
     }
 
@@ -137,22 +137,22 @@
     }
 
     /// Analyses all holdings; those that have not ended last until now.
-    pub fn findings(&self, now: Micros) -> LeaseFindings {
+    pub fn analyze(&self, now: Micros) -> LeaseFindings {
         let mut findings = LeaseFindings::default();
         for (lease, holdings) in &self.by_lease {
-            let mut holdings: Vec<&Holding> = holdings.iter().collect();
+            let mut holdings: Vec<&LeaseHolding> = holdings.iter().collect();
             holdings.sort_by_key(|holding| holding.from);
             let changes = findings.add_holdings(lease, &holdings, now);
             findings.changes += changes.len();
             findings.max_changes_per_minute = findings
                 .max_changes_per_minute
-                .max(max_in_any_minute(&changes));
+                .max(max_events_per_minute(&changes));
         }
         findings
     }
 
     /// The leases that nobody held at that moment, of all that were ever held.
-    pub fn vacant(&self, now: Micros) -> Vec<&str> {
+    pub fn vacant_leases(&self, now: Micros) -> Vec<&str> {
         self.by_lease
             .iter()
             .filter(|(_, holdings)| !holdings.iter().any(|holding| holding.holds_at(now)))
@@ -164,10 +164,15 @@
 impl LeaseFindings {
     /// Adds the holdings of a lease in the order of their beginnings. Returns the times at which
     /// the holder changed.
-    fn add_holdings(&mut self, lease: &str, holdings: &[&Holding], now: Micros) -> Vec<Micros> {
+    fn add_holdings(
+        &mut self,
+        lease: &str,
+        holdings: &[&LeaseHolding],
+        now: Micros,
+    ) -> Vec<Micros> {
         let mut changes = Vec::new();
         // The holding that ends last so far: a later one may lie within it.
-        let mut latest: Option<&Holding> = None;
+        let mut latest: Option<&LeaseHolding> = None;
         for holding in holdings {
             if let Some(before) = latest {
                 self.add_pair(lease, before, holding, now);
@@ -176,7 +181,7 @@
                 }
             }
             let ends_last =
-                |before: &Holding| holding.end_or(Micros::MAX) >= before.end_or(Micros::MAX);
+                |before: &LeaseHolding| holding.end_or(Micros::MAX) >= before.end_or(Micros::MAX);
             if latest.is_none_or(ends_last) {
                 latest = Some(holding);
             }
@@ -184,7 +189,7 @@
         changes
     }
 
-    fn add_pair(&mut self, lease: &str, before: &Holding, after: &Holding, now: Micros) {
+    fn add_pair(&mut self, lease: &str, before: &LeaseHolding, after: &LeaseHolding, now: Micros) {
         let ended = before.end_or(now);
         if after.from < ended && after.member != before.member {
             self.overlaps.push(format!(
@@ -208,7 +213,7 @@
 }
 
 /// The largest number of times within a minute from any of them.
-fn max_in_any_minute(times: &[Micros]) -> usize {
+fn max_events_per_minute(times: &[Micros]) -> usize {
     let in_minute_from = |start: &Micros| {
         times
             .iter()
--- a/crates/model/src/lease_history/tests.rs
+++ b/crates/model/src/lease_history/tests.rs
@@ -24,7 +24,7 @@
     lease_history.lost(ends, 0, "d", term(1, 1), "ran out");
     lease_history.acquired(begins, 1, "d", term(2, 2));
     lease_history.acquired(begins, 1, "another", term(2, 2));
-    let findings = lease_history.findings(100);
+    let findings = lease_history.analyze(100);
     assert_eq!(
         (
             findings.overlaps.len(),
@@ -40,7 +40,7 @@
             cause: "ran out"
         }]
     );
-    assert!(lease_history.vacant(100).is_empty());
+    assert!(lease_history.vacant_leases(100).is_empty());
 }
 
 #[test]
@@ -50,15 +50,15 @@
     lease_history.acquired(50, 1, "d", term(4, 2));
     assert_eq!(
         (
-            lease_history.findings(100).overlaps.len(),
-            lease_history.findings(100).decreased_terms.len()
+            lease_history.analyze(100).overlaps.len(),
+            lease_history.analyze(100).decreased_terms.len()
         ),
         (1, 1)
     );
-    lease_history.killed(40, 0);
-    assert_eq!(lease_history.findings(100).overlaps.len(), 0);
-    lease_history.killed(60, 1);
-    assert_eq!(lease_history.vacant(70), ["d"]);
+    lease_history.process_ended(40, 0);
+    assert_eq!(lease_history.analyze(100).overlaps.len(), 0);
+    lease_history.process_ended(60, 1);
+    assert_eq!(lease_history.vacant_leases(70), ["d"]);
 }
 
 #[test]
--- a/crates/model/src/network.rs
+++ b/crates/model/src/network.rs
@@ -18,10 +18,10 @@
     /// When it ends.
     pub to: Micros,
     /// The balancers at one end of the links.
-    pub side: Vec<usize>,
+    pub balancers: Vec<usize>,
     /// Those at the other end; all others where none are named.
     pub against: Option<Vec<usize>>,
-    /// Whether only what `side` sends is affected.
+    /// Whether only what `balancers` sends is affected.
     pub one_way: bool,
     /// Fraction of the datagrams that it affects.
     pub factor: f64,
@@ -31,18 +31,18 @@
 
 impl LinkFault {
     /// Whether it affects datagrams from one balancer to another.
-    pub fn lies_on(&self, from: usize, to: usize) -> bool {
+    pub fn affects_link(&self, from: usize, to: usize) -> bool {
         let is_other_end = |balancer: usize| match &self.against {
             Some(against) => against.contains(&balancer),
-            None => !self.side.contains(&balancer),
+            None => !self.balancers.contains(&balancer),
         };
-        let is_forward = self.side.contains(&from) && is_other_end(to);
-        let is_backward = self.side.contains(&to) && is_other_end(from);
+        let is_forward = self.balancers.contains(&from) && is_other_end(to);
+        let is_backward = self.balancers.contains(&to) && is_other_end(from);
         is_forward || (!self.one_way && is_backward)
     }
 
     fn is_active(&self, from: usize, to: usize, now: Micros) -> bool {
-        self.from <= now && now < self.to && self.lies_on(from, to)
+        self.from <= now && now < self.to && self.affects_link(from, to)
     }
 }
 
@@ -83,7 +83,7 @@
         now: Micros,
         random: &mut RandomSource,
     ) -> Transmission {
-        let jitter = random.span(self.base_delay[1] - self.base_delay[0]);
+        let jitter = random.duration_below(self.base_delay[1] - self.base_delay[0]);
         let mut transmission = Transmission {
             copies: vec![self.base_delay[0] + jitter],
             corrupted_at: None,
@@ -100,7 +100,7 @@
         let is_outside = |fault: &LinkFault| fault.to <= between[0] || fault.from >= between[1];
         self.faults
             .iter()
-            .all(|fault| is_outside(fault) || !fault.lies_on(from, to))
+            .all(|fault| is_outside(fault) || !fault.affects_link(from, to))
     }
 
     /// When the last fault ends; 0 where there is none.
@@ -117,7 +117,7 @@
             FaultKind::LinkSlow => {
                 // At least half of the delay, at random, so that datagrams are reordered.
                 for delay in &mut self.copies {
-                    *delay += fault.by / 2 + random.span(fault.by / 2);
+                    *delay += fault.by / 2 + random.duration_below(fault.by / 2);
                 }
             }
             FaultKind::LinkRepeats => {
@@ -125,7 +125,7 @@
                     && random.happens(fault.factor)
                 {
                     self.copies
-                        .push(delay + random.span(MAX_DUPLICATE_DELAY_US));
+                        .push(delay + random.duration_below(MAX_DUPLICATE_DELAY_US));
                 }
             }
             FaultKind::LinkCorrupts => {
--- a/crates/model/src/network/tests.rs
+++ b/crates/model/src/network/tests.rs
@@ -5,7 +5,7 @@
         kind,
         from: 10,
         to: 20,
-        side: vec![0, 1],
+        balancers: vec![0, 1],
         against,
         one_way,
         factor: 1.0,
--- a/crates/model/src/process_history.rs
+++ b/crates/model/src/process_history.rs
@@ -36,15 +36,15 @@
     /// Whether it announced so.
     has_left: bool,
     /// The members that have noticed its death.
-    noticed_by: BTreeSet<usize>,
+    detected_by: BTreeSet<usize>,
 }
 
 impl<Id> Process<Id> {
-    fn runs(&self) -> bool {
+    fn is_running(&self) -> bool {
         self.to.is_none()
     }
 
-    fn runs_throughout(&self, span: &RangeInclusive<Micros>) -> bool {
+    fn is_running_throughout(&self, span: &RangeInclusive<Micros>) -> bool {
         self.from <= *span.start() && self.to.is_none_or(|to| to > *span.end())
     }
 }
@@ -57,7 +57,7 @@
     /// The process.
     pub incarnation: &'a Id,
     /// Whether it runs.
-    pub runs: bool,
+    pub is_running: bool,
     /// Whether it left in order.
     pub has_left: bool,
 }
@@ -83,7 +83,7 @@
     }
 
     /// Records that a process of a member serves from now on, and knows of nobody.
-    pub fn started(&mut self, now: Micros, member: usize, incarnation: Id) {
+    pub fn process_started(&mut self, now: Micros, member: usize, incarnation: Id) {
         self.latest[member] = Some(self.processes.len());
         self.known_by[member].clear();
         self.processes.push(Process {
@@ -92,14 +92,14 @@
             from: now,
             to: None,
             has_left: false,
-            noticed_by: BTreeSet::new(),
+            detected_by: BTreeSet::new(),
         });
     }
 
     /// Records that the latest process of a member stopped serving: it was killed or left in order.
-    pub fn ended(&mut self, now: Micros, member: usize, has_left: bool) {
+    pub fn process_stopped(&mut self, now: Micros, member: usize, has_left: bool) {
         let latest = self.latest[member].map(|index| &mut self.processes[index]);
-        if let Some(process) = latest.filter(|process| process.runs()) {
+        if let Some(process) = latest.filter(|process| process.is_running()) {
             process.to = Some(now);
             process.has_left = has_left;
         }
@@ -107,13 +107,13 @@
 
     /// Records that a member noticed the death of a process. Returns when the process died, once
     /// for each member; nothing if it runs or left in order.
-    pub fn death_noticed(&mut self, member: usize, incarnation: &Id) -> Option<Micros> {
+    pub fn death_detected(&mut self, member: usize, incarnation: &Id) -> Option<Micros> {
         let process = self
             .processes
             .iter_mut()
             .find(|process| process.incarnation == *incarnation)?;
         let died = process.to.filter(|_| !process.has_left)?;
-        process.noticed_by.insert(member).then_some(died)
+        process.detected_by.insert(member).then_some(died)
     }
 
     /// The member of a process.
@@ -125,20 +125,20 @@
     }
 
     /// Whether a process serves.
-    pub fn runs(&self, incarnation: &Id) -> bool {
+    pub fn is_running(&self, incarnation: &Id) -> bool {
         self.processes
             .iter()
-            .any(|process| process.incarnation == *incarnation && process.runs())
+            .any(|process| process.incarnation == *incarnation && process.is_running())
     }
 
     /// The latest process of each member that has had one.
-    pub fn latest(&self) -> impl Iterator<Item = LatestProcess<'_, Id>> {
+    pub fn latest_processes(&self) -> impl Iterator<Item = LatestProcess<'_, Id>> {
         self.latest.iter().flatten().map(|index| {
             let process = &self.processes[*index];
             LatestProcess {
                 member: process.member,
                 incarnation: &process.incarnation,
-                runs: process.runs(),
+                is_running: process.is_running(),
                 has_left: process.has_left,
             }
         })
@@ -168,7 +168,7 @@
             if entry.is_some() {
                 self.known_by[member].insert(index);
             }
-            if !process.runs_throughout(&span) || !self.known_by[member].contains(&index) {
+            if !process.is_running_throughout(&span) || !self.known_by[member].contains(&index) {
                 continue;
             }
             serving += 1;
--- a/crates/model/src/process_history/tests.rs
+++ b/crates/model/src/process_history/tests.rs
@@ -6,7 +6,7 @@
     let mut history = ProcessHistory::new(3);
     [(0, 'a'), (1, 'b'), (2, 'c')]
         .into_iter()
-        .for_each(|(member, incarnation)| history.started(10, member, incarnation));
+        .for_each(|(member, incarnation)| history.process_started(10, member, incarnation));
     history
 }
 
@@ -47,20 +47,20 @@
     history.check_view(0, 20..=20, &both, 2);
     assert_eq!(history.check_view(0, 30..=30, &both[..1], 2).len(), 1);
     // It ended inside the span of the view: either is true of some moment.
-    history.ended(45, 2, false);
+    history.process_stopped(45, 2, false);
     assert_eq!(history.check_view(0, 40..=50, &both[..1], 1).len(), 0);
-    history.started(60, 0, 'd');
+    history.process_started(60, 0, 'd');
     assert_eq!(history.check_view(0, 70..=70, &[], 0).len(), 0);
 }
 
 #[test]
 fn a_death_is_noticed_by_each_once() {
     let mut history = process_history();
-    history.ended(100, 2, false);
+    history.process_stopped(100, 2, false);
     assert_eq!(
-        [0, 0, 1].map(|member| history.death_noticed(member, &'c')),
+        [0, 0, 1].map(|member| history.death_detected(member, &'c')),
         [Some(100), None, Some(100)]
     );
-    history.ended(100, 1, true);
-    assert_eq!(history.death_noticed(0, &'b'), None);
+    history.process_stopped(100, 1, true);
+    assert_eq!(history.death_detected(0, &'b'), None);
 }
--- a/crates/model/src/random.rs
+++ b/crates/model/src/random.rs
@@ -82,7 +82,7 @@
 
     /// `count` distinct integers below `end`, in ascending order; all of them where there are
     /// fewer.
-    pub fn some_of(&mut self, count: usize, end: usize) -> Vec<usize> {
+    pub fn sample_indices(&mut self, count: usize, end: usize) -> Vec<usize> {
         let mut numbers: Vec<usize> = (0..end).collect();
         for index in 0..count.min(end) {
             let other = index + self.below(end - index);
@@ -94,7 +94,7 @@
     }
 
     /// A uniform duration below `max`.
-    pub fn span(&mut self, max: Micros) -> Micros {
+    pub fn duration_below(&mut self, max: Micros) -> Micros {
         (self.unit() * max as f64) as Micros
     }
 }
--- a/crates/model/src/random/tests.rs
+++ b/crates/model/src/random/tests.rs
@@ -33,8 +33,8 @@
 #[test]
 fn some_of_are_different() {
     let mut random = RandomSource::new(3);
-    let mut drawn = random.some_of(30, 40);
+    let mut drawn = random.sample_indices(30, 40);
     drawn.dedup();
     assert_eq!(drawn.len(), 30);
-    assert_eq!(random.some_of(9, 4), [0, 1, 2, 3]);
+    assert_eq!(random.sample_indices(9, 4), [0, 1, 2, 3]);
 }
--- a/crates/model/src/scenario/fault.rs
+++ b/crates/model/src/scenario/fault.rs
@@ -140,8 +140,11 @@
 
 impl FaultKind {
     /// Whether it affects the servers that the fault names.
-    pub fn hits_servers(self) -> bool {
-        self != Self::Grow && !self.is_global() && !self.hits_balancers() && !self.hits_links()
+    pub fn affects_servers(self) -> bool {
+        self != Self::Grow
+            && !self.is_global()
+            && !self.affects_balancers()
+            && !self.affects_links()
     }
 
     /// Whether it applies to all servers, clients or balancers alike while it lasts.
@@ -149,14 +152,14 @@
         matches!(
             self,
             Self::DiscoveryUnreachable | Self::DiscoveryStale | Self::Burst
-        ) || self.is_of_clients()
-            || self.is_of_responses()
-            || self.is_of_system()
-            || self.is_of_lists()
+        ) || self.affects_clients()
+            || self.affects_server_responses()
+            || self.affects_operating_system()
+            || self.affects_discovery_responses()
     }
 
     /// Whether it changes how discovery responds.
-    pub fn is_of_lists(self) -> bool {
+    pub fn affects_discovery_responses(self) -> bool {
         matches!(
             self,
             Self::WatchesSilent
@@ -173,7 +176,7 @@
     }
 
     /// Whether it changes what clients send.
-    pub fn is_of_clients(self) -> bool {
+    pub fn affects_clients(self) -> bool {
         matches!(
             self,
             Self::ClientsInPieces | Self::ClientsStop | Self::ClientsPipeline
@@ -181,7 +184,7 @@
     }
 
     /// Whether it changes how servers write responses and close connections.
-    pub fn is_of_responses(self) -> bool {
+    pub fn affects_server_responses(self) -> bool {
         matches!(
             self,
             Self::AnswersInPieces | Self::AnswersUnended | Self::AnswersTwice | Self::IdleClosed
@@ -189,7 +192,7 @@
     }
 
     /// Whether it changes the operating system that balancers run on.
-    pub fn is_of_system(self) -> bool {
+    pub fn affects_operating_system(self) -> bool {
         matches!(
             self,
             Self::SystemFails
@@ -201,7 +204,7 @@
     }
 
     /// Whether it affects the network links between balancers.
-    pub fn hits_links(self) -> bool {
+    pub fn affects_links(self) -> bool {
         matches!(
             self,
             Self::LinkCut
@@ -214,7 +217,7 @@
     }
 
     /// Whether it affects the processes of the balancers that the fault names.
-    pub fn hits_balancers(self) -> bool {
+    pub fn affects_balancers(self) -> bool {
         matches!(
             self,
             Self::BalancerKilled
@@ -237,7 +240,7 @@
     }
 
     /// Default and valid range of the factor, for the kinds that take one.
-    pub fn factor(self) -> Option<FactorRange> {
+    pub fn factor_range(self) -> Option<FactorRange> {
         let range = match self {
             Self::Neighbour => FactorRange::new(0.5, 0.0, 0.99),
             Self::Slow => FactorRange::new(3.0, 1.0, 1000.0),
@@ -274,7 +277,7 @@
     }
 
     /// Whether it needs the duration `by`.
-    pub fn takes_by(self) -> bool {
+    pub fn requires_by(self) -> bool {
         matches!(
             self,
             Self::ReportsLate
--- a/crates/model/src/server/load.rs
+++ b/crates/model/src/server/load.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use super::Report;
+use super::LoadReport;
 use crate::Micros;
 use crate::scenario::{Fleet, Rules};
 
@@ -102,7 +102,7 @@
 /// A load report and when it was measured.
 struct Measurement {
     at: Micros,
-    report: Report,
+    report: LoadReport,
 }
 
 /// Load measurements at regular intervals.
@@ -140,7 +140,7 @@
             return;
         }
         let core_time = (now - self.last_measured_at) as f64 * cores as f64;
-        let report = Report {
+        let report = LoadReport {
             in_flight: jobs,
             queue: waiting,
             utilisation: (self.busy / core_time).min(1.0),
@@ -154,7 +154,7 @@
     }
 
     /// The latest measurement at or before that time.
-    pub(super) fn latest(&self, until: Micros) -> Option<Report> {
+    pub(super) fn latest(&self, until: Micros) -> Option<LoadReport> {
         let mut measurements = self.measurements.iter().rev();
         let latest = measurements.find(|measurement| measurement.at <= until);
         latest.map(|measurement| measurement.report)
--- a/crates/model/src/server/mod.rs
+++ b/crates/model/src/server/mod.rs
@@ -13,7 +13,7 @@
 use duplicates::KeyCache;
 pub use duplicates::{DUPLICATE_WORK_US, DuplicateFilter};
 use load::{LoadMeter, Overload, SlowStartWork};
-pub use types::{Condition, FinishedJob, Job, JobOutcome, Report, ServerSpec};
+pub use types::{Condition, FinishedJob, Job, JobOutcome, LoadReport, ServerSpec};
 
 use crate::Micros;
 use crate::random::RandomSource;
@@ -56,7 +56,7 @@
     unread: Vec<Job>,
     overload: Overload,
     slow_start_work: SlowStartWork,
-    is_dead: bool,
+    is_stopped: bool,
     crashed_in_slow_start: bool,
     connections: usize,
     key_cache: KeyCache,
@@ -80,7 +80,7 @@
             unread: Vec::new(),
             overload: Overload::default(),
             slow_start_work: SlowStartWork::default(),
-            is_dead: false,
+            is_stopped: false,
             crashed_in_slow_start: false,
             connections: 0,
             key_cache: KeyCache::default(),
@@ -89,8 +89,8 @@
     }
 
     /// Whether it crashed or was killed.
-    pub fn is_dead(&self) -> bool {
-        self.is_dead
+    pub fn is_stopped(&self) -> bool {
+        self.is_stopped
     }
 
     /// Whether it crashed because it received too much work in slow start.
@@ -170,7 +170,7 @@
 
     /// Opens a connection. Returns whether there was capacity for it.
     pub fn connect(&mut self) -> bool {
-        let has_capacity = !self.is_dead && self.connections < self.fleet.max_connections;
+        let has_capacity = !self.is_stopped && self.connections < self.fleet.max_connections;
         self.connections += usize::from(has_capacity);
         has_capacity
     }
@@ -183,12 +183,12 @@
     /// Receives the last byte of a job.
     pub fn receive(&mut self, now: Micros, job: Job, finished: &mut Vec<FinishedJob>) {
         self.advance(now, finished);
-        if self.is_dead {
-            return finished.push(job.ended(JobOutcome::ServerDied));
+        if self.is_stopped {
+            return finished.push(job.ended(JobOutcome::ServerCrashed));
         }
         if self.exceeds_slow_start_limit(job.work) {
             self.crashed_in_slow_start = true;
-            finished.push(job.ended(JobOutcome::ServerDied));
+            finished.push(job.ended(JobOutcome::ServerCrashed));
             return self.kill(now, finished);
         }
         if self.condition.frozen {
@@ -249,11 +249,11 @@
 
     /// Kills the server with all its jobs.
     pub fn kill(&mut self, now: Micros, finished: &mut Vec<FinishedJob>) {
-        if self.is_dead {
+        if self.is_stopped {
             return;
         }
         self.now = self.now.max(now);
-        self.is_dead = true;
+        self.is_stopped = true;
         self.connections = 0;
         let active = self.running.drain(..).chain(self.waiting.drain(..));
         let jobs = active
@@ -262,13 +262,13 @@
             .chain(self.unread.drain(..).map(|job| job.id));
         finished.extend(jobs.map(|id| FinishedJob {
             id,
-            outcome: JobOutcome::ServerDied,
+            outcome: JobOutcome::ServerCrashed,
         }));
     }
 
     /// The time of the next change, if no job arrives and the condition stays.
     pub fn next_event(&self) -> Option<Micros> {
-        if self.is_dead || self.condition.frozen {
+        if self.is_stopped || self.condition.frozen {
             return None;
         }
         let rate = self.core_rate();
@@ -324,7 +324,7 @@
     /// Moves finished work off the cores, starts waiting jobs, ends jobs and updates the overload
     /// state.
     fn settle(&mut self, finished: &mut Vec<FinishedJob>) {
-        if self.condition.frozen || self.is_dead {
+        if self.condition.frozen || self.is_stopped {
             return;
         }
         self.release_cores();
@@ -388,7 +388,7 @@
 
     /// The load that a response reports now; none where reports are off or nothing was measured
     /// yet.
-    pub fn report(&self, now: Micros) -> Option<Report> {
+    pub fn load_report(&self, now: Micros) -> Option<LoadReport> {
         if self.condition.reports_absent || self.fleet.report_interval.0 == 0 {
             return None;
         }
--- a/crates/model/src/server/tests.rs
+++ b/crates/model/src/server/tests.rs
@@ -81,7 +81,7 @@
             outcome: JobOutcome::Rejected
         }]
     );
-    assert!(!JobOutcome::Rejected.ran());
+    assert!(!JobOutcome::Rejected.was_processed());
 }
 
 #[test]
@@ -128,7 +128,7 @@
     server.set_condition(0, condition, &mut Vec::new());
     received(&mut server, 0, 7, 10_000.0);
     assert_eq!(finished_until(&mut server, SECOND), [(at, 7, outcome)]);
-    assert!(outcome.ran());
+    assert!(outcome.was_processed());
 }
 
 #[test]
@@ -198,13 +198,13 @@
         finished.extend(received(&mut pushed, 10_000 * job, job, 100_000.0));
     }
     assert!(
-        pushed.crashed_in_slow_start() && pushed.is_dead(),
+        pushed.crashed_in_slow_start() && pushed.is_stopped(),
         "1.0 s of work within 1 s is over 3 x 0.3"
     );
     assert_eq!(
         finished
             .iter()
-            .filter(|done| done.outcome == JobOutcome::ServerDied)
+            .filter(|done| done.outcome == JobOutcome::ServerCrashed)
             .count(),
         10
     );
@@ -235,7 +235,7 @@
         (with_key(0, 0), with_key(900_000, 1), with_key(2_000_000, 2)),
         (10_000, 5_000, 10_000)
     );
-    let report = server.report(2_000_000).expect("a reading was due");
+    let report = server.load_report(2_000_000).expect("a reading was due");
     assert!(report.utilisation > 0.0 && report.utilisation <= 1.0);
     server.set_condition(
         2_100_000,
@@ -245,7 +245,7 @@
         },
         &mut Vec::new(),
     );
-    assert_eq!(server.report(2_200_000), None);
+    assert_eq!(server.load_report(2_200_000), None);
 }
 
 #[test]
--- a/crates/model/src/server/types.rs
+++ b/crates/model/src/server/types.rs
@@ -91,12 +91,12 @@
     /// It ran, and its connection is reset.
     ConnectionReset,
     /// The server crashed before it ended.
-    ServerDied,
+    ServerCrashed,
 }
 
 impl JobOutcome {
     /// Whether the job was processed.
-    pub fn ran(self) -> bool {
+    pub fn was_processed(self) -> bool {
         matches!(
             self,
             Self::Succeeded | Self::Corrupted | Self::Unanswered | Self::ConnectionReset
@@ -115,7 +115,7 @@
 
 /// Load as responses report it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// Jobs at the server.
     pub in_flight: usize,
     /// Jobs that wait for a core.
--- a/crates/model/src/service.rs
+++ b/crates/model/src/service.rs
@@ -70,7 +70,7 @@
 
 /// The parts of the service score, each from 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Parts {
+pub struct ServiceScore {
     /// The score over the complete scenario.
     #[serde(rename = "whole")]
     pub overall: f64,
@@ -162,7 +162,7 @@
     }
 
     /// The parts of the score, and their total.
-    pub fn parts(&self, scenario: &Scenario) -> Parts {
+    pub fn service_score(&self, scenario: &Scenario) -> ServiceScore {
         let overall = self.score(scenario, |_| true).unwrap_or(0.0);
         let scheduled = self.results.values().map(|result| result.scheduled_at);
         let last = scheduled.max().unwrap_or(0);
@@ -175,7 +175,7 @@
             .map(|class| self.score(scenario, |result| result.class == class));
         let by_tenant = (0..scenario.tenants.len())
             .map(|tenant| self.score(scenario, |result| result.tenant == tenant));
-        let parts = Parts {
+        let parts = ServiceScore {
             overall,
             worst_10s: worst(windows, overall),
             worst_class: worst(by_class, overall),
@@ -184,7 +184,7 @@
             total: 0.0,
         };
         let total = parts.weighted_mean(scenario);
-        Parts { total, ..parts }
+        ServiceScore { total, ..parts }
     }
 
     /// The score of each second of the scenario, by when requests were scheduled; 1 where there
@@ -209,7 +209,7 @@
     }
 }
 
-impl Parts {
+impl ServiceScore {
     fn weighted_mean(&self, scenario: &Scenario) -> f64 {
         let weights = &scenario.service;
         let parts = [
--- a/crates/model/src/service/tests.rs
+++ b/crates/model/src/service/tests.rs
@@ -2,8 +2,8 @@
 use crate::{fleet, timeline::Timeline, traffic::Arrivals, validation};
 
 /// The score where each request succeeds after the latency that `latency` gives, or is rejected.
-fn parts(latency: impl Fn(&Request) -> Option<Micros>) -> Parts {
-    let scenario = validation::read("name = 'd'\nlength = '20s'", "d.toml").unwrap();
+fn parts(latency: impl Fn(&Request) -> Option<Micros>) -> ServiceScore {
+    let scenario = validation::decode_scenario("name = 'd'\nlength = '20s'", "d.toml").unwrap();
     let timeline = Timeline::new(&scenario, &fleet::specs(&scenario, 1), 1);
     let mut tally = Tally::new();
     for request in Arrivals::new(&scenario, &timeline, 1) {
@@ -16,7 +16,7 @@
             None => tally.record_outcome(&request, request.scheduled_at, Some(Outcome::Rejected)),
         }
     }
-    tally.parts(&scenario)
+    tally.service_score(&scenario)
 }
 
 #[test]
@@ -42,7 +42,7 @@
 
 #[test]
 fn retries_count_towards_the_first_attempt() {
-    let scenario = validation::read("name = 'd'\nlength = '20s'", "d.toml").unwrap();
+    let scenario = validation::decode_scenario("name = 'd'\nlength = '20s'", "d.toml").unwrap();
     let timeline = Timeline::new(&scenario, &fleet::specs(&scenario, 1), 1);
     let mut tally = Tally::new();
     for (number, request) in Arrivals::new(&scenario, &timeline, 1).enumerate() {
@@ -57,5 +57,5 @@
             Some(Outcome::Succeeded),
         );
     }
-    assert_eq!(tally.parts(&scenario).overall, 1.0);
+    assert_eq!(tally.service_score(&scenario).overall, 1.0);
 }
--- a/crates/model/src/timeline/mod.rs
+++ b/crates/model/src/timeline/mod.rs
@@ -1,5 +1,5 @@
-//! The faults of a scenario as a timeline: what holds for each server, for traffic and for
-//! discovery at a point in time, and which events happen to servers and balancers.
+//! The faults of a scenario as a timeline: their effect on each server, on traffic and on discovery
+//! at a point in time, and the resulting events of servers and balancers.
 
 use crate::Micros;
 use crate::network::{LinkFault, NetworkLinks};
@@ -7,35 +7,35 @@
 use crate::scenario::{Fault, FaultKind, Scenario};
 use crate::server::{Condition, ServerSpec};
 
-/// Period in which a throttled balancer is suspended for a part.
+/// Period of the repeated suspension of a throttled balancer, in microseconds.
 const THROTTLE_PERIOD_US: Micros = 100_000;
 
-/// One server under one fault, from `from` until before `to`.
+/// A fault of one server. It is active from `from` (inclusive) to `to` (exclusive).
 #[derive(Clone, Debug)]
 pub struct ServerFault {
     /// The kind of fault.
     pub kind: FaultKind,
-    /// The server's number.
+    /// Number of the server.
     pub server: usize,
-    /// When it starts.
+    /// Start of the fault.
     pub from: Micros,
-    /// When it ends.
+    /// End of the fault.
     pub to: Micros,
-    /// Strength, in the unit of its kind.
+    /// Strength of the fault, whose meaning depends on the kind; see [`FaultKind`].
     pub factor: f64,
-    /// Duration parameter of its kind.
+    /// Duration in microseconds whose meaning depends on the kind; see [`FaultKind`].
     pub by: Micros,
-    /// Index in the scenario's list of faults.
+    /// Index of the fault in the scenario's list of faults.
     pub index: usize,
 }
 
-/// A fault that applies to all servers, clients or balancers alike.
+/// A fault that applies to all servers, clients or balancers.
 #[derive(Clone, Debug)]
 struct GlobalFault {
     kind: FaultKind,
     from: Micros,
     to: Micros,
-    strength: Strength,
+    parameters: FaultParameters,
 }
 
 impl GlobalFault {
@@ -44,41 +44,41 @@
     }
 }
 
-/// Parameters of a fault that applies now.
+/// The parameters of an active fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Strength {
-    /// Strength, in the unit of the fault's kind.
+pub struct FaultParameters {
+    /// Strength of the fault, whose meaning depends on the kind; see [`FaultKind`].
     pub factor: f64,
-    /// Duration parameter of the fault's kind.
+    /// Duration in microseconds whose meaning depends on the kind; see [`FaultKind`].
     pub by: Micros,
 }
 
-/// Something that happens to a server or a balancer, identified by its number.
+/// An event of a server or a balancer, which is identified by its number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TimelineEvent {
     /// Discovery marks the server as draining.
     DrainStarted(usize),
-    /// The drained server is removed, and another one replaces it.
+    /// The drained server is removed, and a new server replaces it.
     DrainFinished(usize),
     /// The server crashes.
     ServerCrashed(usize),
     /// A crashed server starts again, in slow start.
     ServerRestored(usize),
-    /// The server restarts at once, in slow start.
+    /// The server restarts immediately, in slow start.
     ServerRestarted(usize),
-    /// This many further servers join.
+    /// The given number of new servers join.
     ServersAdded(usize),
     /// The balancer is killed.
     BalancerKilled(usize),
-    /// The balancer is asked to stop.
+    /// The balancer receives a signal to shut down.
     BalancerStopped(usize),
     /// The balancer is started again.
     BalancerStarted(usize),
-    /// The balancer is started again at the cluster address that another one had at first.
+    /// The balancer is started again at the original cluster address of another balancer.
     BalancerMoved {
-        /// The balancer's number.
+        /// Number of the balancer.
         number: usize,
-        /// The balancer whose address it takes.
+        /// Number of the balancer whose original address it uses.
         address_of: usize,
     },
     /// The balancer reloads its configuration.
@@ -90,7 +90,7 @@
 }
 
 impl TimelineEvent {
-    /// The balancer that it happens to, if it is one.
+    /// Returns the number of the balancer, if it is an event of a balancer.
     pub fn balancer(self) -> Option<usize> {
         match self {
             Self::BalancerKilled(number)
@@ -105,23 +105,23 @@
     }
 }
 
-/// An event and when it happens.
+/// An event and its time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ScheduledEvent {
-    /// When it happens.
+    /// Time of the event.
     pub at: Micros,
-    /// What happens.
+    /// The event.
     pub event: TimelineEvent,
 }
 
-/// What discovery serves at a point in time.
+/// The availability of discovery at a point in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryState {
-    /// The current list.
+    /// Discovery returns the current list.
     Available,
-    /// Nothing.
+    /// Discovery is unreachable.
     Unreachable,
-    /// The list as it was this long ago.
+    /// Discovery returns the list of an earlier time, with its age in microseconds.
     Stale(Micros),
 }
 
@@ -132,12 +132,13 @@
     global_faults: Vec<GlobalFault>,
     /// The links between balancers and their faults.
     pub links: NetworkLinks,
-    /// Events in order of time.
+    /// Events in chronological order.
     pub events: Vec<ScheduledEvent>,
 }
 
-/// Numbers of the servers that a fault selects among those that the scenario starts with.
-pub fn matching_servers(
+/// Returns the numbers of the servers that a fault selects among `specs`, the servers at the start
+/// of the scenario.
+pub fn select_servers(
     scenario: &Scenario,
     fault: &Fault,
     specs: &[ServerSpec],
@@ -166,12 +167,12 @@
         return all;
     };
     let count = (fraction * all.len() as f64).ceil() as usize;
-    let indices = random.some_of(count, all.len());
+    let indices = random.sample_indices(count, all.len());
     indices.into_iter().map(|index| all[index]).collect()
 }
 
 impl Timeline {
-    /// The timeline of a scenario whose servers are `specs`.
+    /// Creates the timeline of a scenario that starts with the servers `specs`.
     pub fn new(scenario: &Scenario, specs: &[ServerSpec], seed: u64) -> Self {
         let mut timeline = Self::default();
         for (index, fault) in scenario.faults.iter().enumerate() {
@@ -180,7 +181,7 @@
         timeline
     }
 
-    /// Adds a fault. Its random draws depend on the seed and on `index` alone.
+    /// Adds a fault. Its random draws depend only on the seed and on `index`.
     pub fn add(
         &mut self,
         scenario: &Scenario,
@@ -189,29 +190,29 @@
         index: usize,
         fault: &Fault,
     ) {
-        let default = fault.kind.factor().map(|range| range.default);
-        let strength = Strength {
+        let default = fault.kind.factor_range().map(|range| range.default);
+        let parameters = FaultParameters {
             factor: fault.factor.or(default).unwrap_or(0.0),
             by: fault.by.unwrap_or_default().0,
         };
         let from = fault.at.0;
-        if fault.kind.hits_servers() {
+        if fault.kind.affects_servers() {
             let mut random = RandomSource::split(seed, "fault", index as u64);
-            let servers = matching_servers(scenario, fault, specs, &mut random);
-            self.add_server_fault(fault, &servers, strength, index);
-        } else if fault.kind.hits_balancers() {
-            self.add_balancer_fault(fault, strength);
-        } else if fault.kind.hits_links() {
-            self.add_link_fault(fault, strength);
+            let servers = select_servers(scenario, fault, specs, &mut random);
+            self.add_server_fault(fault, &servers, parameters, index);
+        } else if fault.kind.affects_balancers() {
+            self.add_balancer_fault(fault, parameters);
+        } else if fault.kind.affects_links() {
+            self.add_link_fault(fault, parameters);
         } else if fault.kind == FaultKind::Grow {
-            let count = (strength.factor * specs.len() as f64).ceil() as usize;
+            let count = (parameters.factor * specs.len() as f64).ceil() as usize;
             self.schedule(from, TimelineEvent::ServersAdded(count));
         } else {
             self.global_faults.push(GlobalFault {
                 kind: fault.kind,
                 from,
                 to: from + fault.duration.0,
-                strength,
+                parameters,
             });
         }
         self.events.sort_by_key(|scheduled| scheduled.at);
@@ -225,7 +226,7 @@
         &mut self,
         fault: &Fault,
         servers: &[usize],
-        strength: Strength,
+        parameters: FaultParameters,
         index: usize,
     ) {
         let stagger = fault.over.0 / servers.len().max(1) as u64;
@@ -236,8 +237,8 @@
                 server,
                 from,
                 to: from + fault.duration.0,
-                factor: strength.factor,
-                by: strength.by,
+                factor: parameters.factor,
+                by: parameters.by,
                 index,
             };
             self.schedule_server_events(&server_fault);
@@ -261,7 +262,7 @@
         }
     }
 
-    fn add_balancer_fault(&mut self, fault: &Fault, strength: Strength) {
+    fn add_balancer_fault(&mut self, fault: &Fault, parameters: FaultParameters) {
         let balancers = fault.balancers.clone().unwrap_or_else(|| vec![0]);
         let stagger = fault.over.0 / balancers.len().max(1) as u64;
         for (position, &number) in balancers.iter().enumerate() {
@@ -272,9 +273,9 @@
                 continue;
             }
             let next = balancers[(position + 1) % balancers.len()];
-            let [start, end] = start_and_end(fault.kind, number, next);
+            let [start, end] = start_and_end_events(fault.kind, number, next);
             let (period, active) = if fault.kind == FaultKind::BalancerHurt {
-                let suspended = THROTTLE_PERIOD_US as f64 * strength.factor;
+                let suspended = THROTTLE_PERIOD_US as f64 * parameters.factor;
                 (THROTTLE_PERIOD_US, suspended as Micros)
             } else {
                 (fault.duration.0.max(1), fault.duration.0)
@@ -286,25 +287,25 @@
         }
     }
 
-    fn add_link_fault(&mut self, fault: &Fault, strength: Strength) {
+    fn add_link_fault(&mut self, fault: &Fault, parameters: FaultParameters) {
         self.links.faults.push(LinkFault {
             kind: fault.kind,
             from: fault.at.0,
             to: fault.at.0 + fault.duration.0,
-            side: fault.balancers.clone().unwrap_or_else(|| vec![0]),
+            balancers: fault.balancers.clone().unwrap_or_else(|| vec![0]),
             against: fault.against.clone(),
             one_way: fault.one_way,
-            factor: strength.factor,
-            by: strength.by,
+            factor: parameters.factor,
+            by: parameters.by,
         });
     }
 
-    /// All faults of single servers, in the order in which they were added.
+    /// Returns the faults of individual servers, in the order in which they were added.
     pub fn server_faults(&self) -> &[ServerFault] {
         &self.server_faults
     }
 
-    /// The next time after `now` at which the condition of some server changes.
+    /// Returns the next time after `now` at which the condition of any server changes.
     pub fn next_condition_change(&self, now: Micros) -> Option<Micros> {
         self.server_faults
             .iter()
@@ -313,7 +314,7 @@
             .min()
     }
 
-    /// The combined effect of all faults on a server.
+    /// Returns the combined effect of all active faults on a server.
     pub fn condition(&self, server: usize, now: Micros) -> Condition {
         let mut condition = Condition::default();
         let is_active =
@@ -340,63 +341,68 @@
         condition
     }
 
-    fn active_global_faults(&self, kind: FaultKind, now: Micros) -> impl Iterator<Item = Strength> {
+    fn active_global_faults(
+        &self,
+        kind: FaultKind,
+        now: Micros,
+    ) -> impl Iterator<Item = FaultParameters> {
         self.global_faults
             .iter()
             .filter(move |fault| fault.kind == kind && fault.is_active(now))
-            .map(|fault| fault.strength)
+            .map(|fault| fault.parameters)
     }
 
-    /// The strength of the first active fault of a kind that applies to all alike.
-    pub fn global_fault(&self, kind: FaultKind, now: Micros) -> Option<Strength> {
+    /// Returns the parameters of the first active global fault of a kind.
+    pub fn active_global_fault(&self, kind: FaultKind, now: Micros) -> Option<FaultParameters> {
         self.active_global_faults(kind, now).next()
     }
 
-    fn starts_of(&self, kind: FaultKind) -> impl Iterator<Item = Micros> {
+    fn start_times(&self, kind: FaultKind) -> impl Iterator<Item = Micros> {
         self.global_faults
             .iter()
             .filter(move |fault| fault.kind == kind)
             .map(|fault| fault.from)
     }
 
-    /// When a fault of that kind started, if one did from `from` until before `to`.
+    /// Returns the start of a global fault of a kind that starts from `from` (inclusive) to `to`
+    /// (exclusive), if there is one.
     pub fn started_between(&self, kind: FaultKind, from: Micros, to: Micros) -> Option<Micros> {
-        self.starts_of(kind).find(|at| (from..to).contains(at))
+        self.start_times(kind).find(|at| (from..to).contains(at))
     }
 
-    /// When the next fault of that kind starts, at `from` or later.
+    /// Returns the start of the first global fault of a kind that starts at `from` or later.
     pub fn next_start(&self, kind: FaultKind, from: Micros) -> Option<Micros> {
-        self.starts_of(kind).filter(|at| *at >= from).min()
+        self.start_times(kind).filter(|at| *at >= from).min()
     }
 
-    /// The multiple of the usual traffic due to bursts.
+    /// Returns the factor by which active bursts multiply the usual request rate.
     pub fn burst_factor(&self, now: Micros) -> f64 {
         self.active_global_faults(FaultKind::Burst, now)
-            .map(|strength| strength.factor)
+            .map(|parameters| parameters.factor)
             .product()
     }
 
-    /// The times at which bursts start.
+    /// Returns the times at which bursts start.
     pub fn burst_starts(&self) -> impl Iterator<Item = Micros> {
-        self.starts_of(FaultKind::Burst)
+        self.start_times(FaultKind::Burst)
     }
 
-    /// What discovery serves.
+    /// Returns the availability of discovery.
     pub fn discovery_state(&self, now: Micros) -> DiscoveryState {
-        let unreachable = self.global_fault(FaultKind::DiscoveryUnreachable, now);
+        let unreachable = self.active_global_fault(FaultKind::DiscoveryUnreachable, now);
         if unreachable.is_some() {
             return DiscoveryState::Unreachable;
         }
         self.active_global_faults(FaultKind::DiscoveryStale, now)
-            .map(|strength| strength.by)
+            .map(|parameters| parameters.by)
             .max()
             .map_or(DiscoveryState::Available, DiscoveryState::Stale)
     }
 }
 
-/// The events at the start and the end of a fault of one balancer; `next` is the next balancer that
-/// the fault names.
-fn start_and_end(kind: FaultKind, number: usize, next: usize) -> [TimelineEvent; 2] {
+/// Returns the events at the start and the end of a fault of one balancer. `next` is the number of
+/// the next balancer in the list of the fault.
+fn start_and_end_events(kind: FaultKind, number: usize, next: usize) -> [TimelineEvent; 2] {
     use TimelineEvent::{
         BalancerKilled, BalancerMoved, BalancerPaused, BalancerResumed, BalancerStarted,
         BalancerStopped,
--- a/crates/model/src/timeline/tests.rs
+++ b/crates/model/src/timeline/tests.rs
@@ -3,7 +3,8 @@
 
 fn timeline(faults: &str) -> (Vec<ServerSpec>, Timeline) {
     let scenario =
-        validation::read(&format!("name = 'd'\nlength = '30s'\n{faults}"), "d.toml").unwrap();
+        validation::decode_scenario(&format!("name = 'd'\nlength = '30s'\n{faults}"), "d.toml")
+            .unwrap();
     let specs = fleet::specs(&scenario, 1);
     let timeline = Timeline::new(&scenario, &specs, 1);
     (specs, timeline)
--- a/crates/model/src/traffic/tests.rs
+++ b/crates/model/src/traffic/tests.rs
@@ -3,7 +3,8 @@
 
 fn scenario(rest: &str) -> (Scenario, Timeline) {
     let scenario =
-        validation::read(&format!("name = 'd'\nlength = '20s'\n{rest}"), "d.toml").unwrap();
+        validation::decode_scenario(&format!("name = 'd'\nlength = '20s'\n{rest}"), "d.toml")
+            .unwrap();
     let timeline = Timeline::new(&scenario, &fleet::specs(&scenario, 1), 1);
     (scenario, timeline)
 }
--- a/crates/model/src/validation/faults.rs
+++ b/crates/model/src/validation/faults.rs
@@ -1,26 +1,26 @@
 //! Checks of a scenario's faults: each by itself, and those that contradict each other.
 
-use super::Problems;
+use super::Validator;
 use crate::random::RandomSource;
 use crate::scenario::{Fault, FaultKind, Scenario, Span};
 use crate::server::ServerSpec;
 use crate::timeline::{self, ServerFault, Timeline, TimelineEvent};
 use crate::{SECOND, fleet};
 
-impl Problems<'_> {
+impl Validator<'_> {
     pub(super) fn check_faults(&mut self, scenario: &Scenario) {
         let specs = fleet::specs(scenario, scenario.seed);
         for fault in &scenario.faults {
             let (offset, fault) = (fault.span().start, fault.get_ref());
             self.check_fault(scenario, offset, fault);
-            if fault.kind.hits_servers() {
+            if fault.kind.affects_servers() {
                 self.check_matching_servers(scenario, offset, fault, &specs);
             }
         }
-        if self.found.is_empty() {
+        if self.errors.is_empty() {
             let timeline = Timeline::new(scenario, &specs, scenario.seed);
             self.check_overlapping_server_faults(scenario, &timeline);
-            if self.found.is_empty() {
+            if self.errors.is_empty() {
                 self.check_balancers_running(&timeline);
             }
         }
@@ -45,7 +45,7 @@
 
     fn check_parameters(&mut self, offset: usize, fault: &Fault) {
         let kind = fault.kind;
-        match (kind.factor(), fault.factor) {
+        match (kind.factor_range(), fault.factor) {
             (None, Some(_)) => self.add(offset, "faults.factor", format!("{kind:?} takes none")),
             (Some(range), Some(factor)) if !(range.min..=range.max).contains(&factor) => {
                 let reason = format!("{factor} is not from {} to {}", range.min, range.max);
@@ -54,9 +54,9 @@
             _ => {}
         }
         let has_by = fault.by.is_some_and(|by| by.0 > 0);
-        if kind.takes_by() && !has_by {
+        if kind.requires_by() && !has_by {
             self.add(offset, "faults.by", format!("{kind:?} needs a span over 0"));
-        } else if !kind.takes_by() && has_by {
+        } else if !kind.requires_by() && has_by {
             self.add(offset, "faults.by", format!("{kind:?} takes none"));
         }
         if fault.part.is_some_and(|part| !(part > 0.0 && part <= 1.0)) {
@@ -85,7 +85,7 @@
             || fault.zone.is_some()
             || fault.machine.is_some()
             || fault.part.is_some();
-        if !fault.kind.hits_servers() && selects_servers {
+        if !fault.kind.affects_servers() && selects_servers {
             let reason = format!("{:?} hits no servers in particular", fault.kind);
             self.add(offset, "faults.servers", reason);
         }
@@ -104,11 +104,11 @@
                 self.add(offset, field, format!("there is no balancer {unknown}"));
             }
         }
-        if !kind.hits_links() && (fault.against.is_some() || fault.one_way) {
+        if !kind.affects_links() && (fault.against.is_some() || fault.one_way) {
             let reason = format!("{kind:?} lies on no way between balancers");
             self.add(offset, "faults.against", reason);
         }
-        if !kind.hits_balancers() && !kind.hits_links() && fault.balancers.is_some() {
+        if !kind.affects_balancers() && !kind.affects_links() && fault.balancers.is_some() {
             let reason = format!("{kind:?} hits no balancers");
             self.add(offset, "faults.balancers", reason);
         }
@@ -128,7 +128,7 @@
         }
         // Which servers a fraction draws doesn't matter here, only whether there are any.
         let mut random = RandomSource::new(0);
-        if timeline::matching_servers(scenario, fault, specs, &mut random).is_empty() {
+        if timeline::select_servers(scenario, fault, specs, &mut random).is_empty() {
             let reason = format!("{:?} hits no server", fault.kind);
             self.add(offset, "faults", reason);
         }
--- a/crates/model/src/validation/mod.rs
+++ b/crates/model/src/validation/mod.rs
@@ -21,7 +21,7 @@
 /// One thing that is wrong with a scenario file.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file}:{line}: {field}: {reason}")]
-pub struct Problem {
+pub struct ScenarioError {
     /// The file, as the caller named it.
     pub file: String,
     /// The line, from 1.
@@ -70,29 +70,29 @@
     NotAvailable(FaultKind),
 }
 
-/// Decodes and checks a scenario; `file` is named in problems.
+/// Decodes and checks a scenario; `file` is named in errors.
 ///
 /// # Errors
-/// All problems of the scenario; only the first where the text cannot be decoded.
-pub fn read(text: &str, file: &str) -> Result<Scenario, Vec<Problem>> {
-    let mut problems = Problems::new(text, file);
+/// All errors of the scenario; only the first where the text cannot be decoded.
+pub fn decode_scenario(text: &str, file: &str) -> Result<Scenario, Vec<ScenarioError>> {
+    let mut errors = Validator::new(text, file);
     let scenario: Scenario = match toml::from_str(text) {
         Ok(scenario) => scenario,
         Err(problem) => {
             let offset = problem.span().map_or(0, |span| span.start);
             let field = key_at(text, offset);
-            problems.add(offset, &field, problem.message().replace('\n', " "));
-            return Err(problems.found);
+            errors.add(offset, &field, problem.message().replace('\n', " "));
+            return Err(errors.errors);
         }
     };
-    problems.check_values(&scenario);
-    if problems.found.is_empty() {
-        problems.check_faults(&scenario);
+    errors.check_values(&scenario);
+    if errors.errors.is_empty() {
+        errors.check_faults(&scenario);
     }
-    if problems.found.is_empty() {
+    if errors.errors.is_empty() {
         Ok(scenario)
     } else {
-        Err(problems.found)
+        Err(errors.errors)
     }
 }
 
@@ -100,7 +100,7 @@
 ///
 /// # Errors
 /// Where the number is out of range or a fault names a balancer beyond it; the scenario is then unchanged.
-pub fn set_balancers(scenario: &mut Scenario, count: usize) -> Result<(), BalancerCountError> {
+pub fn set_balancer_count(scenario: &mut Scenario, count: usize) -> Result<(), BalancerCountError> {
     if count == 0 || count > MAX_BALANCERS {
         return Err(BalancerCountError::OutOfRange { max: MAX_BALANCERS });
     }
@@ -119,20 +119,16 @@
 ///
 /// # Errors
 /// Where the text is no fault, a value is invalid, or its kind needs clients or balancers.
-pub fn read_single_fault(
-    scenario: &Scenario,
-    text: &str,
-    now: Micros,
-) -> Result<Fault, FaultError> {
+pub fn decode_fault(scenario: &Scenario, text: &str, now: Micros) -> Result<Fault, FaultError> {
     let mut fault: Fault = toml::from_str(text)
         .map_err(|problem| FaultError::Malformed(problem.message().replace('\n', " ")))?;
-    let mut problems = Problems::new(text, "fault");
-    problems.check_fault(scenario, 0, &fault);
-    if let Some(problem) = problems.found.into_iter().next() {
-        let Problem { field, reason, .. } = problem;
+    let mut errors = Validator::new(text, "fault");
+    errors.check_fault(scenario, 0, &fault);
+    if let Some(problem) = errors.errors.into_iter().next() {
+        let ScenarioError { field, reason, .. } = problem;
         return Err(FaultError::Invalid { field, reason });
     }
-    let is_available = fault.kind.hits_servers()
+    let is_available = fault.kind.affects_servers()
         || matches!(
             fault.kind,
             FaultKind::Grow | FaultKind::DiscoveryUnreachable | FaultKind::DiscoveryStale
@@ -155,19 +151,19 @@
     line.split('=').next().unwrap_or("").trim().to_owned()
 }
 
-/// Problems found so far in one file.
-struct Problems<'a> {
+/// Validator errors so far in one file.
+struct Validator<'a> {
     text: &'a str,
     file: &'a str,
-    found: Vec<Problem>,
+    errors: Vec<ScenarioError>,
 }
 
-impl<'a> Problems<'a> {
+impl<'a> Validator<'a> {
     fn new(text: &'a str, file: &'a str) -> Self {
         Self {
             text,
             file,
-            found: Vec::new(),
+            errors: Vec::new(),
         }
     }
 
@@ -175,7 +171,7 @@
     fn add(&mut self, offset: usize, field: &str, reason: impl Into<String>) {
         let line_ends = self.text.bytes().take(offset);
         let line = line_ends.filter(|byte| *byte == b'\n').count() + 1;
-        self.found.push(Problem {
+        self.errors.push(ScenarioError {
             file: self.file.to_owned(),
             line,
             field: field.to_owned(),
--- a/crates/model/src/validation/tests.rs
+++ b/crates/model/src/validation/tests.rs
@@ -77,8 +77,8 @@
     "d.toml:4: rules.most_dispatches: must be 1 to 5"
 )]
 fn a_bad_day_is_refused_with_its_place(#[case] rest: &str, #[case] wanted: &str) {
-    let problems = read(&format!("{HEAD}{rest}"), "d.toml").unwrap_err();
-    assert!(problems[0].to_string().contains(wanted), "{}", problems[0]);
+    let errors = decode_scenario(&format!("{HEAD}{rest}"), "d.toml").unwrap_err();
+    assert!(errors[0].to_string().contains(wanted), "{}", errors[0]);
 }
 
 #[rstest]
@@ -90,7 +90,7 @@
 #[case("name = 'd\u{e9}", "d.toml:1:")]
 fn so_is_a_bad_head(#[case] text: &str, #[case] wanted: &str) {
     assert!(
-        read(text, "d.toml").unwrap_err()[0]
+        decode_scenario(text, "d.toml").unwrap_err()[0]
             .to_string()
             .contains(wanted)
     );
@@ -106,8 +106,8 @@
     #[case] wanted: Option<&str>,
 ) {
     let fault = "[[faults]]\nkind = 'balancer_killed'\nat = '1s'\nfor = '1s'\nbalancers = [1]";
-    let mut scenario = read(&format!("{HEAD}{fault}"), "d.toml").unwrap();
-    let set = set_balancers(&mut scenario, balancers);
+    let mut scenario = decode_scenario(&format!("{HEAD}{fault}"), "d.toml").unwrap();
+    let set = set_balancer_count(&mut scenario, balancers);
     assert_eq!(set.is_ok(), wanted.is_none());
     assert!(wanted.is_none_or(|wanted| set.unwrap_err().to_string().contains(wanted)));
     assert_eq!(
@@ -119,5 +119,5 @@
 #[test]
 fn all_problems_are_told_at_once() {
     let text = format!("{HEAD}balancers = 0\n[fleet]\nservers = 0\n[traffic]\nrate = -1.0");
-    assert_eq!(read(&text, "d.toml").unwrap_err().len(), 3);
+    assert_eq!(decode_scenario(&text, "d.toml").unwrap_err().len(), 3);
 }
--- a/crates/model/src/validation/values.rs
+++ b/crates/model/src/validation/values.rs
@@ -1,11 +1,11 @@
-//! Checks of all values but the faults. The order of the checks is the order in which problems are
+//! Checks of all values but the faults. The order of the checks is the order in which errors are
 //! reported.
 
 use toml::Spanned;
 
 use super::{
     MAX_ATTEMPTS, MAX_BALANCERS, MAX_CURVE_MULTIPLE, MAX_DISCOVERY_CALLS_PER_SECOND, MAX_KEYS,
-    MAX_LENGTH, MAX_REQUESTS_PER_SECOND, MAX_SERVERS, Problems,
+    MAX_LENGTH, MAX_REQUESTS_PER_SECOND, MAX_SERVERS, Validator,
 };
 use crate::scenario::{Idempotency, Machine, RequestClass, Scenario};
 
@@ -29,7 +29,7 @@
 }
 impl_shared!(Machine, RequestClass, crate::scenario::Tenant);
 
-impl Problems<'_> {
+impl Validator<'_> {
     pub(super) fn check_values(&mut self, scenario: &Scenario) {
         self.check_sizes(scenario);
         self.check_fleet_and_rules(scenario);
--- a/crates/model/tests/scenario_keys.rs
+++ b/crates/model/tests/scenario_keys.rs
@@ -265,7 +265,7 @@
 ];
 
 fn scenario_with_fault(kind_name: &str, kind: FaultKind) -> String {
-    let by = if kind.takes_by() {
+    let by = if kind.requires_by() {
         "by = \"250ms\"\n"
     } else {
         ""
@@ -275,26 +275,29 @@
 
 /// What a fault of one kind leads to, in the terms of the file.
 fn effect_of(kind_name: &str, kind: FaultKind) -> String {
-    let scenario = validation::read(&scenario_with_fault(kind_name, kind), "d.toml").unwrap();
+    let scenario =
+        validation::decode_scenario(&scenario_with_fault(kind_name, kind), "d.toml").unwrap();
     assert_eq!(scenario.faults[0].get_ref().kind, kind);
     let specs = fleet::specs(&scenario, scenario.seed);
     let timeline = Timeline::new(&scenario, &specs, scenario.seed);
-    let factor = kind.factor().map_or("no factor".to_owned(), |factor| {
-        format!(
-            "factor {} from {} to {}",
-            factor.default, factor.min, factor.max
-        )
-    });
+    let factor = kind
+        .factor_range()
+        .map_or("no factor".to_owned(), |factor| {
+            format!(
+                "factor {} from {} to {}",
+                factor.default, factor.min, factor.max
+            )
+        });
     let condition = timeline.condition(0, 11_000_000);
-    let wide = timeline.global_fault(kind, 11_000_000).is_some();
+    let wide = timeline.active_global_fault(kind, 11_000_000).is_some();
     format!(
         "{kind_name}: servers {}, balancers {}, links {}, wide {wide}, {factor}, by {}, away {}, \
          server hits {}, link faults {}, events {} at {:?}; \
          frozen {} silent {} lost {} rate {} errors {} spoilt {} reset {} reports {} us late, absent {}",
-        kind.hits_servers(),
-        kind.hits_balancers(),
-        kind.hits_links(),
-        kind.takes_by(),
+        kind.affects_servers(),
+        kind.affects_balancers(),
+        kind.affects_links(),
+        kind.requires_by(),
         kind.removes_server(),
         timeline.server_faults().len(),
         timeline.links.faults.len(),
@@ -382,13 +385,13 @@
 
 #[test]
 fn every_key_is_read_back() {
-    let scenario = validation::read(EVERY_KEY, "every_key.toml").unwrap();
+    let scenario = validation::decode_scenario(EVERY_KEY, "every_key.toml").unwrap();
     compare("every_key.txt", &values_of(&scenario));
 }
 
 #[test]
 fn keys_that_are_left_out_have_their_defaults() {
-    let scenario = validation::read("name = 'd'\nlength = '60s'\n", "d.toml").unwrap();
+    let scenario = validation::decode_scenario("name = 'd'\nlength = '60s'\n", "d.toml").unwrap();
     compare("defaults.txt", &values_of(&scenario));
 }
 
@@ -400,7 +403,7 @@
         .collect();
     compare("fault_kinds.txt", &lines.concat());
     let alias = scenario_with_fault("balancer_restarted", FaultKind::BalancerKilled);
-    let scenario = validation::read(&alias, "d.toml").unwrap();
+    let scenario = validation::decode_scenario(&alias, "d.toml").unwrap();
     assert_eq!(scenario.faults[0].get_ref().kind, FaultKind::BalancerKilled);
 }
 
@@ -408,7 +411,7 @@
 fn refused_files_are_told_with_place_and_text() {
     let mut text = String::new();
     for file in refused_files() {
-        let problems = validation::read(&file, "d.toml").unwrap_err();
+        let problems = validation::decode_scenario(&file, "d.toml").unwrap_err();
         let added = file.strip_prefix(HEAD).unwrap_or(&file);
         writeln!(text, "{added:?}").unwrap();
         for problem in problems {
@@ -425,7 +428,7 @@
     for entry in std::fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
         let text = std::fs::read_to_string(&path).unwrap();
-        let scenario = validation::read(&text, &path.display().to_string());
+        let scenario = validation::decode_scenario(&text, &path.display().to_string());
         assert!(scenario.is_ok(), "{:?}", scenario.err());
         count += 1;
     }
--- a/crates/testbed/src/assumed_notifications.rs
+++ b/crates/testbed/src/assumed_notifications.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use pinefront_model::checker::Observation;
-use pinefront_model::discovery::State;
+use pinefront_model::discovery::EndpointState;
 use pinefront_model::timeline::DiscoveryState;
 use pinefront_model::{Micros, SECOND};
 
@@ -46,7 +46,7 @@
     let is_available = world.timeline().discovery_state(now) == DiscoveryState::Available;
     let changes = world.with_registry(|registry| registry.changes_since(now, 0));
     for entry in changes.entries {
-        if entry.state == State::Active {
+        if entry.state == EndpointState::Active {
             draining.remove(&entry.server);
             continue;
         }
@@ -75,7 +75,7 @@
     let observation = Observation::EndpointReported {
         balancer,
         server,
-        draining: true,
+        is_draining: true,
     };
     world.record(now, observation);
 }
--- a/crates/testbed/src/baseline.rs
+++ b/crates/testbed/src/baseline.rs
@@ -9,7 +9,7 @@
 
 use clap::ValueEnum;
 use pinefront_model::checker::Observation;
-use pinefront_model::discovery::State;
+use pinefront_model::discovery::EndpointState;
 use pinefront_model::random::RandomSource;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
@@ -177,7 +177,7 @@
         let active: Vec<usize> = list
             .entries
             .iter()
-            .filter(|entry| entry.state == State::Active)
+            .filter(|entry| entry.state == EndpointState::Active)
             .map(|entry| entry.server)
             .collect();
         let address_of = |server| world.server(server).and_then(|host| host.address());
@@ -211,7 +211,7 @@
         let observation = Observation::EndpointReported {
             balancer: self.number,
             server,
-            draining,
+            is_draining: draining,
         };
         world.record(world.now(), observation);
     }
--- a/crates/testbed/src/clients/exchange.rs
+++ b/crates/testbed/src/clients/exchange.rs
@@ -179,7 +179,7 @@
         let observation = Observation::ResponseReceived {
             request,
             outcome,
-            genuine,
+            is_genuine: genuine,
         };
         let world = &self.load.world;
         world.record(world.now(), observation);
--- a/crates/testbed/src/cluster/checker.rs
+++ b/crates/testbed/src/cluster/checker.rs
@@ -74,7 +74,8 @@
     /// Records that a process of a member started.
     pub fn started(&mut self, now: Micros, member: usize, incarnation: Option<Incarnation>) {
         if let Some(incarnation) = incarnation {
-            self.process_history.started(now, member, incarnation);
+            self.process_history
+                .process_started(now, member, incarnation);
         }
         self.arrived[member].clear();
         self.refutation_counters[member] = 0;
@@ -82,12 +83,12 @@
 
     /// Records that the process of a member was killed.
     pub fn killed(&mut self, now: Micros, member: usize) {
-        self.process_history.ended(now, member, false);
+        self.process_history.process_stopped(now, member, false);
     }
 
     /// Records that the process of a member left in order.
     pub fn left(&mut self, now: Micros, member: usize) {
-        self.process_history.ended(now, member, true);
+        self.process_history.process_stopped(now, member, true);
     }
 
     /// Records that a datagram arrived at a process.
@@ -137,7 +138,7 @@
             .process_history
             .member_of(&record.incarnation)
             .is_some_and(|owner| processes[owner].is_paused);
-        if is_new && self.process_history.runs(&record.incarnation) && !is_paused {
+        if is_new && self.process_history.is_running(&record.incarnation) && !is_paused {
             self.wrong_suspicions += 1;
             if self.kind == PlanKind::Pair {
                 let other = &record.name;
@@ -158,7 +159,7 @@
     ) {
         let died_at = self
             .process_history
-            .death_noticed(member, &record.incarnation);
+            .death_detected(member, &record.incarnation);
         if let Some(died_at) = died_at {
             self.detected_ms.push((now - died_at) as f64 / 1_000.0);
             return;
@@ -170,7 +171,7 @@
         // What others declared before is theirs; a process that resumes must not declare anybody
         // dead by itself.
         let is_first = self.declared_dead.insert(version(record));
-        let runs = self.process_history.runs(&record.incarnation);
+        let runs = self.process_history.is_running(&record.incarnation);
         if is_first && runs && has_resumed && self.kind == PlanKind::Pause {
             let other = &record.name;
             self.violation(now, &format!("b{member} calls {other} gone as it wakes"));
@@ -230,7 +231,7 @@
             let Some(cluster) = process.cluster.as_ref().filter(|_| !process.is_paused) else {
                 continue;
             };
-            for other in self.process_history.latest() {
+            for other in self.process_history.latest_processes() {
                 if other.member == member {
                     continue;
                 }
@@ -240,14 +241,14 @@
                     .filter(|known| known.record.incarnation == *other.incarnation)
                     .map(|known| known.record.state);
                 let is_wrong = match state {
-                    Some(MemberState::Alive) => !other.runs,
+                    Some(MemberState::Alive) => !other.is_running,
                     Some(MemberState::Left) => !other.has_left,
                     Some(MemberState::Dead) => {
-                        other.runs || (other.has_left && self.kind == PlanKind::Leave)
+                        other.is_running || (other.has_left && self.kind == PlanKind::Leave)
                     }
                     Some(MemberState::Suspected) => true,
                     // A process that died before it was known need not be known.
-                    None => other.runs,
+                    None => other.is_running,
                 };
                 if is_wrong {
                     return Some(format!("b{member} holds b{} for {state:?}", other.member));
--- a/crates/testbed/src/cluster/fault_plan.rs
+++ b/crates/testbed/src/cluster/fault_plan.rs
@@ -99,7 +99,7 @@
         kind,
         from,
         to,
-        side,
+        balancers: side,
         against: None,
         one_way: false,
         factor: 0.0,
@@ -132,7 +132,7 @@
             ends_at: 0,
         };
         for member in 0..members {
-            let at = random.span(SECOND);
+            let at = random.duration_below(SECOND);
             plan.schedule(at, Action::Start { member });
         }
         plan.draw_faults(&mut random, members);
@@ -175,11 +175,11 @@
     }
 
     fn draw_faults(&mut self, random: &mut RandomSource, members: usize) {
-        let from = FAULTS_FROM + random.span(SECOND);
+        let from = FAULTS_FROM + random.duration_below(SECOND);
         match self.kind {
             PlanKind::Any => self.draw_mixed_faults(random, members),
             PlanKind::Pair => {
-                let pair = random.some_of(2, members);
+                let pair = random.sample_indices(2, members);
                 self.links.faults.push(LinkFault {
                     against: Some(vec![pair[1]]),
                     one_way: random.happens(0.5),
@@ -224,7 +224,7 @@
         }
         if random.happens(0.3) {
             self.links.faults.push(LinkFault {
-                by: 1_000 + random.span(200_000),
+                by: 1_000 + random.duration_below(200_000),
                 ..fault_everywhere(FaultKind::LinkSlow, members)
             });
         }
@@ -237,10 +237,10 @@
     /// The first member is paused while it suspects the second, which resumes and refutes
     /// meanwhile.
     fn draw_pause(&mut self, random: &mut RandomSource, members: usize, from: Micros) {
-        let pair = random.some_of(2, members);
+        let pair = random.sample_indices(2, members);
         let (member, suspected) = (pair[0], pair[1]);
-        let paused_at = from + 900_000 + random.span(SECOND);
-        let duration = 3 * SECOND + random.span(12 * SECOND);
+        let paused_at = from + 900_000 + random.duration_below(SECOND);
+        let duration = 3 * SECOND + random.duration_below(12 * SECOND);
         self.schedule(from, Action::Pause { member: suspected });
         self.schedule(paused_at + 200_000, Action::Resume { member: suspected });
         self.schedule(paused_at, Action::Pause { member });
@@ -248,7 +248,7 @@
     }
 
     fn draw_halves(&mut self, random: &mut RandomSource, members: usize, from: Micros) {
-        let half = random.some_of(members / 2, members);
+        let half = random.sample_indices(members / 2, members);
         self.cut(from, from + 20 * SECOND, half.clone());
         // Deaths on both sides of the cut.
         if random.happens(0.5) {
@@ -264,22 +264,22 @@
         let member = random.below(members);
         let mut at = from;
         for _ in 0..6 + random.below(6) {
-            let duration = 200_000 + random.span(3 * SECOND);
+            let duration = 200_000 + random.duration_below(3 * SECOND);
             self.cut(at, at + duration, vec![member]);
-            at += duration + 200_000 + random.span(2 * SECOND);
+            at += duration + 200_000 + random.duration_below(2 * SECOND);
         }
     }
 
     /// Draws one fault of any kind; none where it would pause or end a process that another fault
     /// does.
     fn draw_one_fault(&mut self, random: &mut RandomSource, members: usize) {
-        let from = FAULTS_FROM + random.span(FAULTS_TO - FAULTS_FROM);
-        let to = from + 200_000 + random.span(10 * SECOND);
+        let from = FAULTS_FROM + random.duration_below(FAULTS_TO - FAULTS_FROM);
+        let to = from + 200_000 + random.duration_below(10 * SECOND);
         let member = random.below(members);
         match random.below(8) {
             0 => {
                 let count = 1 + random.below(members / 2);
-                let side = random.some_of(count, members);
+                let side = random.sample_indices(count, members);
                 self.cut(from, to, side);
             }
             1 => self.links.faults.push(LinkFault {
--- a/crates/testbed/src/cluster/lease_checks.rs
+++ b/crates/testbed/src/cluster/lease_checks.rs
@@ -74,13 +74,13 @@
             }
         }
         let ends_at = self.plan.ends_at;
-        let findings = self.lease_history.findings(ends_at);
+        let findings = self.lease_history.analyze(ends_at);
         let stale = &self.lease_history.stale_commands;
         let violations = findings.overlaps.iter().take(MAX_REPORTED);
         self.checker
             .violations
             .extend(violations.chain(stale.iter().take(MAX_REPORTED)).cloned());
-        self.outcome.vacant_leases = self.lease_history.vacant(ends_at).len();
+        self.outcome.vacant_leases = self.lease_history.vacant_leases(ends_at).len();
         self.outcome.leases = findings;
     }
 }
--- a/crates/testbed/src/cluster/process.rs
+++ b/crates/testbed/src/cluster/process.rs
@@ -42,7 +42,7 @@
             incarnation: None,
             is_paused: false,
             waiting: VecDeque::new(),
-            clock_start: SECOND + random.span(1_000 * SECOND),
+            clock_start: SECOND + random.duration_below(1_000 * SECOND),
             clock_rate: 1.0 + MAX_CLOCK_RATE_ERROR * (2.0 * random.unit() - 1.0),
             wake_up: 0,
             starts: 0,
--- a/crates/testbed/src/cluster/simulation.rs
+++ b/crates/testbed/src/cluster/simulation.rs
@@ -250,7 +250,7 @@
                 process.cluster = None;
                 process.waiting.clear();
                 self.checker.killed(self.now, member);
-                self.lease_history.killed(self.now, member);
+                self.lease_history.process_ended(self.now, member);
             }
             Action::Leave { member } => {
                 self.checker.left(self.now, member);
@@ -295,7 +295,7 @@
         let stream = member as u64 * 1_000 + process.starts;
         let mut random = RandomSource::split(self.seed, "process", stream);
         // Clocks of machines differ by seconds, and one may have been set back before a restart.
-        let started_at_us = 1_000 * SECOND + now + random.span(4 * SECOND);
+        let started_at_us = 1_000 * SECOND + now + random.duration_below(4 * SECOND);
         let config = member_config(member, process.address, started_at_us);
         let local = process.local_time(now);
         #[cfg_attr(not(any(test, feature = "planted")), allow(unused_mut))]
@@ -383,7 +383,7 @@
         let index = self.random.below(self.recorded.len());
         let RecordedDatagram { to, bytes } = &self.recorded[index];
         let (to, bytes) = (*to, bytes.clone());
-        let at = self.now + self.random.span(MAX_REPLAY_DELAY);
+        let at = self.now + self.random.duration_below(MAX_REPLAY_DELAY);
         self.schedule(at, Event::Arrival { to, bytes });
     }
 }
--- a/crates/testbed/src/commands/mod.rs
+++ b/crates/testbed/src/commands/mod.rs
@@ -42,7 +42,7 @@
 
 /// Parses and checks the text of a scenario.
 pub fn parse_scenario(text: &str, name: &str) -> Result<Scenario, Failure> {
-    validation::read(text, name).map_err(|problems| {
+    validation::decode_scenario(text, name).map_err(|problems| {
         let problems: Vec<_> = problems.iter().map(ToString::to_string).collect();
         Failure::Wrong(problems.join("\n"))
     })
@@ -53,7 +53,7 @@
     let Some(balancers) = balancers else {
         return Ok(());
     };
-    validation::set_balancers(scenario, balancers)
+    validation::set_balancer_count(scenario, balancers)
         .map_err(|reason| Failure::Wrong(format!("--balancers: {reason}")))
 }
 
--- a/crates/testbed/src/discovery_stand_in/list.rs
+++ b/crates/testbed/src/discovery_stand_in/list.rs
@@ -2,7 +2,7 @@
 //! HTTP/1.1.
 
 use pinefront_model::Micros;
-use pinefront_model::discovery::Entry;
+use pinefront_model::discovery::EndpointEntry;
 use pinefront_model::scenario::FaultKind;
 use pinefront_model::timeline::DiscoveryState;
 use serde_json::json;
@@ -17,7 +17,7 @@
     version: u64,
     /// Whether it contains all servers, rather than changes.
     pub(super) is_complete: bool,
-    pub(super) entries: Vec<Entry>,
+    pub(super) entries: Vec<EndpointEntry>,
     /// The entries as JSON.
     documents: Vec<String>,
 }
@@ -30,7 +30,7 @@
             Some(since) => registry.changes_since(moment, since),
             None => registry.list(moment),
         });
-        let with_document = |entry: Entry| {
+        let with_document = |entry: EndpointEntry| {
             let document = world.entry_document(&entry)?;
             Some((entry, document.to_string()))
         };
@@ -88,7 +88,7 @@
     fn framed(body: &str, offsets: Vec<usize>, world: &World) -> Self {
         let in_pieces = world
             .timeline()
-            .global_fault(FaultKind::ListsInPieces, world.now());
+            .active_global_fault(FaultKind::ListsInPieces, world.now());
         let framing = if in_pieces.is_some() {
             world.draw_below(FRAMINGS)
         } else {
--- a/crates/testbed/src/discovery_stand_in/mod.rs
+++ b/crates/testbed/src/discovery_stand_in/mod.rs
@@ -13,7 +13,7 @@
 use list::{List, Response, served_moment};
 use pinefront_model::call_queue::Admission;
 use pinefront_model::checker::Observation;
-use pinefront_model::discovery::State;
+use pinefront_model::discovery::EndpointState;
 use pinefront_model::scenario::FaultKind;
 use pinefront_model::timeline::DiscoveryState;
 use pinefront_model::{Micros, SECOND};
@@ -173,7 +173,7 @@
         let slow = self
             .world
             .timeline()
-            .global_fault(FaultKind::DiscoverySlow, now);
+            .active_global_fault(FaultKind::DiscoverySlow, now);
         let slowdown = slow.map_or(1.0, |strength| strength.factor);
         // Balancers start before the run does, and their calls then take no time.
         let admission = if self.world.clock.has_begun() {
@@ -323,7 +323,10 @@
 
     /// A random duration up to that of a fault, where a fault of that kind strikes.
     fn draw_fault_duration(&self, kind: FaultKind) -> Option<Duration> {
-        let strength = self.world.timeline().global_fault(kind, self.world.now())?;
+        let strength = self
+            .world
+            .timeline()
+            .active_global_fault(kind, self.world.now())?;
         let strikes = self.world.fault_strikes(kind);
         strikes.then(|| {
             let duration_us = self.world.draw_below(strength.by as usize + 1);
@@ -336,7 +339,7 @@
         let now = self.world.now();
         for (entry, offset) in list.entries.iter().zip(&response.entry_offsets) {
             if written.contains(offset) {
-                self.record(now, entry.server, entry.state != State::Active);
+                self.record(now, entry.server, entry.state != EndpointState::Active);
             }
         }
     }
@@ -358,7 +361,7 @@
         let observation = Observation::EndpointReported {
             balancer: self.balancer,
             server,
-            draining,
+            is_draining: draining,
         };
         self.world.record(now, observation);
     }
--- a/crates/testbed/src/figures/mod.rs
+++ b/crates/testbed/src/figures/mod.rs
@@ -6,7 +6,7 @@
 use hdrhistogram::Histogram;
 use pinefront_model::checker::Checker;
 use pinefront_model::scenario::Scenario;
-use pinefront_model::service::Parts;
+use pinefront_model::service::ServiceScore;
 use serde::Serialize;
 
 use crate::clients::{RequestCounts, Results};
@@ -66,7 +66,7 @@
     pub valid: bool,
     pub why_invalid: Vec<String>,
     pub service: f64,
-    pub service_parts: Parts,
+    pub service_parts: ServiceScore,
     #[serde(rename = "rules_broken")]
     pub rule_violations: Vec<String>,
     #[serde(rename = "rules_broken_count")]
@@ -98,7 +98,7 @@
 impl Figures {
     /// Adds what clients saw and what the checker found.
     pub fn add_results(&mut self, scenario: &Scenario, results: &Results, checker: &Checker) {
-        let parts = results.tally.parts(scenario);
+        let parts = results.tally.service_score(scenario);
         self.counts = results.counts.clone();
         self.latency_ms = Times::of(&results.latency);
         self.lateness_ms = Times::of(&results.lateness);
--- a/crates/testbed/src/fleet/drawn.rs
+++ b/crates/testbed/src/fleet/drawn.rs
@@ -34,16 +34,16 @@
     let mut hit = Vec::new();
     for _ in 0..=random.below(MAX_FAULTS) {
         let kind = KINDS[random.below(KINDS.len())];
-        let at = START_TIME + random.span(available * 2 / 3);
-        let duration = MIN_FAULT_DURATION_US + random.span(available / 2);
+        let at = START_TIME + random.duration_below(available * 2 / 3);
+        let duration = MIN_FAULT_DURATION_US + random.duration_below(available / 2);
         let duration = duration.min(START_TIME + available - at);
-        let hits_links = kind.hits_links();
+        let hits_links = kind.affects_links();
         let count = if hits_links {
             1 + random.below((balancers / 2).max(1))
         } else {
             1
         };
-        let side = random.some_of(count, balancers);
+        let side = random.sample_indices(count, balancers);
         if !hits_links && hit.contains(&side[0]) {
             continue;
         }
@@ -51,7 +51,8 @@
             hit.push(side[0]);
         }
         let one_way = kind == FaultKind::LinkCut && random.happens(0.4);
-        let by = (kind == FaultKind::LinkSlow).then(|| Span(10_000 + random.span(300_000)));
+        let by =
+            (kind == FaultKind::LinkSlow).then(|| Span(10_000 + random.duration_below(300_000)));
         let fault = Fault {
             one_way,
             by,
--- a/crates/testbed/src/fleet/leases.rs
+++ b/crates/testbed/src/fleet/leases.rs
@@ -109,14 +109,14 @@
     /// Analyses all holdings at a moment when every process has ended or logged its losses.
     pub fn report(&self, now: Micros, decreased_terms: u64) -> LeaseReport {
         let history = history_of(&locked(&self.0));
-        let findings = history.findings(now);
+        let findings = history.analyze(now);
         let mut report = LeaseReport {
             overlaps: findings.overlaps.len() as u64,
             old_terms_taken: decreased_terms,
             changes: findings.changes,
             changes_most_a_minute: findings.max_changes_per_minute,
-            vacant: history.vacant(now).len(),
-            leases: history.count(),
+            vacant: history.vacant_leases(now).len(),
+            leases: history.lease_count(),
             details: findings.overlaps.into_iter().take(MAX_DETAILS).collect(),
             ..LeaseReport::default()
         };
@@ -167,7 +167,7 @@
     }
     killed.sort_by_key(|(at, _)| *at);
     for (at, balancer) in killed {
-        history.killed(at, balancer);
+        history.process_ended(at, balancer);
     }
     history
 }
--- a/crates/testbed/src/fleet/relays.rs
+++ b/crates/testbed/src/fleet/relays.rs
@@ -153,7 +153,7 @@
     relayed: &Arc<Relayed>,
 ) -> io::Result<()> {
     for (number, fault) in floods(world).enumerate() {
-        for &balancer in &fault.side {
+        for &balancer in &fault.balancers {
             let Some(&address) = addresses.get(balancer) else {
                 continue;
             };
--- a/crates/testbed/src/fleet/views.rs
+++ b/crates/testbed/src/fleet/views.rs
@@ -192,7 +192,7 @@
             truth.incarnation = None;
             truth.refutations = 0;
             let has_left = !runs && away_since.is_none();
-            self.process_history.ended(now, number, has_left);
+            self.process_history.process_stopped(now, number, has_left);
         }
         truth.runs = runs;
         truth.is_paused = is_paused;
@@ -223,7 +223,8 @@
         if self.truth[number].incarnation.is_none() {
             let incarnation = view.incarnation.clone();
             self.truth[number].incarnation = Some(incarnation.clone());
-            self.process_history.started(since, number, incarnation);
+            self.process_history
+                .process_started(since, number, incarnation);
         }
         self.record_terms(view);
         let refutations = &mut self.truth[number].refutations;
--- a/crates/testbed/src/overhead.rs
+++ b/crates/testbed/src/overhead.rs
@@ -170,7 +170,8 @@
          idle = \"60s\"\n[[use_cases]]\nname = \"look\"\neffect = \"redoable\"\nwork = \"{work_us}us\"\npromised_time = \"500ms\"\n\
          hard_stop = \"2s\"\n"
     );
-    validation::read(&text, "overhead").map_err(|problems| Error::new(problems[0].to_string()))
+    validation::decode_scenario(&text, "overhead")
+        .map_err(|problems| Error::new(problems[0].to_string()))
 }
 
 async fn start_servers(
--- a/crates/testbed/src/report/tests.rs
+++ b/crates/testbed/src/report/tests.rs
@@ -2,9 +2,11 @@
 
 #[test]
 fn what_a_run_says_cannot_break_the_page() {
-    let scenario =
-        pinefront_model::validation::read("name = 'd'\nlength = '2s'\nabout = '<b>&'", "d.toml")
-            .unwrap();
+    let scenario = pinefront_model::validation::decode_scenario(
+        "name = 'd'\nlength = '2s'\nabout = '<b>&'",
+        "d.toml",
+    )
+    .unwrap();
     let run = Figures {
         who: "a<script>".into(),
         seconds: vec![
@@ -29,6 +31,7 @@
 #[test]
 fn an_empty_run_has_a_page_too() {
     let scenario =
-        pinefront_model::validation::read("name = 'd'\nlength = '2s'", "d.toml").unwrap();
+        pinefront_model::validation::decode_scenario("name = 'd'\nlength = '2s'", "d.toml")
+            .unwrap();
     assert!(page(&scenario, &[&Figures::default()]).is_ok());
 }
--- a/crates/testbed/src/runner/tests.rs
+++ b/crates/testbed/src/runner/tests.rs
@@ -4,8 +4,11 @@
 use crate::baseline::Policy;
 
 fn scenario(rest: &str) -> Scenario {
-    pinefront_model::validation::read(&format!("name = 'd'\nlength = '1500ms'\n{rest}"), "d.toml")
-        .unwrap()
+    pinefront_model::validation::decode_scenario(
+        &format!("name = 'd'\nlength = '1500ms'\n{rest}"),
+        "d.toml",
+    )
+    .unwrap()
 }
 
 /// A complete run on sockets, with a stand-in balancer: every attempt ends exactly once.
--- a/crates/testbed/src/server_stand_in.rs
+++ b/crates/testbed/src/server_stand_in.rs
@@ -8,7 +8,7 @@
 use pinefront_model::Micros;
 use pinefront_model::checker::Observation;
 use pinefront_model::scenario::FaultKind;
-use pinefront_model::server::{JobOutcome, Report, Server};
+use pinefront_model::server::{JobOutcome, LoadReport, Server};
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
@@ -135,7 +135,7 @@
 }
 
 /// The header line that reports a server's load.
-pub fn load_header(load: &Report) -> String {
+pub fn load_header(load: &LoadReport) -> String {
     format!(
         "X-Pressure: TEXT inflight={}, queue={}, util={:.2}\r\n",
         load.in_flight, load.queue, load.utilisation
@@ -209,7 +209,7 @@
         let fault = self
             .world
             .timeline()
-            .global_fault(FaultKind::IdleClosed, self.world.now());
+            .active_global_fault(FaultKind::IdleClosed, self.world.now());
         let idle_timeout = fault.map_or(usual_timeout, |strength| {
             usual_timeout.min(Duration::from_micros(strength.by))
         });
@@ -253,7 +253,7 @@
             .world
             .receive_attempt(self.host, &found, started_at, extra_work);
         let outcome = tokio::select! {
-            outcome = attempt.outcome => outcome.unwrap_or(JobOutcome::ServerDied),
+            outcome = attempt.outcome => outcome.unwrap_or(JobOutcome::ServerCrashed),
             () = closed_by_peer(self.stream, &mut self.buffer) => {
                 self.world.cancel_attempt(self.host, attempt.job);
                 return Err(Ending::Closed);
@@ -282,7 +282,7 @@
                 let status = "500 Internal Server Error";
                 self.respond(status, "", "failed\n").await
             }
-            JobOutcome::ConnectionReset | JobOutcome::ServerDied => Err(Ending::Reset),
+            JobOutcome::ConnectionReset | JobOutcome::ServerCrashed => Err(Ending::Reset),
             JobOutcome::Unanswered => {
                 closed_by_peer(self.stream, &mut self.buffer).await;
                 Err(Ending::Closed)
--- a/crates/testbed/src/soak/mod.rs
+++ b/crates/testbed/src/soak/mod.rs
@@ -130,7 +130,7 @@
 
 /// Parses the text of a schedule.
 pub fn parse_schedule(text: &str) -> Result<Scenario, Error> {
-    validation::read(text, "soak").map_err(|problems| {
+    validation::decode_scenario(text, "soak").map_err(|problems| {
         let problems: Vec<_> = problems.iter().map(ToString::to_string).collect();
         Error::new(problems.join("; "))
     })
--- a/crates/testbed/src/soak/schedule/mod.rs
+++ b/crates/testbed/src/soak/schedule/mod.rs
@@ -223,7 +223,7 @@
     fn draw_some(&mut self, max_fraction: f64, count: usize) -> Vec<usize> {
         let max = (max_fraction * count as f64).ceil() as usize;
         let chosen = 1 + self.random.below(max);
-        self.random.some_of(chosen.min(count), count)
+        self.random.sample_indices(chosen.min(count), count)
     }
 }
 
--- a/crates/testbed/src/stalled_clients.rs
+++ b/crates/testbed/src/stalled_clients.rs
@@ -28,7 +28,7 @@
         tokio::time::sleep(SPAWN_INTERVAL).await;
         let fault = world
             .timeline()
-            .global_fault(FaultKind::ClientsStop, world.now());
+            .active_global_fault(FaultKind::ClientsStop, world.now());
         let Some(strength) = fault else {
             continue;
         };
--- a/crates/testbed/src/stand_alone.rs
+++ b/crates/testbed/src/stand_alone.rs
@@ -173,7 +173,7 @@
 
 fn inject_fault(world: &World, form: &str) -> Result<String, Error> {
     let toml = fault_toml(form)?;
-    let fault = validation::read_single_fault(&world.scenario, &toml, world.now())
+    let fault = validation::decode_fault(&world.scenario, &toml, world.now())
         .map_err(|problem| Error::new(problem.to_string()))?;
     world.add_fault(&fault);
     let seconds = fault.at.0 as f64 / SECOND as f64;
@@ -202,7 +202,7 @@
     let attempts = host.attempts.load(Ordering::Relaxed);
     host.with_server(|server| {
         let spec = &server.spec;
-        let load = server.report(now).unwrap_or_default();
+        let load = server.load_report(now).unwrap_or_default();
         format!(
             "<tr><td>{}<td>{}<td>{address}<td>{}<td>{}<td>{:.2}<td>{:.0} %<td>{attempts}<td>{}<td>{:.0} %<td>{}",
             spec.number,
@@ -219,7 +219,7 @@
 }
 
 fn state(server: &Server) -> String {
-    if server.is_dead() {
+    if server.is_stopped() {
         "dead".to_owned()
     } else {
         format!("{:?}", server.condition())
--- a/crates/testbed/src/system_faults.rs
+++ b/crates/testbed/src/system_faults.rs
@@ -52,11 +52,11 @@
     /// The faults that are active at that time.
     pub fn at(timeline: &Timeline, now: Micros) -> Self {
         let probability = |kind| {
-            let strength = timeline.global_fault(kind, now);
+            let strength = timeline.active_global_fault(kind, now);
             strength.map_or(0, |strength| (strength.factor * PROBABILITY_UNIT) as i64)
         };
-        let delay = timeline.global_fault(FaultKind::HeldUp, now);
-        let clock = timeline.global_fault(FaultKind::ClockSteps, now);
+        let delay = timeline.active_global_fault(FaultKind::HeldUp, now);
+        let clock = timeline.active_global_fault(FaultKind::ClockSteps, now);
         let clock_offset_us = clock.map_or(0, |strength| {
             (strength.by as f64 * strength.factor.signum()) as i64
         });
@@ -91,7 +91,7 @@
     /// Whether a scenario needs the library.
     pub fn is_needed(scenario: &Scenario) -> bool {
         let mut faults = scenario.faults.iter();
-        faults.any(|fault| fault.get_ref().kind.is_of_system())
+        faults.any(|fault| fault.get_ref().kind.affects_operating_system())
     }
 
     /// Builds the library with the C compiler `cc`.
--- a/crates/testbed/src/tests.rs
+++ b/crates/testbed/src/tests.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 use pinefront_model::scenario::Scenario;
-use pinefront_model::service::Parts;
+use pinefront_model::service::ServiceScore;
 use pinefront_model::traffic::Request;
 use pinefront_model::validation;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -41,7 +41,7 @@
 }
 
 fn scenario(text: &str) -> Scenario {
-    validation::read(text, "d.toml").unwrap()
+    validation::decode_scenario(text, "d.toml").unwrap()
 }
 
 #[test]
@@ -135,7 +135,7 @@
         valid: true,
         why_invalid: vec!["late".into()],
         service: 0.33,
-        service_parts: Parts {
+        service_parts: ServiceScore {
             overall: 0.34,
             worst_10s: 0.35,
             worst_class: 0.36,
@@ -377,7 +377,7 @@
 
 #[test]
 fn a_server_tells_its_load_as_recorded() {
-    let text = server_stand_in::load_header(&pinefront_model::server::Report {
+    let text = server_stand_in::load_header(&pinefront_model::server::LoadReport {
         in_flight: 3,
         queue: 2,
         utilisation: 0.456,
--- a/crates/testbed/src/world/mod.rs
+++ b/crates/testbed/src/world/mod.rs
@@ -15,7 +15,7 @@
 use pinefront_model::Micros;
 use pinefront_model::call_queue::CallQueue;
 use pinefront_model::checker::{Checker, Observation};
-use pinefront_model::discovery::{Entry, Registry, State};
+use pinefront_model::discovery::{EndpointEntry, EndpointRegistry, EndpointState};
 use pinefront_model::fleet;
 use pinefront_model::random::RandomSource;
 use pinefront_model::scenario::{Fault, FaultKind, Scenario};
@@ -38,7 +38,7 @@
     /// Notified when a fault was injected by hand.
     pub fault_added: Notify,
     servers: RwLock<Vec<Arc<ServerHost>>>,
-    registry: Mutex<Registry>,
+    registry: Mutex<EndpointRegistry>,
     pub call_queue: Mutex<CallQueue>,
     /// Notified when the endpoint list changes.
     pub list_changed: watch::Sender<u64>,
@@ -61,7 +61,7 @@
     pub fn new(scenario: Scenario, seed: u64) -> Self {
         let specs = fleet::specs(&scenario, seed);
         let timeline = Timeline::new(&scenario, &specs, seed);
-        let registry = Registry::new(&scenario.discovery, specs.len(), seed);
+        let registry = EndpointRegistry::new(&scenario.discovery, specs.len(), seed);
         let servers = specs
             .into_iter()
             .map(|spec| Arc::new(ServerHost::new(&scenario, seed, spec)))
@@ -129,7 +129,7 @@
 
     /// Whether a fault of that kind is active and strikes, with its factor as the probability.
     pub fn fault_strikes(&self, kind: FaultKind) -> bool {
-        let strength = self.timeline().global_fault(kind, self.now());
+        let strength = self.timeline().active_global_fault(kind, self.now());
         strength.is_some_and(|strength| self.draw_happens(strength.factor))
     }
 
@@ -175,14 +175,14 @@
     }
 
     /// An entry of the endpoint list as JSON; none where the server has no address yet.
-    pub fn entry_document(&self, entry: &Entry) -> Option<serde_json::Value> {
+    pub fn entry_document(&self, entry: &EndpointEntry) -> Option<serde_json::Value> {
         let host = self.server(entry.server)?;
         let address = host.address()?;
         let spec = host.with_server(|server| server.spec.clone());
         let state = match entry.state {
-            State::Active => "active",
-            State::Draining => "leaving",
-            State::Removed => "left",
+            EndpointState::Active => "active",
+            EndpointState::Draining => "leaving",
+            EndpointState::Removed => "left",
         };
         let started_at = entry.started_at;
         Some(serde_json::json!({
@@ -198,7 +198,7 @@
     }
 
     /// Calls a function with the locked registry.
-    pub fn with_registry<T>(&self, call: impl FnOnce(&Registry) -> T) -> T {
+    pub fn with_registry<T>(&self, call: impl FnOnce(&EndpointRegistry) -> T) -> T {
         call(&locked(&self.registry))
     }
 
@@ -219,14 +219,14 @@
             locked(&host.state).address = Some(address);
         }
         if announce {
-            self.change_list(number, State::Active);
+            self.change_list(number, EndpointState::Active);
         }
     }
 
-    fn change_list(&self, server: usize, state: State) {
+    fn change_list(&self, server: usize, state: EndpointState) {
         let host = self.server(server);
         let started_at = host.and_then(|host| host.with_server(|server| server.spec.started_at));
-        let entry = Entry {
+        let entry = EndpointEntry {
             server,
             state,
             started_at,
--- a/crates/testbed/src/world/server_host.rs
+++ b/crates/testbed/src/world/server_host.rs
@@ -8,7 +8,7 @@
 use pinefront_model::Micros;
 use pinefront_model::random::RandomSource;
 use pinefront_model::scenario::Scenario;
-use pinefront_model::server::{JobOutcome, Report, Server, ServerSpec};
+use pinefront_model::server::{JobOutcome, LoadReport, Server, ServerSpec};
 use tokio::sync::{Notify, oneshot, watch};
 
 use super::locked;
@@ -64,8 +64,8 @@
     }
 
     /// The load that a response reports now.
-    pub fn report(&self, now: Micros) -> Option<Report> {
-        self.with_server(|server| server.report(now))
+    pub fn report(&self, now: Micros) -> Option<LoadReport> {
+        self.with_server(|server| server.load_report(now))
     }
 
     /// Ends the current incarnation.
--- a/crates/testbed/src/world/servers.rs
+++ b/crates/testbed/src/world/servers.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, PoisonError};
 
 use pinefront_model::checker::{AttemptTarget, Observation};
-use pinefront_model::discovery::State;
+use pinefront_model::discovery::EndpointState;
 use pinefront_model::random::RandomSource;
 use pinefront_model::scenario::{Idempotency, IdempotencyScope};
 use pinefront_model::server::{
@@ -163,10 +163,10 @@
                 continue;
             };
             if let Some(request) = waiter.request {
-                if job.outcome.ran() {
-                    self.record(now, Observation::AttemptRan { request, server });
+                if job.outcome.was_processed() {
+                    self.record(now, Observation::AttemptProcessed { request, server });
                 } else if job.outcome == JobOutcome::Rejected {
-                    self.record(now, Observation::AttemptNotRun { request, server });
+                    self.record(now, Observation::AttemptNotProcessed { request, server });
                 }
             }
             // The connection may have closed meanwhile.
@@ -187,7 +187,7 @@
     pub fn apply_event(&self, event: TimelineEvent) -> Vec<usize> {
         match event {
             TimelineEvent::DrainStarted(server) => {
-                self.change_list(server, State::Draining);
+                self.change_list(server, EndpointState::Draining);
                 Vec::new()
             }
             TimelineEvent::DrainFinished(server) => {
@@ -216,7 +216,7 @@
 
     fn remove_server(&self, number: usize) {
         self.kill_server(number);
-        self.change_list(number, State::Removed);
+        self.change_list(number, EndpointState::Removed);
     }
 
     fn kill_server(&self, number: usize) {
