--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -35,7 +35,7 @@
                 Ok(())
             }
             _ => match self.balancers.get_mut(&event.instance) {
-                Some(balancer) => dispatch_event(balancer, now, event),
+                Some(balancer) => pass_event(balancer, now, event),
                 None => Ok(()),
             },
         }
@@ -51,7 +51,7 @@
 }
 
 /// Calls the method of the balancer that handles the event.
-fn dispatch_event(
+fn pass_event(
     balancer: &mut Balancer<SimulatorHost>,
     now: Micros,
     event: &Event,
