--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,12 +1,12 @@
 //! A deterministic model of the environment of a load balancer: servers, clients, discovery,
 //! network links and faults, and a checker of the four safety rules.
 //!
-//! The crate does no I/O and reads no clock. Callers pass the time in whole microseconds since the
-//! scenario started, and all randomness comes from a seed, so that the same seed gives the same
-//! events. The testbed drives these parts behind loopback sockets.
+//! The crate performs no I/O and reads no clock. Callers pass the time in whole microseconds since
+//! the start of the scenario, and all random numbers are derived from a seed, so that the same seed
+//! produces the same events. The testbed connects the model to processes through loopback sockets.
 #![cfg_attr(
     test,
-    // A test that lists its cases in a row reads better whole.
+    // Tests that list many cases in one function are easier to read as a single list.
     allow(
         clippy::default_trait_access,
         clippy::needless_for_each,
--- a/crates/model/src/scenario/defaults.rs
+++ b/crates/model/src/scenario/defaults.rs
@@ -1,4 +1,4 @@
-//! Default values of a scenario's keys that are not the default of their type.
+//! Default values of scenario keys where they differ from the default of the field's type.
 
 use toml::Spanned;
 
@@ -49,7 +49,7 @@
     ]
 }
 
-/// A class with the default scope, window and scatter.
+/// Creates a request class with the default scope, window and scatter.
 fn class(name: &str, idempotency: Idempotency) -> RequestClass {
     RequestClass {
         name: name.into(),
--- a/crates/model/src/scenario/fault.rs
+++ b/crates/model/src/scenario/fault.rs
@@ -1,130 +1,150 @@
-//! Faults of a scenario: their kinds, what each kind affects, and the parameters that it takes.
+//! Faults of a scenario: their kinds, the components that each kind affects, and the parameters
+//! that it accepts.
 
-use serde::Deserialize;
+use std::fmt;
+
+use serde::{Deserialize, Serialize};
 
 use super::Span;
 
-/// A kind of fault. Unless stated otherwise, `factor` and `by` are the keys of [`Fault`].
-#[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
+/// A kind of fault, displayed as its key in scenario files. In the descriptions, `factor` and `by`
+/// are the keys of [`Fault`].
+#[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// Servers pause and later continue where they stopped.
+    /// Servers are suspended and later resume their work in progress.
     Freeze,
-    /// Another program takes `factor` of a server's cores.
+    /// Another program uses `factor` (a fraction) of the core time of a server.
     Neighbour,
-    /// Servers are `factor` times slower.
+    /// Servers process requests `factor` times slower.
     Slow,
-    /// Servers accept requests and send no responses; work in progress continues.
+    /// Servers accept and process requests but send no responses.
     Silent,
-    /// Servers process requests, and `factor` of the responses are lost.
+    /// Servers process requests, but `factor` (a fraction) of the responses are lost.
     Lost,
-    /// Servers fail `factor` of the requests at once.
+    /// Servers respond to `factor` (a fraction) of the requests with an immediate error.
     Errors,
-    /// Servers corrupt `factor` of the responses: truncated, malformed, or with a wrong length.
+    /// Servers corrupt `factor` (a fraction) of the responses: these are truncated, malformed or
+    /// have a wrong length.
     #[serde(rename = "spoilt")]
     Corrupted,
-    /// Servers reset `factor` of the connections in the middle of a request.
+    /// Servers process requests, but reset the connection instead of sending `factor` (a fraction)
+    /// of the responses.
     Reset,
-    /// The endpoint list marks servers as draining; at the end they are removed and replaced by new
-    /// servers in slow start.
+    /// The endpoint list marks servers as draining; at the end of the fault they are removed and
+    /// replaced by new servers in slow start.
     Drain,
-    /// Servers crash, and restart in slow start at the end.
+    /// Servers crash, and restart in slow start at the end of the fault.
     Crash,
-    /// Servers restart at once, in slow start.
+    /// Servers restart immediately, in slow start.
     Cold,
-    /// New servers join in slow start: `factor` times the fleet.
+    /// New servers join in slow start. Their number is `factor` times the size of the fleet.
     Grow,
-    /// Load reports are older by `by`.
+    /// Load reports are delayed by `by`.
     ReportsLate,
-    /// Responses carry no load report.
+    /// Responses contain no load report.
     ReportsAbsent,
     /// Discovery is unreachable.
     #[serde(rename = "discovery_gone")]
     DiscoveryUnreachable,
-    /// Discovery serves the list as it was `by` ago.
+    /// Discovery returns the endpoint list of the time `by` ago.
     DiscoveryStale,
-    /// Traffic is `factor` times the usual rate.
+    /// The request rate is `factor` times the usual rate.
     Burst,
-    /// Balancers are killed, and restarted at the end without state.
+    /// Balancers are killed, and restarted without state at the end of the fault.
     #[serde(alias = "balancer_restarted")]
     BalancerKilled,
-    /// Balancers are asked to stop, and restarted at the end.
+    /// Balancers receive a signal to shut down, and are restarted at the end of the fault.
     BalancerStopped,
-    /// Balancers are suspended (SIGSTOP), and resumed at the end.
+    /// Balancers are suspended (SIGSTOP), and resumed at the end of the fault.
     BalancerStalled,
-    /// Balancers are killed, and each is restarted at the cluster address of the next one listed.
+    /// Balancers are killed, and each is restarted at the cluster address of the next balancer in
+    /// the list.
     BalancerSwapped,
-    /// Balancers are suspended for `factor` of each tenth of a second.
+    /// Balancers are suspended for `factor` (a fraction) of each 100 ms.
     BalancerHurt,
-    /// Nothing passes between the balancers listed and those of `against`, or all others.
+    /// All datagrams are lost between the balancers in `balancers` and those in `against`, or all
+    /// others without `against`. The other link faults affect the same links.
     LinkCut,
-    /// `factor` of the datagrams on those links is lost.
+    /// `factor` (a fraction) of the datagrams is lost.
     LinkLossy,
     /// Datagrams are delayed by up to `by`, and reordered.
     LinkSlow,
-    /// `factor` of the datagrams arrives twice.
+    /// `factor` (a fraction) of the datagrams is duplicated.
     LinkRepeats,
-    /// A bit is flipped in `factor` of the datagrams.
+    /// A bit is flipped in `factor` (a fraction) of the datagrams.
     #[serde(rename = "link_spoils")]
     LinkCorrupts,
-    /// Strangers send the balancers listed `factor` datagrams a second: noise, replayed and
-    /// corrupted datagrams.
+    /// Senders outside the cluster send `factor` datagrams per second to each balancer in
+    /// `balancers`: random bytes, replayed and corrupted datagrams.
     LinkFlood,
-    /// Balancers reload their configuration (SIGHUP), which names another address of discovery.
+    /// Balancers reload their configuration (SIGHUP), which contains another address of discovery.
     BalancerReloaded,
-    /// Watches that are open at the start of the fault deliver no more events and stay open.
+    /// Watches that are open at the start of the fault stay open but deliver no more events.
     WatchesSilent,
     /// Watches that are open at the start of the fault are reset.
     WatchesReset,
-    /// Discovery takes `factor` times as long for each call.
+    /// Discovery processes each call `factor` times slower.
     DiscoverySlow,
-    /// `factor` of discovery's responses are truncated at a random byte and their connection
-    /// closed.
+    /// `factor` (a fraction) of the responses of discovery are truncated at a random byte and their
+    /// connection is closed.
     ListsCut,
-    /// `factor` of its responses are sent in pieces with pauses, over up to `by` in total.
+    /// `factor` (a fraction) of the responses of discovery are sent in pieces with pauses, over up
+    /// to `by` in total.
     ListsInPieces,
-    /// `factor` of its responses are sent up to `by` late.
+    /// `factor` (a fraction) of the responses of discovery are delayed by up to `by`.
     ListsLate,
-    /// The connection is reset after `factor` of its responses.
+    /// Discovery resets the connection after `factor` (a fraction) of its responses.
     ListsReset,
-    /// `factor` of the calls are rejected with status 503.
+    /// Discovery rejects `factor` (a fraction) of the calls with status 503.
     ListsRefused,
-    /// `factor` of the watches are answered with the complete list.
+    /// Discovery answers `factor` (a fraction) of the watches with the complete list.
     #[serde(rename = "lists_whole")]
     ListsComplete,
-    /// `factor` of its responses contain a malformed entry.
+    /// `factor` (a fraction) of the responses of discovery contain a malformed entry.
     ListsStrange,
-    /// `factor` of the clients write their requests in pieces.
+    /// `factor` (a fraction) of the clients write their requests in pieces.
     ClientsInPieces,
-    /// Clients stop in the middle of a request and stay connected, `factor` of them a second for
-    /// each balancer.
+    /// Additional clients stop sending in the middle of a request and stay connected; `factor` is
+    /// their number per second and balancer.
     ClientsStop,
-    /// `factor` of the clients pipeline a second request.
+    /// `factor` (a fraction) of the clients pipeline a second request.
     ClientsPipeline,
-    /// Servers write `factor` of their responses in pieces.
+    /// Servers write `factor` (a fraction) of their responses in pieces.
     AnswersInPieces,
-    /// `factor` of the responses state no length; a third of these are reset on the way.
+    /// `factor` (a fraction) of the responses contain no length; the connections of a third of
+    /// these are reset during the response.
     AnswersUnended,
-    /// A second, unsolicited response follows `factor` of the responses after some milliseconds.
+    /// A second, unsolicited response follows `factor` (a fraction) of the responses after some
+    /// milliseconds.
     AnswersTwice,
     /// Servers close or reset connections that are idle for `by`.
     IdleClosed,
-    /// `factor` of the balancers' calls to accept, open or connect a socket fail temporarily.
+    /// `factor` (a fraction) of the calls of balancers that accept, open or connect a socket fail
+    /// temporarily.
     SystemFails,
-    /// `factor` of their reads and writes are interrupted, and as many are short.
+    /// `factor` (a fraction) of the reads and writes of balancers are interrupted, and the same
+    /// fraction transfer fewer bytes than requested.
     CallsShort,
-    /// `factor` of their writes to servers break the connection.
+    /// `factor` (a fraction) of the writes of balancers to servers break the connection.
     ConnectionsBreak,
-    /// Balancers are delayed before `factor` of their writes, by up to `by`.
+    /// `factor` (a fraction) of the writes of balancers are delayed by up to `by`.
     HeldUp,
-    /// Their wall clock is ahead by `by`, or behind where `factor` is below 0.
+    /// The wall clock of balancers is ahead by `by`, or behind by `by` if `factor` is negative.
     ClockSteps,
 }
 
-/// The factor of a kind of fault.
+impl fmt::Display for FaultKind {
+    /// Writes the key of the kind in scenario files.
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+        self.serialize(out)
+    }
+}
+
+/// Default and valid range of the factor of a kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FactorRange {
-    /// The value where a fault names none.
+    /// The value for faults without the key `factor`.
     pub default: f64,
     /// The smallest valid value.
     pub min: f64,
@@ -139,7 +159,7 @@
 }
 
 impl FaultKind {
-    /// Whether it affects the servers that the fault names.
+    /// Whether the fault affects the servers that it selects.
     pub fn affects_servers(self) -> bool {
         self != Self::Grow
             && !self.is_global()
@@ -147,7 +167,7 @@
             && !self.affects_links()
     }
 
-    /// Whether it applies to all servers, clients or balancers alike while it lasts.
+    /// Whether the fault applies to all servers, clients or balancers while it is active.
     pub fn is_global(self) -> bool {
         matches!(
             self,
@@ -158,7 +178,7 @@
             || self.affects_discovery_responses()
     }
 
-    /// Whether it changes how discovery responds.
+    /// Whether the fault changes the responses of discovery.
     pub fn affects_discovery_responses(self) -> bool {
         matches!(
             self,
@@ -175,7 +195,7 @@
         )
     }
 
-    /// Whether it changes what clients send.
+    /// Whether the fault changes the behaviour of clients.
     pub fn affects_clients(self) -> bool {
         matches!(
             self,
@@ -183,7 +203,7 @@
         )
     }
 
-    /// Whether it changes how servers write responses and close connections.
+    /// Whether the fault changes how servers write responses and close connections.
     pub fn affects_server_responses(self) -> bool {
         matches!(
             self,
@@ -191,7 +211,7 @@
         )
     }
 
-    /// Whether it changes the operating system that balancers run on.
+    /// Whether the fault changes the results of system calls of the balancers.
     pub fn affects_operating_system(self) -> bool {
         matches!(
             self,
@@ -203,7 +223,7 @@
         )
     }
 
-    /// Whether it affects the network links between balancers.
+    /// Whether the fault affects the network links between balancers.
     pub fn affects_links(self) -> bool {
         matches!(
             self,
@@ -216,7 +236,7 @@
         )
     }
 
-    /// Whether it affects the processes of the balancers that the fault names.
+    /// Whether the fault affects the processes of the balancers that it selects.
     pub fn affects_balancers(self) -> bool {
         matches!(
             self,
@@ -229,17 +249,17 @@
         )
     }
 
-    /// Whether the server is dead or removed from the list during or after the fault.
+    /// Whether the server is stopped, or removed from the endpoint list, during or after the fault.
     pub fn removes_server(self) -> bool {
         matches!(self, Self::Drain | Self::Crash)
     }
 
-    /// Whether the fault is a single event that needs no duration.
+    /// Whether the fault is a single event that requires no duration.
     pub fn is_instant(self) -> bool {
         matches!(self, Self::Cold | Self::Grow | Self::BalancerReloaded)
     }
 
-    /// Default and valid range of the factor, for the kinds that take one.
+    /// Default and valid range of the factor, for the kinds that accept one.
     pub fn factor_range(self) -> Option<FactorRange> {
         let range = match self {
             Self::Neighbour => FactorRange::new(0.5, 0.0, 0.99),
@@ -276,7 +296,7 @@
         Some(range)
     }
 
-    /// Whether it needs the duration `by`.
+    /// Whether the kind requires the duration `by`. The other kinds do not accept it.
     pub fn requires_by(self) -> bool {
         matches!(
             self,
@@ -292,38 +312,39 @@
     }
 }
 
-/// One fault of the scenario. Servers are selected by number, zone, machine type or fraction of the
-/// fleet; without any of these, all servers are.
+/// One fault of the scenario. Servers are selected by number, zone, machine type and fraction of
+/// the fleet; without any of these, all servers are selected.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What goes wrong.
+    /// The kind of fault.
     pub kind: FaultKind,
-    /// When it starts.
+    /// Start of the fault, since the start of the scenario.
     pub at: Span,
-    /// How long it lasts.
+    /// Duration of the fault for each server or balancer.
     #[serde(default, rename = "for")]
     pub duration: Span,
-    /// Numbers of the servers that it affects.
+    /// Numbers of the affected servers.
     pub servers: Option<Vec<usize>>,
-    /// Zone of the servers that it affects.
+    /// Zone of the affected servers.
     pub zone: Option<String>,
-    /// Machine type of the servers that it affects.
+    /// Machine type of the affected servers.
     pub machine: Option<String>,
-    /// Fraction of the selected servers that it affects, drawn at random.
+    /// Fraction of the selected servers that the fault affects, drawn at random.
     pub part: Option<f64>,
-    /// Numbers of the balancers that it affects.
+    /// Numbers of the affected balancers.
     pub balancers: Option<Vec<usize>>,
-    /// Balancers at the other end of a link; all others where none are named.
+    /// Balancers at the other end of the affected links; all others if it is missing.
     pub against: Option<Vec<usize>>,
-    /// Whether only what `balancers` send is affected.
+    /// Whether only datagrams sent by `balancers` are affected.
     #[serde(default)]
     pub one_way: bool,
-    /// Strength of the fault, in the unit of its kind.
+    /// Strength of the fault, whose meaning depends on the kind; see [`FaultKind`].
     pub factor: Option<f64>,
-    /// Duration parameter of its kind.
+    /// Duration whose meaning depends on the kind; see [`FaultKind`].
     pub by: Option<Span>,
-    /// Servers or balancers are affected one after the other, evenly over this time.
+    /// The starts of the fault at the selected servers or balancers are evenly distributed over
+    /// this time.
     #[serde(default)]
     pub over: Span,
 }
--- a/crates/model/src/scenario/mod.rs
+++ b/crates/model/src/scenario/mod.rs
@@ -1,8 +1,8 @@
-//! The scenario file: servers, traffic, faults and scoring, decoded from TOML.
+//! Schema of scenario files: servers, traffic, faults and scoring, decoded from TOML.
 //! [`crate::validation`] checks the values.
 //!
-//! Keys of the file are part of its format. Where a field has another name than its key, `serde`
-//! maps it.
+//! The keys are part of the file format. A field whose name differs from its key has a `serde`
+//! attribute with the key.
 
 mod defaults;
 mod fault;
@@ -21,11 +21,13 @@
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let text = String::deserialize(deserializer)?;
         let span = humantime::parse_duration(&text).map_err(|problem| {
-            de::Error::custom(format!("'{text}' is no span such as \"300ms\": {problem}"))
+            de::Error::custom(format!(
+                "invalid duration '{text}', expected a value such as \"300ms\": {problem}"
+            ))
         })?;
-        Micros::try_from(span.as_micros())
-            .map(Span)
-            .map_err(|_| de::Error::custom("the span is too long"))
+        Micros::try_from(span.as_micros()).map(Span).map_err(|_| {
+            de::Error::custom(format!("duration '{text}' exceeds 64 bits in microseconds"))
+        })
     }
 }
 
@@ -33,27 +35,27 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Name, shown with the results.
+    /// Name, displayed with the results.
     pub name: String,
     /// Description for readers of the file.
     #[serde(default)]
     pub about: String,
-    /// How long traffic arrives.
+    /// Duration of the scenario, in which requests arrive.
     pub length: Spanned<Span>,
     /// Seed of all random draws.
     #[serde(default = "defaults::seed")]
     pub seed: u64,
-    /// Number of balancers that traffic is distributed over.
+    /// Number of balancers that receive requests.
     #[serde(default = "defaults::balancers")]
     pub balancers: Spanned<usize>,
-    /// Number of named duties for which the balancers of a cluster hold leases.
+    /// Number of named duties of the cluster; each is assigned to one balancer by a lease.
     #[serde(default)]
     pub duties: usize,
     /// Whether one balancer of each zone polls discovery and shares the endpoint list with the
     /// others.
     #[serde(default, rename = "roster")]
     pub shared_endpoint_list: bool,
-    /// Limits of the four rules and of what balancers may do.
+    /// Limits of the four safety rules and permissions of balancers.
     #[serde(default)]
     pub rules: Rules,
     /// The servers.
@@ -62,19 +64,19 @@
     /// Machine types of the servers.
     #[serde(default = "defaults::machines")]
     pub machines: Vec<Spanned<Machine>>,
-    /// How balancers learn of servers.
+    /// Distribution of the endpoint list to balancers.
     #[serde(default)]
     pub discovery: Discovery,
     /// Request classes.
     #[serde(default = "defaults::classes", rename = "use_cases")]
     pub classes: Vec<Spanned<RequestClass>>,
-    /// What clients send.
+    /// Requests and retries of the clients.
     #[serde(default)]
     pub traffic: Traffic,
     /// Tenants with a request quota.
     #[serde(default)]
     pub tenants: Vec<Spanned<Tenant>>,
-    /// Faults with the time at which each starts.
+    /// Faults with their start times.
     #[serde(default)]
     pub faults: Vec<Spanned<Fault>>,
     /// Weights of the service score.
@@ -82,26 +84,28 @@
     pub service: ServiceWeights,
 }
 
-/// Limits of the four rules, and what balancers may do.
+/// Limits of the four safety rules, and permissions of balancers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// How long a balancer may still send to a server after it was notified that the server drains.
+    /// Grace period in which a balancer may still send attempts to a server after it was notified
+    /// that the server is draining.
     pub drain_grace: Span,
-    /// Tolerance added to each time limit for delays of sockets and the machine.
+    /// Tolerance added to each time limit, for delays of sockets and of the host.
     pub slack: Span,
-    /// How late a final response may be before it counts as missing, where this exceeds the slack.
+    /// Delay after the deadline up to which a final response does not count as missing. The slack
+    /// applies if it is longer.
     #[serde(rename = "late")]
     pub late_response_limit: Span,
-    /// Fraction of its capacity that a server has when it starts; capacity rises linearly from
-    /// there.
+    /// Fraction of its capacity that a server has when it starts. The capacity increases linearly
+    /// during slow start.
     #[serde(rename = "cold_from")]
     pub slow_start_capacity: f64,
     /// Duration of slow start.
     #[serde(rename = "warm_after")]
     pub slow_start_duration: Span,
-    /// A server in slow start crashes when the work received within `slow_start_overload_window`
-    /// exceeds this multiple of what it can process.
+    /// A server in slow start crashes if the work received within `slow_start_overload_window`
+    /// exceeds this multiple of its current capacity.
     #[serde(rename = "cold_multiple")]
     pub slow_start_overload_factor: f64,
     /// Window over which work is summed for `slow_start_overload_factor`.
@@ -113,7 +117,7 @@
     /// Whether balancers may hedge requests.
     #[serde(rename = "second_copies")]
     pub hedging: bool,
-    /// The longest `Retry-After` that a rejection may ask for.
+    /// Maximum `Retry-After` of a rejection.
     #[serde(rename = "come_back")]
     pub max_retry_after: Span,
 }
@@ -136,7 +140,7 @@
 }
 
 impl Rules {
-    /// How long after the deadline a final response may arrive.
+    /// Maximum delay of a final response after its deadline, in microseconds.
     pub fn response_tolerance(&self) -> Micros {
         self.slack.0.max(self.late_response_limit.0)
     }
@@ -146,47 +150,47 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Fleet {
-    /// Number of servers at the start.
+    /// Number of servers at the start of the scenario.
     pub servers: Spanned<usize>,
-    /// Names of the zones; servers are assigned in turn.
+    /// Names of the zones, to which servers are assigned in round-robin order.
     pub zones: Vec<String>,
     /// Number of servers in a cell. Servers of one cell discard each other's duplicates.
     #[serde(rename = "cell")]
     pub cell_size: usize,
-    /// Requests that may wait at a server beyond those in progress.
+    /// Maximum number of requests that wait at a server for a core.
     #[serde(rename = "queue")]
     pub queue_capacity: usize,
     /// Maximum number of connections of a server.
     #[serde(rename = "connections")]
     pub max_connections: usize,
-    /// Core time of a new connection, added to its first request.
+    /// Core time at speed 1 for a new connection, added to its first request.
     #[serde(rename = "handshake")]
     pub handshake_work: Span,
-    /// A server closes a connection that is idle for this long.
+    /// Idle time after which a server closes a connection.
     #[serde(rename = "idle")]
     pub idle_timeout: Span,
-    /// Requests waiting per core beyond which a server is overloaded; 0 turns overload off.
+    /// Waiting requests per core beyond which a server becomes overloaded; 0 disables overload.
     #[serde(rename = "flooded_by")]
     pub overload_queue_per_core: f64,
-    /// How long the queue must exceed the limit before the server slows down.
+    /// Time for which the queue must exceed its limit before the server slows down.
     #[serde(rename = "flooded_after")]
     pub overload_after: Span,
-    /// Slowdown of an overloaded server.
+    /// Factor by which the processing time of an overloaded server increases.
     #[serde(rename = "flooded_slower")]
     pub overload_slowdown: f64,
-    /// How long an overloaded server must be mostly idle to recover.
+    /// Time for which an overloaded server must be mostly idle to recover.
     #[serde(rename = "flooded_rest")]
     pub overload_recovery: Span,
-    /// Interval at which servers measure the load that responses report; 0 turns reports off.
+    /// Interval at which servers measure the load that responses report; 0 disables load reports.
     #[serde(rename = "reports")]
     pub report_interval: Span,
-    /// How long a server caches a key; 0 turns the cache off.
+    /// Time for which a server caches a key; 0 disables the cache.
     #[serde(rename = "keeps_keys")]
     pub key_cache_ttl: Span,
-    /// Fraction of its work that a request with a cached key saves.
+    /// Fraction by which a cached key reduces the work of a request.
     #[serde(rename = "keys_save")]
     pub key_cache_savings: f64,
-    /// Whether a server stops working on a cancelled request.
+    /// Whether a server stops the processing of a cancelled request.
     #[serde(rename = "stops_work")]
     pub cancel_stops_work: bool,
 }
@@ -217,32 +221,32 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Machine {
-    /// Name, as discovery reports it.
+    /// Name of the type, which discovery reports for each server.
     pub name: String,
-    /// Weight of this type among all types.
+    /// Relative share of the servers that have this type.
     #[serde(default = "defaults::share")]
     pub share: f64,
     /// Number of cores.
     #[serde(default = "defaults::cores")]
     pub cores: usize,
-    /// Minimum and maximum speed of a core. Work is given for speed 1.
+    /// Minimum and maximum speed of a core. Work is measured as core time at speed 1.
     #[serde(default = "defaults::speed")]
     pub speed: [f64; 2],
 }
 
-/// How the list of servers reaches balancers.
+/// Distribution of the endpoint list to balancers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Discovery {
-    /// Maximum interval between two polls of a balancer; 0 means that balancers use a watch.
+    /// Maximum interval between two polls of a balancer; with 0, balancers use a watch.
     #[serde(rename = "ask_within")]
     pub max_poll_interval: Span,
-    /// Minimum and maximum delay between a change and the list that contains it.
+    /// Minimum and maximum delay until a change is visible in the endpoint list.
     #[serde(rename = "delay")]
     pub propagation_delay: [Span; 2],
-    /// Calls that discovery processes per second, one after the other; 0 means no limit.
+    /// Calls that discovery can process per second, sequentially; 0 disables the limit.
     pub calls_per_second: f64,
-    /// A call that would wait longer than this is rejected.
+    /// Backlog beyond which discovery rejects calls.
     #[serde(rename = "longest_queue")]
     pub max_queue_wait: Span,
 }
@@ -261,18 +265,18 @@
 /// Whether a request may be processed more than once.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Any number of attempts may run.
+    /// Any number of attempts may be processed.
     #[serde(rename = "redoable")]
     Idempotent,
     /// Servers that share the key's scope discard duplicates within the window.
     #[serde(rename = "labelled")]
     IdempotencyKey,
-    /// At most one attempt may run.
+    /// At most one attempt may be processed.
     #[serde(rename = "irreversible")]
     NonIdempotent,
 }
 
-/// Which servers discard duplicates of a request with an idempotency key.
+/// The servers among which duplicates of a request with an idempotency key are discarded.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum IdempotencyScope {
@@ -288,9 +292,9 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestClass {
-    /// Name, which is the first segment of the request's path.
+    /// Name of the class, which is the first segment of the request path.
     pub name: String,
-    /// Weight of this class in the traffic.
+    /// Relative share of the requests that belong to this class.
     #[serde(default = "defaults::share")]
     pub share: f64,
     /// Whether requests may be processed more than once.
@@ -299,10 +303,10 @@
     /// Scope of the idempotency key.
     #[serde(default = "defaults::scope", rename = "group")]
     pub scope: IdempotencyScope,
-    /// How long servers remember an idempotency key.
+    /// Time for which servers store an idempotency key.
     #[serde(default = "defaults::idempotency_window", rename = "window")]
     pub idempotency_window: Span,
-    /// Mean core time at speed 1.
+    /// Mean core time of a request at speed 1.
     pub work: Span,
     /// Standard deviation of the logarithm of the work.
     #[serde(default = "defaults::scatter")]
@@ -310,10 +314,10 @@
     /// Time spent waiting for other services, without using a core.
     #[serde(default, rename = "waits")]
     pub off_core_time: Span,
-    /// A response within this time earns the class's weight.
+    /// Latency objective: a response within this time counts towards the service score.
     #[serde(rename = "promised_time")]
     pub latency_objective: Span,
-    /// A final response is required within this time.
+    /// Time from the request until its deadline, within which a final response is required.
     #[serde(rename = "hard_stop")]
     pub deadline: Span,
     /// Weight of a request in the service score.
@@ -321,26 +325,26 @@
     pub priority_weight: f64,
 }
 
-/// What clients do.
+/// Requests and retries of the clients.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Traffic {
-    /// Requests per second.
+    /// Usual request rate, in requests per second.
     pub rate: Spanned<f64>,
     /// Multiples of the rate over time, as `[time, multiple]`, with linear interpolation.
     pub curve: Vec<(Span, f64)>,
-    /// Number of keys.
+    /// Number of distinct entity keys.
     pub keys: usize,
-    /// A key's popularity falls with this power of its rank.
+    /// Zipf exponent: the popularity of a key is proportional to its rank to the power of `-skew`.
     pub skew: f64,
-    /// Number of times that a client retries after a rejection or failure.
+    /// Maximum number of retries of a client after rejections and failures.
     pub retries: usize,
-    /// Delay before a retry; 0 means at once.
+    /// Minimum delay before a retry; 0 means an immediate retry.
     pub retry_wait: Span,
-    /// Minimum fraction of the deadline after which a client gives up.
+    /// Minimum client timeout, as a fraction of the deadline.
     #[serde(rename = "give_up")]
     pub min_timeout_fraction: f64,
-    /// Fraction of the clients that disconnect early.
+    /// Fraction of the clients that disconnect before their timeout.
     #[serde(rename = "leaves")]
     pub disconnect_fraction: f64,
 }
@@ -360,13 +364,13 @@
     }
 }
 
-/// A tenant with its share of the traffic.
+/// A tenant and its share of the requests.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Name, as requests carry it.
+    /// Name of the tenant, which its requests contain.
     pub name: String,
-    /// Weight of this tenant in the traffic.
+    /// Relative share of the requests that belong to this tenant.
     #[serde(default = "defaults::share")]
     pub share: f64,
     /// Quota in requests per second.
@@ -374,24 +378,24 @@
     pub quota_per_second: f64,
 }
 
-/// Weight of each part of the service score; see [`crate::service`].
+/// Weights of the components of the service score; see [`crate::service`].
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ServiceWeights {
-    /// The score over the complete scenario.
+    /// Weight of the score over the complete scenario.
     #[serde(rename = "whole")]
     pub overall: f64,
-    /// The worst ten seconds.
+    /// Weight of the worst score of any ten seconds.
     pub worst_10s: f64,
-    /// The worst request class.
+    /// Weight of the worst score of any request class.
     #[serde(rename = "worst_use_case")]
     pub worst_class: f64,
-    /// The worst tenant.
+    /// Weight of the worst score of any tenant.
     pub worst_tenant: f64,
-    /// Late responses.
+    /// Weight of the tail latency score.
     pub tail: f64,
-    /// Fraction of the responses that may miss the latency objective without loss; at five times
-    /// this fraction the tail scores nothing.
+    /// Fraction of the requests that may miss the latency objective without reducing the tail
+    /// latency score. At five times this fraction the score is 0.
     #[serde(rename = "late_free")]
     pub late_fraction_allowed: f64,
 }
--- a/crates/model/src/validation/tests.rs
+++ b/crates/model/src/validation/tests.rs
@@ -10,114 +10,124 @@
     "[[faults]]\nkind = 'flood'\nat = '1s'",
     "d.toml:4: kind: unknown variant `flood`"
 )]
-#[case::no_span(
+#[case::invalid_duration(
     "[traffic]\nretry_wait = 'soon'",
-    "d.toml:4: retry_wait: 'soon' is no span"
+    "d.toml:4: retry_wait: invalid duration 'soon'"
 )]
-#[case::rate_0("[traffic]\nrate = 0.0", "d.toml:4: traffic.rate: must be over 0")]
-#[case::no_servers("[fleet]\nservers = 0", "d.toml:4: fleet.servers: must be 1")]
-#[case::no_such_server(
+#[case::rate_0(
+    "[traffic]\nrate = 0.0",
+    "d.toml:4: traffic.rate: must be above 0 and at most 200000, but is 0"
+)]
+#[case::no_servers(
+    "[fleet]\nservers = 0",
+    "d.toml:4: fleet.servers: must be 1 to 5000, but is 0"
+)]
+#[case::unknown_server(
     "[[faults]]\nkind = 'freeze'\nat = '1s'\nfor = '1s'\nservers = [12]",
-    "d.toml:3: faults.servers: there is no server 12"
+    "d.toml:3: faults.servers: unknown server 12"
 )]
-#[case::no_server(
+#[case::no_selected_server(
     "[[faults]]\nkind = 'freeze'\nat = '1s'\nfor = '1s'\nservers = []",
-    "d.toml:3: faults: Freeze hits no server"
+    "d.toml:3: faults: 'freeze' selects no server"
 )]
-#[case::no_zone(
+#[case::unknown_zone(
     "[[faults]]\nkind = 'freeze'\nat = '1s'\nfor = '1s'\nzone = 'q'",
-    "there is no zone 'q'"
+    "unknown zone 'q'"
 )]
-#[case::too_late(
+#[case::after_the_end(
     "[[faults]]\nkind = 'cold'\nat = '20s'",
-    "d.toml:3: faults.at: lies behind the end"
+    "d.toml:3: faults.at: must be before the end"
 )]
-#[case::twice(
-    "[[faults]]\nkind = 'freeze'\nat = '1s'\nfor = '3s'\n[[faults]]\nkind = 'freeze'\nat = '2s'\nfor = '3s'",
-    "d.toml:7: faults: Freeze and Freeze contradict each other on server 0"
+#[case::overlapping_faults_of_one_kind(
+    "[[faults]]\nkind = 'freeze'\nat = '1s'\nfor = '3s'\n\
+     [[faults]]\nkind = 'freeze'\nat = '2s'\nfor = '3s'",
+    "d.toml:7: faults: 'freeze' and 'freeze' conflict on server 0"
 )]
-#[case::away_already(
-    "[[faults]]\nkind = 'drain'\nat = '1s'\nfor = '3s'\n[[faults]]\nkind = 'crash'\nat = '2s'\nfor = '3s'",
-    "Drain and Crash contradict"
+#[case::crash_of_a_draining_server(
+    "[[faults]]\nkind = 'drain'\nat = '1s'\nfor = '3s'\n\
+     [[faults]]\nkind = 'crash'\nat = '2s'\nfor = '3s'",
+    "'drain' and 'crash' conflict"
 )]
-#[case::gone_already(
-    "[[faults]]\nkind = 'drain'\nat = '1s'\nfor = '3s'\n[[faults]]\nkind = 'freeze'\nat = '9s'\nfor = '3s'",
-    "Drain and Freeze contradict"
+#[case::fault_of_a_removed_server(
+    "[[faults]]\nkind = 'drain'\nat = '1s'\nfor = '3s'\n\
+     [[faults]]\nkind = 'freeze'\nat = '9s'\nfor = '3s'",
+    "'drain' and 'freeze' conflict"
 )]
-#[case::no_balancer(
+#[case::unknown_balancer(
     "[[faults]]\nkind = 'balancer_killed'\nat = '1s'\nfor = '1s'\nbalancers = [2]",
-    "there is no balancer 2"
+    "unknown balancer 2"
 )]
-#[case::balancer_twice(
+#[case::balancer_killed_twice(
     "[[faults]]\nkind = 'balancer_killed'\nat = '1s'\nfor = '5s'\nbalancers = [0, 0]",
-    "balancer 0 is away already"
+    "balancer 0 is killed or stopped at 1 s but does not run"
 )]
-#[case::factor(
+#[case::factor_out_of_range(
     "[[faults]]\nkind = 'errors'\nat = '1s'\nfor = '1s'\nfactor = 2.0",
-    "2 is not from 0 to 1"
+    "must be 0 to 1, but is 2"
 )]
-#[case::no_factor(
+#[case::unexpected_factor(
     "[[faults]]\nkind = 'silent'\nat = '1s'\nfor = '1s'\nfactor = 2.0",
-    "Silent takes none"
+    "'silent' accepts no factor"
 )]
-#[case::no_by(
+#[case::missing_duration(
     "[[faults]]\nkind = 'reports_late'\nat = '1s'\nfor = '1s'",
-    "ReportsLate needs a span"
+    "'reports_late' requires a duration above 0"
 )]
-#[case::twice_named(
+#[case::duplicate_name(
     "[[tenants]]\nname = 'x'\nallowance = 1.0\n[[tenants]]\nname = 'x'\nallowance = 1.0",
-    "'x' is there twice"
+    "invalid name 'x': expected a unique name"
 )]
-#[case::deadline(
-    "[[use_cases]]\nname = 'x'\neffect = 'redoable'\nwork = '1ms'\npromised_time = '1s'\nhard_stop = '1ms'",
-    "lies before the promised time"
+#[case::deadline_before_latency_objective(
+    "[[use_cases]]\nname = 'x'\neffect = 'redoable'\nwork = '1ms'\npromised_time = '1s'\n\
+     hard_stop = '1ms'",
+    "must be above 0 and not shorter than promised_time"
 )]
-#[case::dispatches(
+#[case::too_many_attempts(
     "[rules]\nmost_dispatches = 6",
-    "d.toml:4: rules.most_dispatches: must be 1 to 5"
+    "d.toml:4: rules.most_dispatches: must be 1 to 5, but is 6"
 )]
-fn a_bad_day_is_refused_with_its_place(#[case] rest: &str, #[case] wanted: &str) {
+fn invalid_scenario_is_rejected_with_line_and_field(#[case] rest: &str, #[case] expected: &str) {
     let errors = decode_scenario(&format!("{HEAD}{rest}"), "d.toml").unwrap_err();
-    assert!(errors[0].to_string().contains(wanted), "{}", errors[0]);
+    assert!(errors[0].to_string().contains(expected), "{}", errors[0]);
 }
 
 #[rstest]
 #[case(
     "name = 'd'\nlength = '25h'",
-    "d.toml:2: length: must be over 0 and at most a day"
+    "d.toml:2: length: must be above 0 and at most 24h"
 )]
 #[case("length = '1s'", "missing field `name`")]
 #[case("name = 'd\u{e9}", "d.toml:1:")]
-fn so_is_a_bad_head(#[case] text: &str, #[case] wanted: &str) {
+fn invalid_top_level_key_is_rejected(#[case] text: &str, #[case] expected: &str) {
     assert!(
         decode_scenario(text, "d.toml").unwrap_err()[0]
             .to_string()
-            .contains(wanted)
+            .contains(expected)
     );
 }
 
 #[rstest]
-#[case(0, Some("must be 1 to 64"))]
-#[case(65, Some("must be 1 to 64"))]
-#[case(1, Some("names balancer 1"))]
+#[case(0, Some("must be 1 to 64, but is 0"))]
+#[case(65, Some("must be 1 to 64, but is 65"))]
+#[case(1, Some("selects balancer 1: expected a number below 1"))]
 #[case(5, None)]
-fn another_number_of_balancers_must_fit_the_faults(
+fn balancer_count_is_rejected_if_a_fault_selects_a_balancer_beyond_it(
     #[case] balancers: usize,
-    #[case] wanted: Option<&str>,
+    #[case] expected: Option<&str>,
 ) {
     let fault = "[[faults]]\nkind = 'balancer_killed'\nat = '1s'\nfor = '1s'\nbalancers = [1]";
     let mut scenario = decode_scenario(&format!("{HEAD}{fault}"), "d.toml").unwrap();
     let set = set_balancer_count(&mut scenario, balancers);
-    assert_eq!(set.is_ok(), wanted.is_none());
-    assert!(wanted.is_none_or(|wanted| set.unwrap_err().to_string().contains(wanted)));
+    assert_eq!(set.is_ok(), expected.is_none());
+    assert!(expected.is_none_or(|expected| set.unwrap_err().to_string().contains(expected)));
     assert_eq!(
         *scenario.balancers.get_ref(),
-        if wanted.is_none() { balancers } else { 2 }
+        if expected.is_none() { balancers } else { 2 }
     );
 }
 
 #[test]
-fn all_problems_are_told_at_once() {
+fn all_errors_of_a_scenario_are_reported() {
     let text = format!("{HEAD}balancers = 0\n[fleet]\nservers = 0\n[traffic]\nrate = -1.0");
     assert_eq!(decode_scenario(&text, "d.toml").unwrap_err().len(), 3);
 }
--- a/crates/model/src/validation/values.rs
+++ b/crates/model/src/validation/values.rs
@@ -1,23 +1,23 @@
-//! Checks of all values but the faults. The order of the checks is the order in which errors are
-//! reported.
+//! Checks of all values except those of faults. The order of the checks determines the order of the
+//! reported errors.
 
 use toml::Spanned;
 
 use super::{
     MAX_ATTEMPTS, MAX_BALANCERS, MAX_CURVE_MULTIPLE, MAX_DISCOVERY_CALLS_PER_SECOND, MAX_KEYS,
-    MAX_LENGTH, MAX_REQUESTS_PER_SECOND, MAX_SERVERS, Validator,
+    MAX_LENGTH_US, MAX_REQUESTS_PER_SECOND, MAX_SERVERS, Validator,
 };
 use crate::scenario::{Idempotency, Machine, RequestClass, Scenario};
 
-/// An entry of a list whose names are unique and whose shares are weights.
-trait Shared {
+/// An entry of a list in which names are unique and each entry has a relative share.
+trait NamedShare {
     fn name(&self) -> &str;
     fn share(&self) -> f64;
 }
 
-macro_rules! impl_shared {
+macro_rules! impl_named_share {
     ($($entry:ty),*) => {
-        $(impl Shared for $entry {
+        $(impl NamedShare for $entry {
             fn name(&self) -> &str {
                 &self.name
             }
@@ -27,7 +27,7 @@
         })*
     };
 }
-impl_shared!(Machine, RequestClass, crate::scenario::Tenant);
+impl_named_share!(Machine, RequestClass, crate::scenario::Tenant);
 
 impl Validator<'_> {
     pub(super) fn check_values(&mut self, scenario: &Scenario) {
@@ -51,41 +51,46 @@
 
     fn check_sizes(&mut self, scenario: &Scenario) {
         let length = scenario.length.get_ref().0;
-        if length == 0 || length > MAX_LENGTH {
-            let reason = "must be over 0 and at most a day (24h)";
+        if length == 0 || length > MAX_LENGTH_US {
+            let reason = "must be above 0 and at most 24h";
             self.add(scenario.length.span().start, "length", reason);
         }
         self.check_count(&scenario.balancers, "balancers", MAX_BALANCERS);
         self.check_count(&scenario.fleet.servers, "fleet.servers", MAX_SERVERS);
         let rate = &scenario.traffic.rate;
         if !(*rate.get_ref() > 0.0 && *rate.get_ref() <= MAX_REQUESTS_PER_SECOND) {
-            let reason = format!("must be over 0 and at most {MAX_REQUESTS_PER_SECOND}");
+            let value = rate.get_ref();
+            let reason =
+                format!("must be above 0 and at most {MAX_REQUESTS_PER_SECOND}, but is {value}");
             self.add(rate.span().start, "traffic.rate", reason);
         }
     }
 
     fn check_count(&mut self, count: &Spanned<usize>, field: &str, max: usize) {
-        if !(1..=max).contains(count.get_ref()) {
-            self.add(count.span().start, field, format!("must be 1 to {max}"));
+        let value = *count.get_ref();
+        if !(1..=max).contains(&value) {
+            let reason = format!("must be 1 to {max}, but is {value}");
+            self.add(count.span().start, field, reason);
         }
     }
 
     fn check_fleet_and_rules(&mut self, scenario: &Scenario) {
         let (fleet, rules) = (&scenario.fleet, &scenario.rules);
         if fleet.zones.is_empty() {
-            self.add_for_key("fleet", "zones", "names no zone");
+            self.add_for_key("fleet", "zones", "must contain at least one zone");
         }
         if fleet.max_connections == 0 {
-            self.add_for_key("fleet", "connections", "0 connections serve nobody");
+            self.add_for_key("fleet", "connections", "must be at least 1");
         }
         self.check_fraction("fleet", "keys_save", fleet.key_cache_savings);
         self.check_fraction("rules", "cold_from", rules.slow_start_capacity);
         if rules.slow_start_capacity <= 0.0 || rules.slow_start_overload_factor <= 0.0 {
-            let reason = "a cold server that can do nothing never warms";
+            let reason = "cold_from and cold_multiple must be above 0";
             self.add_for_key("rules", "cold_from", reason);
         }
         if !(1..=MAX_ATTEMPTS).contains(&rules.max_attempts) {
-            let reason = format!("must be 1 to {MAX_ATTEMPTS}");
+            let value = rules.max_attempts;
+            let reason = format!("must be 1 to {MAX_ATTEMPTS}, but is {value}");
             self.add_for_key("rules", "most_dispatches", reason);
         }
     }
@@ -93,10 +98,12 @@
     fn check_discovery(&mut self, scenario: &Scenario) {
         let discovery = &scenario.discovery;
         if discovery.propagation_delay[0] > discovery.propagation_delay[1] {
-            self.add_for_key("discovery", "delay", "the least is above the greatest");
+            let reason = "the minimum must not exceed the maximum";
+            self.add_for_key("discovery", "delay", reason);
         }
         if !(0.0..=MAX_DISCOVERY_CALLS_PER_SECOND).contains(&discovery.calls_per_second) {
-            let reason = format!("must be 0 to {MAX_DISCOVERY_CALLS_PER_SECOND}");
+            let value = discovery.calls_per_second;
+            let reason = format!("must be 0 to {MAX_DISCOVERY_CALLS_PER_SECOND}, but is {value}");
             self.add_for_key("discovery", "calls_per_second", reason);
         }
     }
@@ -104,14 +111,17 @@
     fn check_traffic(&mut self, scenario: &Scenario) {
         let traffic = &scenario.traffic;
         if traffic.keys == 0 || traffic.keys > MAX_KEYS {
-            self.add_for_key("traffic", "keys", format!("must be 1 to {MAX_KEYS}"));
+            let reason = format!("must be 1 to {MAX_KEYS}, but is {}", traffic.keys);
+            self.add_for_key("traffic", "keys", reason);
         }
         if !(traffic.min_timeout_fraction > 0.0 && traffic.min_timeout_fraction <= 1.0) {
-            self.add_for_key("traffic", "give_up", "must be over 0 and at most 1");
+            let value = traffic.min_timeout_fraction;
+            let reason = format!("must be above 0 and at most 1, but is {value}");
+            self.add_for_key("traffic", "give_up", reason);
         }
         self.check_fraction("traffic", "leaves", traffic.disconnect_fraction);
         if traffic.curve.windows(2).any(|pair| pair[0].0 >= pair[1].0) {
-            self.add_for_key("traffic", "curve", "its times must rise");
+            self.add_for_key("traffic", "curve", "times must be strictly ascending");
         }
         let mut multiples = traffic.curve.iter().map(|(_, multiple)| multiple);
         if multiples.any(|multiple| !(0.0..=MAX_CURVE_MULTIPLE).contains(multiple)) {
@@ -120,12 +130,12 @@
         }
     }
 
-    fn check_names_and_shares<T: Shared>(&mut self, table: &str, entries: &[Spanned<T>]) {
+    fn check_names_and_shares<T: NamedShare>(&mut self, table: &str, entries: &[Spanned<T>]) {
         let offset = entries.first().map_or(0, |entry| entry.span().start);
         let shares: f64 = entries.iter().map(|entry| entry.get_ref().share()).sum();
         let any_negative = entries.iter().any(|entry| entry.get_ref().share() < 0.0);
         if any_negative || shares.is_nan() || shares <= 0.0 {
-            let reason = "shares must not be below 0, and their sum over it";
+            let reason = "shares must not be negative, and their sum must be above 0";
             self.add(offset, &format!("{table}.share"), reason);
         }
         for (index, entry) in entries.iter().enumerate() {
@@ -135,8 +145,9 @@
                 .any(|other| other.get_ref().name() == name);
             let is_valid = |byte: u8| byte.is_ascii_alphanumeric() || b"-_".contains(&byte);
             if is_duplicate || name.is_empty() || !name.bytes().all(is_valid) {
-                let reason =
-                    format!("'{name}' is there twice, or no name of letters, digits, - and _");
+                let reason = format!(
+                    "invalid name '{name}': expected a unique name of letters, digits, - and _"
+                );
                 self.add(entry.span().start, &format!("{table}.name"), reason);
             }
         }
@@ -146,7 +157,7 @@
         let (offset, machine) = (machine.span().start, machine.get_ref());
         let is_speed_valid = machine.speed[0] > 0.0 && machine.speed[0] <= machine.speed[1];
         if machine.cores == 0 || !is_speed_valid {
-            let reason = "needs a core, and speeds over 0 from the least to the greatest";
+            let reason = "cores must be at least 1, and speed must be [minimum, maximum] above 0";
             self.add(offset, "machines.speed", reason);
         }
     }
@@ -154,12 +165,12 @@
     fn check_class(&mut self, class: &Spanned<RequestClass>) {
         let (offset, class) = (class.span().start, class.get_ref());
         if class.latency_objective > class.deadline || class.deadline.0 == 0 {
-            let reason = "lies before the promised time";
+            let reason = "must be above 0 and not shorter than promised_time";
             self.add(offset, "use_cases.hard_stop", reason);
         }
         let uses_key = class.idempotency == Idempotency::IdempotencyKey;
         if uses_key && class.idempotency_window.0 == 0 {
-            let reason = "a label that is forgotten at once labels nothing";
+            let reason = "must be above 0 for the effect 'labelled'";
             self.add(offset, "use_cases.window", reason);
         }
     }
@@ -174,7 +185,7 @@
             service.tail,
         ];
         if weights.iter().any(|weight| *weight < 0.0) || weights.iter().sum::<f64>() <= 0.0 {
-            let reason = "weights must not be below 0, and their sum over it";
+            let reason = "weights must not be negative, and their sum must be above 0";
             self.add_for_key("service", "whole", reason);
         }
     }
--- a/crates/model/tests/scenario_keys.rs
+++ b/crates/model/tests/scenario_keys.rs
@@ -1,10 +1,12 @@
-//! The keys of a scenario file, held in place: every key of every table, every kind of fault, and
-//! the texts that refuse a file are compared byte for byte with what is recorded.
+//! Regression test of the scenario file format: the values of every key of every table, the effect
+//! of every kind of fault, and the errors of invalid files are compared byte for byte with
+//! recordings.
 //!
-//! `RECORD_SCENARIO=1 cargo test -p pinefront-model` writes the recordings anew; only a change that
-//! is meant to alter the file format may do so. `recorded/every_key.toml` is written by hand.
+//! `RECORD_SCENARIO=1 cargo test -p pinefront-model` replaces the recordings. Do so only with a
+//! change that intentionally alters the file format or the texts of errors.
+//! `recorded/every_key.toml` is written by hand.
 
-#![allow(clippy::pedantic)] // As it was when the recording was made.
+#![allow(clippy::pedantic)] // The test keeps the form in which its values were recorded.
 
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
@@ -24,14 +26,14 @@
     if std::env::var_os("RECORD_SCENARIO").is_some() {
         std::fs::write(&path, text).unwrap();
     }
-    let recorded = std::fs::read_to_string(&path).expect("the recording is there");
+    let recorded = std::fs::read_to_string(&path).expect("cannot read the recording");
     for (number, (line, recorded)) in text.lines().zip(recorded.lines()).enumerate() {
         assert_eq!(line, recorded, "{name}:{}", number + 1);
     }
     assert_eq!(text, recorded, "{name}");
 }
 
-/// Lines of `key = value`, by the keys of the file.
+/// Lines of the form `key = value`, with the keys of the scenario file.
 #[derive(Default)]
 struct Values(String);
 
@@ -209,7 +211,7 @@
     values.0
 }
 
-/// Every kind of fault by its name in the file.
+/// Every kind of fault with its key in scenario files.
 const KINDS: [(&str, FaultKind); 51] = [
     ("freeze", FaultKind::Freeze),
     ("neighbour", FaultKind::Neighbour),
@@ -273,11 +275,12 @@
     format!("{HEAD}[[faults]]\nkind = \"{kind_name}\"\nat = \"10s\"\nfor = \"5s\"\n{by}")
 }
 
-/// What a fault of one kind leads to, in the terms of the file.
+/// Describes the effect of a fault of one kind.
 fn effect_of(kind_name: &str, kind: FaultKind) -> String {
     let scenario =
         validation::decode_scenario(&scenario_with_fault(kind_name, kind), "d.toml").unwrap();
     assert_eq!(scenario.faults[0].get_ref().kind, kind);
+    assert_eq!(kind.to_string(), kind_name);
     let specs = fleet::specs(&scenario, scenario.seed);
     let timeline = Timeline::new(&scenario, &specs, scenario.seed);
     let factor = kind
@@ -289,11 +292,12 @@
             )
         });
     let condition = timeline.condition(0, 11_000_000);
-    let wide = timeline.active_global_fault(kind, 11_000_000).is_some();
+    let is_global = timeline.active_global_fault(kind, 11_000_000).is_some();
     format!(
-        "{kind_name}: servers {}, balancers {}, links {}, wide {wide}, {factor}, by {}, away {}, \
-         server hits {}, link faults {}, events {} at {:?}; \
-         frozen {} silent {} lost {} rate {} errors {} spoilt {} reset {} reports {} us late, absent {}",
+        "{kind_name}: servers {}, balancers {}, links {}, global {is_global}, {factor}, by {}, \
+         removes server {}, server faults {}, link faults {}, events {} at {:?}; \
+         frozen {} silent {} lost {} rate {} errors {} corrupted {} reset {} \
+         reports {} us late, absent {}",
         kind.affects_servers(),
         kind.affects_balancers(),
         kind.affects_links(),
@@ -319,21 +323,22 @@
     )
 }
 
-/// Files that are refused: an unknown key in each table, values of the wrong type, and what a check
-/// finds.
-fn refused_files() -> Vec<String> {
-    let class = "[[use_cases]]\nname = 'x'\neffect = 'redoable'\nwork = '1ms'\npromised_time = '1s'\nhard_stop = '2s'\n";
+/// Returns invalid files: with an unknown key in each table, with values of the wrong type, and
+/// with values that the validation rejects.
+fn invalid_files() -> Vec<String> {
+    let class = "[[use_cases]]\nname = 'x'\neffect = 'redoable'\nwork = '1ms'\n\
+                 promised_time = '1s'\nhard_stop = '2s'\n";
     let fault = "[[faults]]\nkind = 'freeze'\nat = '1s'\nfor = '1s'\n";
     let mut files: Vec<String> = ["rules", "fleet", "discovery", "traffic", "service"]
         .iter()
-        .map(|table| format!("{HEAD}[{table}]\nnobody_knows = 1\n"))
+        .map(|table| format!("{HEAD}[{table}]\nunknown_key = 1\n"))
         .collect();
     let rest = [
-        "nobody_knows = 1\n".to_owned(),
-        "[[machines]]\nname = 'm'\nnobody_knows = 1\n".to_owned(),
-        format!("{class}nobody_knows = 1\n"),
-        "[[tenants]]\nname = 't'\nallowance = 1.0\nnobody_knows = 1\n".to_owned(),
-        format!("{fault}nobody_knows = 1\n"),
+        "unknown_key = 1\n".to_owned(),
+        "[[machines]]\nname = 'm'\nunknown_key = 1\n".to_owned(),
+        format!("{class}unknown_key = 1\n"),
+        "[[tenants]]\nname = 't'\nallowance = 1.0\nunknown_key = 1\n".to_owned(),
+        format!("{fault}unknown_key = 1\n"),
         "seed = 'many'\n".to_owned(),
         "duties = -1\n".to_owned(),
         "roster = 'yes'\n".to_owned(),
@@ -349,7 +354,7 @@
         "[[tenants]]\nname = 't'\n".to_owned(),
         "[[use_cases]]\nname = 'x'\neffect = 'maybe'\n".to_owned(),
         "[[use_cases]]\nname = 'x'\neffect = 'labelled'\ngroup = 'none'\n".to_owned(),
-        "[[faults]]\nkind = 'nobody_knows'\nat = '1s'\n".to_owned(),
+        "[[faults]]\nkind = 'unknown_key'\nat = '1s'\n".to_owned(),
         "[[faults]]\nkind = 'freeze'\n".to_owned(),
         format!("{fault}servers = 3\n"),
         format!("{fault}servers = [99]\n"),
@@ -363,16 +368,20 @@
         "[[faults]]\nkind = 'burst'\nat = '70s'\nfactor = 101.0\npart = 0.5\n".to_owned(),
         "[[faults]]\nkind = 'reports_late'\nat = '1s'\nfor = '1s'\n".to_owned(),
         format!("{fault}{fault}"),
-        "[[faults]]\nkind = 'balancer_killed'\nat = '1s'\nfor = '5s'\nbalancers = [0, 0]\n".to_owned(),
+        "[[faults]]\nkind = 'balancer_killed'\nat = '1s'\nfor = '5s'\nbalancers = [0, 0]\n"
+            .to_owned(),
         "[[faults]]\nkind = 'freeze'\nat = '1s'\nfor = '1s'\nservers = []\n".to_owned(),
         "[rules]\ncold_from = 0.0\nmost_dispatches = 6\n".to_owned(),
         "[fleet]\nservers = 0\nzones = []\nconnections = 0\nkeys_save = 1.5\n".to_owned(),
         "[discovery]\ndelay = ['2s', '1s']\ncalls_per_second = -1.0\n".to_owned(),
-        "[traffic]\nrate = 0.0\nkeys = 0\ngive_up = 0.0\nleaves = 2.0\ncurve = [['2s', 1.0], ['1s', 200.0]]\n".to_owned(),
+        "[traffic]\nrate = 0.0\nkeys = 0\ngive_up = 0.0\nleaves = 2.0\n\
+         curve = [['2s', 1.0], ['1s', 200.0]]\n"
+            .to_owned(),
         "[service]\nwhole = -1.0\n".to_owned(),
         "[[machines]]\nname = 'm'\ncores = 0\nshare = -1.0\n".to_owned(),
         "[[machines]]\nname = 'm'\nspeed = [2.0, 1.0]\n[[machines]]\nname = 'm'\n".to_owned(),
-        "[[use_cases]]\nname = 'x y'\neffect = 'labelled'\nwindow = '0s'\nwork = '1ms'\npromised_time = '1s'\nhard_stop = '1ms'\n"
+        "[[use_cases]]\nname = 'x y'\neffect = 'labelled'\nwindow = '0s'\nwork = '1ms'\n\
+         promised_time = '1s'\nhard_stop = '1ms'\n"
             .to_owned(),
     ];
     files.extend(rest.into_iter().map(|rest| format!("{HEAD}{rest}")));
@@ -384,19 +393,19 @@
 }
 
 #[test]
-fn every_key_is_read_back() {
+fn file_with_every_key_is_decoded_completely() {
     let scenario = validation::decode_scenario(EVERY_KEY, "every_key.toml").unwrap();
     compare("every_key.txt", &values_of(&scenario));
 }
 
 #[test]
-fn keys_that_are_left_out_have_their_defaults() {
+fn missing_keys_have_their_defaults() {
     let scenario = validation::decode_scenario("name = 'd'\nlength = '60s'\n", "d.toml").unwrap();
     compare("defaults.txt", &values_of(&scenario));
 }
 
 #[test]
-fn every_kind_of_fault_leads_to_the_same() {
+fn effect_of_every_kind_of_fault_equals_the_recording() {
     let lines: Vec<_> = KINDS
         .iter()
         .map(|(name, kind)| effect_of(name, *kind) + "\n")
@@ -408,21 +417,21 @@
 }
 
 #[test]
-fn refused_files_are_told_with_place_and_text() {
+fn invalid_files_are_rejected_with_the_recorded_errors() {
     let mut text = String::new();
-    for file in refused_files() {
-        let problems = validation::decode_scenario(&file, "d.toml").unwrap_err();
+    for file in invalid_files() {
+        let errors = validation::decode_scenario(&file, "d.toml").unwrap_err();
         let added = file.strip_prefix(HEAD).unwrap_or(&file);
         writeln!(text, "{added:?}").unwrap();
-        for problem in problems {
-            writeln!(text, "    {problem}").unwrap();
+        for error in errors {
+            writeln!(text, "    {error}").unwrap();
         }
     }
     compare("refused.txt", &text);
 }
 
 #[test]
-fn every_file_in_scenarios_is_read() {
+fn every_file_in_scenarios_is_valid() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios");
     let mut count = 0;
     for entry in std::fs::read_dir(folder).unwrap() {
