--- a/crates/model/src/call_queue.rs
+++ b/crates/model/src/call_queue.rs
@@ -1,39 +1,41 @@
-//! Capacity of discovery: calls are processed one after the other, and a call that would wait too
-//! long is rejected.
+//! Capacity of discovery: calls are processed sequentially, and calls are rejected while the
+//! backlog is too long.
 //!
-//! An admitted call uses its time whether or not the caller is still connected. A watch that is
-//! renewed soon after its last response uses none.
+//! An admitted call uses capacity even if the caller disconnects. A watch that is renewed soon
+//! after its last response uses no capacity.
 
 use std::collections::BTreeMap;
 
 use crate::scenario::Discovery;
 use crate::{Micros, SECOND};
 
-/// How soon after its last response a watch must be renewed to continue.
+/// Maximum time between the last response to a watch and its renewal, in microseconds. A later call
+/// counts as a new watch.
 const RENEWAL_WINDOW_US: Micros = 200_000;
 
-/// The decision on a call.
+/// The admission decision for a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is processed at this time.
+    /// The call is admitted, and its processing ends at this time.
     Admitted(Micros),
-    /// The queue is full.
+    /// The call is rejected because the backlog is too long.
     Rejected,
 }
 
 /// The queue of calls, and the watches that can be renewed.
 pub struct CallQueue {
-    /// Processing time of a call; 0 where there is no limit.
+    /// Processing time of a call, in microseconds; 0 disables the limit.
     call_duration: Micros,
+    /// Backlog beyond which calls are rejected, in microseconds.
     max_wait: Micros,
-    /// When all admitted calls are processed.
+    /// Time at which the processing of all admitted calls ends.
     free_at: Micros,
-    /// When a watch was last answered, by balancer.
+    /// Time of the last response to a watch, by balancer.
     answered_at: BTreeMap<usize, Micros>,
 }
 
 impl CallQueue {
-    /// An empty queue with the capacity of a scenario's discovery.
+    /// Creates an empty queue with the capacity of a scenario's discovery.
     pub fn new(discovery: &Discovery) -> Self {
         let rate = discovery.calls_per_second;
         let call_duration = if rate > 0.0 {
@@ -75,7 +77,8 @@
         self.answered_at.insert(balancer, now);
     }
 
-    /// How long the admitted calls take from now on. Watch events are sent after them.
+    /// Returns the remaining processing time of the admitted calls, in microseconds. Watch events
+    /// are sent after that time.
     pub fn backlog(&self, now: Micros) -> Micros {
         self.free_at.saturating_sub(now)
     }
--- a/crates/model/src/call_queue/tests.rs
+++ b/crates/model/src/call_queue/tests.rs
@@ -11,18 +11,18 @@
 }
 
 #[test]
-fn calls_are_processed_in_turn_and_rejected_once_the_queue_is_full() {
+fn calls_are_processed_sequentially_and_rejected_while_the_queue_is_full() {
     let mut queue = queue(2.0);
-    let turns = [0, 1, 2, 3].map(|balancer| queue.admit(0, balancer, true, 1.0));
+    let admissions = [0, 1, 2, 3].map(|balancer| queue.admit(0, balancer, true, 1.0));
     let at = |tenths: u64| Admission::Admitted(tenths * SECOND / 10);
-    assert_eq!(turns, [at(5), at(10), at(15), Admission::Rejected]);
-    // Admitted again once the backlog is down to the longest wait.
+    assert_eq!(admissions, [at(5), at(10), at(15), Admission::Rejected]);
+    // Calls are admitted again when the backlog has decreased to the maximum wait.
     assert_eq!(queue.admit(SECOND / 2, 3, false, 2.0), at(25));
     assert_eq!(queue.backlog(SECOND), 3 * SECOND / 2);
 }
 
 #[test]
-fn a_renewed_watch_takes_no_capacity() {
+fn renewed_watch_uses_no_capacity() {
     let mut queue = queue(2.0);
     queue.admit(0, 0, true, 1.0);
     queue.watch_answered(SECOND, 0);
@@ -31,7 +31,7 @@
         Admission::Admitted(SECOND + RENEWAL_WINDOW_US)
     );
     queue.watch_answered(2 * SECOND, 0);
-    // Later it is a new watch, and a poll is no renewal.
+    // A later call is a new watch, and a poll does not renew a watch.
     assert_eq!(
         queue.admit(2 * SECOND + RENEWAL_WINDOW_US + 1, 0, true, 1.0),
         Admission::Admitted(2_700_001)
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn without_a_limit_all_are_admitted_at_once() {
+fn calls_are_processed_immediately_without_a_limit() {
     let mut queue = queue(0.0);
     assert!(
         (0..1000).all(|balancer| queue.admit(5, balancer, false, 1.0) == Admission::Admitted(5))
--- a/crates/model/src/checker.rs
+++ b/crates/model/src/checker.rs
@@ -1,14 +1,16 @@
-//! Checks the four safety rules against what is observed outside the balancers.
+//! Checks the four safety rules against observations made outside the balancers.
 //!
-//! 1. Every request received gets one final response before its deadline, and nothing after.
-//! 2. Nothing is processed twice: a non-idempotent request is retried or rejected only when each
-//!    earlier attempt provably did not run; one with an idempotency key only within the key's scope
-//!    and window.
-//! 3. No new attempt is sent to a server that drains or is removed, once the grace period is over.
+//! 1. Every received request gets exactly one final response before its deadline, and no attempt of
+//!    it starts afterwards.
+//! 2. No request is processed twice. A non-idempotent request is retried or rejected only if each
+//!    earlier attempt was provably not processed; a request with an idempotency key is retried only
+//!    within the scope and window of the key.
+//! 3. No attempt is sent to a draining or removed server after the grace period.
 //! 4. No server in slow start receives more work than the allowed multiple of its capacity.
 //!
-//! Observations carry the time at which they were made. They may be recorded in another order,
-//! since the exact order on sockets is unknown; the rules compare times, with the scenario's slack.
+//! Each observation has the time at which it was made. Observations can be recorded in a different
+//! order, because the exact order of events on sockets is unknown. The rules therefore compare
+//! times, with the slack of the scenario as tolerance.
 
 mod observation;
 mod rules;
@@ -20,15 +22,16 @@
 use crate::scenario::{RequestClass, Rules, Scenario};
 use crate::{Micros, SECOND};
 
-/// How long after its deadline a request is retained, for observations that are recorded late.
+/// Time after its deadline for which a request is retained, in microseconds, since observations can
+/// be recorded late.
 const RETENTION_US: Micros = 15 * SECOND;
-/// How long after its last observation a request is retained that no balancer is known to have
-/// received.
+/// Time after its last observation for which a request is retained that was not observed to be
+/// received by a balancer, in microseconds.
 const UNRECEIVED_RETENTION_US: Micros = 4 * RETENTION_US;
-/// Number of observations between two removals of expired requests.
+/// Number of recorded observations between two removals of expired requests.
 const CLEANUP_INTERVAL: u64 = 4096;
 
-/// The balancer's obligation for a request.
+/// The balancer that received a request, and the class and deadline of the request.
 #[derive(Clone, Copy)]
 struct Received {
     balancer: usize,
@@ -36,21 +39,21 @@
     deadline: Micros,
 }
 
-/// Everything observed of one request.
+/// All observations of one request.
 #[derive(Default)]
 struct RequestHistory {
     observations: Vec<(Micros, Observation)>,
     received: Option<Received>,
     answered_at: Option<Micros>,
     connection_lost: bool,
-    /// No response is required, since the client disconnected or the balancer was killed or
-    /// suspended.
+    /// Whether no response is required, because the client disconnected or the balancer was killed
+    /// or suspended.
     excused: bool,
     disconnected_at: Option<Micros>,
 }
 
 impl RequestHistory {
-    /// Whether a response is missing.
+    /// Whether the final response is due and missing.
     fn is_response_missing(&self, now: Micros, rules: &Rules) -> bool {
         let is_due = self.received.is_some_and(|received| {
             self.connection_lost || now > received.deadline + rules.response_tolerance()
@@ -68,39 +71,39 @@
     }
 }
 
-/// Work that a server received.
+/// Work received by a server. Work is core time at speed 1, in microseconds.
 struct ReceivedWork {
     at: Micros,
     work: f64,
 }
 
-/// What is observed of one server.
+/// Observations of one server.
 #[derive(Default)]
 struct ServerHistory {
     /// Work received within the overload window, while in slow start.
     slow_start_work: VecDeque<ReceivedWork>,
-    /// Whether that work exceeds the limit.
+    /// Whether `slow_start_work` exceeds the limit.
     is_over_limit: bool,
-    /// When each balancer was first notified that the server drains.
+    /// Time at which each balancer was first notified that the server is draining.
     drain_notified_at: BTreeMap<usize, Micros>,
 }
 
-/// Records observations and finds violations. Memory is bounded: requests are removed some time
-/// after their deadline.
+/// Records observations and detects violations. Memory is bounded because requests are removed some
+/// time after their deadline.
 pub struct Checker {
     rules: Rules,
     classes: Vec<RequestClass>,
     requests: BTreeMap<u64, RequestHistory>,
     servers: BTreeMap<usize, ServerHistory>,
-    /// When each balancer was last killed or suspended.
+    /// Time at which each balancer was last killed, suspended or resumed.
     interrupted_at: BTreeMap<usize, Micros>,
     violations: Vec<Violation>,
-    /// Number of observations so far.
+    /// Number of recorded observations.
     recorded: u64,
 }
 
 impl Checker {
-    /// A checker with the rules and classes of a scenario.
+    /// Creates a checker with the rules and classes of a scenario.
     pub fn new(scenario: &Scenario) -> Self {
         let classes = scenario.classes.iter();
         Self {
@@ -114,17 +117,17 @@
         }
     }
 
-    /// The violations found so far.
+    /// Returns the violations detected so far.
     pub fn violations(&self) -> &[Violation] {
         &self.violations
     }
 
-    /// Number of requests that are retained.
+    /// Returns the number of retained requests.
     pub fn retained(&self) -> usize {
         self.requests.len()
     }
 
-    /// Records an observation that was made at that time.
+    /// Records an observation that was made at the time `at`.
     pub fn record(&mut self, at: Micros, observation: Observation) {
         self.retain(at, observation);
         match observation {
@@ -170,7 +173,7 @@
         }
     }
 
-    /// Adds an observation to its request's history.
+    /// Adds an observation to the history of its request.
     fn retain(&mut self, at: Micros, observation: Observation) {
         self.recorded += 1;
         if self.recorded.is_multiple_of(CLEANUP_INTERVAL) {
@@ -182,7 +185,7 @@
         }
     }
 
-    /// Checks at the end that no response is missing.
+    /// Checks at the end of a scenario that no response is missing.
     pub fn finish(&mut self, now: Micros) {
         let histories = self.requests.iter();
         let missing: Vec<u64> = histories
@@ -194,9 +197,9 @@
         }
     }
 
-    /// Adds a violation that was found elsewhere and is about no recorded request.
-    pub fn record_violation(&mut self, rule: u8, at: Micros, what: String) {
-        self.add_violation(rule, at, None, what);
+    /// Adds a violation that was detected outside the checker and concerns no recorded request.
+    pub fn record_violation(&mut self, rule: u8, at: Micros, description: String) {
+        self.add_violation(rule, at, None, description);
     }
 
     fn add_violation(
@@ -204,7 +207,7 @@
         rule: u8,
         at: Micros,
         request: Option<u64>,
-        what: impl Into<String>,
+        description: impl Into<String>,
     ) {
         let history = request
             .and_then(|request| self.requests.get(&request))
@@ -214,7 +217,7 @@
             rule,
             at,
             request,
-            what: what.into(),
+            description: description.into(),
             history,
         });
     }
@@ -243,13 +246,13 @@
 
     fn balancer_killed(&mut self, at: Micros, balancer: usize) {
         self.excuse_requests(at, balancer);
-        // Its next process is notified again.
+        // The next process of the balancer receives the list anew, so its grace period starts then.
         for server in self.servers.values_mut() {
             server.drain_notified_at.remove(&balancer);
         }
     }
 
-    /// Excuses the open requests of a balancer.
+    /// Marks the open requests of a balancer as requiring no response.
     fn excuse_requests(&mut self, at: Micros, balancer: usize) {
         self.interrupted_at.insert(balancer, at);
         for history in self.requests.values_mut() {
--- a/crates/model/src/checker/observation.rs
+++ b/crates/model/src/checker/observation.rs
@@ -1,35 +1,34 @@
-//! What is observed outside the balancers, and violations of rules with the observations that show
-//! them.
+//! Observations made outside the balancers, and violations of rules with the related observations.
 
 use std::fmt;
 
 use crate::{Micros, SECOND};
 
-/// How a request ended for its client.
+/// Outcome of a request from the point of view of its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A server's response arrived.
+    /// The client received the response of a server.
     Succeeded,
-    /// The balancer rejected the request, which no server processed.
+    /// The balancer rejected the request; the response states that no server processed it.
     Rejected,
-    /// The balancer gave up, and a server may have processed the request.
+    /// The balancer reported a failure; a server may have processed the request.
     Failed,
 }
 
-/// The server of an attempt, as the rules on idempotency and slow start need it.
+/// The server that receives an attempt, with the data for the rules on idempotency and slow start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptTarget {
-    /// The server's number.
+    /// Number of the server.
     pub server: usize,
-    /// The server's zone.
+    /// Index of the server's zone.
     pub zone: usize,
-    /// The server's cell.
+    /// Number of the server's cell.
     pub cell: usize,
-    /// Work that the server can process per microsecond, while it is in slow start.
+    /// Work that the server can process per microsecond; `None` if it is not in slow start.
     pub slow_start_capacity: Option<f64>,
 }
 
-/// One observation. Requests are identified by their number, balancers and servers by theirs.
+/// One observation. Requests, balancers and servers are identified by their numbers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Observation {
     /// The last byte of the request was written to a balancer.
@@ -40,7 +39,7 @@
         balancer: usize,
         /// Index of the request class.
         class: usize,
-        /// When the final response is due.
+        /// Time at which the final response is due.
         deadline: Micros,
     },
     /// The last byte of an attempt arrived at a server.
@@ -49,28 +48,28 @@
         request: u64,
         /// The server.
         target: AttemptTarget,
-        /// When its first byte arrived.
+        /// Time at which the first byte of the attempt arrived.
         started_at: Micros,
-        /// The work of the attempt.
+        /// Work of the attempt, in microseconds of core time at speed 1.
         work: f64,
     },
-    /// The remaining time that an attempt states to its server.
+    /// An attempt advertised to its server the time that remains for the request.
     TimeoutAdvertised {
         /// The request.
         request: u64,
-        /// When the attempt's first byte arrived.
+        /// Time at which the first byte of the attempt arrived.
         started_at: Micros,
-        /// The stated time.
+        /// The advertised remaining time, in microseconds.
         remaining: Micros,
     },
-    /// The server proved that it did not process an attempt.
+    /// A server rejected an attempt and thereby proved that it did not process it.
     AttemptNotProcessed {
         /// The request.
         request: u64,
         /// The server.
         server: usize,
     },
-    /// The server processed an attempt.
+    /// A server processed an attempt.
     AttemptProcessed {
         /// The request.
         request: u64,
@@ -81,12 +80,13 @@
     ResponseReceived {
         /// The request.
         request: u64,
-        /// How the request ended.
+        /// Outcome of the request.
         outcome: Outcome,
-        /// Whether the response is the one that a server made for this request.
+        /// Whether a successful response contains the body that servers send for this request. A
+        /// corrupted response, or the response to another request, does not.
         is_genuine: bool,
     },
-    /// The client's connection ended without a complete response.
+    /// The connection of the client ended without a complete response.
     ConnectionLost {
         /// The request.
         request: u64,
@@ -102,15 +102,15 @@
         balancer: usize,
         /// The server.
         server: usize,
-        /// Whether the server drains or is removed.
+        /// Whether the server is draining or removed.
         is_draining: bool,
     },
-    /// A balancer was killed, which excuses its open requests.
+    /// A balancer was killed. Its open requests require no response.
     BalancerKilled {
         /// The balancer.
         balancer: usize,
     },
-    /// A balancer was suspended or resumed, which excuses its open requests.
+    /// A balancer was suspended or resumed. Its open requests require no response.
     BalancerStalled {
         /// The balancer.
         balancer: usize,
@@ -123,7 +123,7 @@
 }
 
 impl Observation {
-    /// The request that it is about, if it is about one.
+    /// Returns the request to which the observation refers, if any.
     pub(super) fn request(&self) -> Option<u64> {
         match *self {
             Self::RequestReceived { request, .. }
@@ -155,17 +155,17 @@
                 target: AttemptTarget { server, .. },
                 started_at: start,
                 ..
-            } => write!(out, "complete at s{server}, started {}", Seconds(*start)),
+            } => write!(out, "arrived at s{server}, started {}", Seconds(*start)),
             Self::TimeoutAdvertised { remaining, .. } => {
                 write!(out, "advertised {remaining} us remaining")
             }
-            Self::AttemptNotProcessed { server, .. } => write!(out, "rejected unrun by s{server}"),
-            Self::AttemptProcessed { server, .. } => write!(out, "ran at s{server}"),
+            Self::AttemptNotProcessed { server, .. } => write!(out, "not processed by s{server}"),
+            Self::AttemptProcessed { server, .. } => write!(out, "processed by s{server}"),
             Self::ResponseReceived {
                 outcome,
                 is_genuine,
                 ..
-            } => write!(out, "{outcome:?}{}", genuineness(*is_genuine)),
+            } => write!(out, "{outcome:?}{}", genuineness_suffix(*is_genuine)),
             Self::ConnectionLost { .. } => write!(out, "connection ended without a response"),
             Self::ClientDisconnected { .. } => write!(out, "client disconnected"),
             Self::EndpointReported {
@@ -188,11 +188,12 @@
     }
 }
 
-fn genuineness(is_genuine: bool) -> &'static str {
+/// Describes whether a response is genuine, as a suffix of its outcome.
+fn genuineness_suffix(is_genuine: bool) -> &'static str {
     if is_genuine {
         ""
     } else {
-        " with a response that no server made for it"
+        " with a body that no server sent for this request"
     }
 }
 
@@ -205,17 +206,17 @@
     }
 }
 
-/// A violated rule, with everything that was observed of the request.
+/// A violation of a rule, with all observations of the request.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// Number of the rule.
+    /// Number of the violated rule, from 1 to 4.
     pub rule: u8,
-    /// When it was violated.
+    /// Time of the violation.
     pub at: Micros,
-    /// The request, where the violation is about one.
+    /// The request, if the violation concerns one.
     pub request: Option<u64>,
-    /// What happened.
-    pub what: String,
+    /// Description of the violation.
+    pub description: String,
     /// All observations of the request, in the order in which they were recorded.
     pub history: Vec<(Micros, Observation)>,
 }
@@ -226,7 +227,7 @@
         if let Some(request) = self.request {
             write!(out, ", request {request}")?;
         }
-        write!(out, ": {}", self.what)?;
+        write!(out, ": {}", self.description)?;
         self.history
             .iter()
             .try_for_each(|(at, observation)| write!(out, "; {} {observation}", Seconds(*at)))
--- a/crates/model/src/checker/rules.rs
+++ b/crates/model/src/checker/rules.rs
@@ -1,15 +1,17 @@
-//! The checks of the rules on requests, attempts and responses.
+//! Checks of the safety rules for requests, attempts and responses.
 
 use super::{AttemptTarget, Checker, Observation, Outcome, Received, ReceivedWork, RequestHistory};
 use crate::Micros;
 use crate::scenario::{Idempotency, IdempotencyScope, RequestClass};
 
-/// How long after its client disconnected an attempt may still start, beside the slack.
+/// Time after the client disconnected within which an attempt may still start, in microseconds, in
+/// addition to the slack.
 const DISCONNECT_TOLERANCE_US: Micros = 100_000;
-/// How much more than the remaining time an attempt may advertise, beside the slack.
+/// Amount by which an attempt may advertise more than the remaining time, in microseconds, in
+/// addition to the slack.
 const ADVERTISED_TOLERANCE_US: Micros = 150_000;
 
-/// An attempt that may have run.
+/// An attempt that may have been processed.
 #[derive(Clone, Copy)]
 struct PossibleExecution {
     at: Micros,
@@ -17,7 +19,8 @@
 }
 
 impl RequestHistory {
-    /// The attempts that may have run, since nothing proves the contrary.
+    /// Returns the attempts that may have been processed, because no observation proves the
+    /// contrary.
     fn possible_executions(&self) -> Vec<PossibleExecution> {
         let mut runs: Vec<PossibleExecution> = Vec::new();
         for (at, observation) in &self.observations {
@@ -46,7 +49,7 @@
         let history = self.requests.entry(request).or_default();
         history.received = Some(received);
         history.excused |= is_interrupted;
-        // Attempts and the response may have been recorded before.
+        // Attempts and the response may have been recorded before the request.
         let answered_at = history.answered_at;
         let earlier: Vec<_> = history
             .observations
@@ -61,7 +64,7 @@
         }
     }
 
-    /// Rule 1: the response arrives before the deadline.
+    /// Checks rule 1: the response arrives before the deadline.
     fn check_deadline(&mut self, request: u64, at: Micros) {
         let history = self.requests.get(&request);
         let Some(received) = history
@@ -72,12 +75,12 @@
         };
         if at > received.deadline + self.rules.response_tolerance() {
             let late = at - received.deadline;
-            let what = format!("answered {late} us after its deadline");
-            self.add_violation(1, at, Some(request), what);
+            let description = format!("answered {late} us after its deadline");
+            self.add_violation(1, at, Some(request), description);
         }
     }
 
-    /// Rule 1: an attempt advertises at most the time that its client still waits.
+    /// Checks rule 1: an attempt advertises at most the time that remains until the deadline.
     pub(super) fn check_advertised_timeout(&mut self, at: Micros, observation: Observation) {
         let Observation::TimeoutAdvertised {
             request,
@@ -93,9 +96,9 @@
         };
         let tolerance = ADVERTISED_TOLERANCE_US + self.rules.slack.0;
         if started_at + remaining > received.deadline + tolerance {
-            let left = received.deadline.saturating_sub(started_at);
-            let what = format!("advertised {remaining} us where {left} remained");
-            self.add_violation(1, at, Some(request), what);
+            let actual = received.deadline.saturating_sub(started_at);
+            let description = format!("advertised {remaining} us remaining instead of {actual} us");
+            self.add_violation(1, at, Some(request), description);
         }
     }
 
@@ -111,18 +114,18 @@
             return self.add_violation(1, at, Some(request), "a second final response");
         }
         let received = history.received;
-        let may_have_run = !history.possible_executions().is_empty();
+        let may_be_processed = !history.possible_executions().is_empty();
         self.check_deadline(request, at);
         if !is_genuine {
-            let what = "answered with a response that no server made for it";
-            self.add_violation(1, at, Some(request), what);
+            let description = "answered with a body that no server sent for this request";
+            self.add_violation(1, at, Some(request), description);
         }
         let Some(class) = received.and_then(|received| self.classes.get(received.class)) else {
             return;
         };
-        if outcome == Outcome::Rejected && may_have_run && !is_safe_to_reject(class) {
-            let what = "rejected though an attempt may have run";
-            self.add_violation(2, at, Some(request), what);
+        if outcome == Outcome::Rejected && may_be_processed && !is_safe_to_reject(class) {
+            let description = "rejected although an attempt may have been processed";
+            self.add_violation(2, at, Some(request), description);
         }
     }
 
@@ -140,7 +143,7 @@
         self.check_slow_start(at, request, target, work);
     }
 
-    /// Rule 1: no attempt starts after the final response, or after the client disconnected.
+    /// Checks rule 1: no attempt starts after the final response, or after the client disconnected.
     fn check_attempt_is_needed(&mut self, at: Micros, request: u64, started_at: Micros) {
         let slack = self.rules.slack.0;
         let history = self.requests.entry(request).or_default();
@@ -149,19 +152,19 @@
             && started_at > disconnected_at + DISCONNECT_TOLERANCE_US + slack
         {
             let late = started_at - disconnected_at;
-            let what = format!("sent {late} us after its client disconnected");
-            self.add_violation(1, at, Some(request), what);
+            let description = format!("sent {late} us after its client disconnected");
+            self.add_violation(1, at, Some(request), description);
         }
         if let Some(answered_at) = answered_at
             && started_at > answered_at + slack
         {
             let late = started_at - answered_at;
-            let what = format!("sent {late} us after its final response");
-            self.add_violation(1, at, Some(request), what);
+            let description = format!("sent {late} us after its final response");
+            self.add_violation(1, at, Some(request), description);
         }
     }
 
-    /// Rule 2: nothing is processed twice.
+    /// Checks rule 2: no request is processed twice.
     fn check_idempotency(
         &mut self,
         at: Micros,
@@ -175,11 +178,11 @@
         let class = history
             .received
             .and_then(|received| self.classes.get(received.class));
-        // The last run is this attempt.
+        // The last possible execution is this attempt.
         let mut earlier = history.possible_executions();
         earlier.pop();
         let slack = self.rules.slack.0;
-        let what = class.and_then(|class| match class.idempotency {
+        let description = class.and_then(|class| match class.idempotency {
             Idempotency::Idempotent => None,
             Idempotency::NonIdempotent => {
                 (!earlier.is_empty()).then_some("a non-idempotent request sent again")
@@ -188,12 +191,12 @@
                 .iter()
                 .find_map(|run| unsafe_retry_reason(class, run, target, started_at, slack)),
         });
-        if let Some(what) = what {
-            self.add_violation(2, at, Some(request), what);
+        if let Some(description) = description {
+            self.add_violation(2, at, Some(request), description);
         }
     }
 
-    /// Rule 3: no attempt starts at a server that drains, after the grace period.
+    /// Checks rule 3: no attempt starts at a draining server after the grace period.
     fn check_drain(&mut self, at: Micros, request: u64, target: AttemptTarget, started_at: Micros) {
         let history = self.requests.get(&request);
         let Some(received) = history.and_then(|history| history.received) else {
@@ -206,15 +209,15 @@
             && started_at > notified_at + self.rules.drain_grace.0 + self.rules.slack.0
         {
             let late = started_at - notified_at;
-            let what = format!(
-                "sent to s{} {late} us after its drain was notified",
+            let description = format!(
+                "sent to s{} {late} us after the balancer was notified that it is draining",
                 target.server
             );
-            self.add_violation(3, at, Some(request), what);
+            self.add_violation(3, at, Some(request), description);
         }
     }
 
-    /// Rule 4: a server in slow start receives at most the allowed multiple of its capacity.
+    /// Checks rule 4: a server in slow start receives at most the allowed multiple of its capacity.
     fn check_slow_start(&mut self, at: Micros, request: u64, target: AttemptTarget, work: f64) {
         let window = self.rules.slow_start_overload_window.0;
         let server = self.servers.entry(target.server).or_default();
@@ -235,16 +238,17 @@
         let was_over = std::mem::replace(&mut server.is_over_limit, is_over);
         if is_over && !was_over {
             let multiple = total / (capacity * window as f64);
-            let what = format!(
+            let description = format!(
                 "s{} received {multiple:.1} times its capacity in slow start",
                 target.server
             );
-            self.add_violation(4, at, Some(request), what);
+            self.add_violation(4, at, Some(request), description);
         }
     }
 }
 
-/// Whether a request may be rejected though an attempt may have run, since a retry does no harm.
+/// Whether a request may be rejected although an attempt may have been processed, because a retry
+/// of the client is not processed twice or is harmless.
 fn is_safe_to_reject(class: &RequestClass) -> bool {
     match class.idempotency {
         Idempotency::Idempotent => true,
@@ -253,7 +257,8 @@
     }
 }
 
-/// Why a further attempt of a request with an idempotency key may be processed again, if it may.
+/// Returns the reason why a further attempt of a request with an idempotency key may be processed
+/// again, or `None` if its server discards duplicates of the earlier attempt.
 fn unsafe_retry_reason(
     class: &RequestClass,
     earlier: &PossibleExecution,
--- a/crates/model/src/checker/tests.rs
+++ b/crates/model/src/checker/tests.rs
@@ -4,7 +4,8 @@
 use super::*;
 use crate::validation;
 
-/// Use cases: 0 redoable, 1 labelled within its cell for 2.5 s, 2 irreversible.
+/// Creates a checker for the default classes: 0 is idempotent, 1 has an idempotency key with the
+/// scope of a cell and a window of 2.5 s, 2 is non-idempotent.
 fn checker() -> Checker {
     Checker::new(&validation::decode_scenario("name = 'd'\nlength = '20s'", "d.toml").unwrap())
 }
@@ -40,7 +41,7 @@
         is_genuine: true,
     }
 }
-const NOT_RUN: Observation = Observation::AttemptNotProcessed {
+const NOT_PROCESSED: Observation = Observation::AttemptNotProcessed {
     request: 1,
     server: 0,
 };
@@ -62,65 +63,169 @@
     server: 0,
     is_draining: false,
 };
-const FORGED: Observation = Observation::ResponseReceived {
+const NOT_GENUINE: Observation = Observation::ResponseReceived {
     request: 1,
     outcome: Outcome::Succeeded,
     is_genuine: false,
 };
 use Outcome::{Failed, Rejected, Succeeded};
 
-/// Observations with their times, and the rules that they violate.
+/// Each case has observations with their times, and the rules that they violate.
 #[rstest]
-#[case::fine(&[(0, received(2)), (9, attempt(0, 5)), (20, answered(Succeeded))], &[])]
-#[case::no_answer(&[(0, received(0)), (9, attempt(0, 5))], &[1])]
-#[case::lost(&[(0, received(0)), (9, Observation::ConnectionLost { request: 1 })], &[1])]
-#[case::client_left(&[(0, received(0)), (9, Observation::ClientDisconnected { request: 1 })], &[])]
+#[case::answered(&[(0, received(2)), (9, attempt(0, 5)), (20, answered(Succeeded))], &[])]
+#[case::unanswered(&[(0, received(0)), (9, attempt(0, 5))], &[1])]
+#[case::connection_lost(
+    &[(0, received(0)), (9, Observation::ConnectionLost { request: 1 })],
+    &[1],
+)]
+#[case::client_disconnected(
+    &[(0, received(0)), (9, Observation::ClientDisconnected { request: 1 })],
+    &[],
+)]
 #[case::balancer_killed(&[(0, received(0)), (9, Observation::BalancerKilled { balancer: 0 })], &[])]
-#[case::other_killed(&[(0, received(0)), (9, Observation::BalancerKilled { balancer: 1 })], &[1])]
-#[case::begun_as_its_client_left(&[(0, received(0)), (50_000, DISCONNECTED), (210_000, attempt(0, 200_000))], &[])]
-#[case::begun_after_its_client_left(&[(0, received(0)), (50_000, DISCONNECTED), (210_000, attempt(0, 200_001))], &[1])]
-#[case::begun_long_after_that(&[(0, received(0)), (50_000, DISCONNECTED), (800_000, attempt(0, 800_000))], &[1])]
-#[case::tells_what_is_left(&[(0, received(0)), (9, advertised(400_000, 600_000)), (20, answered(Succeeded))], &[])]
-#[case::tells_a_little_more(&[(0, received(0)), (9, advertised(400_000, 800_000)), (20, answered(Succeeded))], &[])]
-#[case::tells_too_much(&[(0, received(0)), (9, advertised(400_000, 800_001)), (20, answered(Succeeded))], &[1])]
-#[case::tells_too_much_noted_first(&[(5, advertised(400_000, 900_000)), (6, received(0)), (20, answered(Succeeded))], &[1])]
-#[case::within_slack(&[(0, received(0)), (1_050_000, answered(Succeeded))], &[])]
-#[case::late(&[(0, received(0)), (1_050_001, answered(Succeeded))], &[1])]
-#[case::late_noted_first(&[(1_050_001, answered(Failed)), (0, received(0))], &[1])]
-#[case::twice(&[(0, received(0)), (5, answered(Rejected)), (9, answered(Succeeded))], &[1])]
-#[case::forged(&[(0, received(0)), (5, FORGED)], &[1])]
-#[case::sent_after(&[(0, received(0)), (5, answered(Rejected)), (60_009, attempt(0, 50_006))], &[1])]
-#[case::irreversible_again(&[(0, received(2)), (5, attempt(0, 5)), (9, attempt(1, 9)), (20, answered(Succeeded))], &[2])]
-#[case::irreversible_proven(
-    &[(0, received(2)), (5, attempt(0, 5)), (6, NOT_RUN), (9, attempt(1, 9)), (20, answered(Succeeded))], &[])]
-#[case::irreversible_dismissed(&[(0, received(2)), (5, attempt(0, 5)), (20, answered(Rejected))], &[2])]
-#[case::irreversible_abandoned(&[(0, received(2)), (5, attempt(0, 5)), (20, answered(Failed))], &[])]
-#[case::irreversible_dismissed_unrun(&[(0, received(2)), (5, attempt(0, 5)), (6, NOT_RUN), (9, answered(Rejected))], &[])]
-#[case::redoable_again(&[(0, received(0)), (5, attempt(0, 5)), (9, attempt(3, 9)), (20, answered(Rejected))], &[])]
-#[case::labelled_in_group(&[(0, received(1)), (5, attempt(0, 5)), (9, attempt(1, 9)), (20, answered(Succeeded))], &[])]
-#[case::labelled_elsewhere(&[(0, received(1)), (5, attempt(0, 5)), (9, attempt(2, 9)), (20, answered(Succeeded))], &[2])]
-#[case::labelled_late(&[(0, received(1)), (5, attempt(0, 5)), (2_600_000, attempt(1, 2_600_000)), (9, answered(Succeeded))], &[2])]
-#[case::labelled_dismissed(&[(0, received(1)), (5, attempt(0, 5)), (9, answered(Rejected))], &[2])]
-#[case::in_grace(&[(0, DRAINING), (0, received(0)), (5, attempt(0, 450_000)), (9, answered(Succeeded))], &[])]
-#[case::past_grace(&[(0, DRAINING), (0, received(0)), (5, attempt(0, 450_001)), (9, answered(Succeeded))], &[3])]
-#[case::told_again_counts_from_the_first(
-    &[(0, DRAINING), (100, DRAINING), (0, received(0)), (5, attempt(0, 450_001)), (9, answered(Succeeded))], &[3])]
-#[case::serves_again(
-    &[(0, DRAINING), (100, ACTIVE), (0, received(0)), (5, attempt(0, 450_001)), (9, answered(Succeeded))], &[])]
-#[case::fell(&[(0, Observation::ServerOverloaded { server: 3 })], &[4])]
-fn breaks_are_found(#[case] observations: &[(Micros, Observation)], #[case] rules: &[u8]) {
+#[case::other_balancer_killed(
+    &[(0, received(0)), (9, Observation::BalancerKilled { balancer: 1 })],
+    &[1],
+)]
+#[case::attempt_at_the_end_of_the_disconnect_tolerance(
+    &[(0, received(0)), (50_000, DISCONNECTED), (210_000, attempt(0, 200_000))],
+    &[],
+)]
+#[case::attempt_after_the_disconnect_tolerance(
+    &[(0, received(0)), (50_000, DISCONNECTED), (210_000, attempt(0, 200_001))],
+    &[1],
+)]
+#[case::attempt_long_after_the_disconnect(
+    &[(0, received(0)), (50_000, DISCONNECTED), (800_000, attempt(0, 800_000))],
+    &[1],
+)]
+#[case::exact_timeout_advertised(
+    &[(0, received(0)), (9, advertised(400_000, 600_000)), (20, answered(Succeeded))],
+    &[],
+)]
+#[case::timeout_advertised_at_the_tolerance(
+    &[(0, received(0)), (9, advertised(400_000, 800_000)), (20, answered(Succeeded))],
+    &[],
+)]
+#[case::timeout_advertised_beyond_the_tolerance(
+    &[(0, received(0)), (9, advertised(400_000, 800_001)), (20, answered(Succeeded))],
+    &[1],
+)]
+#[case::excessive_timeout_recorded_before_the_request(
+    &[(5, advertised(400_000, 900_000)), (6, received(0)), (20, answered(Succeeded))],
+    &[1],
+)]
+#[case::response_within_the_slack(
+    &[(0, received(0)), (1_050_000, answered(Succeeded))],
+    &[],
+)]
+#[case::late_response(&[(0, received(0)), (1_050_001, answered(Succeeded))], &[1])]
+#[case::late_response_recorded_before_the_request(
+    &[(1_050_001, answered(Failed)), (0, received(0))],
+    &[1],
+)]
+#[case::two_responses(
+    &[(0, received(0)), (5, answered(Rejected)), (9, answered(Succeeded))],
+    &[1],
+)]
+#[case::response_with_another_body(&[(0, received(0)), (5, NOT_GENUINE)], &[1])]
+#[case::attempt_after_the_response(
+    &[(0, received(0)), (5, answered(Rejected)), (60_009, attempt(0, 50_006))],
+    &[1],
+)]
+#[case::non_idempotent_retried(
+    &[(0, received(2)), (5, attempt(0, 5)), (9, attempt(1, 9)), (20, answered(Succeeded))],
+    &[2],
+)]
+#[case::non_idempotent_retried_after_proven_rejection(
+    &[
+        (0, received(2)),
+        (5, attempt(0, 5)),
+        (6, NOT_PROCESSED),
+        (9, attempt(1, 9)),
+        (20, answered(Succeeded)),
+    ],
+    &[],
+)]
+#[case::non_idempotent_rejected(
+    &[(0, received(2)), (5, attempt(0, 5)), (20, answered(Rejected))],
+    &[2],
+)]
+#[case::non_idempotent_failed(
+    &[(0, received(2)), (5, attempt(0, 5)), (20, answered(Failed))],
+    &[],
+)]
+#[case::non_idempotent_rejected_without_processing(
+    &[(0, received(2)), (5, attempt(0, 5)), (6, NOT_PROCESSED), (9, answered(Rejected))],
+    &[],
+)]
+#[case::idempotent_retried_and_rejected(
+    &[(0, received(0)), (5, attempt(0, 5)), (9, attempt(3, 9)), (20, answered(Rejected))],
+    &[],
+)]
+#[case::idempotency_key_retried_within_its_scope(
+    &[(0, received(1)), (5, attempt(0, 5)), (9, attempt(1, 9)), (20, answered(Succeeded))],
+    &[],
+)]
+#[case::idempotency_key_retried_outside_its_scope(
+    &[(0, received(1)), (5, attempt(0, 5)), (9, attempt(2, 9)), (20, answered(Succeeded))],
+    &[2],
+)]
+#[case::idempotency_key_retried_after_its_window(
+    &[
+        (0, received(1)),
+        (5, attempt(0, 5)),
+        (2_600_000, attempt(1, 2_600_000)),
+        (9, answered(Succeeded)),
+    ],
+    &[2],
+)]
+#[case::idempotency_key_rejected(
+    &[(0, received(1)), (5, attempt(0, 5)), (9, answered(Rejected))],
+    &[2],
+)]
+#[case::attempt_at_the_end_of_the_grace_period(
+    &[(0, DRAINING), (0, received(0)), (5, attempt(0, 450_000)), (9, answered(Succeeded))],
+    &[],
+)]
+#[case::attempt_after_the_grace_period(
+    &[(0, DRAINING), (0, received(0)), (5, attempt(0, 450_001)), (9, answered(Succeeded))],
+    &[3],
+)]
+#[case::grace_period_starts_at_the_first_notification(
+    &[
+        (0, DRAINING),
+        (100, DRAINING),
+        (0, received(0)),
+        (5, attempt(0, 450_001)),
+        (9, answered(Succeeded)),
+    ],
+    &[3],
+)]
+#[case::drain_ended(
+    &[
+        (0, DRAINING),
+        (100, ACTIVE),
+        (0, received(0)),
+        (5, attempt(0, 450_001)),
+        (9, answered(Succeeded)),
+    ],
+    &[],
+)]
+#[case::server_overloaded(&[(0, Observation::ServerOverloaded { server: 3 })], &[4])]
+fn violations_are_detected(#[case] observations: &[(Micros, Observation)], #[case] rules: &[u8]) {
     let mut checker = checker();
     for (at, observation) in observations {
         checker.record(*at, *observation);
     }
     checker.finish(10 * SECOND);
-    let found: Vec<_> = checker
+    let violated: Vec<_> = checker
         .violations()
         .iter()
-        .map(|record_violation| record_violation.rule)
+        .map(|violation| violation.rule)
         .collect();
     assert_eq!(
-        found,
+        violated,
         rules,
         "{}",
         checker
@@ -129,31 +234,31 @@
             .map(Violation::to_string)
             .collect::<String>()
     );
-    for record_violation in checker
+    for violation in checker
         .violations()
         .iter()
-        .filter(|record_violation| record_violation.request.is_some())
+        .filter(|violation| violation.request.is_some())
     {
         let first = observations
             .iter()
             .find(|(_, observation)| observation.request().is_some());
         assert_eq!(
-            record_violation.history.first(),
+            violation.history.first(),
             first,
-            "its history is remaining from the beginning"
+            "the history must start with the first observation of the request"
         );
     }
 }
 
 #[test]
-fn a_cold_server_over_its_multiple_is_found_once() {
+fn slow_start_overload_is_reported_once() {
     let mut checker = checker();
     let slow_start = AttemptTarget {
         slow_start_capacity: Some(0.3),
         ..target(0)
     };
     for request in 0..12 {
-        // 100 ms of work every 100 ms is 1.0 of a core; three times 0.3 is less.
+        // 99 ms of work every 100 ms is 0.99 of a core, and the limit is 3 * 0.3 = 0.9.
         let at = request * 100_000;
         checker.record(
             at,
@@ -187,7 +292,7 @@
         checker
             .violations()
             .iter()
-            .map(|record_violation| (record_violation.rule, record_violation.request))
+            .map(|violation| (violation.rule, violation.request))
             .collect::<Vec<_>>(),
         [(4, Some(9))]
     );
@@ -195,30 +300,51 @@
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(8))]
-    /// What is over is forgotten, and a ticket without an answer is found all the same.
+    /// Expired requests are removed, but a request without a response is still reported.
     #[test]
-    fn memory_is_bounded_and_nothing_owed_is_lost(owed in 0_u64..20_000) {
+    fn expired_requests_are_removed_and_a_missing_response_is_reported(
+        unanswered in 0_u64..20_000,
+    ) {
         let mut checker = checker();
         for request in 0..20_000 {
             let at = request * 10_000;
-            checker.record(at, Observation::RequestReceived { request, balancer: 0, class: 0, deadline: at + SECOND });
-            if request != owed {
-                checker.record(at + 5, Observation::ResponseReceived { request, outcome: Succeeded, is_genuine: true });
+            checker.record(
+                at,
+                Observation::RequestReceived {
+                    request,
+                    balancer: 0,
+                    class: 0,
+                    deadline: at + SECOND,
+                },
+            );
+            if request != unanswered {
+                checker.record(
+                    at + 5,
+                    Observation::ResponseReceived {
+                        request,
+                        outcome: Succeeded,
+                        is_genuine: true,
+                    },
+                );
             }
         }
         prop_assert!(checker.retained() < 6_000, "{} retained", checker.retained());
         checker.finish(300 * SECOND);
-        prop_assert_eq!(checker.violations().iter().map(|record_violation| record_violation.request).collect::<Vec<_>>(), [Some(owed)]);
+        let violations = checker.violations().iter();
+        prop_assert_eq!(
+            violations.map(|violation| violation.request).collect::<Vec<_>>(),
+            [Some(unanswered)]
+        );
     }
 }
 
-/// Up to so late an answer earns nothing; later it is lost.
+/// The scenario key `late` extends the time after the deadline in which a response is accepted.
 #[rstest]
-#[case::late(SECOND + 400_000, 0)]
-#[case::lost(SECOND + 600_000, 1)]
-fn a_late_answer_is_lost_only_beyond_what_the_day_says(
+#[case::within_the_limit(SECOND + 400_000, 0)]
+#[case::beyond_the_limit(SECOND + 600_000, 1)]
+fn late_response_violates_rule_1_only_beyond_the_limit_of_the_scenario(
     #[case] at: Micros,
-    #[case] record_violation: usize,
+    #[case] violations: usize,
 ) {
     let scenario = validation::decode_scenario(
         "name = 'd'\nlength = '20s'\n[rules]\nlate = '500ms'",
@@ -228,5 +354,5 @@
     let mut checker = Checker::new(&scenario);
     checker.record(0, received(0));
     checker.record(at, answered(Failed));
-    assert_eq!(checker.violations().len(), record_violation);
+    assert_eq!(checker.violations().len(), violations);
 }
--- a/crates/model/src/discovery/tests.rs
+++ b/crates/model/src/discovery/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn changes_become_visible_late_in_order_and_each_server_once() {
+fn changes_become_visible_in_order_with_a_delay_and_each_server_is_listed_once() {
     let delay = [Span(100), Span(1000)];
     let mut registry = EndpointRegistry::new(
         &Discovery {
@@ -52,7 +52,7 @@
             version: 5,
             entries: vec![]
         },
-        "a version from elsewhere is not behind"
+        "no changes since a version that is higher than the current one"
     );
     assert_eq!(registry.next_change(5), None);
 }
--- a/crates/model/src/fleet.rs
+++ b/crates/model/src/fleet.rs
@@ -1,16 +1,17 @@
-//! Machine type, zone and cell of each server of a scenario.
+//! Assigns a machine type, a zone and a cell to each server of a scenario.
 
 use crate::Micros;
 use crate::random::{RandomSource, cumulative_sums};
 use crate::scenario::Scenario;
 use crate::server::ServerSpec;
 
-/// Step through the machine types' shares. An irrational step mixes the types evenly in any range
-/// of servers.
+/// Step between the positions of two consecutive servers in the cumulative shares of the machine
+/// types, as a fraction of their sum. An irrational step mixes the types evenly in every range of
+/// servers.
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
 
-/// The servers that a scenario starts with: machine types by their shares, zones in turn, speeds at
-/// random.
+/// Returns the servers at the start of a scenario. Machine types are assigned by their shares,
+/// zones in round-robin order, and speeds at random.
 pub fn specs(scenario: &Scenario, seed: u64) -> Vec<ServerSpec> {
     let count = *scenario.fleet.servers.get_ref();
     (0..count)
@@ -18,8 +19,8 @@
         .collect()
 }
 
-/// A server that joins at `now` in slow start, of the same zone and machine as `replaced` where it
-/// replaces one.
+/// Returns a server that joins at `now` in slow start. If it replaces a server, it has the zone,
+/// cell, machine type and speed of `replaced`.
 pub fn new_server(
     scenario: &Scenario,
     seed: u64,
--- a/crates/model/src/fleet/tests.rs
+++ b/crates/model/src/fleet/tests.rs
@@ -2,7 +2,7 @@
 use crate::validation;
 
 #[test]
-fn types_and_zones_are_assigned_evenly_and_alike_for_one_seed() {
+fn machine_types_and_zones_are_assigned_evenly_and_reproducibly() {
     let scenario = validation::decode_scenario(
         "name = 'd'\nlength = '10s'\n[fleet]\nservers = 40",
         "d.toml",
@@ -10,7 +10,10 @@
     .unwrap();
     let fleet = specs(&scenario, 3);
     let quick = fleet.iter().filter(|spec| spec.machine == 0).count();
-    assert!((19..=21).contains(&quick), "{quick} of 40 with even shares");
+    assert!(
+        (19..=21).contains(&quick),
+        "{quick} of 40 servers have one of two equal shares"
+    );
     assert_eq!(fleet.iter().filter(|spec| spec.zone == 0).count(), 20);
     let cell: Vec<_> = fleet
         .iter()
--- a/crates/model/src/lease_history.rs
+++ b/crates/model/src/lease_history.rs
@@ -1,16 +1,16 @@
-//! The true history of leases: which member held which lease when, as the state explorer, the
-//! virtual clock and real processes report it by one clock.
+//! The actual history of leases: the spans in which each member held each lease, on a common clock.
+//! The state explorer, simulations with a virtual clock and tests with real processes record it.
 
 use std::collections::BTreeMap;
 
 use crate::Micros;
 
-/// The term of a lease, in the order in which terms are compared.
+/// The term of a lease. Terms are compared by number first, then by incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LeaseTerm {
-    /// The number that increases from term to term.
+    /// Number of the term, which increases from term to term.
     pub number: u64,
-    /// The random identifier of the holder's process.
+    /// Random identifier of the process that holds the lease.
     pub incarnation_id: u64,
 }
 
@@ -21,7 +21,7 @@
     term: LeaseTerm,
     from: Micros,
     to: Option<Micros>,
-    /// How it ended, where the measurement asks for it.
+    /// Cause of the end; `None` while the lease is held.
     end: Option<&'static str>,
 }
 
@@ -39,31 +39,31 @@
 #[derive(Clone, Debug, Default)]
 pub struct LeaseHistory {
     by_lease: BTreeMap<String, Vec<LeaseHolding>>,
-    /// The greatest term of which each process accepted a command, by process and lease.
+    /// Highest term of which a process has accepted a command, by process and lease.
     accepted: BTreeMap<(u64, String), LeaseTerm>,
-    /// Commands that were accepted although one of a later term had been accepted before.
+    /// Descriptions of commands that were accepted after a command of a higher term.
     pub stale_commands: Vec<String>,
 }
 
-/// A span without holder between two holdings.
+/// A span between two holdings in which the lease had no holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Vacancy {
-    /// How long it lasted.
+    /// Duration of the span in microseconds.
     pub duration: Micros,
-    /// How the holding before it ended.
+    /// Cause of the end of the previous holding.
     pub cause: &'static str,
 }
 
-/// What an analysis of the history found.
+/// The results of an analysis of the history.
 #[derive(Clone, Debug, Default)]
 pub struct LeaseFindings {
-    /// Times that two members held one lease at once.
+    /// Descriptions of spans in which two members held the same lease.
     pub overlaps: Vec<String>,
-    /// Holdings under an earlier term than the one before.
+    /// Descriptions of holdings whose term is lower than that of the previous holding.
     pub decreased_terms: Vec<String>,
-    /// The spans without holder.
+    /// The spans in which a lease had no holder.
     pub vacancies: Vec<Vacancy>,
-    /// How often a lease passed from one member to another.
+    /// Number of changes of a lease from one member to another.
     pub changes: usize,
     /// The largest number of changes of one lease in any minute.
     pub max_changes_per_minute: usize,
@@ -72,7 +72,7 @@
 const MINUTE_US: Micros = 60_000_000;
 
 impl LeaseHistory {
-    /// Records that a member holds a lease from now on.
+    /// Records that a member acquired a lease.
     pub fn acquired(&mut self, now: Micros, member: usize, lease: &str, term: LeaseTerm) {
         let holding = LeaseHolding {
             member,
@@ -87,8 +87,8 @@
             .push(holding);
     }
 
-    /// Records that a member held a lease until then at the latest. A holding that has ended stays
-    /// as it is.
+    /// Records that a member lost a lease at the time `until` at the latest. A holding that has
+    /// already ended is not changed.
     pub fn lost(
         &mut self,
         until: Micros,
@@ -107,8 +107,8 @@
         }
     }
 
-    /// Records that the process of a member ended, and with it all that it held by then. Deaths may
-    /// be reported late: what was acquired afterwards stays.
+    /// Records that the process of a member was killed, which ends all its holdings. Since the end
+    /// of a process can be reported late, leases acquired afterwards are not affected.
     pub fn process_ended(&mut self, now: Micros, member: usize) {
         let is_open = |holding: &&mut LeaseHolding| {
             holding.member == member && holding.to.is_none() && holding.from <= now
@@ -119,24 +119,24 @@
         }
     }
 
-    /// The number of leases that were ever held.
+    /// Returns the number of leases that were held at any time.
     pub fn lease_count(&self) -> usize {
         self.by_lease.len()
     }
 
-    /// Records that a process accepted a command of that term.
+    /// Records that a process accepted a command of a lease holder under a term.
     pub fn command_accepted(&mut self, process: u64, lease: &str, term: LeaseTerm) {
         let key = (process, lease.to_owned());
         let known = self.accepted.entry(key).or_insert(term);
         if term < *known {
             self.stale_commands.push(format!(
-                "{lease}: a command of term {term:?} after one of {known:?}"
+                "{lease}: accepted a command of term {term:?} after one of term {known:?}"
             ));
         }
         *known = (*known).max(term);
     }
 
-    /// Analyses all holdings; those that have not ended last until now.
+    /// Analyses all holdings. Holdings that have not ended are treated as lasting until `now`.
     pub fn analyze(&self, now: Micros) -> LeaseFindings {
         let mut findings = LeaseFindings::default();
         for (lease, holdings) in &self.by_lease {
@@ -151,7 +151,7 @@
         findings
     }
 
-    /// The leases that nobody held at that moment, of all that were ever held.
+    /// Returns the leases that had a holder at some time but none at `now`.
     pub fn vacant_leases(&self, now: Micros) -> Vec<&str> {
         self.by_lease
             .iter()
@@ -162,7 +162,7 @@
 }
 
 impl LeaseFindings {
-    /// Adds the holdings of a lease in the order of their beginnings. Returns the times at which
+    /// Adds the holdings of a lease, which are sorted by their start. Returns the times at which
     /// the holder changed.
     fn add_holdings(
         &mut self,
@@ -171,7 +171,7 @@
         now: Micros,
     ) -> Vec<Micros> {
         let mut changes = Vec::new();
-        // The holding that ends last so far: a later one may lie within it.
+        // The holding with the latest end so far, since a holding can lie within an earlier one.
         let mut latest: Option<&LeaseHolding> = None;
         for holding in holdings {
             if let Some(before) = latest {
@@ -193,7 +193,7 @@
         let ended = before.end_or(now);
         if after.from < ended && after.member != before.member {
             self.overlaps.push(format!(
-                "{lease}: b{} holds it until {ended}, b{} from {}",
+                "{lease}: b{} holds the lease until {ended} us, b{} from {} us",
                 before.member, after.member, after.from
             ));
         }
@@ -212,7 +212,7 @@
     }
 }
 
-/// The largest number of times within a minute from any of them.
+/// Returns the largest number of events in any span of one minute.
 fn max_events_per_minute(times: &[Micros]) -> usize {
     let in_minute_from = |start: &Micros| {
         times
--- a/crates/model/src/lease_history/tests.rs
+++ b/crates/model/src/lease_history/tests.rs
@@ -10,20 +10,20 @@
 }
 
 #[rstest]
-#[case::one_after_the_other(20, 25, 0, 5)]
-#[case::at_once(20, 20, 0, 0)]
+#[case::with_a_vacancy(20, 25, 0, 5)]
+#[case::without_a_vacancy(20, 20, 0, 0)]
 #[case::overlapping(20, 19, 1, 0)]
-fn holdings_of_one_lease_must_not_overlap(
-    #[case] ends: Micros,
-    #[case] begins: Micros,
+fn overlapping_holdings_of_one_lease_are_detected(
+    #[case] ends_at: Micros,
+    #[case] next_starts_at: Micros,
     #[case] overlaps: usize,
-    #[case] gap: Micros,
+    #[case] vacancy: Micros,
 ) {
     let mut lease_history = LeaseHistory::default();
     lease_history.acquired(10, 0, "d", term(1, 1));
-    lease_history.lost(ends, 0, "d", term(1, 1), "ran out");
-    lease_history.acquired(begins, 1, "d", term(2, 2));
-    lease_history.acquired(begins, 1, "another", term(2, 2));
+    lease_history.lost(ends_at, 0, "d", term(1, 1), "expired");
+    lease_history.acquired(next_starts_at, 1, "d", term(2, 2));
+    lease_history.acquired(next_starts_at, 1, "another", term(2, 2));
     let findings = lease_history.analyze(100);
     assert_eq!(
         (
@@ -36,8 +36,8 @@
     assert_eq!(
         findings.vacancies,
         [Vacancy {
-            duration: gap,
-            cause: "ran out"
+            duration: vacancy,
+            cause: "expired"
         }]
     );
     assert!(lease_history.vacant_leases(100).is_empty());
--- a/crates/model/src/network.rs
+++ b/crates/model/src/network.rs
@@ -1,36 +1,38 @@
-//! Network links between balancers: whether, when and how a datagram arrives. The caller passes the
-//! time, so that relays on sockets and simulations on a virtual clock use the same rules.
+//! Model of the network links between balancers: loss, delay, duplication and corruption of
+//! datagrams. The caller passes the time, so that socket relays and simulations with a virtual
+//! clock use the same model.
 
 use crate::Micros;
 use crate::random::RandomSource;
 use crate::scenario::FaultKind;
 
-/// How much later the second copy of a duplicated datagram arrives at most.
+/// Maximum additional delay of the second copy of a duplicated datagram, in microseconds.
 const MAX_DUPLICATE_DELAY_US: Micros = 500_000;
 
-/// A fault of some links, from `from` until before `to`.
+/// A fault of some links. It is active from `from` (inclusive) to `to` (exclusive).
 #[derive(Clone, Debug)]
 pub struct LinkFault {
     /// The kind of fault.
     pub kind: FaultKind,
-    /// When it starts.
+    /// Start of the fault.
     pub from: Micros,
-    /// When it ends.
+    /// End of the fault.
     pub to: Micros,
     /// The balancers at one end of the links.
     pub balancers: Vec<usize>,
-    /// Those at the other end; all others where none are named.
+    /// The balancers at the other end; all others if it is `None`.
     pub against: Option<Vec<usize>>,
-    /// Whether only what `balancers` sends is affected.
+    /// Whether only datagrams sent by `balancers` are affected.
     pub one_way: bool,
-    /// Fraction of the datagrams that it affects.
+    /// Fraction of the datagrams that the fault affects; for [`FaultKind::LinkFlood`], datagrams
+    /// per second.
     pub factor: f64,
-    /// Maximum additional delay.
+    /// Maximum additional delay, in microseconds.
     pub by: Micros,
 }
 
 impl LinkFault {
-    /// Whether it affects datagrams from one balancer to another.
+    /// Whether the fault affects datagrams from one balancer to another.
     pub fn affects_link(&self, from: usize, to: usize) -> bool {
         let is_other_end = |balancer: usize| match &self.against {
             Some(against) => against.contains(&balancer),
@@ -46,17 +48,17 @@
     }
 }
 
-/// What happens to one datagram.
+/// The outcome of the transmission of one datagram.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Transmission {
-    /// The delay of each copy that arrives; empty where the datagram is lost.
+    /// Delay of each copy that arrives, in microseconds; empty if the datagram is lost.
     pub copies: Vec<Micros>,
     /// Position of a flipped bit, as a fraction of the datagram's length.
     pub corrupted_at: Option<f64>,
 }
 
 impl Transmission {
-    /// Flips the corrupted bit in the datagram's bytes, if there is one.
+    /// Flips the corrupted bit in the bytes of the datagram, if it is corrupted.
     pub fn corrupt(&self, bytes: &mut [u8]) {
         if let Some(fraction) = self.corrupted_at {
             let bit = (fraction * bytes.len() as f64 * 8.0) as usize;
@@ -70,12 +72,12 @@
 pub struct NetworkLinks {
     /// Faults, in the order in which they apply.
     pub faults: Vec<LinkFault>,
-    /// Minimum and maximum delay of a link without a fault.
+    /// Minimum and maximum delay of a link without a fault, in microseconds.
     pub base_delay: [Micros; 2],
 }
 
 impl NetworkLinks {
-    /// Draws what happens to a datagram that is sent now.
+    /// Draws the outcome of the transmission of a datagram that is sent at `now`.
     pub fn transmit(
         &self,
         from: usize,
@@ -95,7 +97,7 @@
         transmission
     }
 
-    /// Whether no fault affects that link at any time in `between`.
+    /// Whether no fault affects the link from one balancer to another at any time in `between`.
     pub fn has_no_fault(&self, from: usize, to: usize, between: [Micros; 2]) -> bool {
         let is_outside = |fault: &LinkFault| fault.to <= between[0] || fault.from >= between[1];
         self.faults
@@ -103,7 +105,7 @@
             .all(|fault| is_outside(fault) || !fault.affects_link(from, to))
     }
 
-    /// When the last fault ends; 0 where there is none.
+    /// End of the last fault; 0 without faults.
     pub fn last_fault_end(&self) -> Micros {
         self.faults.iter().map(|fault| fault.to).max().unwrap_or(0)
     }
@@ -115,7 +117,7 @@
             FaultKind::LinkCut => self.copies.clear(),
             FaultKind::LinkLossy => self.copies.retain(|_| !random.happens(fault.factor)),
             FaultKind::LinkSlow => {
-                // At least half of the delay, at random, so that datagrams are reordered.
+                // A random delay from half of the maximum upwards reorders the datagrams.
                 for delay in &mut self.copies {
                     *delay += fault.by / 2 + random.duration_below(fault.by / 2);
                 }
--- a/crates/model/src/network/tests.rs
+++ b/crates/model/src/network/tests.rs
@@ -25,16 +25,16 @@
 }
 
 #[test]
-fn a_cut_keeps_two_sides_apart_and_nobody_else() {
+fn link_cut_loses_only_datagrams_between_the_two_sides() {
     let cut = || fault(FaultKind::LinkCut, false, None);
-    let apart = [(0, 2), (2, 0), (3, 1)].map(|(from, to)| passes(cut(), from, to, 15));
-    let together = [(0, 1), (2, 3)].map(|(from, to)| passes(cut(), from, to, 15));
-    assert_eq!((apart, together), ([false; 3], [true; 2]));
+    let between = [(0, 2), (2, 0), (3, 1)].map(|(from, to)| passes(cut(), from, to, 15));
+    let within = [(0, 1), (2, 3)].map(|(from, to)| passes(cut(), from, to, 15));
+    assert_eq!((between, within), ([false; 3], [true; 2]));
     assert!(passes(cut(), 0, 2, 20) && passes(cut(), 0, 2, 9));
 }
 
 #[test]
-fn a_one_way_cut_lets_the_other_direction_pass() {
+fn one_way_link_cut_does_not_affect_the_other_direction() {
     let cut = || fault(FaultKind::LinkCut, true, Some(vec![2]));
     assert_eq!(
         [(0, 2), (2, 0), (0, 3)].map(|(a, b)| passes(cut(), a, b, 15)),
@@ -57,6 +57,6 @@
     assert!(
         transmission
             .corrupted_at
-            .is_some_and(|part| (0.0..1.0).contains(&part))
+            .is_some_and(|fraction| (0.0..1.0).contains(&fraction))
     );
 }
--- a/crates/model/src/process_history.rs
+++ b/crates/model/src/process_history.rs
@@ -1,41 +1,41 @@
-//! The true history of processes, against which the views of balancers are checked: which process
-//! ran, left or died when. A view on the virtual clock is of one moment; one of a real process was
-//! true at some moment of a span.
+//! The actual history of processes: the times at which each process started, left the cluster or
+//! crashed. The views of balancers are checked against it. A view taken on a virtual clock refers
+//! to one moment; a view of a real process refers to an unknown moment within a span.
 
 use std::collections::BTreeSet;
 use std::ops::RangeInclusive;
 
 use crate::Micros;
 
-/// What a view says of a process.
+/// The status of a process according to a view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimedStatus {
-    /// It may serve.
+    /// The process may be serving.
     MayServe,
-    /// It is proven to have stopped.
+    /// The process has provably stopped.
     ProvenStopped,
 }
 
-/// What a view says of one process.
+/// The entry of one process in a view.
 #[derive(Clone, Debug)]
 pub struct ViewEntry<Id> {
-    /// The process.
+    /// Incarnation of the process.
     pub incarnation: Id,
-    /// Its status.
+    /// Status of the process according to the view.
     pub claimed: ClaimedStatus,
 }
 
-/// A process as it truly was.
+/// The actual history of one process.
 #[derive(Clone, Debug)]
 struct Process<Id> {
     member: usize,
     incarnation: Id,
     from: Micros,
-    /// When it stopped serving for whatever reason.
+    /// Time at which the process stopped serving, whatever the reason; `None` while it runs.
     to: Option<Micros>,
-    /// Whether it announced so.
+    /// Whether the process announced that it leaves the cluster.
     has_left: bool,
-    /// The members that have noticed its death.
+    /// The members that have detected the crash of the process.
     detected_by: BTreeSet<usize>,
 }
 
@@ -54,26 +54,27 @@
 pub struct LatestProcess<'a, Id> {
     /// The member.
     pub member: usize,
-    /// The process.
+    /// Incarnation of the process.
     pub incarnation: &'a Id,
-    /// Whether it runs.
+    /// Whether the process runs.
     pub is_running: bool,
-    /// Whether it left in order.
+    /// Whether the process announced that it leaves the cluster.
     pub has_left: bool,
 }
 
-/// All processes that there were, and which members knew of them.
+/// All processes that have started, and the members whose views have contained each of them.
 #[derive(Clone, Debug)]
 pub struct ProcessHistory<Id> {
     processes: Vec<Process<Id>>,
-    /// The latest process of each member, as an index.
+    /// Index of the latest process of each member.
     latest: Vec<Option<usize>>,
-    /// For each member, the processes that its running process has known of, as indices.
+    /// For each member, the indices of the processes that a view of its latest process has
+    /// contained.
     known_by: Vec<BTreeSet<usize>>,
 }
 
 impl<Id: PartialEq + Clone> ProcessHistory<Id> {
-    /// Creates the history of so many members without processes.
+    /// Creates a history of `members` members without processes.
     pub fn new(members: usize) -> Self {
         Self {
             processes: Vec::new(),
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Records that a process of a member serves from now on, and knows of nobody.
+    /// Records that a process of a member starts to serve. Its view contains no other processes.
     pub fn process_started(&mut self, now: Micros, member: usize, incarnation: Id) {
         self.latest[member] = Some(self.processes.len());
         self.known_by[member].clear();
@@ -96,7 +97,8 @@
         });
     }
 
-    /// Records that the latest process of a member stopped serving: it was killed or left in order.
+    /// Records that the latest process of a member stopped serving, because it was killed or left
+    /// the cluster.
     pub fn process_stopped(&mut self, now: Micros, member: usize, has_left: bool) {
         let latest = self.latest[member].map(|index| &mut self.processes[index]);
         if let Some(process) = latest.filter(|process| process.is_running()) {
@@ -105,18 +107,19 @@
         }
     }
 
-    /// Records that a member noticed the death of a process. Returns when the process died, once
-    /// for each member; nothing if it runs or left in order.
+    /// Records that a member considers a process dead. Returns the time at which the process
+    /// crashed, or `None` if it runs, if it left the cluster, or if the member has already detected
+    /// the crash.
     pub fn death_detected(&mut self, member: usize, incarnation: &Id) -> Option<Micros> {
         let process = self
             .processes
             .iter_mut()
             .find(|process| process.incarnation == *incarnation)?;
-        let died = process.to.filter(|_| !process.has_left)?;
-        process.detected_by.insert(member).then_some(died)
+        let crashed_at = process.to.filter(|_| !process.has_left)?;
+        process.detected_by.insert(member).then_some(crashed_at)
     }
 
-    /// The member of a process.
+    /// Returns the member to which a process belongs.
     pub fn member_of(&self, incarnation: &Id) -> Option<usize> {
         self.processes
             .iter()
@@ -124,14 +127,14 @@
             .map(|process| process.member)
     }
 
-    /// Whether a process serves.
+    /// Whether a process is serving.
     pub fn is_running(&self, incarnation: &Id) -> bool {
         self.processes
             .iter()
             .any(|process| process.incarnation == *incarnation && process.is_running())
     }
 
-    /// The latest process of each member that has had one.
+    /// Returns the latest process of each member that has started one.
     pub fn latest_processes(&self) -> impl Iterator<Item = LatestProcess<'_, Id>> {
         self.latest.iter().flatten().map(|index| {
             let process = &self.processes[*index];
@@ -144,9 +147,11 @@
         })
     }
 
-    /// Checks a view that a member had at some moment of a span. Returns an error for each process
-    /// that served throughout and is claimed to have stopped, forgotten, or not among the `counted`
-    /// that may serve.
+    /// Checks a view that a member had at some moment of a span. Processes that served throughout
+    /// the span and that were in an earlier or this view of the member are expected in the view.
+    /// Returns an error for each such process that is missing or claimed to have stopped, and one
+    /// if there are more of them than `counted`, the number of processes that may serve according
+    /// to the view.
     pub fn check_view(
         &mut self,
         member: usize,
@@ -176,14 +181,16 @@
             match entry.map(|entry| entry.claimed) {
                 Some(ClaimedStatus::MayServe) => {}
                 Some(ClaimedStatus::ProvenStopped) => errors.push(format!(
-                    "b{member} takes b{other} for proven gone, which serves"
+                    "b{member} considers b{other} proven stopped although it is serving"
+                )),
+                None => errors.push(format!(
+                    "b{member} removed b{other} from its view although it is serving"
                 )),
-                None => errors.push(format!("b{member} forgot b{other}, which serves")),
             }
         }
         if counted < serving {
             errors.push(format!(
-                "b{member} counts {counted} that may serve, and knows {serving} that do"
+                "b{member} counts {counted} members that may serve but {serving} known ones serve"
             ));
         }
         errors
--- a/crates/model/src/process_history/tests.rs
+++ b/crates/model/src/process_history/tests.rs
@@ -10,8 +10,9 @@
     history
 }
 
-fn held(all: &[(char, ClaimedStatus)]) -> Vec<ViewEntry<char>> {
-    all.iter()
+fn view(entries: &[(char, ClaimedStatus)]) -> Vec<ViewEntry<char>> {
+    entries
+        .iter()
         .map(|&(incarnation, claimed)| ViewEntry {
             incarnation,
             claimed,
@@ -20,33 +21,41 @@
 }
 
 #[rstest]
-#[case::right(&[('b', ClaimedStatus::MayServe), ('c', ClaimedStatus::MayServe)], 2, 0)]
-#[case::one_not_known_yet(&[('b', ClaimedStatus::MayServe)], 1, 0)]
-#[case::taken_for_gone(&[('b', ClaimedStatus::ProvenStopped), ('c', ClaimedStatus::MayServe)], 2, 1)]
-#[case::not_counted(&[('b', ClaimedStatus::MayServe), ('c', ClaimedStatus::MayServe)], 1, 1)]
+#[case::correct(&[('b', ClaimedStatus::MayServe), ('c', ClaimedStatus::MayServe)], 2, 0)]
+#[case::process_not_known_yet(&[('b', ClaimedStatus::MayServe)], 1, 0)]
+#[case::serving_process_claimed_stopped(
+    &[('b', ClaimedStatus::ProvenStopped), ('c', ClaimedStatus::MayServe)],
+    2,
+    1,
+)]
+#[case::process_not_counted(
+    &[('b', ClaimedStatus::MayServe), ('c', ClaimedStatus::MayServe)],
+    1,
+    1,
+)]
 fn view_is_checked_against_running_processes(
-    #[case] all: &[(char, ClaimedStatus)],
+    #[case] entries: &[(char, ClaimedStatus)],
     #[case] counted: usize,
-    #[case] wrong: usize,
+    #[case] errors: usize,
 ) {
     assert_eq!(
         process_history()
-            .check_view(0, 20..=30, &held(all), counted)
+            .check_view(0, 20..=30, &view(entries), counted)
             .len(),
-        wrong
+        errors
     );
 }
 
 #[test]
-fn known_process_must_not_be_forgotten_while_it_serves() {
+fn removal_of_a_known_serving_process_is_detected() {
     let mut history = process_history();
-    let both = held(&[
+    let both = view(&[
         ('b', ClaimedStatus::MayServe),
         ('c', ClaimedStatus::MayServe),
     ]);
     history.check_view(0, 20..=20, &both, 2);
     assert_eq!(history.check_view(0, 30..=30, &both[..1], 2).len(), 1);
-    // It ended inside the span of the view: either is true of some moment.
+    // The process stopped within the span of the view, which may be from before or after that.
     history.process_stopped(45, 2, false);
     assert_eq!(history.check_view(0, 40..=50, &both[..1], 1).len(), 0);
     history.process_started(60, 0, 'd');
@@ -54,7 +63,7 @@
 }
 
 #[test]
-fn a_death_is_noticed_by_each_once() {
+fn crash_is_reported_once_for_each_member_that_detects_it() {
     let mut history = process_history();
     history.process_stopped(100, 2, false);
     assert_eq!(
--- a/crates/model/src/random.rs
+++ b/crates/model/src/random.rs
@@ -1,28 +1,28 @@
-//! Seeded random numbers, and the distributions that the model draws from.
+//! Seeded random numbers, and the distributions that the model uses.
 //!
-//! A seed identifies a scenario, so it must give the same values in every version: the generator is
-//! `WyRand`, and the distributions are implemented here rather than taken from a library that may
-//! change its algorithms.
+//! A seed identifies the random draws of a scenario, so it must produce the same values in every
+//! version of this crate. The generator is `WyRand`; the distributions are implemented here because
+//! a library could change its algorithms.
 
 use nanorand::{Rng, WyRand};
 
 use crate::Micros;
 
-/// A stream of random numbers. Parts of the model that must not influence each other use streams of
-/// their own, from [`RandomSource::split`].
+/// A stream of random numbers. Components of the model that must not influence each other use
+/// separate streams, which [`RandomSource::split`] creates.
 #[derive(Clone)]
 pub struct RandomSource(WyRand);
 
 impl RandomSource {
-    /// The stream of a seed.
+    /// Creates the stream of a seed.
     pub fn new(seed: u64) -> Self {
         Self(WyRand::new_seed(seed))
     }
 
-    /// The stream of the part of the model with that name and number, independent of all other
-    /// streams of the seed.
+    /// Creates the stream of the component of the model with a name and a number. It is independent
+    /// of all other streams of the seed.
     pub fn split(seed: u64, part: &str, number: u64) -> Self {
-        // FNV-1a, so that similar names and numbers get unrelated seeds.
+        // The FNV-1a hash gives similar names and numbers unrelated seeds.
         let bytes = part
             .bytes()
             .chain(number.to_le_bytes())
@@ -32,47 +32,48 @@
         }))
     }
 
-    /// A uniform 64-bit number.
+    /// Draws a uniform 64-bit number.
     pub fn next_u64(&mut self) -> u64 {
         self.0.generate()
     }
 
-    /// A uniform number in `[0, 1)` with 53 random bits.
+    /// Draws a uniform number in `[0, 1)` with 53 random bits.
     pub fn unit(&mut self) -> f64 {
         (self.next_u64() >> 11) as f64 / (1_u64 << 53) as f64
     }
 
-    /// A uniform number in `[low, high)`.
+    /// Draws a uniform number in `[low, high)`.
     pub fn between(&mut self, low: f64, high: f64) -> f64 {
         low + (high - low) * self.unit()
     }
 
-    /// A uniform integer below `end`; 0 where `end` is 0.
+    /// Draws a uniform integer below `end`. Returns 0 if `end` is 0.
     pub fn below(&mut self, end: usize) -> usize {
         ((self.unit() * end.max(1) as f64) as usize).min(end.max(1) - 1)
     }
 
-    /// True with that probability.
+    /// Returns true with a probability from 0 to 1.
     pub fn happens(&mut self, probability: f64) -> bool {
         self.unit() < probability
     }
 
-    /// An exponentially distributed number with that mean.
+    /// Draws an exponentially distributed number with a given mean.
     pub fn exponential(&mut self, mean: f64) -> f64 {
         -mean * (1.0 - self.unit()).ln()
     }
 
-    /// A lognormally distributed number with that mean; `scatter` is the standard deviation of its
-    /// logarithm.
+    /// Draws a lognormally distributed number with a given mean. `scatter` is the standard
+    /// deviation of its logarithm.
     pub fn lognormal(&mut self, mean: f64, scatter: f64) -> f64 {
-        // Box-Muller. The second normal number is discarded, so that each call takes the same
-        // number of draws.
+        // The Box-Muller transform gives two normal numbers. The second one is discarded, so that
+        // each call takes the same number of draws.
         let radius = (-2.0 * (1.0 - self.unit()).ln()).sqrt();
         let normal = radius * (std::f64::consts::TAU * self.unit()).cos();
         mean * (scatter * normal - scatter * scatter / 2.0).exp()
     }
 
-    /// A random index with the weights whose cumulative sums are given.
+    /// Draws an index with probabilities proportional to weights. `cumulative` contains the
+    /// cumulative sums of the weights.
     pub fn weighted_index(&mut self, cumulative: &[f64]) -> usize {
         let drawn = self.unit() * cumulative.last().copied().unwrap_or(0.0);
         cumulative
@@ -80,8 +81,8 @@
             .min(cumulative.len().saturating_sub(1))
     }
 
-    /// `count` distinct integers below `end`, in ascending order; all of them where there are
-    /// fewer.
+    /// Draws `count` distinct integers below `end` and returns them in ascending order. Returns all
+    /// integers below `end` if there are fewer than `count`.
     pub fn sample_indices(&mut self, count: usize, end: usize) -> Vec<usize> {
         let mut numbers: Vec<usize> = (0..end).collect();
         for index in 0..count.min(end) {
@@ -93,13 +94,13 @@
         numbers
     }
 
-    /// A uniform duration below `max`.
+    /// Draws a uniform duration below `max`, in microseconds.
     pub fn duration_below(&mut self, max: Micros) -> Micros {
         (self.unit() * max as f64) as Micros
     }
 }
 
-/// Cumulative sums of weights, for [`RandomSource::weighted_index`].
+/// Returns the cumulative sums of weights, for [`RandomSource::weighted_index`].
 pub fn cumulative_sums(weights: impl Iterator<Item = f64>) -> Vec<f64> {
     weights
         .scan(0.0, |sum, weight| {
--- a/crates/model/src/random/tests.rs
+++ b/crates/model/src/random/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// A later version that draws otherwise would change the scenario of every seed.
+/// With other draws, every seed would produce a different scenario than in earlier versions.
 #[test]
-fn a_seed_draws_the_same_in_every_version() {
+fn draws_of_a_seed_are_the_same_in_every_version() {
     let mut random = RandomSource::new(7);
     let first = [random.next_u64(), random.next_u64()];
     assert_eq!(first, [PINNED[0], PINNED[1]]);
@@ -16,7 +16,7 @@
 ];
 
 #[test]
-fn draws_keep_to_their_means() {
+fn distributions_have_the_expected_means() {
     let mut random = RandomSource::new(1);
     let count = 100_000;
     let mean = |mut draw: Box<dyn FnMut() -> f64>| {
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn some_of_are_different() {
+fn sampled_indices_are_distinct() {
     let mut random = RandomSource::new(3);
     let mut drawn = random.sample_indices(30, 40);
     drawn.dedup();
--- a/crates/model/src/server/load.rs
+++ b/crates/model/src/server/load.rs
@@ -1,4 +1,4 @@
-//! Overload, protection of slow start, and load measurements of a server.
+//! Overload state, work received in slow start, and load measurements of a server.
 
 use std::collections::VecDeque;
 
@@ -6,17 +6,18 @@
 use crate::Micros;
 use crate::scenario::{Fleet, Rules};
 
-/// Load measurements that are retained, so that old ones can be reported.
+/// Number of retained load measurements. Earlier measurements are retained because a fault can
+/// delay load reports.
 const MAX_MEASUREMENTS: usize = 64;
-/// Fraction of the cores that may be busy while an overloaded server recovers.
+/// Maximum fraction of busy cores at which an overloaded server recovers.
 const RECOVERY_BUSY_FRACTION: f64 = 0.5;
 
-/// Whether a server is overloaded. It becomes so when its queue stays too long, and recovers when
-/// it stays mostly idle.
+/// The overload state of a server. A server becomes overloaded when its queue has been too long for
+/// some time, and recovers when it has been mostly idle for some time.
 #[derive(Default)]
 pub(super) struct Overload {
     is_overloaded: bool,
-    /// Since when the condition for the next change has held.
+    /// Time since which the condition for the next change of state has been met.
     condition_since: Option<Micros>,
 }
 
@@ -25,7 +26,7 @@
         self.is_overloaded
     }
 
-    /// How long the condition for the next change must hold.
+    /// Duration for which the condition for the next change of state must be met.
     fn required_duration(&self, fleet: &Fleet) -> Micros {
         if self.is_overloaded {
             fleet.overload_recovery.0
@@ -34,7 +35,7 @@
         }
     }
 
-    /// When the state changes, if the condition goes on to hold.
+    /// Time of the next change of state, provided that its condition remains met.
     pub(super) fn next_change(&self, fleet: &Fleet) -> Option<Micros> {
         Some(self.condition_since? + self.required_duration(fleet))
     }
@@ -52,12 +53,12 @@
             return;
         }
         let cores = cores as f64;
-        let holds = if self.is_overloaded {
+        let is_condition_met = if self.is_overloaded {
             running as f64 <= RECOVERY_BUSY_FRACTION * cores && waiting == 0
         } else {
             waiting as f64 > fleet.overload_queue_per_core * cores
         };
-        let since = holds.then(|| self.condition_since.unwrap_or(now));
+        let since = is_condition_met.then(|| self.condition_since.unwrap_or(now));
         let required = self.required_duration(fleet);
         let changes = since.is_some_and(|since| now >= since + required);
         self.is_overloaded ^= changes;
@@ -82,8 +83,8 @@
         self.received.clear();
     }
 
-    /// Adds work. Whether the sum within the window exceeds the limit for a capacity in work per
-    /// microsecond.
+    /// Adds received work. Returns whether the sum within the window exceeds the limit. `capacity`
+    /// is in work per microsecond.
     pub(super) fn add(&mut self, now: Micros, work: f64, capacity: f64, rules: &Rules) -> bool {
         let window = rules.slow_start_overload_window.0;
         let received = &mut self.received;
@@ -99,7 +100,7 @@
     }
 }
 
-/// A load report and when it was measured.
+/// A load report and the time of its measurement.
 struct Measurement {
     at: Micros,
     report: LoadReport,
@@ -107,7 +108,7 @@
 
 /// Load measurements at regular intervals.
 pub(super) struct LoadMeter {
-    /// Core time used since the last measurement.
+    /// Core time used since the last measurement, in microseconds.
     busy: f64,
     last_measured_at: Micros,
     measurements: VecDeque<Measurement>,
@@ -126,8 +127,8 @@
         self.busy += core_time;
     }
 
-    /// Measures the load if the interval has passed. `jobs` and `waiting` count all jobs and those
-    /// without a core.
+    /// Measures the load if the interval has passed. `jobs` is the number of all jobs, `waiting`
+    /// the number of jobs that wait for a core.
     pub(super) fn measure(
         &mut self,
         now: Micros,
@@ -153,7 +154,7 @@
         self.last_measured_at = now;
     }
 
-    /// The latest measurement at or before that time.
+    /// Returns the latest measurement at or before a time.
     pub(super) fn latest(&self, until: Micros) -> Option<LoadReport> {
         let mut measurements = self.measurements.iter().rev();
         let latest = measurements.find(|measurement| measurement.at <= until);
--- a/crates/model/src/server/mod.rs
+++ b/crates/model/src/server/mod.rs
@@ -1,8 +1,8 @@
-//! A server: cores with a speed, a queue, slow start, overload, and the effect of faults.
+//! Model of a server: cores with a speed, a queue, slow start, overload, and the effect of faults.
 //!
 //! [`Server::receive`] adds jobs, [`Server::advance`] returns finished ones, and
-//! [`Server::next_event`] gives the time of the next change. Rates are constant between two
-//! changes, so the simulation is exact.
+//! [`Server::next_event`] returns the time of the next change of the server's state. Processing
+//! rates are constant between two changes, so the simulation is exact.
 
 mod duplicates;
 mod load;
@@ -19,21 +19,23 @@
 use crate::random::RandomSource;
 use crate::scenario::{Fleet, Rules};
 
-/// Capacity rises in this many equal steps during slow start, so that rates are constant between
-/// them.
+/// Number of equal steps in which the capacity increases during slow start. Steps keep the
+/// processing rate constant between two changes.
 const SLOW_START_STEPS: u64 = 40;
-/// Remaining work below this is rounding error.
+/// Remaining work up to this value, in microseconds of core time, is a rounding error.
 const NEGLIGIBLE_WORK: f64 = 1e-6;
-/// The longest time until the next event that is represented, in microseconds.
+/// Maximum delay until the next event, in microseconds. It keeps the conversion from `f64` in range
+/// when the processing rate is very low.
 const MAX_EVENT_DELAY_US: f64 = 1e15;
 
-/// A job that runs or waits for a core.
+/// A job that is processed by a core or waits for one. Work is core time at speed 1, in
+/// microseconds.
 struct ActiveJob {
     job: Job,
     remaining_work: f64,
 }
 
-/// A job that uses no core until it ends.
+/// A job that has completed its work on a core and waits for other services until it ends.
 struct OffCoreJob {
     id: u64,
     ends_at: Micros,
@@ -47,7 +49,7 @@
     rules: Rules,
     condition: Condition,
     random: RandomSource,
-    /// The time up to which the state is simulated.
+    /// Time up to which the server has been simulated, in microseconds.
     now: Micros,
     running: Vec<ActiveJob>,
     waiting: VecDeque<ActiveJob>,
@@ -64,7 +66,7 @@
 }
 
 impl Server {
-    /// A server without jobs.
+    /// Creates a server without jobs.
     pub fn new(spec: ServerSpec, fleet: &Fleet, rules: &Rules, random: RandomSource) -> Self {
         let now = spec.started_at.unwrap_or(0);
         Self {
@@ -88,27 +90,27 @@
         }
     }
 
-    /// Whether it crashed or was killed.
+    /// Whether the server crashed or was killed.
     pub fn is_stopped(&self) -> bool {
         self.is_stopped
     }
 
-    /// Whether it crashed because it received too much work in slow start.
+    /// Whether the server crashed because it received too much work in slow start.
     pub fn crashed_in_slow_start(&self) -> bool {
         self.crashed_in_slow_start
     }
 
-    /// The effect of faults.
+    /// Returns the combined effect of the active faults.
     pub fn condition(&self) -> &Condition {
         &self.condition
     }
 
-    /// Whether it is slowed down by a long queue.
+    /// Whether the server is slowed down because its queue was too long.
     pub fn is_overloaded(&self) -> bool {
         self.overload.is_overloaded()
     }
 
-    /// Whether it has no jobs.
+    /// Whether the server has no jobs.
     pub fn is_idle(&self) -> bool {
         self.in_flight() == 0
     }
@@ -117,7 +119,7 @@
         self.running.len() + self.waiting.len() + self.off_core.len() + self.unread.len()
     }
 
-    /// Fraction of its capacity that it has reached in slow start.
+    /// Fraction of the full capacity that is available at a time; 1 after slow start.
     pub fn slow_start_factor(&self, now: Micros) -> f64 {
         let duration = self.rules.slow_start_duration.0;
         let Some(started_at) = self.spec.started_at else {
@@ -132,7 +134,7 @@
         initial + (1.0 - initial) * progress
     }
 
-    /// Work that it can process per microsecond without faults.
+    /// Work that the server can process per microsecond without faults.
     pub fn capacity(&self, now: Micros) -> f64 {
         self.spec.cores as f64 * self.spec.speed * self.slow_start_factor(now)
     }
@@ -150,8 +152,8 @@
         self.spec.speed * self.slow_start_factor(self.now) * self.condition.rate / slowdown
     }
 
-    /// Changes the effect of faults. Finished jobs are appended to `finished`, here and in all
-    /// other methods.
+    /// Replaces the combined effect of the active faults. Like all other methods, it appends
+    /// finished jobs to `finished`.
     pub fn set_condition(
         &mut self,
         now: Micros,
@@ -168,7 +170,7 @@
         self.settle(finished);
     }
 
-    /// Opens a connection. Returns whether there was capacity for it.
+    /// Opens a connection. Returns false if the server is stopped or has no capacity for it.
     pub fn connect(&mut self) -> bool {
         let has_capacity = !self.is_stopped && self.connections < self.fleet.max_connections;
         self.connections += usize::from(has_capacity);
@@ -180,7 +182,7 @@
         self.connections = self.connections.saturating_sub(1);
     }
 
-    /// Receives the last byte of a job.
+    /// Adds a job whose last byte has been received.
     pub fn receive(&mut self, now: Micros, job: Job, finished: &mut Vec<FinishedJob>) {
         self.advance(now, finished);
         if self.is_stopped {
@@ -224,7 +226,7 @@
         });
     }
 
-    /// Whether this work is more than a server in slow start endures.
+    /// Records received work and returns whether it exceeds the limit for a server in slow start.
     fn exceeds_slow_start_limit(&mut self, work: f64) -> bool {
         if self.slow_start_factor(self.now) >= 1.0 {
             self.slow_start_work.clear();
@@ -235,7 +237,8 @@
             .add(self.now, work, capacity, &self.rules)
     }
 
-    /// Cancels a job, for which nobody waits any more. Nothing is reported for it.
+    /// Cancels a job because its requester no longer waits for the response. A cancelled job is not
+    /// added to `finished`.
     pub fn cancel(&mut self, now: Micros, id: u64, finished: &mut Vec<FinishedJob>) {
         self.advance(now, finished);
         self.waiting.retain(|waiting| waiting.job.id != id);
@@ -247,7 +250,7 @@
         self.settle(finished);
     }
 
-    /// Kills the server with all its jobs.
+    /// Stops the server immediately. All its jobs end without a response.
     pub fn kill(&mut self, now: Micros, finished: &mut Vec<FinishedJob>) {
         if self.is_stopped {
             return;
@@ -266,7 +269,8 @@
         }));
     }
 
-    /// The time of the next change, if no job arrives and the condition stays.
+    /// Returns the time of the next change of state, provided that no job arrives and the condition
+    /// does not change.
     pub fn next_event(&self) -> Option<Micros> {
         if self.is_stopped || self.condition.frozen {
             return None;
@@ -285,7 +289,8 @@
             .min()
     }
 
-    /// The next step of slow start, which only matters while there is work.
+    /// Returns the time of the next step of slow start. Without running jobs the step is not an
+    /// event, since it affects nothing.
     fn next_slow_start_step(&self) -> Option<Micros> {
         let started_at = self.spec.started_at?;
         let duration = self.rules.slow_start_duration.0;
@@ -295,7 +300,7 @@
         is_relevant.then(|| started_at + (step * duration).div_ceil(SLOW_START_STEPS))
     }
 
-    /// Simulates up to `now`. Finished jobs are appended in the order in which they end.
+    /// Simulates the server up to `now`. Finished jobs are appended in the order in which they end.
     pub fn advance(&mut self, now: Micros, finished: &mut Vec<FinishedJob>) {
         while let Some(next) = self.next_event().filter(|next| *next <= now) {
             self.work_until(next.max(self.now));
@@ -321,8 +326,8 @@
         }
     }
 
-    /// Moves finished work off the cores, starts waiting jobs, ends jobs and updates the overload
-    /// state.
+    /// Removes jobs with completed work from the cores, starts waiting jobs, ends jobs and updates
+    /// the overload state.
     fn settle(&mut self, finished: &mut Vec<FinishedJob>) {
         if self.condition.frozen || self.is_stopped {
             return;
@@ -386,8 +391,8 @@
         }
     }
 
-    /// The load that a response reports now; none where reports are off or nothing was measured
-    /// yet.
+    /// Returns the load that a response reports now, or `None` if reports are disabled or nothing
+    /// has been measured.
     pub fn load_report(&self, now: Micros) -> Option<LoadReport> {
         if self.condition.reports_absent || self.fleet.report_interval.0 == 0 {
             return None;
--- a/crates/model/src/server/tests.rs
+++ b/crates/model/src/server/tests.rs
@@ -40,19 +40,19 @@
     finished
 }
 
-/// All jobs that end by that time, with when and how.
+/// Returns all jobs that end by a time, with the time and outcome of each.
 fn finished_until(server: &mut Server, end: Micros) -> Vec<(Micros, u64, JobOutcome)> {
-    let mut found = Vec::new();
+    let mut ended = Vec::new();
     while let Some(next) = server.next_event().filter(|next| *next <= end) {
         let mut finished = Vec::new();
         server.advance(next, &mut finished);
-        found.extend(finished.iter().map(|done| (next, done.id, done.outcome)));
+        ended.extend(finished.iter().map(|done| (next, done.id, done.outcome)));
     }
-    found
+    ended
 }
 
 #[test]
-fn cores_work_in_parallel_and_other_jobs_wait() {
+fn jobs_run_in_parallel_on_the_cores_and_further_jobs_wait() {
     let mut server = server(2, 2.0, None, |_| {});
     for job in 0..3 {
         assert!(received(&mut server, 0, job, 20_000.0).is_empty());
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn beyond_the_queue_jobs_are_rejected_unrun() {
+fn job_is_rejected_without_processing_if_the_queue_is_full() {
     let mut server = server(1, 1.0, None, |fleet| fleet.queue_capacity = 1);
     assert!(received(&mut server, 0, 0, 1000.0).is_empty());
     assert!(received(&mut server, 0, 1, 1000.0).is_empty());
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_freeze_suspends_running_and_arriving_jobs() {
+fn frozen_server_suspends_running_and_arriving_jobs() {
     let mut server = server(1, 1.0, None, |fleet| fleet.queue_capacity = 0);
     received(&mut server, 0, 0, 10_000.0);
     let mut finished = Vec::new();
@@ -105,7 +105,7 @@
             id: 1,
             outcome: JobOutcome::Rejected
         }],
-        "nobody had read it, so it is rejected after the freeze"
+        "the job that arrived during the freeze is rejected afterwards"
     );
     assert_eq!(
         finished_until(&mut server, SECOND),
@@ -117,9 +117,17 @@
 #[case::neighbour(Condition { rate: 0.25, ..Condition::default() }, 40_000, JobOutcome::Succeeded)]
 #[case::silent(Condition { silent: true, ..Condition::default() }, 10_000, JobOutcome::Unanswered)]
 #[case::lost(Condition { lost: 1.0, ..Condition::default() }, 10_000, JobOutcome::Unanswered)]
-#[case::corrupted(Condition { corrupted: 1.0, ..Condition::default() }, 10_000, JobOutcome::Corrupted)]
-#[case::reset(Condition { reset: 1.0, ..Condition::default() }, 10_000, JobOutcome::ConnectionReset)]
-fn faults_change_time_or_outcome(
+#[case::corrupted(
+    Condition { corrupted: 1.0, ..Condition::default() },
+    10_000,
+    JobOutcome::Corrupted,
+)]
+#[case::reset(
+    Condition { reset: 1.0, ..Condition::default() },
+    10_000,
+    JobOutcome::ConnectionReset,
+)]
+fn faults_change_the_duration_or_outcome_of_a_job(
     #[case] condition: Condition,
     #[case] at: Micros,
     #[case] outcome: JobOutcome,
@@ -132,7 +140,7 @@
 }
 
 #[test]
-fn errors_are_sent_at_once_and_nothing_runs() {
+fn job_fails_immediately_under_the_errors_fault() {
     let mut server = server(1, 1.0, None, |_| {});
     server.set_condition(
         0,
@@ -152,7 +160,7 @@
 }
 
 #[test]
-fn overload_slows_until_recovered() {
+fn overloaded_server_is_slower_until_it_recovers() {
     let mut server = server(1, 1.0, None, |fleet| {
         (
             fleet.overload_queue_per_core,
@@ -173,7 +181,7 @@
     assert_eq!(
         last,
         Some(SECOND + 10 * 125_000),
-        "what is left takes two and a half times as long"
+        "the remaining jobs take two and a half times as long"
     );
     let mut finished = Vec::new();
     server.advance(last.unwrap() + SECOND, &mut finished);
@@ -181,25 +189,25 @@
 }
 
 #[test]
-fn a_server_in_slow_start_rises_and_crashes_when_it_receives_too_much() {
-    let mut quick = server(1, 1.0, Some(0), |_| {});
-    assert_eq!(quick.slow_start_factor(0), 0.3);
-    assert_eq!(quick.slow_start_factor(8 * SECOND), 1.0);
-    received(&mut quick, 0, 0, 300_000.0);
-    let done = finished_until(&mut quick, 2 * SECOND);
+fn server_in_slow_start_gains_capacity_and_crashes_if_it_receives_too_much_work() {
+    let mut idle = server(1, 1.0, Some(0), |_| {});
+    assert_eq!(idle.slow_start_factor(0), 0.3);
+    assert_eq!(idle.slow_start_factor(8 * SECOND), 1.0);
+    received(&mut idle, 0, 0, 300_000.0);
+    let done = finished_until(&mut idle, 2 * SECOND);
     assert!(
         done[0].0 < SECOND,
-        "the rise shortens the work under way: {done:?}"
+        "the increasing capacity shortens the running job: {done:?}"
     );
 
-    let mut pushed = server(1, 1.0, Some(0), |_| {});
+    let mut overloaded = server(1, 1.0, Some(0), |_| {});
     let mut finished = Vec::new();
     for job in 0..10 {
-        finished.extend(received(&mut pushed, 10_000 * job, job, 100_000.0));
+        finished.extend(received(&mut overloaded, 10_000 * job, job, 100_000.0));
     }
     assert!(
-        pushed.crashed_in_slow_start() && pushed.is_stopped(),
-        "1.0 s of work within 1 s is over 3 x 0.3"
+        overloaded.crashed_in_slow_start() && overloaded.is_stopped(),
+        "1.0 s of work within 1 s exceeds 3 times the capacity of 0.3"
     );
     assert_eq!(
         finished
@@ -208,15 +216,18 @@
             .count(),
         10
     );
-    let mut spread = server(1, 1.0, Some(0), |_| {});
+    let mut lightly_loaded = server(1, 1.0, Some(0), |_| {});
     for job in 0..10 {
-        received(&mut spread, 200_000 * job, job, 100_000.0);
+        received(&mut lightly_loaded, 200_000 * job, job, 100_000.0);
     }
-    assert!(!spread.crashed_in_slow_start(), "spread over 2 s it is not");
+    assert!(
+        !lightly_loaded.crashed_in_slow_start(),
+        "the same work distributed over 2 s does not exceed the limit"
+    );
 }
 
 #[test]
-fn cached_keys_take_less_and_reports_may_be_delayed() {
+fn cached_keys_reduce_work_and_load_reports_can_be_delayed() {
     let mut server = server(1, 1.0, None, |fleet| fleet.key_cache_ttl = Span(SECOND));
     let mut with_key = |now, job| {
         server.receive(
@@ -235,7 +246,9 @@
         (with_key(0, 0), with_key(900_000, 1), with_key(2_000_000, 2)),
         (10_000, 5_000, 10_000)
     );
-    let report = server.load_report(2_000_000).expect("a reading was due");
+    let report = server
+        .load_report(2_000_000)
+        .expect("a measurement was due");
     assert!(report.utilisation > 0.0 && report.utilisation <= 1.0);
     server.set_condition(
         2_100_000,
@@ -249,7 +262,7 @@
 }
 
 #[test]
-fn cancelled_work_stops_and_the_next_starts() {
+fn cancelled_job_stops_and_the_next_one_starts() {
     let mut server = server(1, 1.0, None, |_| {});
     received(&mut server, 0, 0, 100_000.0);
     received(&mut server, 0, 1, 10_000.0);
@@ -261,7 +274,7 @@
 }
 
 #[test]
-fn duplicates_are_discarded_in_their_scope_and_window_only() {
+fn duplicates_are_detected_only_within_their_scope_and_window() {
     let mut duplicates = DuplicateFilter::default();
     assert!(!duplicates.is_duplicate(0, 1, 9, SECOND));
     assert!(duplicates.is_duplicate(500_000, 1, 9, SECOND));
--- a/crates/model/src/server/types.rs
+++ b/crates/model/src/server/types.rs
@@ -1,4 +1,4 @@
-//! What a server is, what it receives and what it reports.
+//! Types of the server model: specification, condition, jobs and load reports.
 
 use crate::Micros;
 
@@ -7,7 +7,7 @@
 pub struct ServerSpec {
     /// Name in the endpoint list.
     pub id: String,
-    /// Number, from 0. A server that replaces another has a number of its own.
+    /// Number of the server, starting at 0. A server that replaces another one has a new number.
     pub number: usize,
     /// Index of the zone in the scenario.
     pub zone: usize,
@@ -19,30 +19,31 @@
     pub cores: usize,
     /// Work that a core processes per microsecond.
     pub speed: f64,
-    /// When it started in slow start; none where it was running long before the scenario.
+    /// Time of the start, from which slow start counts; `None` if the server was running long
+    /// before the scenario.
     pub started_at: Option<Micros>,
 }
 
-/// The combined effect of faults on a server. Probabilities are of 1.
+/// The combined effect of faults on a server. Probabilities and fractions are from 0 to 1.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Condition {
-    /// The server does nothing.
+    /// Whether the server is suspended.
     pub frozen: bool,
-    /// It sends no responses.
+    /// Whether the server sends no responses.
     pub silent: bool,
     /// Probability that a response is lost.
     pub lost: f64,
-    /// Fraction of the speed that is left.
+    /// Fraction of the usual speed at which the server works.
     pub rate: f64,
-    /// Probability that a request fails at once.
+    /// Probability that a request fails immediately.
     pub errors: f64,
     /// Probability that a response is corrupted.
     pub corrupted: f64,
     /// Probability that the connection is reset.
     pub reset: f64,
-    /// Age of the load that responses report.
+    /// Minimum age of the measurements that responses report, in microseconds.
     pub report_delay: Micros,
-    /// Responses report no load.
+    /// Whether responses contain no load report.
     pub reports_absent: bool,
 }
 
@@ -62,35 +63,36 @@
     }
 }
 
-/// An attempt of a request, as it reaches a server.
+/// An attempt of a request that a server processes.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// The caller's number for it.
+    /// Number of the job, assigned by the caller.
     pub id: u64,
     /// Core time at speed 1, in microseconds.
     pub work: f64,
-    /// Time spent waiting for other services, without using a core.
+    /// Time spent waiting for other services without using a core, in microseconds.
     pub off_core_time: Micros,
-    /// Key of the entity that the request is about.
+    /// Key of the entity to which the request refers.
     pub key: Option<u64>,
 }
 
 /// How a job ended at the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobOutcome {
-    /// It ran, and a response is sent.
+    /// The job was processed, and a response is sent.
     Succeeded,
-    /// It ran, and a corrupted response is sent.
+    /// The job was processed, and a corrupted response is sent.
     Corrupted,
-    /// The queue is full: it never ran.
+    /// The job was rejected without processing because the queue was full.
     Rejected,
-    /// An error is sent at once, and it did not run, though nothing proves that to others.
+    /// The job was not processed, and an error is sent immediately. The error does not prove to the
+    /// balancer that the job was not processed.
     Failed,
-    /// It ran, and no response is sent.
+    /// The job was processed, and no response is sent.
     Unanswered,
-    /// It ran, and its connection is reset.
+    /// The job was processed, and its connection is reset.
     ConnectionReset,
-    /// The server crashed before it ended.
+    /// The server crashed before the job ended.
     ServerCrashed,
 }
 
@@ -107,13 +109,13 @@
 /// A job that ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FinishedJob {
-    /// The caller's number for it.
+    /// Number of the job, assigned by the caller.
     pub id: u64,
-    /// How it ended.
+    /// Outcome of the job.
     pub outcome: JobOutcome,
 }
 
-/// Load as responses report it.
+/// Load of a server as reported in responses.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Jobs at the server.
--- a/crates/model/src/service.rs
+++ b/crates/model/src/service.rs
@@ -1,6 +1,6 @@
-//! The service score: the priority weight answered within the latency objective over the weight
-//! requested, in parts that the scenario weighs. Retries of a client count towards its first
-//! attempt.
+//! The service score: the fraction of the requested priority weight that was answered within the
+//! latency objective. It is the weighted mean of several components, whose weights are part of the
+//! scenario. Retries of a client count towards its first attempt.
 
 use std::collections::BTreeMap;
 
@@ -11,22 +11,23 @@
 use crate::traffic::Request;
 use crate::{Micros, SECOND};
 
-/// Length of the windows of which the worst one counts.
+/// Length of the sliding window for the worst score, in microseconds.
 const WORST_WINDOW_US: Micros = 10 * SECOND;
-/// Length of the windows in which late responses are counted.
+/// Length of the windows in which late requests are counted, in microseconds.
 const TAIL_WINDOW_US: Micros = 5 * SECOND;
-/// A window with fewer first attempts has no score.
+/// Minimum number of first attempts for which a score is computed.
 const MIN_REQUESTS: usize = 10;
-/// The multiple of the allowed fraction of late responses at which the tail scores nothing.
+/// Multiple of the allowed fraction of late requests at which the tail latency score is 0.
 const TAIL_ZERO_MULTIPLE: f64 = 5.0;
 
-/// What happened to a client's request, over all its attempts.
+/// The result of a client's request over all its attempts.
 #[derive(Clone, Copy, Debug)]
 struct RequestResult {
     scheduled_at: Micros,
     class: usize,
     tenant: usize,
-    /// Time from the schedule of the first attempt to the successful response.
+    /// Time from the scheduled time of the first attempt to the successful response, in
+    /// microseconds.
     latency: Option<Micros>,
     rejected: bool,
 }
@@ -38,14 +39,14 @@
     }
 }
 
-/// Late and all responses of one class in one window.
+/// Number of requests and of late requests of one class in one window.
 #[derive(Default)]
 struct TailWindow {
     requests: usize,
     late: usize,
 }
 
-/// Requested and earned weight.
+/// Sum of the priority weights of all requests, and of those that met their latency objective.
 #[derive(Clone, Copy, Default)]
 struct Weight {
     requested: f64,
@@ -64,37 +65,37 @@
 /// Collects the results of requests.
 #[derive(Default)]
 pub struct Tally {
-    /// By number of the first attempt.
+    /// Results by number of the first attempt.
     results: BTreeMap<u64, RequestResult>,
 }
 
-/// The parts of the service score, each from 0 to 1.
+/// The service score and its components, each from 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct ServiceScore {
-    /// The score over the complete scenario.
+    /// Score over the complete scenario.
     #[serde(rename = "whole")]
     pub overall: f64,
-    /// The worst ten seconds.
+    /// Worst score of any ten seconds.
     pub worst_10s: f64,
-    /// The worst request class.
+    /// Worst score of any request class.
     #[serde(rename = "worst_use_case")]
     pub worst_class: f64,
-    /// The worst tenant.
+    /// Worst score of any tenant.
     pub worst_tenant: f64,
-    /// The score of late responses.
+    /// Tail latency score, which decreases with the fraction of late requests.
     pub tail: f64,
-    /// The weighted mean of all parts; reported beside them.
+    /// Weighted mean of all components. It is not serialized, since it is reported separately.
     #[serde(skip)]
     pub total: f64,
 }
 
 impl Tally {
-    /// An empty tally.
+    /// Creates a tally without results.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Records that an attempt is due.
+    /// Records an attempt that a client is scheduled to send.
     pub fn record_request(&mut self, request: &Request) {
         self.results.entry(request.first).or_insert(RequestResult {
             scheduled_at: request.first_scheduled_at,
@@ -105,7 +106,7 @@
         });
     }
 
-    /// Records the end of an attempt; `outcome` is none where no response arrived.
+    /// Records the end of an attempt. `outcome` is `None` if no response arrived.
     pub fn record_outcome(&mut self, request: &Request, at: Micros, outcome: Option<Outcome>) {
         self.record_request(request);
         let Some(result) = self.results.get_mut(&request.first) else {
@@ -120,8 +121,13 @@
         }
     }
 
-    /// The fraction of the weight that the selected requests earned; none where there are too few.
-    fn score(&self, scenario: &Scenario, selects: impl Fn(&RequestResult) -> bool) -> Option<f64> {
+    /// Returns the fraction of the priority weight of the selected requests that met its latency
+    /// objective, or `None` if there are too few requests.
+    fn earned_fraction(
+        &self,
+        scenario: &Scenario,
+        selects: impl Fn(&RequestResult) -> bool,
+    ) -> Option<f64> {
         let (mut weight, mut count) = (Weight::default(), 0);
         for result in self.results.values().filter(|result| selects(result)) {
             weight.add(result, scenario.classes[result.class].get_ref());
@@ -131,13 +137,14 @@
         is_scored.then(|| weight.earned / weight.requested)
     }
 
-    /// The score of late responses: by class and window, 1 up to the allowed fraction, falling
-    /// linearly to 0.
-    fn tail(&self, scenario: &Scenario) -> f64 {
+    /// Returns the tail latency score: the mean over all classes and windows of a score that is 1
+    /// up to the allowed fraction of late requests and decreases linearly to 0 at
+    /// `TAIL_ZERO_MULTIPLE` times that fraction. Requests that were rejected and never succeeded
+    /// are not counted.
+    fn tail_score(&self, scenario: &Scenario) -> f64 {
         let mut windows: BTreeMap<(usize, Micros), TailWindow> = BTreeMap::new();
-        let unanswered_or_served =
-            |result: &&RequestResult| result.latency.is_some() || !result.rejected;
-        for result in self.results.values().filter(unanswered_or_served) {
+        let is_counted = |result: &&RequestResult| result.latency.is_some() || !result.rejected;
+        for result in self.results.values().filter(is_counted) {
             let class = scenario.classes[result.class].get_ref();
             let key = (result.class, result.scheduled_at / TAIL_WINDOW_US);
             let window = windows.entry(key).or_default();
@@ -161,34 +168,34 @@
         }
     }
 
-    /// The parts of the score, and their total.
+    /// Returns the service score and its components.
     pub fn service_score(&self, scenario: &Scenario) -> ServiceScore {
-        let overall = self.score(scenario, |_| true).unwrap_or(0.0);
+        let overall = self.earned_fraction(scenario, |_| true).unwrap_or(0.0);
         let scheduled = self.results.values().map(|result| result.scheduled_at);
         let last = scheduled.max().unwrap_or(0);
         let from = |start: Micros| {
             let window = start..start + WORST_WINDOW_US;
-            self.score(scenario, |result| window.contains(&result.scheduled_at))
+            self.earned_fraction(scenario, |result| window.contains(&result.scheduled_at))
         };
         let windows = (0..=last / SECOND).map(|second| from(second * SECOND));
         let by_class = (0..scenario.classes.len())
-            .map(|class| self.score(scenario, |result| result.class == class));
+            .map(|class| self.earned_fraction(scenario, |result| result.class == class));
         let by_tenant = (0..scenario.tenants.len())
-            .map(|tenant| self.score(scenario, |result| result.tenant == tenant));
-        let parts = ServiceScore {
+            .map(|tenant| self.earned_fraction(scenario, |result| result.tenant == tenant));
+        let score = ServiceScore {
             overall,
-            worst_10s: worst(windows, overall),
-            worst_class: worst(by_class, overall),
-            worst_tenant: worst(by_tenant, overall),
-            tail: self.tail(scenario),
+            worst_10s: lowest_score(windows, overall),
+            worst_class: lowest_score(by_class, overall),
+            worst_tenant: lowest_score(by_tenant, overall),
+            tail: self.tail_score(scenario),
             total: 0.0,
         };
-        let total = parts.weighted_mean(scenario);
-        ServiceScore { total, ..parts }
+        let total = score.weighted_mean(scenario);
+        ServiceScore { total, ..score }
     }
 
-    /// The score of each second of the scenario, by when requests were scheduled; 1 where there
-    /// were none.
+    /// Returns the score of each second of the scenario, by the scheduled time of the requests. The
+    /// score of a second without requests is 1.
     pub fn by_second(&self, scenario: &Scenario) -> Vec<f64> {
         let seconds = scenario.length.get_ref().0.div_ceil(SECOND) as usize;
         let mut weights = vec![Weight::default(); seconds];
@@ -212,20 +219,23 @@
 impl ServiceScore {
     fn weighted_mean(&self, scenario: &Scenario) -> f64 {
         let weights = &scenario.service;
-        let parts = [
+        let components = [
             (weights.overall, self.overall),
             (weights.worst_10s, self.worst_10s),
             (weights.worst_class, self.worst_class),
             (weights.worst_tenant, self.worst_tenant),
             (weights.tail, self.tail),
         ];
-        let sum: f64 = parts.iter().map(|(weight, part)| weight * part).sum();
-        sum / parts.iter().map(|(weight, _)| weight).sum::<f64>()
+        let sum: f64 = components
+            .iter()
+            .map(|(weight, score)| weight * score)
+            .sum();
+        sum / components.iter().map(|(weight, _)| weight).sum::<f64>()
     }
 }
 
-/// The lowest score, or `default` where there is none.
-fn worst(scores: impl Iterator<Item = Option<f64>>, default: f64) -> f64 {
+/// Returns the lowest score, or `default` if there is none.
+fn lowest_score(scores: impl Iterator<Item = Option<f64>>, default: f64) -> f64 {
     scores.flatten().reduce(f64::min).unwrap_or(default)
 }
 
--- a/crates/model/src/service/tests.rs
+++ b/crates/model/src/service/tests.rs
@@ -1,8 +1,9 @@
 use super::*;
 use crate::{fleet, timeline::Timeline, traffic::Arrivals, validation};
 
-/// The score where each request succeeds after the latency that `latency` gives, or is rejected.
-fn parts(latency: impl Fn(&Request) -> Option<Micros>) -> ServiceScore {
+/// Returns the score if each request succeeds with the latency that `latency` returns for it, or is
+/// rejected where `latency` returns `None`.
+fn score(latency: impl Fn(&Request) -> Option<Micros>) -> ServiceScore {
     let scenario = validation::decode_scenario("name = 'd'\nlength = '20s'", "d.toml").unwrap();
     let timeline = Timeline::new(&scenario, &fleet::specs(&scenario, 1), 1);
     let mut tally = Tally::new();
@@ -20,23 +21,26 @@
 }
 
 #[test]
-fn all_in_time_scores_1_and_all_late_0() {
-    let parts_of = |latency| parts(move |_| Some(latency));
+fn score_is_1_if_all_requests_meet_the_objective_and_0_if_none_does() {
+    let score_with = |latency| score(move |_| Some(latency));
     assert_eq!(
-        (parts_of(10).total, parts_of(10 * SECOND).total),
+        (score_with(10).total, score_with(10 * SECOND).total),
         (1.0, 0.0)
     );
 }
 
 #[test]
-fn the_worst_parts_are_found() {
-    let bad_window = parts(|request| (request.scheduled_at < 10 * SECOND).then_some(10));
+fn worst_window_and_worst_class_are_scored() {
+    let bad_window = score(|request| (request.scheduled_at < 10 * SECOND).then_some(10));
     assert!(
         (bad_window.overall - 0.5).abs() < 0.05 && bad_window.worst_10s < 0.01,
         "{bad_window:?}"
     );
-    assert_eq!(bad_window.tail, 1.0, "rejections are no late responses");
-    let bad_class = parts(|request| (request.class != 2).then_some(10));
+    assert_eq!(
+        bad_window.tail, 1.0,
+        "rejected requests do not count as late"
+    );
+    let bad_class = score(|request| (request.class != 2).then_some(10));
     assert_eq!(bad_class.worst_class, 0.0);
 }
 
--- a/crates/model/src/timeline/tests.rs
+++ b/crates/model/src/timeline/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn overlapping_faults_add_up_and_end() {
+fn overlapping_faults_combine_until_each_ends() {
     let (_, timeline) = timeline(
         "[[faults]]\nkind = 'slow'\nat = '1s'\nfor = '4s'\nservers = [2]\nfactor = 2.0\n\
          [[faults]]\nkind = 'neighbour'\nat = '3s'\nfor = '4s'\nservers = [2]\nfactor = 0.5\n\
@@ -27,17 +27,17 @@
         (timeline.burst_factor(0), timeline.burst_factor(2 * SECOND)),
         (1.0, 3.0)
     );
-    let edges = std::iter::successors(timeline.next_condition_change(0), |edge| {
-        timeline.next_condition_change(*edge)
+    let changes = std::iter::successors(timeline.next_condition_change(0), |change| {
+        timeline.next_condition_change(*change)
     });
     assert_eq!(
-        edges.collect::<Vec<_>>(),
+        changes.collect::<Vec<_>>(),
         [1, 3, 5, 7].map(|at| at * SECOND)
     );
 }
 
 #[test]
-fn a_rolling_drain_takes_servers_one_after_the_other() {
+fn staggered_drain_starts_at_one_server_after_the_other() {
     let (specs, timeline) =
         timeline("[[faults]]\nkind = 'drain'\nat = '2s'\nfor = '1s'\nover = '6s'\nzone = 'a'");
     let zone: Vec<_> = specs
@@ -46,8 +46,8 @@
         .map(|spec| spec.number)
         .collect();
     assert_eq!(zone.len(), 6);
-    for (turn, server) in zone.into_iter().enumerate() {
-        let at = (2 + turn as u64) * SECOND;
+    for (position, server) in zone.into_iter().enumerate() {
+        let at = (2 + position as u64) * SECOND;
         assert!(timeline.events.contains(&ScheduledEvent {
             at,
             event: TimelineEvent::DrainStarted(server)
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_part_of_the_fleet_is_drawn_by_the_seed() {
+fn fault_affects_the_given_fraction_of_the_fleet() {
     let (_, timeline) = timeline("[[faults]]\nkind = 'silent'\nat = '2s'\nfor = '1s'\npart = 0.25");
     assert_eq!(timeline.server_faults().len(), 3);
 }
--- a/crates/model/src/traffic.rs
+++ b/crates/model/src/traffic.rs
@@ -1,44 +1,48 @@
-//! Open-loop traffic: requests arrive regardless of the outcome of earlier ones, and clients retry
-//! after rejections and failures.
+//! Open-loop traffic: the arrival times of requests do not depend on the outcome of earlier ones.
+//! Clients retry after rejections and failures.
 
 use crate::random::{RandomSource, cumulative_sums};
 use crate::scenario::{Scenario, Span};
 use crate::timeline::Timeline;
 use crate::{Micros, SECOND};
 
-/// The earliest time at which a disconnecting client does so, as a fraction of the deadline.
+/// Minimum time after which a disconnecting client disconnects, as a fraction of the deadline.
 const MIN_DISCONNECT_FRACTION: f64 = 0.05;
-/// Added to the balancer draw of each retry, modulo 1, so that retries spread over the balancers.
+/// Step between the balancer draws of a request and its retry, modulo 1. The golden ratio spreads
+/// successive retries evenly over the balancers.
 const RETRY_DRAW_STEP: f64 = 0.618_033_988_749_895;
 
-/// One attempt of a client: a request or a retry of it.
+/// One attempt of a client: the first request, or a retry of it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Request {
-    /// Number of this attempt, unique among all.
+    /// Number of this attempt, unique among the attempts of all clients.
     pub number: u64,
     /// Number of the client's first attempt.
     pub first: u64,
-    /// When the client sends this attempt.
+    /// Time at which the client sends this attempt.
     pub scheduled_at: Micros,
-    /// When the client sent its first attempt.
+    /// Time at which the client sends its first attempt.
     pub first_scheduled_at: Micros,
-    /// 1 for the first attempt.
+    /// Position among the attempts of the client; 1 for the first attempt.
     pub attempt: usize,
     /// Index of the request class.
     pub class: usize,
     /// Index of the tenant.
     pub tenant: usize,
-    /// Key of the entity that the request is about.
+    /// Key of the entity to which the request refers.
     pub key: u64,
-    /// The idempotency key, the same for all attempts; used where the class has one.
+    /// Idempotency key, which is the same for all attempts of the client. Only classes with an
+    /// idempotency key use it.
     pub idempotency_key: u64,
     /// Core time at speed 1, in microseconds.
     pub work: f64,
-    /// Time spent waiting for other services, without using a core.
+    /// Time that the server spends waiting for other services without using a core, in
+    /// microseconds.
     pub off_core_time: Micros,
-    /// How long the client waits for the response.
+    /// Time for which the client waits for the response, in microseconds.
     pub timeout: Micros,
-    /// When the client disconnects early, after sending the request.
+    /// Time from sending the request until the client disconnects, in microseconds; `None` if it
+    /// does not disconnect before its timeout.
     pub disconnects_after: Option<Micros>,
     /// A uniform draw in `[0, 1)` that selects the balancer.
     pub balancer_draw: f64,
@@ -53,15 +57,15 @@
     candidate_at: f64,
     /// Number of the last request.
     number: u64,
-    /// The maximum rate of the scenario. Candidates are drawn at this rate and thinned to the
-    /// current one.
+    /// Maximum request rate of the scenario, in requests per microsecond. Candidate arrivals are
+    /// drawn at this rate and thinned to the current rate.
     max_requests_per_us: f64,
     class_weights: Vec<f64>,
     tenant_weights: Vec<f64>,
     key_weights: Vec<f64>,
 }
 
-/// Interpolates the multiple of the usual rate between the points of the curve.
+/// Interpolates the multiple of the usual rate linearly between the points of the curve.
 fn curve_multiple(points: &[(Span, f64)], now: Micros) -> f64 {
     let next = points.partition_point(|(at, _)| at.0 <= now);
     let point = |index: usize| {
@@ -78,7 +82,7 @@
 }
 
 impl<'a> Arrivals<'a> {
-    /// The arrivals of a scenario.
+    /// Creates the arrivals of a scenario.
     pub fn new(scenario: &'a Scenario, timeline: &'a Timeline, seed: u64) -> Self {
         let traffic = &scenario.traffic;
         let max_multiple = if traffic.curve.is_empty() {
@@ -118,7 +122,7 @@
             .happens(traffic.disconnect_fraction)
             .then(|| random.between(MIN_DISCONNECT_FRACTION * deadline, timeout) as Micros);
         self.number += 1;
-        // The order of the fields is the order of the draws.
+        // The order of the fields determines the order of the random draws.
         Request {
             number: self.number,
             first: self.number,
@@ -163,10 +167,10 @@
     }
 }
 
-/// The retry of a request that was rejected or failed; none where the client has no retries left or
-/// is to disconnect.
+/// Returns the retry of a request that was rejected or failed, or `None` if the client has no
+/// retries left or is one that disconnects.
 ///
-/// `number` is the retry's own number, `retry_after` the delay that the response asked for.
+/// `number` is the number of the retry, `retry_after` the `Retry-After` delay of the response.
 pub fn retry(
     scenario: &Scenario,
     request: &Request,
--- a/crates/model/src/traffic/tests.rs
+++ b/crates/model/src/traffic/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_requests_at_the_given_rates() {
+fn same_seed_produces_the_same_requests_at_the_configured_rates() {
     let (scenario, timeline) = scenario(
         "[traffic]\nrate = 500.0\ncurve = [['0s', 1.0], ['10s', 1.0], ['10001ms', 2.0]]\n\
          [[faults]]\nkind = 'burst'\nat = '4s'\nfor = '2s'\nfactor = 3.0",
@@ -24,7 +24,7 @@
         requests.len(),
         Arrivals::new(&scenario, &timeline, 10).count()
     );
-    let within = |from: u64, to: u64| {
+    let rate_between = |from: u64, to: u64| {
         requests
             .iter()
             .filter(|request| (from * SECOND..to * SECOND).contains(&request.scheduled_at))
@@ -37,10 +37,10 @@
         (6, 10, 500.0),
         (11, 20, 1000.0),
     ] {
-        let seen = within(from, to);
+        let actual_rate = rate_between(from, to);
         assert!(
-            (seen / rate - 1.0).abs() < 0.1,
-            "{seen} a second from {from} to {to} s"
+            (actual_rate / rate - 1.0).abs() < 0.1,
+            "{actual_rate} requests per second from {from} s to {to} s"
         );
     }
     assert!(
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn clients_retry_as_often_as_configured_and_not_before_retry_after() {
+fn clients_retry_up_to_the_configured_number_and_not_before_retry_after() {
     let (scenario, timeline) = scenario("[traffic]\nretries = 1\nretry_wait = '100ms'");
     let first = Arrivals::new(&scenario, &timeline, 1)
         .find(|request| request.disconnects_after.is_none())
