--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -35,7 +35,7 @@
     #[error(transparent)]
     Field(#[from] FieldError),
     /// The fleet has no balancers.
-    #[error("field 'fleetSize' is 0: expected at least 1")]
+    #[error("field 'fleetSize' is 0")]
     EmptyFleet,
     /// The balancer's index is not below the number of balancers.
     #[error("field 'me' is {own_index} in a fleet of {balancers}")]
