--- a/crates/model/src/checker.rs
+++ b/crates/model/src/checker.rs
@@ -3,8 +3,9 @@
 //! 1. Every received request gets exactly one final response before its deadline, and no attempt of
 //!    it starts afterwards.
 //! 2. No request is processed twice. A non-idempotent request is retried or rejected only if each
-//!    earlier attempt was provably not processed; a request with an idempotency key is retried only
-//!    within the scope and window of the key.
+//!    earlier attempt was provably not processed. A request with an idempotency key is retried only
+//!    within the scope and window of the key; after an attempt that may have been processed, it is
+//!    rejected only if the scope of the key is all servers.
 //! 3. No attempt is sent to a draining or removed server after the grace period.
 //! 4. No server in slow start receives more work than the allowed multiple of its capacity.
 //!
@@ -246,7 +247,7 @@
 
     fn balancer_killed(&mut self, at: Micros, balancer: usize) {
         self.excuse_requests(at, balancer);
-        // The next process of the balancer receives the list anew, so its grace period starts then.
+        // The next process of the balancer is notified again, and the grace period starts then.
         for server in self.servers.values_mut() {
             server.drain_notified_at.remove(&balancer);
         }
--- a/crates/model/src/lease_history.rs
+++ b/crates/model/src/lease_history.rs
@@ -137,7 +137,7 @@
     }
 
     /// Analyses all holdings. Holdings that have not ended are treated as lasting until `now`.
-    pub fn analyze(&self, now: Micros) -> LeaseFindings {
+    pub fn analyse(&self, now: Micros) -> LeaseFindings {
         let mut findings = LeaseFindings::default();
         for (lease, holdings) in &self.by_lease {
             let mut holdings: Vec<&LeaseHolding> = holdings.iter().collect();
--- a/crates/model/src/lease_history/tests.rs
+++ b/crates/model/src/lease_history/tests.rs
@@ -24,7 +24,7 @@
     lease_history.lost(ends_at, 0, "d", term(1, 1), "expired");
     lease_history.acquired(next_starts_at, 1, "d", term(2, 2));
     lease_history.acquired(next_starts_at, 1, "another", term(2, 2));
-    let findings = lease_history.analyze(100);
+    let findings = lease_history.analyse(100);
     assert_eq!(
         (
             findings.overlaps.len(),
@@ -50,13 +50,13 @@
     lease_history.acquired(50, 1, "d", term(4, 2));
     assert_eq!(
         (
-            lease_history.analyze(100).overlaps.len(),
-            lease_history.analyze(100).decreased_terms.len()
+            lease_history.analyse(100).overlaps.len(),
+            lease_history.analyse(100).decreased_terms.len()
         ),
         (1, 1)
     );
     lease_history.process_ended(40, 0);
-    assert_eq!(lease_history.analyze(100).overlaps.len(), 0);
+    assert_eq!(lease_history.analyse(100).overlaps.len(), 0);
     lease_history.process_ended(60, 1);
     assert_eq!(lease_history.vacant_leases(70), ["d"]);
 }
--- a/crates/model/src/process_history.rs
+++ b/crates/model/src/process_history.rs
@@ -148,7 +148,7 @@
     }
 
     /// Checks a view that a member had at some moment of a span. Processes that served throughout
-    /// the span and that were in an earlier or this view of the member are expected in the view.
+    /// the span and that were in this or an earlier view of the member are expected in the view.
     /// Returns an error for each such process that is missing or claimed to have stopped, and one
     /// if there are more of them than `counted`, the number of processes that may serve according
     /// to the view.
--- a/crates/testbed/src/cluster/lease_checks.rs
+++ b/crates/testbed/src/cluster/lease_checks.rs
@@ -74,7 +74,7 @@
             }
         }
         let ends_at = self.plan.ends_at;
-        let findings = self.lease_history.analyze(ends_at);
+        let findings = self.lease_history.analyse(ends_at);
         let stale = &self.lease_history.stale_commands;
         let violations = findings.overlaps.iter().take(MAX_REPORTED);
         self.checker
--- a/crates/testbed/src/fleet/leases.rs
+++ b/crates/testbed/src/fleet/leases.rs
@@ -109,7 +109,7 @@
     /// Analyses all holdings at a moment when every process has ended or logged its losses.
     pub fn report(&self, now: Micros, decreased_terms: u64) -> LeaseReport {
         let history = history_of(&locked(&self.0));
-        let findings = history.analyze(now);
+        let findings = history.analyse(now);
         let mut report = LeaseReport {
             overlaps: findings.overlaps.len() as u64,
             old_terms_taken: decreased_terms,
