--- a/crates/model/src/checker/tests.rs
+++ b/crates/model/src/checker/tests.rs
@@ -7,7 +7,9 @@
 /// Creates a checker for the default classes: 0 is idempotent, 1 has an idempotency key with the
 /// scope of a cell and a window of 2.5 s, 2 is non-idempotent.
 fn checker() -> Checker {
-    Checker::new(&validation::decode_scenario("name = 'd'\nlength = '20s'", "d.toml").unwrap())
+    Checker::new(
+        &validation::decode_scenario("name = 'test'\nlength = '20s'", "scenario.toml").unwrap(),
+    )
 }
 
 fn target(server: usize) -> AttemptTarget {
@@ -347,8 +349,8 @@
     #[case] violations: usize,
 ) {
     let scenario = validation::decode_scenario(
-        "name = 'd'\nlength = '20s'\n[rules]\nlate = '500ms'",
-        "d.toml",
+        "name = 'test'\nlength = '20s'\n[rules]\nlate = '500ms'",
+        "scenario.toml",
     )
     .unwrap();
     let mut checker = Checker::new(&scenario);
--- a/crates/model/src/fleet/tests.rs
+++ b/crates/model/src/fleet/tests.rs
@@ -4,8 +4,8 @@
 #[test]
 fn machine_types_and_zones_are_assigned_evenly_and_reproducibly() {
     let scenario = validation::decode_scenario(
-        "name = 'd'\nlength = '10s'\n[fleet]\nservers = 40",
-        "d.toml",
+        "name = 'test'\nlength = '10s'\n[fleet]\nservers = 40",
+        "scenario.toml",
     )
     .unwrap();
     let fleet = specs(&scenario, 3);
--- a/crates/model/src/server/tests.rs
+++ b/crates/model/src/server/tests.rs
@@ -246,9 +246,7 @@
         (with_key(0, 0), with_key(900_000, 1), with_key(2_000_000, 2)),
         (10_000, 5_000, 10_000)
     );
-    let report = server
-        .load_report(2_000_000)
-        .expect("a measurement was due");
+    let report = server.load_report(2_000_000).expect("nothing was measured");
     assert!(report.utilisation > 0.0 && report.utilisation <= 1.0);
     server.set_condition(
         2_100_000,
--- a/crates/model/src/service/tests.rs
+++ b/crates/model/src/service/tests.rs
@@ -4,7 +4,8 @@
 /// Returns the score if each request succeeds with the latency that `latency` returns for it, or is
 /// rejected where `latency` returns `None`.
 fn score(latency: impl Fn(&Request) -> Option<Micros>) -> ServiceScore {
-    let scenario = validation::decode_scenario("name = 'd'\nlength = '20s'", "d.toml").unwrap();
+    let scenario =
+        validation::decode_scenario("name = 'test'\nlength = '20s'", "scenario.toml").unwrap();
     let timeline = Timeline::new(&scenario, &fleet::specs(&scenario, 1), 1);
     let mut tally = Tally::new();
     for request in Arrivals::new(&scenario, &timeline, 1) {
@@ -46,7 +47,8 @@
 
 #[test]
 fn retries_count_towards_the_first_attempt() {
-    let scenario = validation::decode_scenario("name = 'd'\nlength = '20s'", "d.toml").unwrap();
+    let scenario =
+        validation::decode_scenario("name = 'test'\nlength = '20s'", "scenario.toml").unwrap();
     let timeline = Timeline::new(&scenario, &fleet::specs(&scenario, 1), 1);
     let mut tally = Tally::new();
     for (number, request) in Arrivals::new(&scenario, &timeline, 1).enumerate() {
--- a/crates/model/src/timeline/tests.rs
+++ b/crates/model/src/timeline/tests.rs
@@ -2,9 +2,11 @@
 use crate::{SECOND, fleet, validation};
 
 fn timeline(faults: &str) -> (Vec<ServerSpec>, Timeline) {
-    let scenario =
-        validation::decode_scenario(&format!("name = 'd'\nlength = '30s'\n{faults}"), "d.toml")
-            .unwrap();
+    let scenario = validation::decode_scenario(
+        &format!("name = 'test'\nlength = '30s'\n{faults}"),
+        "scenario.toml",
+    )
+    .unwrap();
     let specs = fleet::specs(&scenario, 1);
     let timeline = Timeline::new(&scenario, &specs, 1);
     (specs, timeline)
--- a/crates/model/src/traffic/tests.rs
+++ b/crates/model/src/traffic/tests.rs
@@ -2,9 +2,11 @@
 use crate::{fleet, validation};
 
 fn scenario(rest: &str) -> (Scenario, Timeline) {
-    let scenario =
-        validation::decode_scenario(&format!("name = 'd'\nlength = '20s'\n{rest}"), "d.toml")
-            .unwrap();
+    let scenario = validation::decode_scenario(
+        &format!("name = 'test'\nlength = '20s'\n{rest}"),
+        "scenario.toml",
+    )
+    .unwrap();
     let timeline = Timeline::new(&scenario, &fleet::specs(&scenario, 1), 1);
     (scenario, timeline)
 }
--- a/crates/model/src/validation/tests.rs
+++ b/crates/model/src/validation/tests.rs
@@ -2,33 +2,33 @@
 
 use super::*;
 
-const HEAD: &str = "name = 'd'\nlength = '20s'\n";
+const HEAD: &str = "name = 'test'\nlength = '20s'\n";
 
 #[rstest]
-#[case::unknown_field("speed = 3", "d.toml:3: speed: unknown field `speed`")]
+#[case::unknown_field("speed = 3", "scenario.toml:3: speed: unknown field `speed`")]
 #[case::unknown_fault(
     "[[faults]]\nkind = 'flood'\nat = '1s'",
-    "d.toml:4: kind: unknown variant `flood`"
+    "scenario.toml:4: kind: unknown variant `flood`"
 )]
 #[case::invalid_duration(
     "[traffic]\nretry_wait = 'soon'",
-    "d.toml:4: retry_wait: invalid duration 'soon'"
+    "scenario.toml:4: retry_wait: invalid duration 'soon'"
 )]
 #[case::rate_0(
     "[traffic]\nrate = 0.0",
-    "d.toml:4: traffic.rate: must be above 0 and at most 200000, but is 0"
+    "scenario.toml:4: traffic.rate: must be above 0 and at most 200000, but is 0"
 )]
 #[case::no_servers(
     "[fleet]\nservers = 0",
-    "d.toml:4: fleet.servers: must be 1 to 5000, but is 0"
+    "scenario.toml:4: fleet.servers: must be 1 to 5000, but is 0"
 )]
 #[case::unknown_server(
     "[[faults]]\nkind = 'freeze'\nat = '1s'\nfor = '1s'\nservers = [12]",
-    "d.toml:3: faults.servers: unknown server 12"
+    "scenario.toml:3: faults.servers: unknown server 12"
 )]
 #[case::no_selected_server(
     "[[faults]]\nkind = 'freeze'\nat = '1s'\nfor = '1s'\nservers = []",
-    "d.toml:3: faults: 'freeze' selects no server"
+    "scenario.toml:3: faults: 'freeze' selects no server"
 )]
 #[case::unknown_zone(
     "[[faults]]\nkind = 'freeze'\nat = '1s'\nfor = '1s'\nzone = 'q'",
@@ -36,12 +36,12 @@
 )]
 #[case::after_the_end(
     "[[faults]]\nkind = 'cold'\nat = '20s'",
-    "d.toml:3: faults.at: must be before the end"
+    "scenario.toml:3: faults.at: must be before the end"
 )]
 #[case::overlapping_faults_of_one_kind(
     "[[faults]]\nkind = 'freeze'\nat = '1s'\nfor = '3s'\n\
      [[faults]]\nkind = 'freeze'\nat = '2s'\nfor = '3s'",
-    "d.toml:7: faults: 'freeze' and 'freeze' conflict on server 0"
+    "scenario.toml:7: faults: 'freeze' and 'freeze' conflict on server 0"
 )]
 #[case::crash_of_a_draining_server(
     "[[faults]]\nkind = 'drain'\nat = '1s'\nfor = '3s'\n\
@@ -84,23 +84,23 @@
 )]
 #[case::too_many_attempts(
     "[rules]\nmost_dispatches = 6",
-    "d.toml:4: rules.most_dispatches: must be 1 to 5, but is 6"
+    "scenario.toml:4: rules.most_dispatches: must be 1 to 5, but is 6"
 )]
 fn invalid_scenario_is_rejected_with_line_and_field(#[case] rest: &str, #[case] expected: &str) {
-    let errors = decode_scenario(&format!("{HEAD}{rest}"), "d.toml").unwrap_err();
+    let errors = decode_scenario(&format!("{HEAD}{rest}"), "scenario.toml").unwrap_err();
     assert!(errors[0].to_string().contains(expected), "{}", errors[0]);
 }
 
 #[rstest]
 #[case(
-    "name = 'd'\nlength = '25h'",
-    "d.toml:2: length: must be above 0 and at most 24h"
+    "name = 'test'\nlength = '25h'",
+    "scenario.toml:2: length: must be above 0 and at most 24h"
 )]
 #[case("length = '1s'", "missing field `name`")]
-#[case("name = 'd\u{e9}", "d.toml:1:")]
+#[case("name = 't\u{e9}", "scenario.toml:1:")]
 fn invalid_top_level_key_is_rejected(#[case] text: &str, #[case] expected: &str) {
     assert!(
-        decode_scenario(text, "d.toml").unwrap_err()[0]
+        decode_scenario(text, "scenario.toml").unwrap_err()[0]
             .to_string()
             .contains(expected)
     );
@@ -116,7 +116,7 @@
     #[case] expected: Option<&str>,
 ) {
     let fault = "[[faults]]\nkind = 'balancer_killed'\nat = '1s'\nfor = '1s'\nbalancers = [1]";
-    let mut scenario = decode_scenario(&format!("{HEAD}{fault}"), "d.toml").unwrap();
+    let mut scenario = decode_scenario(&format!("{HEAD}{fault}"), "scenario.toml").unwrap();
     let set = set_balancer_count(&mut scenario, balancers);
     assert_eq!(set.is_ok(), expected.is_none());
     assert!(expected.is_none_or(|expected| set.unwrap_err().to_string().contains(expected)));
@@ -129,5 +129,8 @@
 #[test]
 fn all_errors_of_a_scenario_are_reported() {
     let text = format!("{HEAD}balancers = 0\n[fleet]\nservers = 0\n[traffic]\nrate = -1.0");
-    assert_eq!(decode_scenario(&text, "d.toml").unwrap_err().len(), 3);
+    assert_eq!(
+        decode_scenario(&text, "scenario.toml").unwrap_err().len(),
+        3
+    );
 }
--- a/crates/model/tests/scenario_keys.rs
+++ b/crates/model/tests/scenario_keys.rs
@@ -17,7 +17,7 @@
 use pinefront_model::validation;
 
 const EVERY_KEY: &str = include_str!("recorded/every_key.toml");
-const HEAD: &str = "name = \"d\"\nlength = \"60s\"\nbalancers = 3\n";
+const HEAD: &str = "name = \"test\"\nlength = \"60s\"\nbalancers = 3\n";
 
 fn compare(name: &str, text: &str) {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR"))
@@ -278,7 +278,8 @@
 /// Describes the effect of a fault of one kind.
 fn effect_of(kind_name: &str, kind: FaultKind) -> String {
     let scenario =
-        validation::decode_scenario(&scenario_with_fault(kind_name, kind), "d.toml").unwrap();
+        validation::decode_scenario(&scenario_with_fault(kind_name, kind), "scenario.toml")
+            .unwrap();
     assert_eq!(scenario.faults[0].get_ref().kind, kind);
     assert_eq!(kind.to_string(), kind_name);
     let specs = fleet::specs(&scenario, scenario.seed);
@@ -385,10 +386,10 @@
             .to_owned(),
     ];
     files.extend(rest.into_iter().map(|rest| format!("{HEAD}{rest}")));
-    files.push("name = 'd'\nlength = '0s'\nbalancers = 0\n".to_owned());
-    files.push("name = 'd'\nlength = '25h'\nbalancers = 65\n".to_owned());
+    files.push("name = 'test'\nlength = '0s'\nbalancers = 0\n".to_owned());
+    files.push("name = 'test'\nlength = '25h'\nbalancers = 65\n".to_owned());
     files.push("length = '1s'\n".to_owned());
-    files.push("name = 'd'\n".to_owned());
+    files.push("name = 'test'\n".to_owned());
     files
 }
 
@@ -400,7 +401,8 @@
 
 #[test]
 fn missing_keys_have_their_defaults() {
-    let scenario = validation::decode_scenario("name = 'd'\nlength = '60s'\n", "d.toml").unwrap();
+    let scenario =
+        validation::decode_scenario("name = 'test'\nlength = '60s'\n", "scenario.toml").unwrap();
     compare("defaults.txt", &values_of(&scenario));
 }
 
@@ -412,7 +414,7 @@
         .collect();
     compare("fault_kinds.txt", &lines.concat());
     let alias = scenario_with_fault("balancer_restarted", FaultKind::BalancerKilled);
-    let scenario = validation::decode_scenario(&alias, "d.toml").unwrap();
+    let scenario = validation::decode_scenario(&alias, "scenario.toml").unwrap();
     assert_eq!(scenario.faults[0].get_ref().kind, FaultKind::BalancerKilled);
 }
 
@@ -420,7 +422,7 @@
 fn invalid_files_are_rejected_with_the_recorded_errors() {
     let mut text = String::new();
     for file in invalid_files() {
-        let errors = validation::decode_scenario(&file, "d.toml").unwrap_err();
+        let errors = validation::decode_scenario(&file, "scenario.toml").unwrap_err();
         let added = file.strip_prefix(HEAD).unwrap_or(&file);
         writeln!(text, "{added:?}").unwrap();
         for error in errors {
--- a/crates/simulator-adapter/tests/simulator_wire.rs
+++ b/crates/simulator-adapter/tests/simulator_wire.rs
@@ -213,10 +213,10 @@
 
     /// Schedules the events that an action of an instance causes.
     fn apply_action(&mut self, action: &Value) {
-        let instance = action["i"].as_u64().expect("action has an instance");
+        let instance = action["i"].as_u64().expect("action has no instance");
         let id = action["req"].as_str().map(str::to_owned);
-        match action["t"].as_str().expect("action has a kind") {
-            "Try" => self.run_attempt(instance, id.expect("attempt has a request"), action),
+        match action["t"].as_str().expect("action has no kind") {
+            "Try" => self.run_attempt(instance, id.expect("attempt has no request"), action),
             "CallOff" => {
                 let event = json!({"t": "Ended", "i": instance, "req": id,
                     "trial": action["trial"], "delaySeenUs": 1_000, "how": "undone",
@@ -225,10 +225,10 @@
             }
             "PushBack" | "Fail" => {
                 self.settled
-                    .insert((instance, id.expect("response has a request")), true);
+                    .insert((instance, id.expect("response has no request")), true);
             }
             "SetAlarm" => {
-                let delay = action["fromNowUs"].as_u64().expect("timer has a delay");
+                let delay = action["fromNowUs"].as_u64().expect("timer has no delay");
                 self.schedule(
                     delay,
                     json!({"t": "Elapsed", "i": instance, "keyBack": action["keyBack"]}),
@@ -268,7 +268,7 @@
         let how = outcome(&mut self.random);
         let timeout = action["expireAtUs"]
             .as_u64()
-            .expect("attempt has an expiry time")
+            .expect("attempt has no expiry time")
             .saturating_sub(self.now);
         let mut duration = 2_000 + self.random.below(30_000);
         if how == "cut" {
@@ -340,8 +340,8 @@
         .stdout(Stdio::piped())
         .spawn()
         .expect("cannot start the adapter");
-    let mut input = adapter.stdin.take().expect("standard input is piped");
-    let mut output = BufReader::new(adapter.stdout.take().expect("standard output is piped"));
+    let mut input = adapter.stdin.take().expect("standard input is not piped");
+    let mut output = BufReader::new(adapter.stdout.take().expect("standard output is not piped"));
     let mut script = Script::new();
     script.start();
     let mut replies = Vec::new();
