--- a/crates/model/src/lease_history/tests.rs
+++ b/crates/model/src/lease_history/tests.rs
@@ -10,21 +10,21 @@
 }
 
 #[rstest]
-#[case::one_after_the_other(20, 25, 0, 5)]
-#[case::at_once(20, 20, 0, 0)]
+#[case::with_a_vacancy(20, 25, 0, 5)]
+#[case::without_a_vacancy(20, 20, 0, 0)]
 #[case::overlapping(20, 19, 1, 0)]
-fn holdings_of_one_lease_must_not_overlap(
-    #[case] ends: Micros,
-    #[case] begins: Micros,
+fn overlapping_holdings_of_one_lease_are_detected(
+    #[case] ends_at: Micros,
+    #[case] next_starts_at: Micros,
     #[case] overlaps: usize,
-    #[case] gap: Micros,
+    #[case] vacancy: Micros,
 ) {
     let mut lease_history = LeaseHistory::default();
     lease_history.acquired(10, 0, "d", term(1, 1));
-    lease_history.lost(ends, 0, "d", term(1, 1), "ran out");
-    lease_history.acquired(begins, 1, "d", term(2, 2));
-    lease_history.acquired(begins, 1, "another", term(2, 2));
-    let findings = lease_history.findings(100);
+    lease_history.lost(ends_at, 0, "d", term(1, 1), "expired");
+    lease_history.acquired(next_starts_at, 1, "d", term(2, 2));
+    lease_history.acquired(next_starts_at, 1, "another", term(2, 2));
+    let findings = lease_history.analyse(100);
     assert_eq!(
         (
             findings.overlaps.len(),
@@ -36,11 +36,11 @@
     assert_eq!(
         findings.vacancies,
         [Vacancy {
-            duration: gap,
-            cause: "ran out"
+            duration: vacancy,
+            cause: "expired"
         }]
     );
-    assert!(lease_history.vacant(100).is_empty());
+    assert!(lease_history.vacant_leases(100).is_empty());
 }
 
 #[test]
@@ -50,15 +50,15 @@
     lease_history.acquired(50, 1, "d", term(4, 2));
     assert_eq!(
         (
-            lease_history.findings(100).overlaps.len(),
-            lease_history.findings(100).decreased_terms.len()
+            lease_history.analyse(100).overlaps.len(),
+            lease_history.analyse(100).decreased_terms.len()
         ),
         (1, 1)
     );
-    lease_history.killed(40, 0);
-    assert_eq!(lease_history.findings(100).overlaps.len(), 0);
-    lease_history.killed(60, 1);
-    assert_eq!(lease_history.vacant(70), ["d"]);
+    lease_history.process_ended(40, 0);
+    assert_eq!(lease_history.analyse(100).overlaps.len(), 0);
+    lease_history.process_ended(60, 1);
+    assert_eq!(lease_history.vacant_leases(70), ["d"]);
 }
 
 #[test]
