--- a/crates/testbed/shim/shim.c
+++ b/crates/testbed/shim/shim.c
@@ -1,7 +1,7 @@
-/* A library that is preloaded into balancers. It injects faults of the operating system: calls that fail as Linux
- * documents, short reads and writes, broken connections, delayed writes, and steps of the wall clock. The active faults are
- * read from a file that the testbed writes during the run. System calls that do not go through the C library are not
- * affected. */
+/* A library that is preloaded into balancers. It injects faults of the operating system: calls that
+ * fail with errors that Linux documents, short reads and writes, broken connections, delayed
+ * writes, and steps of the wall clock. The active faults are read from a file that the testbed
+ * updates during the run. System calls that bypass the C library are not affected. */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
@@ -14,7 +14,8 @@
 #include <time.h>
 #include <unistd.h>
 
-/* Probabilities in millionths, durations in microseconds; `Control` in `system_faults.rs` has the same layout. */
+/* The content of the control file: probabilities in millionths, durations in microseconds.
+ * `Control` in `system_faults.rs` has the same layout. */
 struct control {
     int64_t failing_calls;
     int64_t short_calls;
@@ -88,7 +89,8 @@
     return real(fd);
 }
 
-/* Ends a connection to a server or to discovery, as a network failure would. */
+/* Shuts down an outgoing connection, to a server or to discovery, and fails with the error of a
+ * network failure. */
 static int break_connection(int fd) {
     static const int codes[] = {ETIMEDOUT, EHOSTUNREACH, ECONNRESET};
     if (!control || fd < 0 || fd >= DESCRIPTORS || !outgoing[fd] || !happens(control->broken_connections)) return 0;
--- a/crates/testbed/src/assumed_notifications.rs
+++ b/crates/testbed/src/assumed_notifications.rs
@@ -1,6 +1,6 @@
-//! Assumes that a balancer was notified of a change of the endpoint list some time after discovery
-//! served it, even if the notification never arrived, so that the rule on draining servers applies
-//! to it.
+//! Records assumed notifications: some time after discovery served a change of the endpoint list, a
+//! balancer counts as notified of it, even if no notification arrived. The rule about draining
+//! servers would otherwise not apply to a balancer that misses notifications.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,20 +13,21 @@
 
 use crate::world::World;
 
-/// How long after discovery served a change, and could be reached, balancers are assumed to know
-/// it.
-const ASSUMED_AFTER_US: Micros = 6 * SECOND;
+/// Balancers count as notified of a change this long after discovery served it, or after discovery
+/// was last unavailable if that is later.
+const ASSUMED_NOTIFICATION_DELAY_US: Micros = 6 * SECOND;
+/// Interval at which the endpoint list is read and assumed notifications are recorded.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A server that is draining or removed.
 struct DrainingServer {
-    /// When all balancers are assumed to know it.
+    /// Time from which all balancers count as notified.
     assumed_at: Micros,
-    /// The incarnation of each balancer for which the notification was recorded.
+    /// For each balancer, its incarnation when the notification was last recorded.
     recorded: BTreeMap<usize, u64>,
 }
 
-/// Records assumed notifications until the runtime ends.
+/// Records assumed notifications until the runtime shuts down.
 pub async fn record_assumed_notifications(world: Arc<World>, balancers: usize) {
     let mut draining: BTreeMap<usize, DrainingServer> = BTreeMap::new();
     loop {
@@ -40,7 +41,7 @@
     }
 }
 
-/// Brings the servers that drain or are removed up to date with the endpoint list.
+/// Updates the map of draining and removed servers from the endpoint list.
 fn update_draining(world: &World, draining: &mut BTreeMap<usize, DrainingServer>) {
     let now = world.now();
     let is_available = world.timeline().discovery_state(now) == DiscoveryState::Available;
@@ -50,7 +51,7 @@
             draining.remove(&entry.server);
             continue;
         }
-        let assumed_at = now + ASSUMED_AFTER_US;
+        let assumed_at = now + ASSUMED_NOTIFICATION_DELAY_US;
         let state = draining.entry(entry.server).or_insert(DrainingServer {
             assumed_at,
             recorded: BTreeMap::new(),
@@ -61,12 +62,14 @@
     }
 }
 
+/// Records the assumed notification once for each incarnation of a running balancer, when it is due
+/// and the balancer is not exempt.
 fn record_if_due(world: &World, balancer: usize, server: usize, state: &mut DrainingServer) {
     let now = world.now();
     let Some(incarnation) = world.running_incarnation(balancer) else {
         return;
     };
-    if now < state.assumed_at.max(world.excused_until(balancer)) {
+    if now < state.assumed_at.max(world.exempt_until(balancer)) {
         return;
     }
     if state.recorded.insert(balancer, incarnation) == Some(incarnation) {
--- a/crates/testbed/src/balancers/mod.rs
+++ b/crates/testbed/src/balancers/mod.rs
@@ -1,4 +1,4 @@
-//! Balancers under test, as child processes: their configuration files, start, signals and end.
+//! Runs the balancers under test as child processes: configuration files, start, signals and exit.
 
 mod settings;
 mod usage;
@@ -27,20 +27,21 @@
 use crate::system_faults::{self, PreloadedLibrary};
 use crate::world::locked;
 
-/// How a balancer's log starts a line about a violated invariant.
-const VIOLATION: &str = "WARN violation";
-/// Number of log lines that are retained of each balancer.
-const RETAINED_LINES: usize = 20;
-/// Number of log lines that errors contain.
-const SHOWN_LINES: usize = 5;
+/// Prefix of a line in a balancer's log that reports a violated invariant.
+const VIOLATION_PREFIX: &str = "WARN violation";
+/// Number of log lines that are retained for each balancer.
+const RETAINED_LOG_LINES: usize = 20;
+/// Number of log lines that an error message quotes.
+const SHOWN_LOG_LINES: usize = 5;
+/// How long a balancer may take to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Timeout of one request to the readiness endpoint.
 const READY_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a balancer may take to end after SIGTERM.
+/// How long a balancer may take to exit after SIGTERM before it is killed.
 const STOP_TIMEOUT: Duration = Duration::from_secs(6);
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a balancer is set up with.
+/// Parameters of a new balancer.
 pub struct BalancerSetup<'a> {
     pub scenario: &'a Scenario,
     pub seed: u64,
@@ -48,44 +49,44 @@
     pub binary: &'a Path,
     /// Folder for its configuration file.
     pub folder: &'a Path,
-    /// The address of discovery, and the one that a reload changes it to.
+    /// The current address of discovery, and the address that a reload switches to.
     pub discovery: [SocketAddr; 2],
     pub operator_file: Option<PathBuf>,
 }
 
-/// One balancer, and its process while it runs.
+/// One balancer, with its process while that runs.
 pub struct Balancer {
     pub number: usize,
     pub address: SocketAddr,
     config_file: PathBuf,
     /// The content of the configuration file.
     config: Value,
-    /// The address of discovery, and the one that a reload changes it to.
+    /// The current address of discovery, and the address that a reload switches to.
     discovery: [SocketAddr; 2],
-    /// The library that is preloaded, where the scenario has faults of the operating system.
+    /// The library to preload; none where the scenario has no faults of the operating system.
     pub preloaded: Option<PreloadedLibrary>,
     pub operator_file: Option<PathBuf>,
     binary: PathBuf,
     child: Option<Child>,
-    /// The last lines of its log.
-    lines: Arc<Mutex<VecDeque<String>>>,
+    /// The last lines of its log, oldest first.
+    log_lines: Arc<Mutex<VecDeque<String>>>,
     /// Number of violated invariants that it logged.
-    pub violations: Arc<AtomicU64>,
-    /// Receives log lines about duties.
+    pub invariant_violations: Arc<AtomicU64>,
+    /// Receives the log lines about leases.
     pub lease_log: LeaseLog,
-    /// Resources used by processes that have ended.
-    past_usage: Usage,
-    /// Descriptions of ends that were not asked for.
-    pub unexpected_ends: Vec<String>,
-    /// Whether the process was asked to end.
-    is_end_expected: bool,
+    /// Resources used by earlier processes of this balancer.
+    ended_processes_usage: Usage,
+    /// Descriptions of exits that the testbed did not request.
+    pub unexpected_exits: Vec<String>,
+    /// Whether the testbed has signalled the process to exit.
+    is_exit_expected: bool,
 }
 
 impl Balancer {
     /// Writes the configuration of a balancer; its process is started by [`Balancer::start`].
     pub fn new(setup: &BalancerSetup) -> io::Result<Self> {
-        // The port is free until the balancer binds it, unless another process takes it, which the
-        // start then reports.
+        // The listener is dropped here so that the balancer can bind the port. If another process
+        // binds it first, the balancer exits at its start, which `wait_until_ready` reports.
         let address = TcpListener::bind((own_address(), 0))?.local_addr()?;
         let config = initial_config(setup, address);
         let config_file = setup.folder.join(format!("b{}.json", setup.number));
@@ -100,16 +101,17 @@
             operator_file: setup.operator_file.clone(),
             binary: setup.binary.to_owned(),
             child: None,
-            lines: Arc::default(),
-            violations: Arc::default(),
+            log_lines: Arc::default(),
+            invariant_violations: Arc::default(),
             lease_log: LeaseLog::default(),
-            past_usage: Usage::default(),
-            unexpected_ends: Vec::new(),
-            is_end_expected: false,
+            ended_processes_usage: Usage::default(),
+            unexpected_exits: Vec::new(),
+            is_exit_expected: false,
         })
     }
 
-    /// Changes the address of discovery in the configuration, and has the balancer reload it.
+    /// Switches the address of discovery in the configuration file, and sends SIGHUP so that the
+    /// balancer reloads the file.
     pub fn reload(&mut self) -> io::Result<()> {
         self.discovery.reverse();
         self.config["discovery"] = self.discovery[0].to_string().into();
@@ -118,8 +120,9 @@
         Ok(())
     }
 
-    /// Sets the endpoint list that it knows at its next start.
-    pub fn set_known_list(&mut self, list: Value) -> io::Result<()> {
+    /// Sets the cached endpoint list that the balancer reads from its configuration at its next
+    /// start.
+    pub fn set_cached_list(&mut self, list: Value) -> io::Result<()> {
         self.config["known"] = list;
         self.write_config()
     }
@@ -128,26 +131,27 @@
         std::fs::write(&self.config_file, self.config.to_string())
     }
 
-    /// Starts its process.
+    /// Starts the process.
     pub fn start(&mut self) -> io::Result<()> {
-        let mut child = self.command().spawn().map_err(|problem| {
-            let text = format!("{}: {problem}", self.binary.display());
-            io::Error::new(problem.kind(), text)
+        let mut child = self.command().spawn().map_err(|error| {
+            let text = format!("{}: {error}", self.binary.display());
+            io::Error::new(error.kind(), text)
         })?;
         if let Some(stderr) = child.stderr.take() {
             self.follow_log(stderr);
         }
         self.child = Some(child);
-        self.is_end_expected = false;
+        self.is_exit_expected = false;
         Ok(())
     }
 
     fn command(&self) -> Command {
         let mut command = Command::new(&self.binary);
         if let Some(preloaded) = &self.preloaded {
-            command
-                .env("LD_PRELOAD", &preloaded.library)
-                .env(system_faults::CONTROL_VARIABLE, &preloaded.control_file);
+            command.env("LD_PRELOAD", &preloaded.library).env(
+                system_faults::CONTROL_FILE_VARIABLE,
+                &preloaded.control_file,
+            );
         }
         command.arg("serve").arg("--config").arg(&self.config_file);
         if let Some(file) = &self.operator_file {
@@ -157,7 +161,8 @@
             .env_remove("BALANCER_NAME")
             .env_remove("BALANCER_LISTEN")
             .env_remove("BALANCER_DISCOVERY")
-            // Ctrl-C is for the testbed, which ends its balancers itself.
+            // A separate process group keeps Ctrl-C from the balancer: the testbed handles it and
+            // stops its balancers itself.
             .process_group(0)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
@@ -165,18 +170,21 @@
         command
     }
 
-    /// Reads the log on a thread that ends with the process.
+    /// Reads the log on a thread that ends when the process exits.
     fn follow_log(&self, stderr: ChildStderr) {
-        let lines = Arc::clone(&self.lines);
+        let lines = Arc::clone(&self.log_lines);
         let lease_log = self.lease_log.clone();
-        let violations = Arc::clone(&self.violations);
+        let violations = Arc::clone(&self.invariant_violations);
         let number = self.number;
         std::thread::spawn(move || {
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
                 lease_log.record(number, &line);
-                violations.fetch_add(u64::from(line.starts_with(VIOLATION)), Ordering::Relaxed);
+                violations.fetch_add(
+                    u64::from(line.starts_with(VIOLATION_PREFIX)),
+                    Ordering::Relaxed,
+                );
                 let mut lines = locked(&lines);
-                if lines.len() >= RETAINED_LINES {
+                if lines.len() >= RETAINED_LOG_LINES {
                     lines.pop_front();
                 }
                 lines.push_back(line);
@@ -184,15 +192,15 @@
         });
     }
 
-    fn last_lines(&self) -> String {
-        let lines = locked(&self.lines);
-        let first = lines.len().saturating_sub(SHOWN_LINES);
+    fn last_log_lines(&self) -> String {
+        let lines = locked(&self.log_lines);
+        let first = lines.len().saturating_sub(SHOWN_LOG_LINES);
         let lines: Vec<_> = lines.iter().skip(first).cloned().collect();
         lines.join(" | ")
     }
 
-    /// Checks whether its process has ended since the last check.
-    pub fn has_ended(&mut self) -> bool {
+    /// Whether the process has exited since the last call. Records an exit that was not requested.
+    pub fn has_exited(&mut self) -> bool {
         let Some(child) = &mut self.child else {
             return false;
         };
@@ -200,10 +208,10 @@
             return false;
         };
         self.child = None;
-        if !self.is_end_expected {
-            let (number, lines) = (self.number, self.last_lines());
-            let text = format!("balancer {number} ended by itself ({status}): {lines}");
-            self.unexpected_ends.push(text);
+        if !self.is_exit_expected {
+            let (number, lines) = (self.number, self.last_log_lines());
+            let text = format!("balancer {number} exited unexpectedly ({status}): {lines}");
+            self.unexpected_exits.push(text);
         }
         true
     }
@@ -215,30 +223,30 @@
     fn send_signal(&self, signal: Signal) {
         let pid = self.child.as_ref().map(|child| child.id() as i32);
         if let Some(pid) = pid.and_then(Pid::from_raw) {
-            // The process may have ended already.
+            // Sending fails if the process has exited already.
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Sends a signal that ends the process.
-    fn send_end_signal(&mut self, signal: Signal) {
-        self.past_usage = self.usage();
-        self.is_end_expected = true;
+    /// Sends a signal that makes the process exit.
+    fn send_exit_signal(&mut self, signal: Signal) {
+        self.ended_processes_usage = self.usage();
+        self.is_exit_expected = true;
         self.send_signal(signal);
     }
 
-    /// Kills its process.
+    /// Kills the process with SIGKILL, and waits until it has exited.
     pub fn kill(&mut self) {
-        self.send_end_signal(Signal::KILL);
+        self.send_exit_signal(Signal::KILL);
         if let Some(mut child) = self.child.take() {
             let _ = child.wait();
             self.lease_log.record_killed(self.number);
         }
     }
 
-    /// Asks its process to stop.
+    /// Sends SIGTERM, and does not wait for the exit.
     pub fn request_stop(&mut self) {
-        self.send_end_signal(Signal::TERM);
+        self.send_exit_signal(Signal::TERM);
     }
 
     pub fn suspend(&self) {
@@ -249,22 +257,23 @@
         self.send_signal(Signal::CONT);
     }
 
-    /// Asks its process to stop, and kills it where that takes too long.
+    /// Sends SIGTERM, and kills the process if it does not exit within `STOP_TIMEOUT`.
     pub fn stop(&mut self) {
         self.resume();
         self.request_stop();
         let deadline = Instant::now() + STOP_TIMEOUT;
-        while self.is_running() && !self.has_ended() && Instant::now() < deadline {
+        while self.is_running() && !self.has_exited() && Instant::now() < deadline {
             std::thread::sleep(CHECK_INTERVAL);
         }
         self.kill();
     }
 
-    /// Resources that all its processes have used so far.
+    /// Resources that all processes of this balancer have used so far.
     pub fn usage(&self) -> Usage {
-        let running = self.child.as_ref().filter(|_| !self.is_end_expected);
+        let running = self.child.as_ref().filter(|_| !self.is_exit_expected);
         let current = running.map(|child| Usage::of_process(child.id()));
-        self.past_usage.followed_by(current.unwrap_or_default())
+        self.ended_processes_usage
+            .followed_by(current.unwrap_or_default())
     }
 }
 
@@ -286,7 +295,7 @@
     })
 }
 
-/// Waits until a balancer is ready.
+/// Waits until the readiness endpoint of a balancer responds with status 200.
 pub async fn wait_until_ready(
     balancers: &Mutex<Vec<Balancer>>,
     number: usize,
@@ -297,12 +306,12 @@
             let mut balancers = locked(balancers);
             let balancer = balancers
                 .get_mut(number)
-                .ok_or_else(|| Error::new("no such balancer"))?;
-            if balancer.has_ended() {
-                let ends = &balancer.unexpected_ends;
-                return Err(Error::new(ends.last().cloned().unwrap_or_default()));
+                .ok_or_else(|| Error::new(format!("balancer {number} does not exist")))?;
+            if balancer.has_exited() {
+                let exits = &balancer.unexpected_exits;
+                return Err(Error::new(exits.last().cloned().unwrap_or_default()));
             }
-            (balancer.address, balancer.last_lines())
+            (balancer.address, balancer.last_log_lines())
         };
         if is_ready(address).await {
             return Ok(());
@@ -322,7 +331,8 @@
     matches!(status, Ok(Ok(200)))
 }
 
-/// The path of the `pinefront` program beside this one.
+/// The path of the `pinefront` program in the folder of this program; the name alone if that
+/// folder is unknown.
 pub fn default_binary() -> PathBuf {
     let beside = std::env::current_exe()
         .ok()
--- a/crates/testbed/src/balancers/settings.rs
+++ b/crates/testbed/src/balancers/settings.rs
@@ -1,14 +1,14 @@
-//! The settings that a balancer is given for a scenario, under the keys of its configuration file.
+//! Builds the settings of a balancer for a scenario, with the keys of its configuration file.
 
 use pinefront_model::scenario::{
     Idempotency, IdempotencyScope, RequestClass, Rules, Scenario, Tenant,
 };
 use serde_json::{Value, json};
 
-/// How long balancers wait for a connection to a server.
+/// How long balancers wait until a connection to a server is established.
 const CONNECT_TIMEOUT_US: u64 = 250_000;
 
-/// The settings of balancer `number`.
+/// The object `settings` in the configuration file of balancer `number`.
 pub fn settings(scenario: &Scenario, number: usize) -> Value {
     let uses_polling = scenario.discovery.max_poll_interval.0 > 0;
     let has_reports = scenario.fleet.report_interval.0 > 0;
--- a/crates/testbed/src/balancers/usage.rs
+++ b/crates/testbed/src/balancers/usage.rs
@@ -1,14 +1,15 @@
-//! CPU time and memory of a process, from `/proc`.
+//! Reads the CPU time and the memory of a process from `/proc`.
 
-/// Resources that a process has used.
+/// Resources used by one process, or by several that ran one after the other.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Usage {
     pub cpu_us: u64,
+    /// Resident memory in KiB; for several processes the largest value.
     pub memory_kb: u64,
 }
 
 impl Usage {
-    /// The usage of a running process; zero for values that can't be read.
+    /// The usage of a running process; values that can't be read are 0.
     pub fn of_process(process: u32) -> Self {
         let field = |file: &str, index: usize| -> Option<u64> {
             let text = std::fs::read_to_string(format!("/proc/{process}/{file}")).ok()?;
@@ -27,7 +28,8 @@
         self.memory_kb as f64 / 1024.0
     }
 
-    /// The usage of two processes that ran one after the other.
+    /// The usage of two processes that ran one after the other: the sum of their CPU times and the
+    /// larger of their memory sizes.
     pub fn followed_by(self, next: Self) -> Self {
         Self {
             cpu_us: self.cpu_us + next.cpu_us,
--- a/crates/testbed/src/clients/exchange.rs
+++ b/crates/testbed/src/clients/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange of a request and its response on a connection to a balancer.
+//! The exchange of one request and its response on a connection to a balancer.
 
 use std::time::{Duration, Instant};
 
@@ -10,20 +10,21 @@
 use tokio::net::TcpStream;
 use tokio::time::{timeout, timeout_at};
 
-use super::{AttemptEnd, Load, Pools};
+use super::{AttemptEnd, ConnectionPools, Load};
 use crate::http::{self, ParsedResponse};
 use crate::server_stand_in::response_body;
 use crate::world::{World, locked};
 
-/// How long after the deadline of a request its connection is closed.
+/// Time from the deadline of a request until the client closes the connection.
 const CLOSE_AFTER_DEADLINE: Duration = Duration::from_millis(300);
-/// A request that is pipelined behind another.
+/// The request that is pipelined behind another.
 const PIPELINED_REQUEST: &[u8] = b"GET /health/live HTTP/1.1\r\nHost: lab\r\n\r\n";
+/// How long the client waits for the response to the pipelined request.
 const PIPELINED_TIMEOUT: Duration = Duration::from_secs(2);
-/// The largest number of pieces in which a request is written.
+/// The largest number of pieces of a request while a fault splits requests.
 const MAX_REQUEST_PIECES: usize = 12;
 
-/// The text of a request.
+/// The bytes of a request, without faults.
 pub fn request_text(world: &World, request: &Request) -> Vec<u8> {
     let class = world.scenario.classes[request.class].get_ref();
     let name = &class.name;
@@ -46,8 +47,8 @@
         ""
     };
     format!(
-        "{method} /{name}/{} HTTP/1.1\r\nHost: lab\r\nX-Txn: {:016x}\r\nX-Lane: {name}\r\nX-Org: {tenant}\r\n\
-         X-Entity: k={}\r\nX-Remaining-Ms: {}\r\n{resent}{rest}\r\n",
+        "{method} /{name}/{} HTTP/1.1\r\nHost: lab\r\nX-Txn: {:016x}\r\nX-Lane: {name}\r\n\
+         X-Org: {tenant}\r\nX-Entity: k={}\r\nX-Remaining-Ms: {}\r\n{resent}{rest}\r\n",
         request.key,
         request.number,
         request.key,
@@ -56,10 +57,10 @@
     .into_bytes()
 }
 
-/// An exchange with a balancer.
+/// An exchange that is about to start.
 pub(super) struct Exchange<'a> {
     pub(super) load: &'a Load,
-    pub(super) pools: &'a Pools,
+    pub(super) pools: &'a ConnectionPools,
     pub(super) balancer: usize,
     pub(super) request: &'a Request,
     pub(super) text: &'a [u8],
@@ -68,9 +69,9 @@
     pub(super) is_reused: bool,
 }
 
-/// A request that was written.
-struct Sent {
-    at: Micros,
+/// A request that was written completely.
+struct SentRequest {
+    sent_at: Micros,
     deadline: Micros,
     /// Whether another request was pipelined behind it.
     is_pipelined: bool,
@@ -78,7 +79,8 @@
 
 impl Exchange<'_> {
     /// Writes the request and waits for its response. Returns none where a reused connection ended
-    /// without a byte: the balancer closed it, and the request goes on a new one.
+    /// before the first byte of a response: the balancer had closed it, and the request is to be
+    /// sent on a new connection.
     pub(super) async fn run(mut self) -> Option<AttemptEnd> {
         let sent = match self.send().await {
             Ok(sent) => sent,
@@ -100,16 +102,16 @@
         Some(end)
     }
 
-    async fn send(&mut self) -> Result<Sent, ()> {
+    async fn send(&mut self) -> Result<SentRequest, ()> {
         let world = &self.load.world;
         let is_pipelined = self.request.disconnects_after.is_none()
-            && world.fault_strikes(FaultKind::ClientsPipeline);
+            && world.draw_fault(FaultKind::ClientsPipeline);
         let bytes = if is_pipelined {
             [self.text, PIPELINED_REQUEST].concat()
         } else {
             self.text.to_vec()
         };
-        let in_pieces = !is_pipelined && world.fault_strikes(FaultKind::ClientsInPieces);
+        let in_pieces = !is_pipelined && world.draw_fault(FaultKind::ClientsInPieces);
         let written = if in_pieces {
             let pieces = 1 + world.draw_below(MAX_REQUEST_PIECES);
             http::write_in_pieces(&mut self.stream, &bytes, pieces).await
@@ -117,36 +119,39 @@
             self.stream.write_all(&bytes).await
         };
         written.map_err(|_| ())?;
-        let at = world.now();
+        let sent_at = world.now();
         if !in_pieces {
-            locked(&self.load.results).attempt_sent(self.request, at);
+            locked(&self.load.results).attempt_sent(self.request, sent_at);
         }
-        let deadline = at + self.request.timeout;
+        let deadline = sent_at + self.request.timeout;
         let observation = Observation::RequestReceived {
             request: self.request.number,
             balancer: self.balancer,
             class: self.request.class,
             deadline,
         };
-        world.record(at, observation);
-        Ok(Sent {
-            at,
+        world.record(sent_at, observation);
+        Ok(SentRequest {
+            sent_at,
             deadline,
             is_pipelined,
         })
     }
 
-    /// Waits for the response, until the client disconnects or some time after the deadline.
+    /// Waits for the response until the client disconnects, or until `CLOSE_AFTER_DEADLINE` after
+    /// the deadline.
     async fn receive(
         &mut self,
-        sent: &Sent,
+        sent: &SentRequest,
         buffer: &mut Vec<u8>,
     ) -> Result<ParsedResponse, Option<AttemptEnd>> {
         let world = &self.load.world;
-        let gives_up: Instant = world.clock.at(sent.deadline) + CLOSE_AFTER_DEADLINE;
-        let disconnects = self.request.disconnects_after;
-        let disconnects = disconnects.map(|after| world.clock.at(sent.at + after));
-        let wait_until = disconnects.map_or(gives_up, |disconnects| disconnects.min(gives_up));
+        let closes_at: Instant = world.clock.instant_at(sent.deadline) + CLOSE_AFTER_DEADLINE;
+        let disconnects_at = self.request.disconnects_after;
+        let disconnects_at =
+            disconnects_at.map(|after| world.clock.instant_at(sent.sent_at + after));
+        let wait_until =
+            disconnects_at.map_or(closes_at, |disconnects_at| disconnects_at.min(closes_at));
         let read = http::read_response(&mut self.stream, buffer);
         let response = timeout_at(wait_until.into(), read).await;
         let now = world.now();
@@ -158,7 +163,7 @@
                 world.record(now, Observation::ConnectionLost { request });
                 Err(Some(AttemptEnd::Unanswered))
             }
-            Err(_) if disconnects.is_some_and(|disconnects| disconnects <= gives_up) => {
+            Err(_) if disconnects_at.is_some_and(|disconnects_at| disconnects_at <= closes_at) => {
                 world.record(now, Observation::ClientDisconnected { request });
                 Err(Some(AttemptEnd::Disconnected))
             }
@@ -166,6 +171,8 @@
         }
     }
 
+    /// Records the response for the checker. A successful response is genuine if its body is the
+    /// body that servers send for this request.
     fn record_response(&self, response: &ParsedResponse, buffer: &[u8]) -> AttemptEnd {
         let request = self.request.number;
         let outcome = match response.status {
@@ -174,12 +181,12 @@
             _ => Outcome::Failed,
         };
         let expected = response_body(&format!("{request:016x}"));
-        let genuine =
+        let is_genuine =
             outcome != Outcome::Succeeded || buffer[response.body.clone()] == *expected.as_bytes();
         let observation = Observation::ResponseReceived {
             request,
             outcome,
-            is_genuine: genuine,
+            is_genuine,
         };
         let world = &self.load.world;
         world.record(world.now(), observation);
@@ -195,19 +202,19 @@
 
     /// Waits for the response to the pipelined request. Returns whether the connection can be
     /// reused.
-    async fn receive_pipelined(&mut self, sent: &Sent, buffer: &mut Vec<u8>) -> bool {
+    async fn receive_pipelined(&mut self, sent: &SentRequest, buffer: &mut Vec<u8>) -> bool {
         let read = http::read_response(&mut self.stream, buffer);
         if let Ok(Ok(response)) = timeout(PIPELINED_TIMEOUT, read).await {
             return response.keep_alive;
         }
         let world = &self.load.world;
         let balancer = self.balancer;
-        if world.undisturbed_since(balancer, sent.at) {
-            let what = format!(
-                "the request behind request {} got no response from balancer {balancer}",
+        if world.has_no_intervention_since(balancer, sent.sent_at) {
+            let description = format!(
+                "balancer {balancer} sent no response to the request pipelined behind request {}",
                 self.request.number
             );
-            locked(&world.checker).record_violation(1, world.now(), what);
+            locked(&world.checker).record_violation(1, world.now(), description);
         }
         false
     }
--- a/crates/testbed/src/clients/mod.rs
+++ b/crates/testbed/src/clients/mod.rs
@@ -1,5 +1,5 @@
-//! The clients of a run: each request is sent at its scheduled time, whatever became of others, and
-//! retried as the scenario says.
+//! The clients of a run. Each request is sent at its scheduled time, independent of the results of
+//! other requests, and retried according to the scenario.
 
 mod exchange;
 mod results;
@@ -26,41 +26,47 @@
 use crate::http;
 use crate::world::{World, locked};
 
+/// How long a client waits until a connection to a balancer is established.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// The number of the first retry, far from those of first attempts.
+/// The number of the first retry, beyond the numbers of all first attempts.
 const FIRST_RETRY_NUMBER: u64 = 1 << 40;
-/// Latencies are collected by second for this long at most.
+/// The largest number of seconds for which latencies are collected by second.
 const MAX_SECONDS: u64 = 3600;
 
-/// Distributes requests over the balancers, as a front end would.
+/// Distributes requests uniformly over the balancers that are available, like a front end.
 pub struct FrontEnd {
     pub addresses: Vec<SocketAddr>,
-    is_up: Vec<AtomicBool>,
+    is_available: Vec<AtomicBool>,
 }
 
 impl FrontEnd {
     pub fn new(addresses: Vec<SocketAddr>) -> Self {
-        let is_up = addresses.iter().map(|_| AtomicBool::new(true)).collect();
-        Self { addresses, is_up }
+        let is_available = addresses.iter().map(|_| AtomicBool::new(true)).collect();
+        Self {
+            addresses,
+            is_available,
+        }
     }
 
-    /// Includes a balancer in the distribution, or excludes it.
-    pub fn set_up(&self, balancer: usize, is_up: bool) {
-        if let Some(flag) = self.is_up.get(balancer) {
-            flag.store(is_up, Ordering::Relaxed);
+    /// Sets whether requests are sent to a balancer.
+    pub fn set_available(&self, balancer: usize, is_available: bool) {
+        if let Some(flag) = self.is_available.get(balancer) {
+            flag.store(is_available, Ordering::Relaxed);
         }
     }
 
-    /// The balancer for a uniform draw in `[0, 1)`, or the next one that is up.
+    /// The balancer for a uniform draw in `[0, 1)`, or the next one that is available; if none is,
+    /// the balancer for the draw.
     fn select(&self, draw: f64) -> usize {
         let count = self.addresses.len();
         let first = ((draw * count as f64) as usize).min(count - 1);
-        let is_up = |step: &usize| self.is_up[(first + step) % count].load(Ordering::Relaxed);
-        (first + (0..count).find(is_up).unwrap_or(0)) % count
+        let is_available =
+            |step: &usize| self.is_available[(first + step) % count].load(Ordering::Relaxed);
+        (first + (0..count).find(is_available).unwrap_or(0)) % count
     }
 }
 
-/// What the load's workers share.
+/// The state that the workers of the load share.
 pub struct Load {
     pub world: Arc<World>,
     pub front_end: FrontEnd,
@@ -80,8 +86,8 @@
     }
 }
 
-/// Runs a worker on this thread, with a runtime of its own, so that stand-ins do not delay
-/// requests. Returns when the channel is closed and all requests have ended.
+/// Runs a worker on this thread. Its runtime is separate from that of the stand-ins, which would
+/// otherwise delay requests. Returns when the channel is closed and all requests have ended.
 pub fn run_worker(load: &Arc<Load>, mut requests: mpsc::Receiver<Request>) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -89,7 +95,7 @@
     let tasks = LocalSet::new();
     tasks.block_on(&runtime, async {
         let addresses = load.front_end.addresses.iter();
-        let pools: Pools = Rc::new(RefCell::new(addresses.map(|_| Vec::new()).collect()));
+        let pools: ConnectionPools = Rc::new(RefCell::new(addresses.map(|_| Vec::new()).collect()));
         while let Some(request) = requests.recv().await {
             let client = run_client(Arc::clone(load), Rc::clone(&pools), request);
             tokio::task::spawn_local(client);
@@ -99,20 +105,22 @@
     Ok(())
 }
 
-/// Idle connections by balancer.
-type Pools = Rc<RefCell<Vec<Vec<TcpStream>>>>;
+/// Idle connections, by balancer.
+type ConnectionPools = Rc<RefCell<Vec<Vec<TcpStream>>>>;
 
-/// How an attempt of a client ended.
+/// The result of an attempt of a client.
 enum AttemptEnd {
-    /// A response arrived.
+    /// The client received a response.
     Answered {
         outcome: Outcome,
-        /// Delay before a retry that the response asked for.
+        /// The delay before a retry that the response requested.
         retry_after: Option<Micros>,
     },
+    /// No response arrived before the client closed the connection, or the connection was lost.
     Unanswered,
+    /// The client disconnected early, as the scenario requires of this request.
     Disconnected,
-    /// No balancer could be reached.
+    /// The request could not be sent to the selected balancer.
     Unreachable,
 }
 
@@ -125,8 +133,8 @@
     }
 }
 
-/// Sends a request, and its retries one after the other.
-async fn run_client(load: Arc<Load>, pools: Pools, mut request: Request) {
+/// Sends a request and then its retries, each after the previous attempt ended.
+async fn run_client(load: Arc<Load>, pools: ConnectionPools, mut request: Request) {
     let world = &load.world;
     loop {
         world.register_request(&request);
@@ -149,13 +157,13 @@
             return;
         };
         request = retry;
-        let scheduled_at = world.clock.at(request.scheduled_at);
+        let scheduled_at = world.clock.instant_at(request.scheduled_at);
         tokio::time::sleep_until(scheduled_at.into()).await;
     }
 }
 
-/// Sends one attempt, on an idle connection or a new one.
-async fn attempt(load: &Load, pools: &Pools, request: &Request) -> AttemptEnd {
+/// Sends one attempt on an idle connection, or on a new connection where none is usable.
+async fn attempt(load: &Load, pools: &ConnectionPools, request: &Request) -> AttemptEnd {
     let balancer = load.front_end.select(request.balancer_draw);
     let text = request_text(&load.world, request);
     let exchange = |stream, is_reused| Exchange {
@@ -178,7 +186,7 @@
     let Ok(Ok(stream)) = connected else {
         return AttemptEnd::Unreachable;
     };
-    // Nagle's algorithm would delay requests.
+    // Nagle's algorithm is disabled, since it would delay requests.
     let _ = stream.set_nodelay(true);
     let end = exchange(stream, false).run().await;
     end.unwrap_or(AttemptEnd::Unanswered)
--- a/crates/testbed/src/clients/results.rs
+++ b/crates/testbed/src/clients/results.rs
@@ -1,4 +1,4 @@
-//! Counts and latencies of what clients saw.
+//! Counts and latencies of requests, as the clients observe them.
 
 use hdrhistogram::Histogram;
 use pinefront_model::checker::Outcome;
@@ -9,9 +9,10 @@
 
 use super::AttemptEnd;
 
-/// The longest latency that a histogram represents.
+/// The longest latency that a histogram represents, in microseconds. Longer ones are counted as
+/// this one.
 const MAX_LATENCY_US: u64 = 60_000_000;
-/// Precision of a histogram, in decimal digits.
+/// Precision of a histogram, in significant decimal digits.
 const HISTOGRAM_DIGITS: u8 = 3;
 
 /// An empty histogram of latencies in microseconds.
@@ -20,7 +21,7 @@
         .unwrap_or_else(|_| unreachable!("the bounds are valid constants"))
 }
 
-/// How many attempts of clients ended in which way.
+/// Numbers of client attempts by result.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct RequestCounts {
     #[serde(rename = "asked")]
@@ -33,20 +34,20 @@
     pub unanswered: u64,
     #[serde(rename = "left")]
     pub disconnected: u64,
-    /// No balancer could be reached.
+    /// Attempts that could not be sent to a balancer.
     #[serde(rename = "unreached")]
     pub unreachable: u64,
 }
 
-/// What all clients saw.
+/// The results of all clients.
 pub struct Results {
     pub tally: Tally,
     pub counts: RequestCounts,
-    /// From the scheduled time of a successful attempt to its response.
+    /// Time from the scheduled time of each successful attempt to its response, in microseconds.
     pub latency: Histogram<u64>,
-    /// From the scheduled time of an attempt to when it was sent.
+    /// Time from the scheduled time of each attempt until it was sent, in microseconds.
     pub lateness: Histogram<u64>,
-    /// The latencies by second of the run.
+    /// The latencies of successful attempts, by the second in which they were scheduled.
     pub latency_by_second: Vec<Histogram<u64>>,
 }
 
--- a/crates/testbed/src/commands/measuring.rs
+++ b/crates/testbed/src/commands/measuring.rs
@@ -10,7 +10,7 @@
 use crate::commands::{Failure, binaries, duration, write_json};
 use crate::environment::stand_in_runtime;
 use crate::error::Error;
-use crate::load::{self, Found};
+use crate::load::{self, LoadResults};
 use crate::overhead::{self, Point};
 
 /// The highest rate of a load, in requests per second.
@@ -104,7 +104,7 @@
         address = runtime.block_on(server).map_err(Error::from)?;
     }
     let headers = options.field.iter().map(|field| format!("{field}\r\n"));
-    let plan = load::Plan {
+    let plan = load::LoadPlan {
         addresses: vec![address],
         path,
         headers: headers.collect(),
@@ -122,12 +122,12 @@
     if found.valid {
         Ok(())
     } else {
-        let reasons = found.why_invalid.join("; ");
+        let reasons = found.invalid_reasons.join("; ");
         Err(Failure::Failed(format!("the run is invalid: {reasons}")))
     }
 }
 
-fn print_load(found: &Found) {
+fn print_load(found: &LoadResults) {
     println!(
         "{} sent, {} succeeded ({:.0} a second), {} rejected, {} failed, {} unanswered",
         found.sent,
--- a/crates/testbed/src/commands/soaking.rs
+++ b/crates/testbed/src/commands/soaking.rs
@@ -49,36 +49,36 @@
 
 /// Runs scenarios drawn from seeds.
 pub fn soak(options: &Soak, stop: &Arc<AtomicBool>) -> Result<(), Failure> {
-    let shape = soak_tests::schedule::Shape {
-        seconds: options.duration.as_secs().max(MIN_SECONDS),
+    let schedule_parameters = soak_tests::schedule::ScheduleParameters {
+        length_seconds: options.duration.as_secs().max(MIN_SECONDS),
         balancers: options.balancers,
-        rate: options.rate,
-        with: options.with.clone(),
+        requests_per_second: options.rate,
+        required_faults: options.with.clone(),
     };
     let soak_options = soak_tests::Options {
         seeds: options.seeds.clone(),
-        shape,
+        schedule_parameters,
         parallel: options.parallel,
-        save: options.save.clone(),
+        schedule_folder: options.save.clone(),
         shrinks: options.shrink,
         subject: binary_subject(options.binary.as_ref()),
     };
     let found = soak_tests::soak(&soak_options, stop);
     println!(
         "{} scenarios run, {} violated a rule, {} more on a machine that was too slow (as it was on {}), {} not run; {} pairs of faults met",
-        found.played.len(),
+        found.seeds.len(),
         found.failed,
-        found.doubtful,
+        found.failed_invalid,
         found.invalid,
-        found.not_played.len(),
-        found.pairs.len()
+        found.run_errors.len(),
+        found.fault_pairs.len()
     );
     write_json(options.json.as_deref(), &found)?;
-    if found.failed + found.not_played.len() > 0 {
+    if found.failed + found.run_errors.len() > 0 {
         let text = "a rule was violated or a scenario not run; see above";
         return Err(Failure::Failed(text.into()));
     }
-    if found.invalid == found.played.len() {
+    if found.invalid == found.seeds.len() {
         let text = "the machine was too slow in every scenario: there is no result";
         return Err(Failure::Failed(text.into()));
     }
--- a/crates/testbed/src/discovery_stand_in/list.rs
+++ b/crates/testbed/src/discovery_stand_in/list.rs
@@ -1,5 +1,5 @@
-//! Responses of discovery: the endpoint list or its changes, as JSON in one of the framings of
-//! HTTP/1.1.
+//! Responses of discovery: the complete endpoint list or its changes, as JSON, in one of the
+//! message framings of HTTP/1.1.
 
 use pinefront_model::Micros;
 use pinefront_model::discovery::EndpointEntry;
@@ -9,55 +9,55 @@
 
 use crate::world::World;
 
-/// Number of framings of a response.
+/// Number of framings: by length, in chunks, and by the end of the connection.
 const FRAMINGS: usize = 3;
 
-/// The list that answers a call.
+/// The endpoint list in the response to a poll or a watch.
 pub(super) struct List {
     version: u64,
-    /// Whether it contains all servers, rather than changes.
+    /// Whether the list contains all servers, rather than changes only.
     pub(super) is_complete: bool,
     pub(super) entries: Vec<EndpointEntry>,
     /// The entries as JSON.
-    documents: Vec<String>,
+    entries_json: Vec<String>,
 }
 
 impl List {
-    /// The changes since a version, or the complete list where none is given.
+    /// The changes since a version, or the complete list where no version is given.
     pub(super) fn new(world: &World, since: Option<u64>) -> Self {
-        let moment = served_moment(world);
+        let served_at = served_time(world);
         let list = world.with_registry(|registry| match since {
-            Some(since) => registry.changes_since(moment, since),
-            None => registry.list(moment),
+            Some(since) => registry.changes_since(served_at, since),
+            None => registry.list(served_at),
         });
-        let with_document = |entry: EndpointEntry| {
-            let document = world.entry_document(&entry)?;
-            Some((entry, document.to_string()))
+        let with_json = |entry: EndpointEntry| {
+            let json = world.endpoint_entry_json(&entry)?;
+            Some((entry, json.to_string()))
         };
-        let (entries, documents) = list.entries.into_iter().filter_map(with_document).unzip();
+        let (entries, entries_json) = list.entries.into_iter().filter_map(with_json).unzip();
         Self {
             version: list.version,
             is_complete: since.is_none(),
             entries,
-            documents,
+            entries_json,
         }
     }
 }
 
-/// The time as of which discovery serves the list.
-pub(super) fn served_moment(world: &World) -> Micros {
+/// The time whose endpoint list discovery serves; it is in the past while discovery is stale.
+pub(super) fn served_time(world: &World) -> Micros {
     match world.timeline().discovery_state(world.now()) {
         DiscoveryState::Stale(age) => world.now().saturating_sub(age),
         _ => world.now(),
     }
 }
 
-/// A response's bytes.
+/// A response with its bytes.
 pub(super) struct Response {
     pub(super) bytes: Vec<u8>,
-    /// The offset of each entry of the list.
+    /// The offset of each entry of the list in `bytes`.
     pub(super) entry_offsets: Vec<usize>,
-    /// Whether the connection can carry another call.
+    /// Whether the connection can be reused after the response.
     pub(super) keep_alive: bool,
 }
 
@@ -67,24 +67,23 @@
             "{{\"rev\":{},\"all\":{},\"targets\":[",
             list.version, list.is_complete
         );
-        if world.fault_strikes(FaultKind::ListsStrange) {
+        if world.draw_fault(FaultKind::ListsStrange) {
             let malformed = json!({"uid": "s-strange", "endpoint": "nowhere", "state": "resting"});
             body += &malformed.to_string();
         }
         let mut offsets = Vec::new();
-        for document in &list.documents {
+        for entry in &list.entries_json {
             if !body.ends_with('[') {
                 body += ",\n  ";
             }
             offsets.push(body.len());
-            body += document;
+            body += entry;
         }
         body += "]}";
         Self::framed(&body, offsets, world)
     }
 
-    /// Frames a body by its length; at random by chunks or the connection's end while a fault sends
-    /// it in pieces.
+    /// Frames a body by its length. While a fault splits lists, the framing is drawn at random.
     fn framed(body: &str, offsets: Vec<usize>, world: &World) -> Self {
         let in_pieces = world
             .timeline()
--- a/crates/testbed/src/discovery_stand_in/mod.rs
+++ b/crates/testbed/src/discovery_stand_in/mod.rs
@@ -1,5 +1,5 @@
-//! The stand-in of discovery on loopback sockets: polls and watches, its capacity, and faults of
-//! its responses.
+//! The stand-in of discovery on loopback sockets. It serves polls and watches with a limited
+//! capacity, and injects faults into its responses.
 
 mod list;
 
@@ -10,7 +10,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use list::{List, Response, served_moment};
+use list::{List, Response, served_time};
 use pinefront_model::call_queue::Admission;
 use pinefront_model::checker::Observation;
 use pinefront_model::discovery::EndpointState;
@@ -22,21 +22,22 @@
 use tokio::time::{Instant, sleep_until};
 
 use crate::http;
-use crate::server_stand_in::closed_by_peer;
+use crate::server_stand_in::wait_until_closed;
 use crate::world::{World, locked};
 
-/// The longest wait of a watch, whatever the call asks for.
+/// The longest wait of a watch; a longer `timeout_ms` is shortened to it.
 const MAX_WATCH_WAIT: Duration = Duration::from_mins(1);
-/// The longest sleep of a watch. The list may change by itself when a fault starts or ends.
+/// The longest sleep of a watch between two checks of the list, since a fault can change the
+/// served list without a notification when it starts or ends.
 const MAX_WATCH_SLEEP: Duration = Duration::from_secs(1);
-/// The largest number of pieces of a response.
+/// The largest number of pieces of a response while a fault splits lists.
 const MAX_PIECES: usize = 8;
 /// Delay after a failure to accept a connection.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// How long after the end of its wait a silent watch excuses a balancer.
-const EXCUSED_AFTER_WAIT_US: Micros = 2 * SECOND;
-/// How long after it fell silent a watch excuses a balancer at least.
-const EXCUSED_AFTER_SILENCE_US: Micros = 6 * SECOND;
+/// A balancer with a silent watch is exempt at least until this long after the end of the wait.
+const EXEMPT_AFTER_WAIT_US: Micros = 2 * SECOND;
+/// A balancer with a silent watch is exempt at least until this long after the watch became silent.
+const EXEMPT_AFTER_SILENCE_US: Micros = 6 * SECOND;
 /// Faults that end a watch.
 const WATCH_FAULTS: [FaultKind; 3] = [
     FaultKind::WatchesSilent,
@@ -44,8 +45,8 @@
     FaultKind::DiscoveryUnreachable,
 ];
 
-/// Starts discovery for one balancer, on an address of its own, so that the checker knows which
-/// balancer was notified.
+/// Starts the discovery of one balancer. Each balancer has a separate address, by which the testbed
+/// identifies the balancer that was notified.
 pub async fn start(world: &Arc<World>, balancer: usize) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
@@ -69,11 +70,12 @@
     Ok(address)
 }
 
-/// A poll, or a watch that waits for changes.
+/// The parameters of a poll, or of a watch, which waits for changes.
 #[derive(Clone, Copy)]
 struct Call {
-    /// The version that a watch knows; none for a poll.
+    /// The version of the list that the caller of a watch has; none for a poll.
     since: Option<u64>,
+    /// The longest time that a watch waits for changes.
     wait: Duration,
 }
 
@@ -93,19 +95,19 @@
     }
 }
 
-/// How the wait of a watch ended.
+/// The reason why the wait of a watch ended.
 enum WatchEnd {
-    /// There are changes, or the wait is over.
+    /// There are changes to send, or the wait is over.
     Respond,
-    /// The watch fell silent at that time.
+    /// A fault made the watch silent at that time.
     Silent(Micros),
-    /// The watch is reset, or discovery is unreachable.
+    /// A fault resets the watch, or discovery is unreachable.
     Reset,
     /// The balancer closed the connection.
     Closed,
 }
 
-/// What happens to the connection after a call.
+/// The treatment of a connection after a call was answered.
 #[derive(PartialEq, Eq)]
 enum AfterCall {
     KeepAlive,
@@ -113,6 +115,7 @@
     Reset,
 }
 
+/// A connection from a balancer to discovery.
 struct Connection {
     world: Arc<World>,
     balancer: usize,
@@ -121,7 +124,7 @@
 }
 
 impl Connection {
-    /// Answers calls one after the other until the connection ends.
+    /// Answers the calls of the connection one after the other until it ends.
     async fn serve(mut self) {
         while let Some(request) = http::read_request(&mut self.stream, &mut self.buffer).await {
             self.buffer.drain(..request.end);
@@ -144,8 +147,10 @@
             return Ok(AfterCall::KeepAlive);
         };
         tokio::select! {
-            () = sleep_until(self.world.clock.at(at).into()) => {}
-            () = closed_by_peer(&mut self.stream, &mut self.buffer) => return Ok(AfterCall::Close),
+            () = sleep_until(self.world.clock.instant_at(at).into()) => {}
+            () = wait_until_closed(&mut self.stream, &mut self.buffer) => {
+                return Ok(AfterCall::Close);
+            }
         }
         let started_at = self.world.now();
         if let Some(since) = call.since {
@@ -154,7 +159,7 @@
                 WatchEnd::Reset => return Ok(AfterCall::Reset),
                 WatchEnd::Closed => return Ok(AfterCall::Close),
                 WatchEnd::Silent(from) => {
-                    self.stay_silent(call, started_at, from).await;
+                    self.hold_silent_watch(call, started_at, from).await;
                     return Ok(AfterCall::Close);
                 }
             }
@@ -175,30 +180,34 @@
             .timeline()
             .active_global_fault(FaultKind::DiscoverySlow, now);
         let slowdown = slow.map_or(1.0, |strength| strength.factor);
-        // Balancers start before the run does, and their calls then take no time.
-        let admission = if self.world.clock.has_begun() {
+        // Balancers start before the clock of the run; until the clock starts, calls are admitted
+        // without delay.
+        let admission = if self.world.clock.has_started() {
             let mut queue = locked(&self.world.call_queue);
             queue.admit(now, self.balancer, call.since.is_some(), slowdown)
         } else {
             Admission::Admitted(now)
         };
         match admission {
-            Admission::Admitted(_) if self.world.fault_strikes(FaultKind::ListsRefused) => {
+            Admission::Admitted(_) if self.world.draw_fault(FaultKind::ListsRefused) => {
                 Admission::Rejected
             }
             admission => admission,
         }
     }
 
-    /// Keeps a silent watch open until the balancer closes it.
-    async fn stay_silent(&mut self, call: Call, started_at: Micros, silent_from: Micros) {
+    /// Keeps a silent watch open until the balancer closes the connection, and exempts the balancer
+    /// from rules that require a current endpoint list.
+    async fn hold_silent_watch(&mut self, call: Call, started_at: Micros, silent_from: Micros) {
         let wait_ends = started_at + call.wait.as_micros() as Micros;
-        let excused_until =
-            (wait_ends + EXCUSED_AFTER_WAIT_US).max(silent_from + EXCUSED_AFTER_SILENCE_US);
-        self.world.excuse_balancer(self.balancer, excused_until);
-        closed_by_peer(&mut self.stream, &mut self.buffer).await;
+        let exempt_until =
+            (wait_ends + EXEMPT_AFTER_WAIT_US).max(silent_from + EXEMPT_AFTER_SILENCE_US);
+        self.world.exempt_balancer(self.balancer, exempt_until);
+        wait_until_closed(&mut self.stream, &mut self.buffer).await;
     }
 
+    /// Waits until the list has changes since a version, at most as long as `wait`, or until the
+    /// watch ends for another reason.
     async fn wait_for_changes(
         &mut self,
         since: u64,
@@ -214,9 +223,10 @@
             if let Some(end) = self.ended_by_fault(started_at, now) {
                 return end;
             }
-            let moment = served_moment(&world);
-            let (version, next_change) = world
-                .with_registry(|registry| (registry.version(moment), registry.next_change(since)));
+            let served_at = served_time(&world);
+            let (version, next_change) = world.with_registry(|registry| {
+                (registry.version(served_at), registry.next_change(since))
+            });
             if version > since {
                 let backlog = locked(&world.call_queue).backlog(now);
                 tokio::time::sleep(Duration::from_micros(backlog)).await;
@@ -229,14 +239,14 @@
             tokio::select! {
                 () = sleep_until(wake_at) => {}
                 _ = list_changed.changed() => {}
-                () = closed_by_peer(&mut self.stream, &mut self.buffer) => {
+                () = wait_until_closed(&mut self.stream, &mut self.buffer) => {
                     return WatchEnd::Closed;
                 }
             }
         }
     }
 
-    /// How a fault that started since `started_at` ended a watch, if one did.
+    /// The end of a watch by a fault since `started_at`; none if no fault ended it.
     fn ended_by_fault(&self, started_at: Micros, now: Micros) -> Option<WatchEnd> {
         let timeline = self.world.timeline();
         let silent_from = timeline.started_between(FaultKind::WatchesSilent, started_at, now);
@@ -248,7 +258,7 @@
         (reset.is_some() || is_unreachable).then_some(WatchEnd::Reset)
     }
 
-    /// When a watch must look at the list and the faults again.
+    /// The time at which a watch must check the list and the faults again.
     fn wake_time(&self, next_change: Option<Micros>, now: Micros) -> Instant {
         let latest = Instant::now() + MAX_WATCH_SLEEP;
         let timeline = self.world.timeline();
@@ -258,13 +268,13 @@
         let next = next_change
             .into_iter()
             .chain(faults)
-            .map(|at| self.world.clock.at(at + 1).into())
+            .map(|at| self.world.clock.instant_at(at + 1).into())
             .min();
         next.unwrap_or(latest).min(latest)
     }
 
-    /// Writes the response to a call, with the active faults, and records what the balancer was
-    /// notified of.
+    /// Writes the response to a call with the active faults, and records the changes that the
+    /// balancer was notified of.
     async fn write_list(&mut self, call: Call) -> io::Result<AfterCall> {
         let world = Arc::clone(&self.world);
         if let Some(delay) = self.draw_fault_duration(FaultKind::ListsLate) {
@@ -272,14 +282,14 @@
         }
         let since = call
             .since
-            .filter(|_| !world.fault_strikes(FaultKind::ListsComplete));
+            .filter(|_| !world.draw_fault(FaultKind::ListsComplete));
         let list = List::new(&world, since);
         let response = Response::new(&list, &world);
         if call.since.is_some() {
             locked(&world.call_queue).watch_answered(world.now(), self.balancer);
         }
         let truncated_at = world
-            .fault_strikes(FaultKind::ListsCut)
+            .draw_fault(FaultKind::ListsCut)
             .then(|| 1 + world.draw_below(response.bytes.len() - 1));
         let length = truncated_at.unwrap_or(response.bytes.len());
         if let Some(over) = self.draw_fault_duration(FaultKind::ListsInPieces) {
@@ -291,7 +301,7 @@
         if truncated_at.is_none() {
             self.record_missing(&list);
         }
-        if world.fault_strikes(FaultKind::ListsReset) {
+        if world.draw_fault(FaultKind::ListsReset) {
             Ok(AfterCall::Reset)
         } else if truncated_at.is_some() || !response.keep_alive {
             Ok(AfterCall::Close)
@@ -321,20 +331,21 @@
         Ok(())
     }
 
-    /// A random duration up to that of a fault, where a fault of that kind strikes.
+    /// Returns a random duration up to the parameter `by` of a fault, if a fault of that kind is
+    /// active and drawn.
     fn draw_fault_duration(&self, kind: FaultKind) -> Option<Duration> {
         let strength = self
             .world
             .timeline()
             .active_global_fault(kind, self.world.now())?;
-        let strikes = self.world.fault_strikes(kind);
+        let strikes = self.world.draw_fault(kind);
         strikes.then(|| {
             let duration_us = self.world.draw_below(strength.by as usize + 1);
             Duration::from_micros(duration_us as u64)
         })
     }
 
-    /// Records the entries of which the first byte is written in that range.
+    /// Records the entries whose first byte is in the written range of the response.
     fn record_entries(&self, response: &Response, list: &List, written: Range<usize>) {
         let now = self.world.now();
         for (entry, offset) in list.entries.iter().zip(&response.entry_offsets) {
@@ -344,7 +355,7 @@
         }
     }
 
-    /// Records the servers that a complete list doesn't contain as removed.
+    /// Records servers that a complete list doesn't contain as removed.
     fn record_missing(&self, list: &List) {
         if !list.is_complete {
             return;
@@ -357,11 +368,11 @@
         }
     }
 
-    fn record(&self, now: Micros, server: usize, draining: bool) {
+    fn record(&self, now: Micros, server: usize, is_draining: bool) {
         let observation = Observation::EndpointReported {
             balancer: self.balancer,
             server,
-            is_draining: draining,
+            is_draining,
         };
         self.world.record(now, observation);
     }
--- a/crates/testbed/src/load/mod.rs
+++ b/crates/testbed/src/load/mod.rs
@@ -1,6 +1,6 @@
-//! Open-loop load on an HTTP address of this machine: requests are sent at their scheduled times
-//! whatever became of others, and latency counts from there. A run in which the load itself was
-//! late is invalid.
+//! Open-loop load on an HTTP address of this machine. Requests are sent at their scheduled times,
+//! independent of the results of other requests, and latency is measured from the scheduled time. A
+//! run in which the load itself was late is invalid.
 
 mod worker;
 
@@ -20,31 +20,32 @@
 use crate::figures::Times;
 use crate::pace::{CHANNEL_CAPACITY, Scheduled, send_on_schedule};
 
-/// The 99th percentile of lateness beyond which a run is invalid.
+/// A run is invalid if the 99th percentile of its lateness is above this value.
 pub const MAX_LATENESS_MS: f64 = 1.0;
 
-/// Where load goes, and how.
+/// The targets, the rate and the duration of a load.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct LoadPlan {
+    /// Addresses over which new connections are distributed in turn.
     pub addresses: Vec<SocketAddr>,
     pub path: String,
     /// Further header lines, each with its line end.
     pub headers: String,
     /// Requests per second; none for a closed loop, in which each client sends its next request
-    /// after its response.
+    /// after the response to its last one.
     pub rate: Option<f64>,
     pub duration: Duration,
-    /// Number of connections; unlimited where none is given.
+    /// Largest number of connections; unlimited where none is given.
     pub clients: Option<usize>,
     pub threads: usize,
-    /// How long clients wait for a response.
+    /// The timeout that requests state; clients wait slightly longer for a response.
     pub timeout: Duration,
     pub seed: u64,
 }
 
 /// The results of a load.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Found {
+pub struct LoadResults {
     #[serde(rename = "asked")]
     pub sent: u64,
     pub succeeded: u64,
@@ -53,7 +54,7 @@
     #[serde(rename = "abandoned")]
     pub failed: u64,
     pub unanswered: u64,
-    /// Never sent, since the load was too slow.
+    /// Requests that were never sent, since the channel to a worker was full.
     pub dropped: u64,
     #[serde(rename = "rate_asked")]
     pub rate_sent: f64,
@@ -61,12 +62,13 @@
     pub latency_ms: Times,
     pub lateness_ms: Times,
     pub valid: bool,
-    pub why_invalid: Vec<String>,
+    #[serde(rename = "why_invalid")]
+    pub invalid_reasons: Vec<String>,
 }
 
-/// Counts and latencies of one worker.
+/// Counts, latencies and lateness of one worker, or of several.
 struct WorkerResults {
-    counts: Found,
+    counts: LoadResults,
     latency: Histogram<u64>,
     lateness: Histogram<u64>,
 }
@@ -74,7 +76,7 @@
 impl WorkerResults {
     fn new() -> Self {
         Self {
-            counts: Found::default(),
+            counts: LoadResults::default(),
             latency: latency_histogram(),
             lateness: latency_histogram(),
         }
@@ -94,11 +96,12 @@
 /// The address and the path of a URL.
 ///
 /// # Errors
-/// Where the URL is no `http://` address of this machine.
+/// The URL does not start with `http://`, its host can't be resolved, or its address is not a
+/// loopback address.
 pub fn parse_url(url: &str) -> Result<(SocketAddr, String), Error> {
     let rest = url
         .strip_prefix("http://")
-        .ok_or_else(|| Error::new(format!("'{url}' is no http:// address")))?;
+        .ok_or_else(|| Error::new(format!("URL '{url}' does not start with http://")))?;
     let (host, path) = rest.find('/').map_or((rest, "/"), |at| rest.split_at(at));
     let has_port = host.rsplit(']').next().is_some_and(|end| end.contains(':'));
     let host = if has_port {
@@ -106,19 +109,21 @@
     } else {
         format!("{host}:80")
     };
-    let mut addresses = host.to_socket_addrs().context(format!("'{host}'"))?;
+    let mut addresses = host
+        .to_socket_addrs()
+        .context(format!("cannot resolve '{host}'"))?;
     let address = addresses
         .next()
-        .ok_or_else(|| Error::new(format!("'{host}' has no address")))?;
+        .ok_or_else(|| Error::new(format!("host '{host}' has no address")))?;
     if !address.ip().is_loopback() {
         return Err(Error::new(format!(
-            "{address} is not on this machine; the testbed loads loopback addresses only"
+            "{address} is not a loopback address; the testbed loads this machine only"
         )));
     }
     Ok((address, path.to_owned()))
 }
 
-/// The times of a Poisson process.
+/// The arrival times of a Poisson process with a rate per second.
 fn arrivals(rate: f64, duration: Duration, seed: u64) -> impl Iterator<Item = Scheduled<Instant>> {
     let started_at = Instant::now();
     let mut random = RandomSource::split(seed, "load", 0);
@@ -131,8 +136,8 @@
     })
 }
 
-/// Runs a plan. Returns early when `stop` is set.
-pub fn run(plan: Plan, stop: &AtomicBool) -> Result<Found, Error> {
+/// Applies the load of a plan. Returns early when `stop` is set.
+pub fn run(plan: LoadPlan, stop: &AtomicBool) -> Result<LoadResults, Error> {
     let plan = Arc::new(plan);
     let threads = plan.threads.max(1).min(plan.clients.unwrap_or(usize::MAX));
     let next_number = Arc::new(AtomicU64::new(1));
@@ -154,32 +159,41 @@
     drop(senders);
     let mut results = WorkerResults::new();
     for worker in workers {
-        let joined = worker.join().map_err(|_| Error::new("the load failed"))?;
-        results.add(joined.context("the load failed")?);
+        let joined = worker
+            .join()
+            .map_err(|_| Error::new("a load worker panicked"))?;
+        results.add(joined.context("a load worker failed")?);
     }
     let elapsed = started_at.elapsed().min(plan.duration);
-    Ok(found(&plan, results, dropped.into_inner(), elapsed))
+    Ok(load_results(&plan, results, dropped.into_inner(), elapsed))
 }
 
-fn found(plan: &Plan, results: WorkerResults, dropped: u64, elapsed: Duration) -> Found {
-    let mut found = results.counts;
+fn load_results(
+    plan: &LoadPlan,
+    workers: WorkerResults,
+    dropped: u64,
+    elapsed: Duration,
+) -> LoadResults {
+    let mut results = workers.counts;
     let seconds = elapsed.as_secs_f64();
-    found.dropped = dropped;
-    found.rate_sent = found.sent as f64 / seconds;
-    found.rate_succeeded = found.succeeded as f64 / seconds;
-    found.latency_ms = Times::of(&results.latency);
-    found.lateness_ms = Times::of(&results.lateness);
-    let lateness_ms = found.lateness_ms.p99;
+    results.dropped = dropped;
+    results.rate_sent = results.sent as f64 / seconds;
+    results.rate_succeeded = results.succeeded as f64 / seconds;
+    results.latency_ms = Times::of(&workers.latency);
+    results.lateness_ms = Times::of(&workers.lateness);
+    let lateness_ms = results.lateness_ms.p99;
     if plan.rate.is_some() && lateness_ms > MAX_LATENESS_MS {
-        let reason = format!("the load was late: p99 {lateness_ms:.2} ms");
-        found.why_invalid.push(reason);
+        let reason = format!(
+            "the load was late: p99 {lateness_ms:.2} ms, at most {MAX_LATENESS_MS} ms is valid"
+        );
+        results.invalid_reasons.push(reason);
     }
     if dropped > 0 {
         let reason = format!("{dropped} requests were never sent");
-        found.why_invalid.push(reason);
+        results.invalid_reasons.push(reason);
     }
-    found.valid = found.why_invalid.is_empty();
-    found
+    results.valid = results.invalid_reasons.is_empty();
+    results
 }
 
 #[cfg(test)]
--- a/crates/testbed/src/load/worker.rs
+++ b/crates/testbed/src/load/worker.rs
@@ -1,4 +1,4 @@
-//! A worker of the load: a thread with connections of its own.
+//! A worker of the load: a thread with its own connections.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -14,16 +14,17 @@
 use tokio::task::LocalSet;
 use tokio::time::timeout;
 
-use super::{Plan, WorkerResults};
+use super::{LoadPlan, WorkerResults};
 use crate::http;
 
-/// How long after the timeout that it states a request is given up.
+/// How long a worker waits for a response beyond the timeout that the request states.
 const TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
-/// A request is sent again once, where the reused connection had been closed.
+/// A request is sent a second time where the reused connection had been closed.
 const MAX_SENDS: usize = 2;
 
+/// The connections and results of one thread.
 pub(super) struct Worker {
-    plan: Arc<Plan>,
+    plan: Arc<LoadPlan>,
     idle_connections: RefCell<VecDeque<TcpStream>>,
     /// Number of connections, idle or not.
     open_connections: Cell<usize>,
@@ -31,21 +32,22 @@
     /// Notified when a connection becomes idle or is closed.
     connection_freed: Notify,
     results: RefCell<WorkerResults>,
-    /// The number of the next request of all workers.
+    /// The number of the next request, shared by all workers.
     next_number: Arc<AtomicU64>,
     /// Index of the address for the next connection.
     next_address: Cell<usize>,
 }
 
-/// A connection, and whether it carried a request before.
+/// A connection to send a request on.
 struct Connection {
     stream: TcpStream,
+    /// Whether the connection carried a request before.
     is_reused: bool,
 }
 
-/// How an exchange failed.
+/// The reason why an exchange failed.
 enum ExchangeError {
-    /// Nothing was received: a reused connection may have been closed before.
+    /// Nothing was received; a reused connection may have been closed before the request.
     NothingReceived,
     /// The response is truncated or malformed.
     BadResponse,
@@ -54,7 +56,7 @@
 impl Worker {
     /// Worker `thread` of `threads`, which share the plan's connections.
     pub(super) fn new(
-        plan: Arc<Plan>,
+        plan: Arc<LoadPlan>,
         next_number: Arc<AtomicU64>,
         thread: usize,
         threads: usize,
@@ -74,8 +76,8 @@
         }
     }
 
-    /// Sends requests until the channel is closed, and in a closed loop until the plan's duration
-    /// is over.
+    /// Sends the scheduled requests until the channel is closed. In a closed loop, sends requests
+    /// until the duration of the plan is over.
     pub(super) fn run(self, mut scheduled: mpsc::Receiver<Instant>) -> io::Result<WorkerResults> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -104,11 +106,11 @@
         }
     }
 
-    /// Sends a request that was scheduled at that time, and records its result.
+    /// Sends a request that was scheduled for that time, and records its result.
     async fn send_request(&self, scheduled_at: Instant) {
         let text = self.request_text();
         let lateness = scheduled_at.elapsed();
-        let status = self.status_of(&text).await;
+        let status = self.fetch_status(&text).await;
         let latency = scheduled_at.elapsed();
         let mut results = self.results.borrow_mut();
         results.lateness.saturating_record(as_micros(lateness));
@@ -126,29 +128,30 @@
 
     fn request_text(&self) -> String {
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
-        let Plan {
+        let LoadPlan {
             path,
             headers,
             timeout,
             ..
         } = &*self.plan;
         format!(
-            "GET {path} HTTP/1.1\r\nHost: lab\r\nX-Txn: {number:016x}\r\nX-Remaining-Ms: {}\r\n{headers}\r\n",
+            "GET {path} HTTP/1.1\r\nHost: lab\r\nX-Txn: {number:016x}\r\nX-Remaining-Ms: {}\r\n\
+             {headers}\r\n",
             timeout.as_millis()
         )
     }
 
-    /// The status of the response to a request; none where there was no response.
-    async fn status_of(&self, text: &str) -> Option<u16> {
+    /// Sends a request and returns the status of the response; none if no response arrived.
+    async fn fetch_status(&self, text: &str) -> Option<u16> {
         for _ in 0..MAX_SENDS {
             let connection = self.connection().await.ok()?;
             let is_reused = connection.is_reused;
             let exchange = self.exchange(connection.stream, text.as_bytes());
             match timeout(self.plan.timeout + TIMEOUT_MARGIN, exchange).await {
                 Ok(Ok(status)) => return Some(status),
-                Ok(Err(ExchangeError::NothingReceived)) if is_reused => self.connection_closed(),
+                Ok(Err(ExchangeError::NothingReceived)) if is_reused => self.release_connection(),
                 _ => {
-                    self.connection_closed();
+                    self.release_connection();
                     return None;
                 }
             }
@@ -156,10 +159,10 @@
         None
     }
 
-    /// An idle connection or a new one, as soon as there is capacity for it.
+    /// Returns an idle connection or a new one, and waits while the maximum is in use.
     async fn connection(&self) -> io::Result<Connection> {
         loop {
-            // The one that was idle for the longest time, so that all stay in use.
+            // The connection that was idle for the longest time is used, so that all stay in use.
             let idle = self.idle_connections.borrow_mut().pop_front();
             if let Some(stream) = idle {
                 if http::is_reusable(&stream) {
@@ -184,7 +187,7 @@
         let address = self.plan.addresses[index % self.plan.addresses.len()];
         let connected = TcpStream::connect(address).await;
         if connected.is_err() {
-            self.connection_closed();
+            self.release_connection();
         }
         let stream = connected?;
         stream.set_nodelay(true)?;
@@ -194,12 +197,13 @@
         })
     }
 
-    fn connection_closed(&self) {
+    /// Counts a connection as closed, and wakes a task that waits for one.
+    fn release_connection(&self) {
         self.open_connections.update(|open| open - 1);
         self.connection_freed.notify_one();
     }
 
-    /// Sends a request on a connection and returns the status of the response.
+    /// Sends a request on a connection, and returns the status of the response.
     async fn exchange(&self, mut stream: TcpStream, text: &[u8]) -> Result<u16, ExchangeError> {
         let written = stream.write_all(text).await;
         written.map_err(|_| ExchangeError::NothingReceived)?;
@@ -215,13 +219,13 @@
             self.idle_connections.borrow_mut().push_back(stream);
             self.connection_freed.notify_one();
         } else {
-            self.connection_closed();
+            self.release_connection();
         }
         Ok(response.status)
     }
 }
 
-/// Microseconds for a histogram, which starts at 1.
+/// A duration in whole microseconds, at least 1, the lowest value of the histograms.
 fn as_micros(duration: Duration) -> u64 {
     duration.as_micros().max(1) as u64
 }
--- a/crates/testbed/src/overhead.rs
+++ b/crates/testbed/src/overhead.rs
@@ -17,7 +17,7 @@
 use crate::environment::{TemporaryFolder, stand_in_runtime};
 use crate::error::{Context, Error};
 use crate::fleet::simulated_members::SimulatedMembers;
-use crate::load::{self, Found, Plan};
+use crate::load::{self, LoadPlan, LoadResults};
 use crate::world::{World, locked};
 use crate::{discovery_stand_in, http};
 
@@ -53,7 +53,7 @@
     /// CPU time without load, as a fraction of one core.
     #[serde(rename = "cpu_part_at_rest")]
     pub idle_cpu_fraction: f64,
-    pub through: Found,
+    pub through: LoadResults,
     pub valid: bool,
 }
 
@@ -140,7 +140,7 @@
         let balancer_address = balancer.address;
         let balancer = Mutex::new(vec![balancer]);
         runtime.block_on(wait_until_ready(&balancer, 0))?;
-        world.clock.begin();
+        world.clock.start();
         Ok(Self {
             runtime,
             servers,
@@ -190,9 +190,9 @@
 
 /// The loads of one measurement, and the resources that the balancer used.
 struct Measured {
-    direct: Found,
-    through: Found,
-    closed_loop: Found,
+    direct: LoadResults,
+    through: LoadResults,
+    closed_loop: LoadResults,
     idle_cpu_us: u64,
     loaded_cpu_us: u64,
     memory_mb: f64,
@@ -238,8 +238,8 @@
     duration: Duration,
     clients: usize,
     threads: usize,
-) -> Plan {
-    Plan {
+) -> LoadPlan {
+    LoadPlan {
         addresses: addresses.to_vec(),
         path: "/look/1".into(),
         headers: "X-Lane: look\r\n".into(),
--- a/crates/testbed/src/pace.rs
+++ b/crates/testbed/src/pace.rs
@@ -1,26 +1,26 @@
-//! Sends items to workers at their scheduled times, from a thread that sleeps with microsecond
-//! precision. The timers of the runtime have a precision of a millisecond.
+//! Sends items to workers at their scheduled times. A thread is used because it sleeps with
+//! microsecond precision, whereas timers of the runtime have a precision of a millisecond.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
 use tokio::sync::mpsc::{Sender, error::TrySendError};
 
-/// The longest sleep, so that an early end is noticed.
+/// The longest sleep between two checks of the stop flag.
 const MAX_SLEEP: Duration = Duration::from_millis(50);
 
-/// Capacity of the channel to a worker. Items that do not fit are counted as dropped, which makes
-/// the run invalid.
+/// Capacity of the channel to a worker, in items. Items that exceed it are counted as dropped,
+/// which makes the run invalid.
 pub const CHANNEL_CAPACITY: usize = 65_536;
 
-/// An item and when it is due.
+/// An item and the time at which it is due.
 pub struct Scheduled<T> {
     pub at: Instant,
     pub item: T,
 }
 
-/// Sends each item at its time, to the workers in turn. Returns early when `stop` is set or a
-/// worker is gone.
+/// Sends each item at its scheduled time, to the workers in turn. Returns early when `stop` is set
+/// or a worker has closed its channel.
 pub fn send_on_schedule<T>(
     scheduled: impl Iterator<Item = Scheduled<T>>,
     workers: &[Sender<T>],
@@ -39,7 +39,7 @@
     }
 }
 
-/// Sleeps until a time. Returns false where `stop` was set before.
+/// Sleeps until a time. Returns false if `stop` is set before that time.
 fn sleep_until(at: Instant, stop: &AtomicBool) -> bool {
     loop {
         if stop.load(Ordering::Relaxed) {
--- a/crates/testbed/src/runner/events.rs
+++ b/crates/testbed/src/runner/events.rs
@@ -1,4 +1,4 @@
-//! Events of the timeline: applied to the servers, and to the processes of balancers.
+//! Applies the events of the timeline to the simulated servers and to the balancer processes.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -15,16 +15,15 @@
 use crate::server_stand_in;
 use crate::world::{World, locked};
 
-/// How long the front end goes on sending requests to a balancer that was killed.
-const DEATH_DETECTION_DELAY: Duration = Duration::from_secs(1);
-/// How long the front end goes on sending requests to a balancer that was asked to stop.
+/// Time until the front end stops sending requests to a balancer that was killed.
+const KILL_DETECTION_DELAY: Duration = Duration::from_secs(1);
+/// Time until the front end stops sending requests to a balancer that received SIGTERM.
 const STOP_DETECTION_DELAY: Duration = Duration::from_millis(300);
-/// The longest sleep between two looks at the timeline.
+/// The longest sleep between two checks of the timeline.
 const MAX_SLEEP: Duration = Duration::from_secs(1);
 
-/// Applies conditions and events as the timeline reaches them, until the runtime ends. Events of
-/// balancers are sent to
-/// `balancer_events`.
+/// Applies the conditions and events of the timeline when they are due, until the runtime shuts
+/// down. Events that concern balancers are sent to `balancer_events`.
 pub async fn follow_timeline(
     world: Arc<World>,
     balancer_events: mpsc::UnboundedSender<TimelineEvent>,
@@ -39,7 +38,7 @@
         while let Some(event) = due_event(&world, applied) {
             applied += 1;
             if event.balancer().is_some() {
-                // The receiver is gone once the run is over.
+                // Sending fails once the receiver has been dropped at the end of the run.
                 let _ = balancer_events.send(event);
                 continue;
             }
@@ -50,16 +49,17 @@
     }
 }
 
-/// When the next condition or event is due.
+/// The time at which the next condition or event is due, at most `MAX_SLEEP` from now.
 fn next_wake(world: &World, applied: usize) -> Instant {
     let timeline = world.timeline();
     let event = timeline.events.get(applied).map(|scheduled| scheduled.at);
     let condition = timeline.next_condition_change(world.now());
     let next = event.into_iter().chain(condition).min();
     let latest = Instant::now() + MAX_SLEEP;
-    next.map_or(latest, |next| world.clock.at(next).min(latest))
+    next.map_or(latest, |next| world.clock.instant_at(next).min(latest))
 }
 
+/// The event with that index, if it is due.
 fn due_event(world: &World, index: usize) -> Option<TimelineEvent> {
     let scheduled: Option<ScheduledEvent> = world.timeline().events.get(index).copied();
     let due = scheduled.filter(|scheduled| scheduled.at <= world.now());
@@ -67,12 +67,12 @@
 }
 
 async fn start_stand_in(world: &Arc<World>, number: usize) {
-    if let Err(problem) = server_stand_in::start(world, number, true).await {
-        eprintln!("pinefront-testbed: cannot start the stand-in of server {number}: {problem}");
+    if let Err(error) = server_stand_in::start(world, number, true).await {
+        eprintln!("pinefront-testbed: cannot start the stand-in of server {number}: {error}");
     }
 }
 
-/// Kills, stops, suspends, starts and reloads the processes of balancers.
+/// Kills, stops, suspends, resumes, starts and reloads the balancer processes.
 #[derive(Clone)]
 pub(super) struct ProcessController {
     pub(super) load: Arc<Load>,
@@ -81,12 +81,12 @@
 }
 
 impl ProcessController {
-    /// Applies the events of balancers until the channel is closed.
+    /// Applies events that concern balancers until the channel is closed.
     pub(super) async fn run(self, mut events: mpsc::UnboundedReceiver<TimelineEvent>) {
         while let Some(event) = events.recv().await {
             match event {
                 TimelineEvent::BalancerPaused(balancer) => {
-                    let duration = stall_duration(self.world(), balancer);
+                    let duration = pause_duration(self.world(), balancer);
                     self.suspend_or_resume(event, balancer, duration, Balancer::suspend);
                 }
                 TimelineEvent::BalancerResumed(balancer) => {
@@ -94,11 +94,11 @@
                 }
                 TimelineEvent::BalancerReloaded(balancer) => self.reload(balancer),
                 TimelineEvent::BalancerKilled(balancer) => {
-                    self.prepare_end(event, balancer);
+                    self.prepare_exit(event, balancer);
                     tokio::spawn(self.clone().kill(balancer));
                 }
                 TimelineEvent::BalancerStopped(balancer) => {
-                    self.prepare_end(event, balancer);
+                    self.prepare_exit(event, balancer);
                     tokio::spawn(self.clone().request_stop(balancer));
                 }
                 TimelineEvent::BalancerStarted(balancer) => {
@@ -116,12 +116,13 @@
         &self.load.world
     }
 
-    /// Calls a function with the process of a balancer, if there is one.
+    /// Calls a function with the process of a balancer; returns none if the number is unknown.
     fn with_process<T>(&self, balancer: usize, call: impl FnOnce(&mut Balancer) -> T) -> Option<T> {
         locked(&self.processes).get_mut(balancer).map(call)
     }
 
-    /// Suspends or resumes a process at once, since the two events may be close to each other.
+    /// Suspends or resumes a process without spawning a task: the two events may follow each other
+    /// closely, and must be applied in order.
     fn suspend_or_resume(
         &self,
         event: TimelineEvent,
@@ -133,25 +134,29 @@
         locked(&self.views).happens(world.now(), event, duration);
         self.with_process(balancer, |process| {
             call(process);
-            world.disturb_balancer(balancer);
+            world.record_balancer_intervention(balancer);
             world.record(world.now(), Observation::BalancerStalled { balancer });
         });
     }
 
     fn reload(&self, balancer: usize) {
-        if let Some(Err(problem)) = self.with_process(balancer, Balancer::reload) {
-            eprintln!("pinefront-testbed: no new configuration: {problem}");
+        if let Some(Err(error)) = self.with_process(balancer, Balancer::reload) {
+            eprintln!("pinefront-testbed: cannot reload balancer {balancer}: {error}");
         }
     }
 
-    /// Records that a process is about to end, and writes the list that it knows at its next start.
-    fn prepare_end(&self, event: TimelineEvent, balancer: usize) {
+    /// Records that a process is about to exit, and writes the current endpoint list to its
+    /// configuration as the cached list for its next start.
+    fn prepare_exit(&self, event: TimelineEvent, balancer: usize) {
         let world = self.world();
         let now = world.now();
-        let list = world.list_document();
-        let written = self.with_process(balancer, |process| process.set_known_list(list));
-        if let Some(Err(problem)) = written {
-            eprintln!("pinefront-testbed: no known list: {problem}");
+        let list = world.endpoint_list_json();
+        let written = self.with_process(balancer, |process| process.set_cached_list(list));
+        if let Some(Err(error)) = written {
+            eprintln!(
+                "pinefront-testbed: cannot write the endpoint list cached by balancer {balancer}: \
+                 {error}"
+            );
         }
         world.set_balancer_running(balancer, false);
         locked(&self.views).happens(now, event, 0);
@@ -159,22 +164,22 @@
 
     async fn kill(self, balancer: usize) {
         let killed = Observation::BalancerKilled { balancer };
-        // Recorded before and after, since requests may be received meanwhile.
+        // Recorded before and after the kill, since requests may be received in between.
         self.world().record(self.world().now(), killed);
         self.with_process(balancer, Balancer::kill);
         self.world().record(self.world().now(), killed);
-        tokio::time::sleep(DEATH_DETECTION_DELAY).await;
-        self.load.front_end.set_up(balancer, false);
+        tokio::time::sleep(KILL_DETECTION_DELAY).await;
+        self.load.front_end.set_available(balancer, false);
     }
 
     async fn request_stop(self, balancer: usize) {
         self.with_process(balancer, Balancer::request_stop);
         tokio::time::sleep(STOP_DETECTION_DELAY).await;
-        self.load.front_end.set_up(balancer, false);
+        self.load.front_end.set_available(balancer, false);
     }
 
-    /// Starts a process, at the cluster address of `address_of` where given, and waits until it is
-    /// ready.
+    /// Starts a process and waits until it is ready. With `address_of`, it uses the cluster address
+    /// of that balancer.
     async fn start(self, event: TimelineEvent, balancer: usize, address_of: Option<usize>) {
         let started = self.with_process(balancer, |process| {
             locked(&self.views).happens(self.world().now(), event, 0);
@@ -182,12 +187,12 @@
         });
         self.world().set_balancer_running(balancer, true);
         let ready = match started {
-            Some(Err(problem)) => Err(Error::from(problem)),
+            Some(Err(error)) => Err(Error::from(error)),
             _ => wait_until_ready(&self.processes, balancer).await,
         };
         match ready {
-            Ok(()) => self.load.front_end.set_up(balancer, true),
-            Err(problem) => eprintln!("pinefront-testbed: {problem}"),
+            Ok(()) => self.load.front_end.set_available(balancer, true),
+            Err(error) => eprintln!("pinefront-testbed: {error}"),
         }
     }
 
@@ -197,8 +202,9 @@
         balancer: usize,
         address_of: Option<usize>,
     ) -> std::io::Result<()> {
-        // A process that was asked to stop and still runs is killed first, as an operator would.
-        if process.is_running() && !process.has_ended() {
+        // A process that is still running after SIGTERM is killed before the next start, as an
+        // operator would do.
+        if process.is_running() && !process.has_exited() {
             let world = self.world();
             world.record(world.now(), Observation::BalancerKilled { balancer });
             process.kill();
@@ -211,8 +217,9 @@
     }
 }
 
-/// How long a balancer that is suspended now stays so.
-fn stall_duration(world: &World, balancer: usize) -> Micros {
+/// Time until a balancer that is suspended now is resumed, in microseconds; 0 if the timeline
+/// does not resume it.
+fn pause_duration(world: &World, balancer: usize) -> Micros {
     let now = world.now();
     let timeline = world.timeline();
     let mut later = timeline
--- a/crates/testbed/src/runner/load.rs
+++ b/crates/testbed/src/runner/load.rs
@@ -1,5 +1,5 @@
-//! The load of a run: worker threads, the thread that sends requests on schedule, and the line on
-//! the terminal.
+//! Generates the load of a run: worker threads, the thread that sends requests on schedule, and the
+//! progress line on the terminal.
 
 use std::io::{self, IsTerminal, Write};
 use std::sync::Arc;
@@ -19,13 +19,13 @@
 use crate::world::locked;
 
 const WORKER_THREADS: usize = 2;
-/// How long the workers may take to end once all requests are sent.
+/// How long the workers may run after all requests have been sent.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(12);
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 const TERMINAL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Runs the load until all requests have ended. Returns the number of requests that could not be
-/// sent in time.
+/// Runs the load until all requests have ended. Returns the number of requests that were dropped
+/// because the channel to a worker was full.
 pub(super) fn run_load(
     load: &Arc<Load>,
     group: &BalancerGroup,
@@ -46,7 +46,7 @@
             let timeline = world.timeline().clone();
             let arrivals = Arrivals::new(&world.scenario, &timeline, world.seed);
             let scheduled = arrivals.map(|request| Scheduled {
-                at: world.clock.at(request.scheduled_at),
+                at: world.clock.instant_at(request.scheduled_at),
                 item: request,
             });
             send_on_schedule(scheduled, &senders, &stop, &dropped);
@@ -54,14 +54,16 @@
     };
     wait_for_workers(load, group, options, &workers, &scheduler);
     for worker in workers.into_iter().filter(JoinHandle::is_finished) {
-        let joined = worker.join().map_err(|_| Error::new("the load failed"))?;
-        joined.context("the load failed")?;
+        let joined = worker
+            .join()
+            .map_err(|_| Error::new("a load worker panicked"))?;
+        joined.context("a load worker failed")?;
     }
     Ok(dropped.load(Ordering::Relaxed))
 }
 
-/// Waits until the workers have ended, or for some time after the last request. Balancers that end
-/// by themselves get no more requests.
+/// Waits until all workers have ended, but at most `DRAIN_TIMEOUT` after the last request was
+/// sent. Balancers that exited unexpectedly get no more requests.
 fn wait_for_workers(
     load: &Load,
     group: &BalancerGroup,
@@ -74,8 +76,8 @@
     while workers.iter().any(|worker| !worker.is_finished()) {
         std::thread::sleep(CHECK_INTERVAL);
         for balancer in locked(&group.processes).iter_mut() {
-            if balancer.has_ended() && !balancer.unexpected_ends.is_empty() {
-                load.front_end.set_up(balancer.number, false);
+            if balancer.has_exited() && !balancer.unexpected_exits.is_empty() {
+                load.front_end.set_available(balancer.number, false);
             }
         }
         if shows_progress && shown_at.elapsed() >= TERMINAL_INTERVAL {
@@ -99,7 +101,8 @@
     let counts = &results.counts;
     let p99_ms = results.latency.value_at_quantile(0.99) as f64 / 1000.0;
     let text = format!(
-        "\r{:>4} s  {} sent  {} succeeded  {} rejected  {} failed  p99 {p99_ms:.0} ms  {} rules violated   ",
+        "\r{:>4} s  {} sent  {} succeeded  {} rejected  {} failed  p99 {p99_ms:.0} ms  \
+         {} rules violated   ",
         load.world.now() / SECOND,
         counts.sent,
         counts.succeeded,
@@ -108,6 +111,6 @@
         locked(&load.world.checker).violations().len(),
     );
     drop(results);
-    // The terminal may be gone.
+    // An error is ignored, since the terminal may have been closed.
     let _ = io::stderr().write_all(text.as_bytes());
 }
--- a/crates/testbed/src/runner/mod.rs
+++ b/crates/testbed/src/runner/mod.rs
@@ -32,12 +32,12 @@
 use crate::stalled_clients::run_stalled_clients;
 use crate::world::{World, locked};
 
-/// How long observations may arrive after the last response.
+/// How long observations are still accepted after the last response.
 const SETTLE_DELAY: Duration = Duration::from_millis(300);
-/// The 99th percentile of the load's lateness beyond which a run is invalid.
+/// A run is invalid if the 99th percentile of the load's lateness is above this value.
 const MAX_LATENESS_MS: f64 = 20.0;
 
-/// What is tested.
+/// The balancers under test.
 #[derive(Clone, Debug)]
 pub enum Subject {
     /// Processes of a balancer program.
@@ -56,16 +56,16 @@
     }
 }
 
-/// How a scenario is run.
+/// Options of a run.
 #[derive(Clone, Default)]
 pub struct RunOptions {
-    /// Shows a line with the progress on a terminal.
+    /// Whether a progress line is shown on a terminal.
     pub shows_progress: bool,
-    /// Prints how to send a request by hand.
+    /// Whether the command that sends a request by hand is printed.
     pub prints_usage: bool,
-    /// The balancers form a cluster, over relays.
+    /// Whether the balancers form a cluster whose links pass through relays.
     pub is_cluster: bool,
-    /// Set from outside to end the run early.
+    /// Ends the run early when it is set, for example by a signal handler.
     pub stop: Arc<AtomicBool>,
 }
 
@@ -82,14 +82,14 @@
     Ok(run.finish(subject, options, dropped))
 }
 
-/// Resources and ends of all balancers of a run.
+/// Resources, unexpected exits and logged violations of all balancers of a run.
 #[derive(Default)]
 struct BalancerTotals {
     cpu_us: u64,
-    /// The most memory that one of them used.
+    /// The largest amount of memory that any of them used.
     memory_kb: u64,
-    unexpected_ends: Vec<String>,
-    violations: u64,
+    unexpected_exits: Vec<String>,
+    invariant_violations: u64,
 }
 
 /// A run in progress.
@@ -99,7 +99,7 @@
     group: BalancerGroup,
     load: Arc<Load>,
     views: Arc<Mutex<Views>>,
-    /// CPU time that the balancers had used when the load started.
+    /// CPU time that the balancers had used before the load started.
     initial_cpu_us: u64,
 }
 
@@ -116,7 +116,7 @@
             start_servers(&world).await?;
             BalancerGroup::start(&world, subject, options.is_cluster).await
         })?;
-        write_operator_files_of_moves(&world, &group)?;
+        write_operator_files_for_moves(&world, &group)?;
         let views = Arc::new(Mutex::new(Views::new(&world, group.addresses.len())));
         let load = Arc::new(Load::new(Arc::clone(&world), group.addresses.clone()));
         let initial_cpu_us = cpu_us(&group);
@@ -135,7 +135,7 @@
         Ok(run)
     }
 
-    /// Starts the clock and the tasks that go on until the runtime ends.
+    /// Starts the clock, and the tasks that run until the runtime shuts down.
     fn spawn_tasks(&self, options: &RunOptions) {
         let world = || Arc::clone(&self.world);
         let addresses = &self.group.addresses;
@@ -145,7 +145,7 @@
                 self.runtime.spawn(watch(world(), views, number, *address));
             }
         }
-        self.world.clock.begin();
+        self.world.clock.start();
         self.runtime
             .spawn(record_assumed_notifications(world(), addresses.len()));
         self.runtime
@@ -167,7 +167,7 @@
         locked(&self.world.checker).finish(self.world.now());
         let totals = self.stop_balancers();
         if let Some(cluster) = &mut cluster {
-            self.add_duties(cluster, ended_at);
+            self.add_lease_figures(cluster, ended_at);
         }
         self.runtime.shutdown_background();
         let scenario = &self.world.scenario;
@@ -186,8 +186,8 @@
             seed: self.world.seed,
             balancers: *scenario.balancers.get_ref(),
             servers: attempts_by_server.len(),
-            unexpected_ends: totals.unexpected_ends,
-            violations: totals.violations,
+            unexpected_ends: totals.unexpected_exits,
+            violations: totals.invariant_violations,
             cpu_us_per_request: cpu_us as f64 / sent,
             memory_mb: totals.memory_kb as f64 / 1024.0,
             testbed_memory_mb: Usage::of_process(std::process::id()).memory_mb(),
@@ -223,20 +223,21 @@
             totals.cpu_us += usage.cpu_us;
             totals.memory_kb = totals.memory_kb.max(usage.memory_kb);
             balancer.stop();
-            let ends = &mut balancer.unexpected_ends;
-            totals.unexpected_ends.append(ends);
-            totals.violations += balancer.violations.load(Ordering::Relaxed);
+            let exits = &mut balancer.unexpected_exits;
+            totals.unexpected_exits.append(exits);
+            totals.invariant_violations += balancer.invariant_violations.load(Ordering::Relaxed);
         }
         totals
     }
 
-    /// Adds the figures of duties, where the scenario has any.
-    fn add_duties(&self, cluster: &mut Known, ended_at: Micros) {
+    /// Adds the figures of leases, where the scenario has any.
+    fn add_lease_figures(&self, cluster: &mut Known, ended_at: Micros) {
         let scenario = &self.world.scenario;
         if scenario.duties == 0 && !scenario.shared_endpoint_list {
             return;
         }
-        // The readers of the logs end with the processes.
+        // The threads that read the logs end shortly after the processes; their last lines are
+        // still to be counted.
         std::thread::sleep(SETTLE_DELAY);
         let terms_fallen = locked(&self.views).terms_fallen();
         cluster.leases = Some(self.group.lease_log.report(ended_at, terms_fallen));
@@ -248,8 +249,9 @@
     processes.iter().map(|process| process.usage().cpu_us).sum()
 }
 
-/// Writes the operator files of balancers that move to another's cluster address during the run.
-fn write_operator_files_of_moves(world: &World, group: &BalancerGroup) -> Result<(), Error> {
+/// Writes an operator file for each balancer that moves to the cluster address of another during
+/// the run.
+fn write_operator_files_for_moves(world: &World, group: &BalancerGroup) -> Result<(), Error> {
     use pinefront_model::timeline::TimelineEvent;
     for scheduled in &world.timeline().events {
         if let TimelineEvent::BalancerMoved { number, address_of } = scheduled.event {
@@ -267,12 +269,12 @@
     let idempotent = classes.find(|class| class.get_ref().idempotency == Idempotency::Idempotent);
     if let Some(class) = idempotent {
         let name = &class.get_ref().name;
-        eprintln!("Send a request yourself while this runs (a new X-Txn each time):");
+        eprintln!("To send a request by hand during the run, with a new X-Txn each time:");
         eprintln!(
             "  curl -i -H \"X-Txn: me-$RANDOM\" -H 'X-Remaining-Ms: 1000' http://{address}/{name}/1"
         );
     }
-    eprintln!("Its counters: curl http://{address}/stats");
+    eprintln!("To read the counters of the balancer: curl http://{address}/stats");
 }
 
 #[cfg(test)]
--- a/crates/testbed/src/runner/setup.rs
+++ b/crates/testbed/src/runner/setup.rs
@@ -1,4 +1,4 @@
-//! Start of the balancers of a run, with their discovery, links and operator files.
+//! Starts the balancers of a run, with their discovery stand-ins, relays and operator files.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -17,10 +17,10 @@
 
 /// The balancers of a run.
 pub(super) struct BalancerGroup {
-    /// The processes; empty where stand-in balancers run.
+    /// The balancer processes; empty for stand-in balancers.
     pub(super) processes: Arc<Mutex<Vec<Balancer>>>,
     pub(super) addresses: Vec<SocketAddr>,
-    /// The cluster addresses, where the balancers form a cluster.
+    /// The cluster addresses; none where the balancers form no cluster.
     cluster: Option<Addresses>,
     pub(super) relayed: Arc<Relayed>,
     pub(super) lease_log: LeaseLog,
@@ -58,13 +58,16 @@
     }
 
     fn new(world: &Arc<World>, is_cluster: bool) -> Result<Self, Error> {
-        let folder = TemporaryFolder::new().context("cannot make a folder for this run")?;
+        let folder =
+            TemporaryFolder::new().context("cannot create a temporary folder for the run")?;
         let count = *world.scenario.balancers.get_ref();
         let cluster = is_cluster
-            .then(|| Addresses::new(count).context("no addresses"))
+            .then(|| Addresses::new(count).context("cannot bind cluster addresses"))
             .transpose()?;
         let preloaded = PreloadedLibrary::is_needed(&world.scenario)
-            .then(|| PreloadedLibrary::build(folder.path()).context("no library"))
+            .then(|| {
+                PreloadedLibrary::build(folder.path()).context("cannot build the preloaded library")
+            })
             .transpose()?;
         if let Some(preloaded) = preloaded.clone() {
             tokio::spawn(preloaded.follow_timeline(Arc::clone(world)));
@@ -80,18 +83,24 @@
         })
     }
 
-    /// Starts a relay on each link between two balancers, and the senders of floods.
+    /// Starts a relay on each link between two balancers, and the sources of datagram floods.
     fn start_relays(&mut self, world: &Arc<World>) -> Result<(), Error> {
         let Some(cluster) = &mut self.cluster else {
             return Ok(());
         };
         for RelaySocket { from, to, socket } in std::mem::take(&mut cluster.relay_sockets) {
             let address = cluster.members.get(to).copied();
-            let address = address.ok_or_else(|| Error::new("no such balancer"))?;
-            relay(world, from, to, socket, address, &self.relayed)
-                .context("cannot relay between balancers")?;
+            let address = address.ok_or_else(|| {
+                Error::new(format!(
+                    "a relay leads to balancer {to}, which does not exist"
+                ))
+            })?;
+            relay(world, from, to, socket, address, &self.relayed).context(format!(
+                "cannot start the relay from balancer {from} to {to}"
+            ))?;
         }
-        flood(world, &cluster.members, &self.relayed).context("no strangers")
+        flood(world, &cluster.members, &self.relayed)
+            .context("cannot start the sources of datagram floods")
     }
 
     async fn start_balancer(
@@ -107,7 +116,7 @@
         let address = match subject {
             Subject::Policy(policy) => baseline::start(world, *policy, number)
                 .await
-                .context("cannot start a stand-in balancer")?,
+                .context(format!("cannot start stand-in balancer {number}"))?,
             Subject::Binary(binary) => self.start_process(world, binary, number, discovery)?,
         };
         self.addresses.push(address);
@@ -130,19 +139,22 @@
             discovery,
             operator_file: self.write_operator_file(world, number, number)?,
         };
-        let mut balancer =
-            Balancer::new(&setup).context(format!("cannot set up balancer {number}"))?;
+        let mut balancer = Balancer::new(&setup).context(format!(
+            "cannot write the configuration of balancer {number}"
+        ))?;
         balancer.lease_log = self.lease_log.clone();
         balancer.preloaded.clone_from(&self.preloaded);
         world.set_balancer_running(number, true);
-        balancer.start().context("cannot start a balancer")?;
+        balancer
+            .start()
+            .context(format!("cannot start balancer {number}"))?;
         let address = balancer.address;
         locked(&self.processes).push(balancer);
         Ok(address)
     }
 
-    /// Writes the operator file of a balancer at the cluster address of `address_of`, where there
-    /// is a cluster.
+    /// Writes the operator file of a balancer that uses the cluster address of `address_of`.
+    /// Returns none where the balancers form no cluster.
     pub(super) fn write_operator_file(
         &self,
         world: &World,
@@ -154,11 +166,13 @@
         cluster
             .map(|cluster| cluster.operator_file(&world.scenario, number, address_of, folder))
             .transpose()
-            .context("no operator file")
+            .context(format!(
+                "cannot write the operator file of balancer {number}"
+            ))
     }
 }
 
 async fn start_discovery(world: &Arc<World>, number: usize) -> Result<SocketAddr, Error> {
     let address = discovery_stand_in::start(world, number).await;
-    address.context("cannot start discovery")
+    address.context(format!("cannot start discovery for balancer {number}"))
 }
--- a/crates/testbed/src/server_stand_in.rs
+++ b/crates/testbed/src/server_stand_in.rs
@@ -1,5 +1,5 @@
-//! Stand-ins of servers on loopback sockets: they pass attempts to the simulated servers and write
-//! responses, with the faults of the scenario.
+//! Stand-ins of servers on loopback sockets. They pass attempts to the simulated servers, and write
+//! responses with the faults of the scenario.
 
 use std::io;
 use std::sync::Arc;
@@ -17,24 +17,25 @@
 use crate::http::{self, ParsedRequest};
 use crate::world::{ServerHost, World};
 
-/// Number of pieces in which a response is written.
+/// Number of pieces of a response while a fault splits responses.
 const RESPONSE_PIECES: usize = 6;
-/// The longest delay of an unsolicited response.
-const MAX_SECOND_RESPONSE_DELAY_US: usize = 6_000;
-/// Fraction of the responses without a length that are reset on the way.
-const RESET_FRACTION: f64 = 0.33;
-/// Fraction of the idle connections that are reset rather than closed, while a fault shortens the
-/// idle timeout.
+/// The longest delay of an unsolicited second response, in microseconds.
+const MAX_UNSOLICITED_RESPONSE_DELAY_US: usize = 6_000;
+/// Fraction of the responses without a length whose connection is reset after half of the body.
+const UNSIZED_RESET_FRACTION: f64 = 0.33;
+/// Fraction of the idle connections that are reset rather than closed at the idle timeout, while a
+/// fault shortens that timeout.
 const IDLE_RESET_FRACTION: f64 = 0.5;
-/// Delay between writing and a reset, so that the reset doesn't overtake the data.
-const RESET_DELAY: Duration = Duration::from_millis(2);
-/// The longest sleep of a server's timer.
+/// Delay between a write and the end of the connection, so that a reset doesn't overtake the data.
+const CLOSE_DELAY: Duration = Duration::from_millis(2);
+/// The longest sleep between two steps of a simulated server.
 const MAX_TIMER_SLEEP: Duration = Duration::from_secs(1);
-/// Delay after a failure to accept a connection, most likely for want of descriptors.
+/// Delay after a failure to accept a connection, which most likely means that no file descriptor is
+/// left.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Starts the stand-in of a server on a new address; it ends with the server's incarnation.
-/// `announce` adds the server to the endpoint list.
+/// Starts the stand-in of a server on a new address. The stand-in runs until the incarnation of the
+/// server ends. With `announce`, the server is added to the endpoint list.
 pub async fn start(world: &Arc<World>, number: usize, announce: bool) -> io::Result<()> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let Some(host) = world.server(number) else {
@@ -52,7 +53,7 @@
     Ok(())
 }
 
-/// One incarnation of a server.
+/// The stand-in of one incarnation of a server.
 #[derive(Clone)]
 struct StandIn {
     world: Arc<World>,
@@ -60,9 +61,9 @@
     incarnation: u64,
 }
 
-/// How a connection ends.
+/// The way in which a connection ends.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Ending {
+enum ConnectionEnd {
     Closed,
     Reset,
 }
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Advances the server whenever an event is due.
+    /// Advances the simulated server whenever one of its events is due.
     async fn run_timer(self) {
         let mut incarnations = self.host.incarnation.subscribe();
         loop {
@@ -89,7 +90,7 @@
             let next = self
                 .world
                 .advance_server(&self.host)
-                .map_or(latest, |next| self.world.clock.at(next).into());
+                .map_or(latest, |next| self.world.clock.instant_at(next).into());
             tokio::select! {
                 () = sleep_until(next) => {}
                 () = self.host.wake_timer.notified() => {}
@@ -102,30 +103,31 @@
         if !self.host.with_server(Server::connect) {
             return http::reset(stream);
         }
-        // Nagle's algorithm would delay responses that are written in pieces.
+        // Nagle's algorithm is disabled, since it would delay responses that are written in pieces.
         let _ = stream.set_nodelay(true);
         let mut incarnations = self.host.incarnation.subscribe();
         let connection = Connection::new(&self, &mut stream);
-        let ending = tokio::select! {
-            ending = connection.serve() => ending,
-            () = incarnation_ended(&mut incarnations, self.incarnation) => Ending::Reset,
+        let end = tokio::select! {
+            end = connection.serve() => end,
+            () = incarnation_ended(&mut incarnations, self.incarnation) => ConnectionEnd::Reset,
         };
         if *self.host.incarnation.borrow() == self.incarnation {
             self.host.with_server(Server::disconnect);
         }
-        if ending == Ending::Reset {
+        if end == ConnectionEnd::Reset {
             http::reset(stream);
         }
     }
 }
 
+/// Waits until the server has another incarnation than the given one.
 async fn incarnation_ended(incarnations: &mut watch::Receiver<u64>, incarnation: u64) {
-    // An error means that the server was dropped, which ends it too.
+    // An error means that the server was dropped, which ends its incarnation too.
     let _ = incarnations.wait_for(|now| *now != incarnation).await;
 }
 
-/// Waits until the other side closes the connection; further bytes are added to the buffer.
-pub async fn closed_by_peer(stream: &mut TcpStream, buffer: &mut Vec<u8>) {
+/// Waits until the peer closes the connection. Bytes that arrive meanwhile are added to the buffer.
+pub async fn wait_until_closed(stream: &mut TcpStream, buffer: &mut Vec<u8>) {
     while let Ok(true) = http::read_more(stream, buffer).await {}
 }
 
@@ -134,7 +136,7 @@
     format!("{id} served\n")
 }
 
-/// The header line that reports a server's load.
+/// The header line that reports a server's load, with its line end.
 pub fn load_header(load: &LoadReport) -> String {
     format!(
         "X-Pressure: TEXT inflight={}, queue={}, util={:.2}\r\n",
@@ -142,19 +144,19 @@
     )
 }
 
-/// A request and when its first byte arrived.
-struct Received {
+/// A request, and the time at which its first byte arrived.
+struct ReceivedRequest {
     request: ParsedRequest,
     started_at: Micros,
 }
 
-/// A connection of a balancer.
+/// A connection from a balancer.
 struct Connection<'a> {
     world: &'a World,
     host: &'a ServerHost,
     stream: &'a mut TcpStream,
     buffer: Vec<u8>,
-    /// Work of the handshake, which the first request adds to its own.
+    /// CPU work of the handshake in microseconds, which is added to the work of the first request.
     handshake_work: f64,
 }
 
@@ -170,29 +172,30 @@
         }
     }
 
-    /// Serves requests one after the other until the connection ends.
-    async fn serve(mut self) -> Ending {
+    /// Serves the requests of the connection one after the other until it ends.
+    async fn serve(mut self) -> ConnectionEnd {
         loop {
             let received = match self.next_request().await {
                 Ok(received) => received,
-                Err(ending) => return ending,
+                Err(end) => return end,
             };
-            if let Err(ending) = self.serve_request(received).await {
-                return ending;
+            if let Err(end) = self.serve_request(received).await {
+                return end;
             }
         }
     }
 
-    /// Reads the next request.
-    async fn next_request(&mut self) -> Result<Received, Ending> {
+    /// Reads the next request from the connection.
+    async fn next_request(&mut self) -> Result<ReceivedRequest, ConnectionEnd> {
         let mut started_at = (!self.buffer.is_empty()).then(|| self.world.now());
         loop {
             if !self.buffer.is_empty() {
-                let parsed = http::parse_request(&self.buffer).map_err(|_| Ending::Closed)?;
+                let parsed =
+                    http::parse_request(&self.buffer).map_err(|_| ConnectionEnd::Closed)?;
                 if let Some(request) = parsed {
                     self.buffer.drain(..request.end);
                     let started_at = started_at.unwrap_or_else(|| self.world.now());
-                    return Ok(Received {
+                    return Ok(ReceivedRequest {
                         request,
                         started_at,
                     });
@@ -203,15 +206,15 @@
         }
     }
 
-    /// Reads more bytes, within the idle timeout.
-    async fn read_more(&mut self) -> Result<(), Ending> {
-        let usual_timeout = Duration::from_micros(self.world.scenario.fleet.idle_timeout.0);
+    /// Reads more bytes, and ends the connection if none arrive within the idle timeout.
+    async fn read_more(&mut self) -> Result<(), ConnectionEnd> {
+        let configured_timeout = Duration::from_micros(self.world.scenario.fleet.idle_timeout.0);
         let fault = self
             .world
             .timeline()
             .active_global_fault(FaultKind::IdleClosed, self.world.now());
-        let idle_timeout = fault.map_or(usual_timeout, |strength| {
-            usual_timeout.min(Duration::from_micros(strength.by))
+        let idle_timeout = fault.map_or(configured_timeout, |strength| {
+            configured_timeout.min(Duration::from_micros(strength.by))
         });
         let read = http::read_more(self.stream, &mut self.buffer);
         match timeout(idle_timeout, read).await {
@@ -219,28 +222,28 @@
             Err(_)
                 if fault.is_some()
                     && self.buffer.is_empty()
-                    && self.world.draw_happens(IDLE_RESET_FRACTION) =>
+                    && self.world.draw_bool(IDLE_RESET_FRACTION) =>
             {
-                Err(Ending::Reset)
+                Err(ConnectionEnd::Reset)
             }
-            _ => Err(Ending::Closed),
+            _ => Err(ConnectionEnd::Closed),
         }
     }
 
-    async fn serve_request(&mut self, received: Received) -> Result<(), Ending> {
-        let Received {
+    async fn serve_request(&mut self, received: ReceivedRequest) -> Result<(), ConnectionEnd> {
+        let ReceivedRequest {
             request,
             started_at,
         } = received;
         let Some(id) = request.id else {
             return self.respond("404 Not Found", "", "no ticket\n").await;
         };
-        let Some(found) = self.world.find_request(&id, &request.path) else {
+        let Some(lookup) = self.world.find_request(&id, &request.path) else {
             return self
                 .respond("400 Bad Request", "", "no such ticket\n")
                 .await;
         };
-        if let Some((number, remaining_ms)) = found.number.zip(request.remaining_ms) {
+        if let Some((number, remaining_ms)) = lookup.number.zip(request.remaining_ms) {
             let observation = Observation::TimeoutAdvertised {
                 request: number,
                 started_at,
@@ -251,28 +254,30 @@
         let extra_work = std::mem::take(&mut self.handshake_work);
         let attempt = self
             .world
-            .receive_attempt(self.host, &found, started_at, extra_work);
+            .receive_attempt(self.host, &lookup, started_at, extra_work);
         let outcome = tokio::select! {
             outcome = attempt.outcome => outcome.unwrap_or(JobOutcome::ServerCrashed),
-            () = closed_by_peer(self.stream, &mut self.buffer) => {
+            () = wait_until_closed(self.stream, &mut self.buffer) => {
                 self.world.cancel_attempt(self.host, attempt.job);
-                return Err(Ending::Closed);
+                return Err(ConnectionEnd::Closed);
             }
         };
         self.write_outcome(outcome, &id).await
     }
 
-    async fn write_outcome(&mut self, outcome: JobOutcome, id: &str) -> Result<(), Ending> {
+    async fn write_outcome(&mut self, outcome: JobOutcome, id: &str) -> Result<(), ConnectionEnd> {
         match outcome {
             JobOutcome::Succeeded => {
-                if self.world.fault_strikes(FaultKind::AnswersUnended) {
-                    return Err(self.write_without_length(id).await);
+                if self.world.draw_fault(FaultKind::AnswersUnended) {
+                    return Err(self.write_unsized_response(id).await);
                 }
-                self.write_success(id).await.map_err(|_| Ending::Reset)
+                self.write_success(id)
+                    .await
+                    .map_err(|_| ConnectionEnd::Reset)
             }
             JobOutcome::Corrupted => {
                 self.write_corrupted(id).await;
-                Err(Ending::Closed)
+                Err(ConnectionEnd::Closed)
             }
             JobOutcome::Rejected => {
                 let status = "503 Service Unavailable";
@@ -282,41 +287,47 @@
                 let status = "500 Internal Server Error";
                 self.respond(status, "", "failed\n").await
             }
-            JobOutcome::ConnectionReset | JobOutcome::ServerCrashed => Err(Ending::Reset),
+            JobOutcome::ConnectionReset | JobOutcome::ServerCrashed => Err(ConnectionEnd::Reset),
             JobOutcome::Unanswered => {
-                closed_by_peer(self.stream, &mut self.buffer).await;
-                Err(Ending::Closed)
+                wait_until_closed(self.stream, &mut self.buffer).await;
+                Err(ConnectionEnd::Closed)
             }
         }
     }
 
-    async fn respond(&mut self, status: &str, headers: &str, body: &str) -> Result<(), Ending> {
+    async fn respond(
+        &mut self,
+        status: &str,
+        headers: &str,
+        body: &str,
+    ) -> Result<(), ConnectionEnd> {
         http::write_response(self.stream, status, headers, body)
             .await
-            .map_err(|_| Ending::Reset)
+            .map_err(|_| ConnectionEnd::Reset)
     }
 
     async fn write_success(&mut self, id: &str) -> io::Result<()> {
-        let load = self.host.report(self.world.now());
+        let load = self.host.load_report(self.world.now());
         let header = load.as_ref().map_or_else(String::new, load_header);
         let body = response_body(id);
-        if self.world.fault_strikes(FaultKind::AnswersInPieces) {
+        if self.world.draw_fault(FaultKind::AnswersInPieces) {
             let text = http::response_text("200 OK", &header, &body);
             http::write_in_pieces(self.stream, text.as_bytes(), RESPONSE_PIECES).await?;
         } else {
             http::write_response(self.stream, "200 OK", &header, &body).await?;
         }
-        if self.world.fault_strikes(FaultKind::AnswersTwice) {
-            let delay_us = 1 + self.world.draw_below(MAX_SECOND_RESPONSE_DELAY_US) as u64;
+        if self.world.draw_fault(FaultKind::AnswersTwice) {
+            let delay_us = 1 + self.world.draw_below(MAX_UNSOLICITED_RESPONSE_DELAY_US) as u64;
             tokio::time::sleep(Duration::from_micros(delay_us)).await;
             http::write_response(self.stream, "200 OK", "", "a second answer\n").await?;
         }
         Ok(())
     }
 
-    /// Writes a response that states no length. It ends with the connection, or is reset half way.
-    async fn write_without_length(&mut self, id: &str) -> Ending {
-        let is_reset = self.world.draw_happens(RESET_FRACTION);
+    /// Writes a response without a length, which ends with its connection. Some are reset after
+    /// half of the body.
+    async fn write_unsized_response(&mut self, id: &str) -> ConnectionEnd {
+        let is_reset = self.world.draw_bool(UNSIZED_RESET_FRACTION);
         let body = response_body(id);
         let sent = if is_reset {
             &body[..body.len() / 2]
@@ -325,15 +336,15 @@
         };
         let text = format!("HTTP/1.1 200 OK\r\n\r\n{sent}");
         let written = self.stream.write_all(text.as_bytes()).await;
-        tokio::time::sleep(RESET_DELAY).await;
+        tokio::time::sleep(CLOSE_DELAY).await;
         if is_reset || written.is_err() {
-            Ending::Reset
+            ConnectionEnd::Reset
         } else {
-            Ending::Closed
+            ConnectionEnd::Closed
         }
     }
 
-    /// Writes a response that is truncated, no HTTP, or contradicts itself about its length.
+    /// Writes a response that is truncated, is not valid HTTP, or has two different lengths.
     async fn write_corrupted(&mut self, id: &str) {
         let body = response_body(id);
         let text = match self.world.draw_below(3) {
@@ -346,7 +357,7 @@
                 format!("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 90\r\n\r\n{body}")
             }
         };
-        // The connection is closed afterwards in any case.
+        // An error is ignored, since the connection is closed afterwards in any case.
         let _ = self.stream.write_all(text.as_bytes()).await;
     }
 }
--- a/crates/testbed/src/soak/mod.rs
+++ b/crates/testbed/src/soak/mod.rs
@@ -17,51 +17,54 @@
 use crate::error::{Context, Error};
 use crate::figures::Figures;
 use crate::runner::{RunOptions, Subject, run};
-use crate::soak::coverage::{Pair, PlayedScenario};
-use crate::soak::schedule::Shape;
+use crate::soak::coverage::{FaultPair, ScenarioRun};
+use crate::soak::schedule::ScheduleParameters;
 use crate::world::locked;
 
-/// Violations that are printed of each seed.
+/// Number of rule violations that are printed for each seed.
 const MAX_PRINTED_VIOLATIONS: usize = 3;
 
-/// What is run.
+/// Options of a soak.
 pub struct Options {
     pub seeds: Range<u64>,
-    pub shape: Shape,
+    pub schedule_parameters: ScheduleParameters,
     /// Number of scenarios that run at the same time.
     pub parallel: usize,
     /// Folder for the schedules of failing seeds.
-    pub save: PathBuf,
-    /// Whether failing schedules are reduced.
+    pub schedule_folder: PathBuf,
+    /// Whether failing schedules are reduced before they are saved.
     pub shrinks: bool,
     pub subject: Subject,
 }
 
 /// The result of one seed.
 #[derive(Clone, Debug, Serialize)]
-pub struct Played {
+pub struct SeedResult {
     pub seed: u64,
     #[serde(rename = "troubles")]
     pub faults: Vec<String>,
     #[serde(rename = "asked")]
     pub sent: u64,
     pub succeeded: u64,
-    /// False where the machine was too slow: failures are shown and do not count.
+    /// False if the machine was too slow. Failures of such a seed are shown, and do not count.
     pub valid: bool,
-    pub why_invalid: Vec<String>,
+    #[serde(rename = "why_invalid")]
+    pub invalid_reasons: Vec<String>,
     #[serde(rename = "broken")]
     pub rule_violations: Vec<String>,
     #[serde(rename = "broken_count")]
     pub rule_violation_count: usize,
-    pub violations: u64,
+    /// Number of violated invariants that the balancers logged.
+    #[serde(rename = "violations")]
+    pub invariant_violations: u64,
     #[serde(rename = "deaths")]
-    pub unexpected_ends: Vec<String>,
-    /// The command that runs it again, where it failed.
+    pub unexpected_exits: Vec<String>,
+    /// The command that repeats the run, where it failed.
     #[serde(rename = "again")]
     pub rerun_command: Option<String>,
 }
 
-impl Played {
+impl SeedResult {
     fn new(seed: u64, scenario: &Scenario, figures: &Figures) -> Self {
         Self {
             seed,
@@ -69,22 +72,24 @@
             sent: figures.counts.sent,
             succeeded: figures.counts.succeeded,
             valid: figures.valid,
-            why_invalid: figures.why_invalid.clone(),
+            invalid_reasons: figures.why_invalid.clone(),
             rule_violations: figures.rule_violations.clone(),
             rule_violation_count: figures.rule_violation_count,
-            violations: figures.violations,
-            unexpected_ends: figures.unexpected_ends.clone(),
+            invariant_violations: figures.violations,
+            unexpected_exits: figures.unexpected_ends.clone(),
             rerun_command: None,
         }
     }
 
-    /// Whether no rule was violated and no balancer failed.
-    pub fn is_sound(&self) -> bool {
-        self.rule_violation_count == 0 && self.violations == 0 && self.unexpected_ends.is_empty()
+    /// Whether no rule and no invariant was violated, and no balancer exited unexpectedly.
+    pub fn has_passed(&self) -> bool {
+        self.rule_violation_count == 0
+            && self.invariant_violations == 0
+            && self.unexpected_exits.is_empty()
     }
 
     fn print(&self) {
-        let verdict = match (self.is_sound(), self.valid) {
+        let verdict = match (self.has_passed(), self.valid) {
             (true, true) => "passed",
             (true, false) => "passed, slow",
             (false, _) => "FAILED",
@@ -99,88 +104,94 @@
         for violation in self.rule_violations.iter().take(MAX_PRINTED_VIOLATIONS) {
             println!("    {violation}");
         }
-        if self.violations > 0 {
+        if self.invariant_violations > 0 {
             println!(
-                "    {} violations of balancers' invariants",
-                self.violations
+                "    {} violated invariants in the logs of balancers",
+                self.invariant_violations
             );
         }
-        for end in &self.unexpected_ends {
-            println!("    {end}");
+        for exit in &self.unexpected_exits {
+            println!("    {exit}");
         }
         if let Some(command) = &self.rerun_command {
-            println!("    again: {command}");
+            println!("    to repeat: {command}");
         }
     }
 }
 
-/// The results of all seeds.
+/// The results of a soak.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Found {
-    pub played: Vec<Played>,
-    /// Number of failures on a machine that was fast enough.
+pub struct SoakResults {
+    #[serde(rename = "played")]
+    pub seeds: Vec<SeedResult>,
+    /// Number of seeds that failed while the machine was fast enough.
     pub failed: usize,
-    /// Number of failures on a machine that was too slow, for which the testbed may be the cause.
-    pub doubtful: usize,
+    /// Number of seeds that failed while the machine was too slow, so that the testbed may be the
+    /// cause.
+    #[serde(rename = "doubtful")]
+    pub failed_invalid: usize,
+    /// Number of seeds that were run while the machine was too slow.
     pub invalid: usize,
-    pub pairs: Vec<Pair>,
-    /// Seeds that could not be run, and why.
-    pub not_played: Vec<String>,
+    #[serde(rename = "pairs")]
+    pub fault_pairs: Vec<FaultPair>,
+    /// Seeds that could not be run, each with the error.
+    #[serde(rename = "not_played")]
+    pub run_errors: Vec<String>,
 }
 
-/// Parses the text of a schedule.
+/// Parses the text of a schedule. The error lists all invalid settings.
 pub fn parse_schedule(text: &str) -> Result<Scenario, Error> {
-    validation::decode_scenario(text, "soak").map_err(|problems| {
-        let problems: Vec<_> = problems.iter().map(ToString::to_string).collect();
-        Error::new(problems.join("; "))
+    validation::decode_scenario(text, "soak").map_err(|errors| {
+        let errors: Vec<_> = errors.iter().map(ToString::to_string).collect();
+        Error::new(errors.join("; "))
     })
 }
 
-/// Results that the threads of a soak share.
+/// The results of a soak, shared by its threads.
 #[derive(Default)]
 struct Shared {
-    found: Mutex<Found>,
-    scenarios: Mutex<Vec<PlayedScenario>>,
+    results: Mutex<SoakResults>,
+    runs: Mutex<Vec<ScenarioRun>>,
 }
 
 impl Shared {
-    fn add(&self, played: Played, scenario: Scenario) {
-        played.print();
-        locked(&self.scenarios).push(PlayedScenario {
+    fn add(&self, result: SeedResult, scenario: Scenario) {
+        result.print();
+        locked(&self.runs).push(ScenarioRun {
             scenario,
-            requests: played.sent,
+            requests: result.sent,
         });
-        locked(&self.found).played.push(played);
+        locked(&self.results).seeds.push(result);
     }
 
-    fn add_error(&self, seed: u64, problem: &Error) {
-        println!("seed {seed:>5}  not played: {problem}");
-        let text = format!("seed {seed}: {problem}");
-        locked(&self.found).not_played.push(text);
+    fn add_error(&self, seed: u64, error: &Error) {
+        println!("seed {seed:>5}  not run: {error}");
+        let text = format!("seed {seed}: {error}");
+        locked(&self.results).run_errors.push(text);
     }
 
-    fn into_found(self) -> Found {
-        let mut found = self.found.into_inner().unwrap_or_default();
-        found.played.sort_by_key(|played| played.seed);
-        let count = |selects: &dyn Fn(&Played) -> bool| {
-            let played = found.played.iter();
-            played.filter(|played| selects(played)).count()
+    fn into_results(self) -> SoakResults {
+        let mut results = self.results.into_inner().unwrap_or_default();
+        results.seeds.sort_by_key(|result| result.seed);
+        let count = |selects: &dyn Fn(&SeedResult) -> bool| {
+            let seeds = results.seeds.iter();
+            seeds.filter(|result| selects(result)).count()
         };
-        let failed = count(&|played| !played.is_sound() && played.valid);
-        let doubtful = count(&|played| !played.is_sound() && !played.valid);
-        let invalid = count(&|played| !played.valid);
-        Found {
+        let failed = count(&|result| !result.has_passed() && result.valid);
+        let failed_invalid = count(&|result| !result.has_passed() && !result.valid);
+        let invalid = count(&|result| !result.valid);
+        SoakResults {
             failed,
-            doubtful,
+            failed_invalid,
             invalid,
-            pairs: coverage::pairs(&locked(&self.scenarios)),
-            ..found
+            fault_pairs: coverage::fault_pairs(&locked(&self.runs)),
+            ..results
         }
     }
 }
 
-/// Runs all seeds, some at the same time.
-pub fn soak(options: &Options, stop: &Arc<AtomicBool>) -> Found {
+/// Runs all seeds, with `parallel` of them at the same time.
+pub fn soak(options: &Options, stop: &Arc<AtomicBool>) -> SoakResults {
     let next_seed = AtomicU64::new(options.seeds.start);
     let shared = Shared::default();
     std::thread::scope(|scope| {
@@ -192,44 +203,44 @@
                         return;
                     }
                     match run_seed(options, seed, stop) {
-                        Ok((played, scenario)) => shared.add(played, scenario),
-                        Err(problem) => shared.add_error(seed, &problem),
+                        Ok((result, scenario)) => shared.add(result, scenario),
+                        Err(error) => shared.add_error(seed, &error),
                     }
                 }
             });
         }
     });
-    shared.into_found()
+    shared.into_results()
 }
 
-/// Runs one seed. The schedule of a failing one is saved.
+/// Runs one seed. If it fails, its schedule is saved.
 fn run_seed(
     options: &Options,
     seed: u64,
     stop: &Arc<AtomicBool>,
-) -> Result<(Played, Scenario), Error> {
-    let text = schedule::draw(seed, &options.shape);
+) -> Result<(SeedResult, Scenario), Error> {
+    let text = schedule::draw(seed, &options.schedule_parameters);
     let scenario = parse_schedule(&text)?;
     let run_options = RunOptions {
         stop: Arc::clone(stop),
         ..RunOptions::default()
     };
     let figures = run(&scenario, seed, &options.subject, &run_options)?;
-    let mut played = Played::new(seed, &scenario, &figures);
-    if !played.is_sound() {
+    let mut result = SeedResult::new(seed, &scenario, &figures);
+    if !result.has_passed() {
         let text = if options.shrinks {
             shrink::shrink(&text, seed, &options.subject, stop)
         } else {
             text
         };
-        let path = save(&options.save, seed, &text)?;
+        let path = save_schedule(&options.schedule_folder, seed, &text)?;
         let path = path.display();
-        played.rerun_command = Some(format!("pinefront-testbed run {path} --seed {seed}"));
+        result.rerun_command = Some(format!("pinefront-testbed run {path} --seed {seed}"));
     }
-    Ok((played, scenario))
+    Ok((result, scenario))
 }
 
-fn save(folder: &Path, seed: u64, text: &str) -> Result<PathBuf, Error> {
+fn save_schedule(folder: &Path, seed: u64, text: &str) -> Result<PathBuf, Error> {
     std::fs::create_dir_all(folder)?;
     let path = folder.join(format!("soak-{seed}.toml"));
     std::fs::write(&path, text).context(path.display())?;
--- a/crates/testbed/src/soak/schedule/catalog.rs
+++ b/crates/testbed/src/soak/schedule/catalog.rs
@@ -1,5 +1,5 @@
-//! The kinds of faults that schedules contain, with the ranges that their parameters are drawn
-//! from.
+//! The kinds of faults that schedules contain, with the ranges from which their parameters are
+//! drawn.
 
 use pinefront_model::scenario::FaultKind;
 
@@ -10,19 +10,21 @@
     pub(super) max: T,
 }
 
-/// A kind of fault, and what is drawn for it.
+/// A kind of fault, and the ranges of its parameters.
 pub(super) struct FaultTemplate {
     /// The name in a scenario file.
     pub(super) name: &'static str,
     pub(super) kind: FaultKind,
     pub(super) duration_ms: Range<u64>,
-    /// The factor, where the kind takes one.
+    /// The range of the parameter `factor`; none where the kind has no such parameter.
     pub(super) factor: Option<Range<f64>>,
-    /// The duration parameter, where the kind takes one.
+    /// The range of the parameter `by`, in milliseconds; none where the kind has no such parameter.
     pub(super) by_ms: Option<Range<u64>>,
-    /// The largest fraction of the servers that it affects, where it affects any.
+    /// The largest fraction of the servers that the fault affects; none where it affects no
+    /// servers.
     pub(super) max_server_fraction: Option<f64>,
-    /// The largest fraction of the balancers that it affects, where it affects any.
+    /// The largest fraction of the balancers that the fault affects; none where it affects no
+    /// balancers.
     pub(super) max_balancer_fraction: Option<f64>,
 }
 
@@ -62,7 +64,7 @@
         self
     }
 
-    /// Whether the server is dead or removed, or restarts.
+    /// Whether the affected servers are drained, crash or restart.
     pub(super) fn removes_servers(&self) -> bool {
         matches!(
             self.kind,
@@ -70,7 +72,7 @@
         )
     }
 
-    /// Whether the processes of balancers end.
+    /// Whether the affected balancer processes exit.
     fn ends_balancers(&self) -> bool {
         matches!(
             self.kind,
@@ -78,7 +80,7 @@
         )
     }
 
-    /// Whether a schedule can't contain both faults.
+    /// Whether a schedule must not contain both faults.
     pub(super) fn conflicts_with(&self, other: &Self) -> bool {
         self.kind == other.kind
             || (self.removes_servers() && other.removes_servers())
@@ -86,7 +88,8 @@
     }
 }
 
-/// All templates. Schedules are drawn by index, so the order is part of what a seed means.
+/// All templates. They are drawn by index, so a change of their order changes the schedule of each
+/// seed.
 pub(super) const TEMPLATES: [FaultTemplate; 29] = [
     FaultTemplate::new("balancer_stopped", FaultKind::BalancerStopped, 3_000, 6_000).balancers(0.5),
     FaultTemplate::new("balancer_killed", FaultKind::BalancerKilled, 300, 3_000).balancers(0.5),
--- a/crates/testbed/src/soak/schedule/mod.rs
+++ b/crates/testbed/src/soak/schedule/mod.rs
@@ -1,7 +1,7 @@
-//! Scenarios drawn from a seed, as the text of a scenario file: settings, and faults that overlap
-//! in time.
+//! Draws scenarios from seeds, as the text of a scenario file: settings, and faults that overlap in
+//! time.
 //!
-//! The order of the draws is part of what a seed means.
+//! A change of the order in which values are drawn changes the schedule of each seed.
 
 mod catalog;
 
@@ -11,35 +11,35 @@
 use pinefront_model::random::RandomSource;
 use pinefront_model::scenario::{FaultKind, Scenario};
 
-/// Steps of the wall clock.
+/// Sizes of the steps of the wall clock, in milliseconds.
 const CLOCK_STEPS_MS: [u64; 4] = [2_000, 9_000, 60_000, 3_600_000];
 const CLOCK_STEP_PROBABILITY: f64 = 0.25;
 const MIN_SERVERS: usize = 8;
 const MAX_SERVERS: usize = 16;
 const MIN_BALANCERS: usize = 4;
 const MAX_BALANCERS: usize = 12;
-/// The fewest faults of a group, to which one may be added.
+/// The smallest number of faults that are drawn for a group; the largest is one more.
 const MIN_GROUP_SIZE: usize = 2;
-/// Faults of a group start within this time.
+/// The faults of a group start within this time from the start of the group.
 const GROUP_SPREAD_MS: usize = 1_500;
-/// The longest time over which a fault is staggered over balancers.
+/// The longest time over which the start of a fault is staggered over the balancers.
 const MAX_STAGGER_MS: usize = 1_500;
-/// Time without faults at the end of each half.
-const CALM_MS: u64 = 2_000;
+/// A fault lasts at most half of the run minus this time, which is meant to leave time without
+/// faults at the end of each half.
+const FAULT_FREE_TIME_MS: u64 = 2_000;
 
-/// What all schedules have in common.
+/// Parameters that are the same for all schedules of a soak.
 #[derive(Clone, Debug)]
-pub struct Shape {
-    pub seconds: u64,
-    /// Number of balancers; drawn where none is given.
+pub struct ScheduleParameters {
+    pub length_seconds: u64,
+    /// Number of balancers; drawn from the seed where none is given.
     pub balancers: Option<usize>,
-    /// Requests per second.
-    pub rate: f64,
-    /// Names of faults that each schedule contains beside the drawn ones.
-    pub with: Vec<String>,
+    pub requests_per_second: f64,
+    /// Names of faults that each schedule contains in addition to the drawn ones.
+    pub required_faults: Vec<String>,
 }
 
-/// The name of a fault in schedules.
+/// The name of a kind of fault in schedules.
 pub fn fault_name(kind: FaultKind) -> &'static str {
     let template = TEMPLATES.iter().find(|template| template.kind == kind);
     match template {
@@ -49,7 +49,7 @@
     }
 }
 
-/// The names of a scenario's faults.
+/// The names of the faults of a scenario.
 pub fn fault_names(scenario: &Scenario) -> Vec<String> {
     let faults = scenario.faults.iter();
     faults
@@ -57,28 +57,33 @@
         .collect()
 }
 
-/// Draws a scenario.
-pub fn draw(seed: u64, shape: &Shape) -> String {
+/// Draws the schedule of a seed, as the text of a scenario file.
+pub fn draw(seed: u64, parameters: &ScheduleParameters) -> String {
     let mut random = RandomSource::split(seed, "soak", 0);
-    let balancers = shape
+    let balancers = parameters
         .balancers
         .unwrap_or_else(|| MIN_BALANCERS + random.below(MAX_BALANCERS - MIN_BALANCERS + 1));
-    let text = settings(seed, shape, balancers, &mut random);
+    let text = draw_settings(seed, parameters, balancers, &mut random);
     let mut schedule = Schedule {
         text,
         random,
         balancers,
-        length_ms: shape.seconds * 1000,
+        length_ms: parameters.length_seconds * 1000,
         drawn: Vec::new(),
     };
     schedule.add_group(Group::First);
     schedule.add_group(Group::Second);
-    schedule.add_wanted(&shape.with);
+    schedule.add_required_faults(&parameters.required_faults);
     schedule.text
 }
 
-/// The settings, without faults.
-fn settings(seed: u64, shape: &Shape, balancers: usize, random: &mut RandomSource) -> String {
+/// Draws the settings of a scenario, without its faults.
+fn draw_settings(
+    seed: u64,
+    parameters: &ScheduleParameters,
+    balancers: usize,
+    random: &mut RandomSource,
+) -> String {
     let pick = |random: &mut RandomSource, from: &[&'static str]| from[random.below(from.len())];
     let scope = pick(random, &["all", "zone", "cell"]);
     let window = pick(random, &["500ms", "1s", "2500ms"]);
@@ -91,16 +96,18 @@
     let retries = random.below(3);
     format!(
         "name = \"soak-{seed}\"\nlength = \"{}s\"\nseed = {seed}\nbalancers = {balancers}\n\
-         [rules]\ndrain_grace = \"{grace}\"\nslack = \"100ms\"\nlate = \"500ms\"\nsecond_copies = {hedging}\n\
+         [rules]\ndrain_grace = \"{grace}\"\nslack = \"100ms\"\nlate = \"500ms\"\n\
+         second_copies = {hedging}\n\
          [fleet]\nservers = {servers}\n[discovery]\nask_within = \"{poll_interval}\"\n\
          [traffic]\nrate = {:.1}\nleaves = {disconnects}\nretries = {retries}\n\
          [[use_cases]]\nname = \"look\"\neffect = \"redoable\"\nshare = 0.5\nwork = \"8ms\"\n\
          promised_time = \"250ms\"\nhard_stop = \"{deadline}\"\n\
-         [[use_cases]]\nname = \"order\"\neffect = \"labelled\"\ngroup = \"{scope}\"\nwindow = \"{window}\"\n\
-         share = 0.3\nwork = \"12ms\"\npromised_time = \"300ms\"\nhard_stop = \"{deadline}\"\nearnings = 2.0\n\
+         [[use_cases]]\nname = \"order\"\neffect = \"labelled\"\ngroup = \"{scope}\"\n\
+         window = \"{window}\"\nshare = 0.3\nwork = \"12ms\"\npromised_time = \"300ms\"\n\
+         hard_stop = \"{deadline}\"\nearnings = 2.0\n\
          [[use_cases]]\nname = \"pay\"\neffect = \"irreversible\"\nshare = 0.2\nwork = \"12ms\"\n\
          promised_time = \"300ms\"\nhard_stop = \"{deadline}\"\nearnings = 3.0\n",
-        shape.seconds, shape.rate
+        parameters.length_seconds, parameters.requests_per_second
     )
 }
 
@@ -123,16 +130,18 @@
 }
 
 impl Schedule {
-    fn start_of(&self, group: Group) -> u64 {
+    /// The time at which a group starts, in milliseconds.
+    fn group_start_ms(&self, group: Group) -> u64 {
         match group {
             Group::First => self.length_ms / 8,
             Group::Second => self.length_ms / 2,
         }
     }
 
-    /// Adds two or three faults that overlap, as far as they do not conflict with others.
+    /// Draws two or three faults that overlap, and adds those that conflict with no fault drawn
+    /// before.
     fn add_group(&mut self, group: Group) {
-        let start = self.start_of(group);
+        let start = self.group_start_ms(group);
         let count = MIN_GROUP_SIZE + self.random.below(2);
         for _ in 0..count {
             let template = &TEMPLATES[self.random.below(TEMPLATES.len())];
@@ -142,7 +151,7 @@
             }
             self.drawn.push(template);
             let at_ms = start + self.random.below(GROUP_SPREAD_MS) as u64;
-            let max_ms = self.length_ms / 2 - CALM_MS;
+            let max_ms = self.length_ms / 2 - FAULT_FREE_TIME_MS;
             self.add_fault(template, at_ms, max_ms, &candidate_servers(template, group));
         }
         if group == Group::First && self.random.happens(CLOCK_STEP_PROBABILITY) {
@@ -150,7 +159,8 @@
         }
     }
 
-    /// Adds a step of the clock that lasts to the end, since its end would be a second step.
+    /// Adds a step of the wall clock that lasts until the end of the run, since its end would be a
+    /// second step.
     fn add_clock_step(&mut self, at_ms: u64) {
         let by_ms = CLOCK_STEPS_MS[self.random.below(CLOCK_STEPS_MS.len())];
         let factor = if self.random.happens(0.5) { 1.0 } else { -1.0 };
@@ -158,25 +168,27 @@
         // Writing to a string cannot fail.
         let _ = write!(
             self.text,
-            "[[faults]]\nkind = \"clock_steps\"\nat = \"{at_ms}ms\"\nfor = \"{duration_ms}ms\"\nby = \"{by_ms}ms\"\nfactor = {factor:.1}\n"
+            "[[faults]]\nkind = \"clock_steps\"\nat = \"{at_ms}ms\"\nfor = \"{duration_ms}ms\"\n\
+             by = \"{by_ms}ms\"\nfactor = {factor:.1}\n"
         );
     }
 
-    /// Adds faults by name, unless they were drawn.
-    fn add_wanted(&mut self, names: &[String]) {
+    /// Adds faults by name, except for those that were drawn.
+    fn add_required_faults(&mut self, names: &[String]) {
         for name in names {
             if self.drawn.iter().any(|drawn| drawn.name == name) {
                 continue;
             }
             if let Some(template) = TEMPLATES.iter().find(|template| template.name == name) {
-                let at_ms = self.start_of(Group::First);
+                let at_ms = self.group_start_ms(Group::First);
                 let servers = odd_servers();
                 self.add_fault(template, at_ms, self.length_ms / 2, &servers);
             }
         }
     }
 
-    /// Draws the parameters of a fault, and adds it. `servers` are the servers that it may affect.
+    /// Draws the parameters of a fault and adds it. `servers` are the servers that the fault may
+    /// affect.
     fn add_fault(
         &mut self,
         template: &FaultTemplate,
@@ -186,7 +198,7 @@
     ) {
         let duration_ms = self.draw_ms(template.duration_ms).min(max_duration_ms);
         let name = template.name;
-        // Writing to a string cannot fail, here and below.
+        // Writing to a string cannot fail, in this function either.
         let _ = write!(
             self.text,
             "[[faults]]\nkind = \"{name}\"\nat = \"{at_ms}ms\"\nfor = \"{duration_ms}ms\"\n"
@@ -219,7 +231,7 @@
         range.min + self.random.below((range.max - range.min + 1) as usize) as u64
     }
 
-    /// Draws at least one and at most that fraction of the numbers below `count`.
+    /// Draws at least one of the numbers below `count`, and at most the given fraction of them.
     fn draw_some(&mut self, max_fraction: f64, count: usize) -> Vec<usize> {
         let max = (max_fraction * count as f64).ceil() as usize;
         let chosen = 1 + self.random.below(max);
@@ -227,8 +239,8 @@
     }
 }
 
-/// The servers that a fault of a group may affect. Servers that the first group may have removed
-/// are left out of the second.
+/// The servers that a fault of a group may affect. Faults that remove servers affect servers with
+/// even numbers only; other faults of the second group avoid those.
 fn candidate_servers(template: &FaultTemplate, group: Group) -> Vec<usize> {
     let all = 0..MIN_SERVERS;
     match group {
@@ -238,7 +250,7 @@
     }
 }
 
-/// The servers that are never removed.
+/// The servers with odd numbers, which no fault removes.
 fn odd_servers() -> Vec<usize> {
     (0..MIN_SERVERS).skip(1).step_by(2).collect()
 }
--- a/crates/testbed/src/soak/shrink.rs
+++ b/crates/testbed/src/soak/shrink.rs
@@ -1,4 +1,5 @@
-//! Reduces a failing schedule: faults are removed one after the other as long as it still fails.
+//! Reduces a failing schedule by removing faults, one after the other, as long as the run still
+//! fails.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -6,9 +7,10 @@
 use crate::runner::{RunOptions, Subject, run};
 use crate::soak::parse_schedule;
 
-/// Separates the faults in a schedule's text.
+/// The line that starts each fault in the text of a schedule.
 const FAULT_HEADER: &str = "[[faults]]\n";
 
+/// Whether a run of the schedule ends with a violation or an unexpected exit.
 fn fails(text: &str, seed: u64, subject: &Subject, stop: &Arc<AtomicBool>) -> bool {
     let options = RunOptions {
         stop: Arc::clone(stop),
@@ -18,18 +20,18 @@
     figures.is_ok_and(|figures| !figures.is_sound())
 }
 
-/// The smallest schedule found that still fails.
+/// Returns the smallest schedule found for which the run still fails.
 pub fn shrink(text: &str, seed: u64, subject: &Subject, stop: &Arc<AtomicBool>) -> String {
     let parts: Vec<&str> = text.split(FAULT_HEADER).collect();
-    let smallest = remove_needless(&parts, |parts| {
+    let smallest = remove_unneeded(&parts, |parts| {
         !stop.load(Ordering::Relaxed) && fails(&parts.join(FAULT_HEADER), seed, subject, stop)
     });
     smallest.join(FAULT_HEADER)
 }
 
-/// Removes each part but the first, the settings, without which `fails` still holds. At least one
-/// fault remains.
-pub fn remove_needless<'a>(
+/// Removes each part without which `fails` still returns true. The first part, which holds the
+/// settings, and at least one fault remain.
+pub fn remove_unneeded<'a>(
     parts: &[&'a str],
     mut fails: impl FnMut(&[&'a str]) -> bool,
 ) -> Vec<&'a str> {
--- a/crates/testbed/src/soak/tests.rs
+++ b/crates/testbed/src/soak/tests.rs
@@ -2,40 +2,44 @@
 
 use super::*;
 
-const SHAPE: Shape = Shape {
-    seconds: 20,
+const PARAMETERS: ScheduleParameters = ScheduleParameters {
+    length_seconds: 20,
     balancers: None,
-    rate: 200.0,
-    with: Vec::new(),
+    requests_per_second: 200.0,
+    required_faults: Vec::new(),
 };
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(300))]
     #[test]
-    fn every_seed_draws_a_scenario_that_can_be_run(seed in any::<u64>()) {
-        let text = schedule::draw(seed, &SHAPE);
+    fn every_seed_draws_a_valid_scenario_and_always_the_same(seed in any::<u64>()) {
+        let text = schedule::draw(seed, &PARAMETERS);
         let scenario = parse_schedule(&text);
         prop_assert!(scenario.is_ok(), "{:?}\n{text}", scenario.err());
-        prop_assert_eq!(schedule::draw(seed, &SHAPE), text);
+        prop_assert_eq!(schedule::draw(seed, &PARAMETERS), text);
     }
 }
 
 #[test]
 fn faults_overlap_in_most_scenarios() {
     let scenarios: Vec<_> = (0..50)
-        .map(|seed| PlayedScenario {
-            scenario: parse_schedule(&schedule::draw(seed, &SHAPE)).unwrap(),
+        .map(|seed| ScenarioRun {
+            scenario: parse_schedule(&schedule::draw(seed, &PARAMETERS)).unwrap(),
             requests: 0,
         })
         .collect();
-    let overlaps =
-        |scenario: &&PlayedScenario| !coverage::pairs(std::slice::from_ref(*scenario)).is_empty();
-    assert!(scenarios.iter().filter(overlaps).count() >= 45);
+    let has_overlap = |scenario: &&ScenarioRun| {
+        !coverage::fault_pairs(std::slice::from_ref(*scenario)).is_empty()
+    };
+    assert!(scenarios.iter().filter(has_overlap).count() >= 45);
 }
 
 #[test]
-fn shrinking_keeps_what_makes_it_fail() {
-    let parts = ["head", "a", "b", "c", "d"];
+fn shrinking_keeps_only_the_parts_that_make_the_run_fail() {
+    let parts = ["settings", "a", "b", "c", "d"];
     let fails = |parts: &[&str]| parts.contains(&"b") && parts.contains(&"d");
-    assert_eq!(shrink::remove_needless(&parts, fails), ["head", "b", "d"]);
+    assert_eq!(
+        shrink::remove_unneeded(&parts, fails),
+        ["settings", "b", "d"]
+    );
 }
--- a/crates/testbed/src/stalled_clients.rs
+++ b/crates/testbed/src/stalled_clients.rs
@@ -1,5 +1,5 @@
-//! Clients that stop in the middle of a request and stay connected. A balancer must answer or close
-//! such a connection within three seconds.
+//! Clients that stop in the middle of a request and keep the connection open. A balancer must send
+//! a response or close such a connection within 3 seconds.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,16 +13,18 @@
 use crate::http;
 use crate::world::{World, locked};
 
+/// Interval at which stalled clients are started.
 const SPAWN_INTERVAL: Duration = Duration::from_millis(100);
-/// The limit of three seconds, and a tolerance for delays of the machine.
+/// The limit of 3 seconds plus a tolerance of 250 ms for delays of the machine.
 const RESPONSE_LIMIT: Duration = Duration::from_millis(3_000 + 250);
-/// Fraction of the clients that send a complete request on the connection before.
+/// Fraction of the clients that send a complete request on the connection first.
 const REUSE_FRACTION: f64 = 0.5;
-/// Bound of the random part of a request's identity.
-const MAX_IDENTITY: usize = 1 << 20;
+/// The random part of a request's identifier is below this value.
+const IDENTIFIER_RANGE: usize = 1 << 20;
 const PARTIAL_REQUEST: &[u8] = b"GET /look/1 HTTP/1.1\r\nHost: lab\r\nX-T";
 
-/// Starts stalled clients for each balancer while a fault asks for them, until the runtime ends.
+/// Starts stalled clients for each balancer while the fault `ClientsStop` is active, until the
+/// runtime shuts down. The factor of the fault is their rate for each balancer, per second.
 pub async fn run_stalled_clients(world: Arc<World>, balancers: Vec<SocketAddr>) {
     loop {
         tokio::time::sleep(SPAWN_INTERVAL).await;
@@ -34,7 +36,7 @@
         };
         let probability = (strength.factor * SPAWN_INTERVAL.as_secs_f64()).min(1.0);
         for (number, address) in balancers.iter().enumerate() {
-            if world.draw_happens(probability) {
+            if world.draw_bool(probability) {
                 tokio::spawn(stalled_client(Arc::clone(&world), number, *address));
             }
         }
@@ -45,7 +47,7 @@
     let Ok(mut stream) = TcpStream::connect(address).await else {
         return;
     };
-    let is_reused = world.draw_happens(REUSE_FRACTION);
+    let is_reused = world.draw_bool(REUSE_FRACTION);
     if is_reused && !send_complete_request(&world, balancer, &mut stream).await {
         return;
     }
@@ -56,21 +58,23 @@
     let stalled_at = world.now();
     let mut buffer = Vec::new();
     let received = timeout(RESPONSE_LIMIT, http::read_more(&mut stream, &mut buffer)).await;
-    if received.is_err() && world.undisturbed_since(balancer, stalled_at) {
+    if received.is_err() && world.has_no_intervention_since(balancer, stalled_at) {
         let kind = if is_reused { "used" } else { "new" };
-        let what =
-            format!("balancer {balancer} kept half a request on a {kind} connection for over 3 s");
-        locked(&world.checker).record_violation(1, world.now(), what);
+        let description = format!(
+            "balancer {balancer} kept a {kind} connection with a partial request open for over 3 s"
+        );
+        locked(&world.checker).record_violation(1, world.now(), description);
     }
 }
 
-/// Sends a request that no server knows as a client's, so that it is served as a usual one. Returns
-/// whether a response arrived.
+/// Sends a complete request and returns whether a response arrived. The identifier is not in the
+/// table of sent requests, so servers handle it as a default request of its class.
 async fn send_complete_request(world: &World, balancer: usize, stream: &mut TcpStream) -> bool {
     let request = format!(
-        "GET /look/1 HTTP/1.1\r\nHost: lab\r\nX-Txn: stop-{balancer}-{}-{}\r\nX-Remaining-Ms: 1000\r\n\r\n",
+        "GET /look/1 HTTP/1.1\r\nHost: lab\r\nX-Txn: stop-{balancer}-{}-{}\r\n\
+         X-Remaining-Ms: 1000\r\n\r\n",
         world.now(),
-        world.draw_below(MAX_IDENTITY)
+        world.draw_below(IDENTIFIER_RANGE)
     );
     if stream.write_all(request.as_bytes()).await.is_err() {
         return false;
--- a/crates/testbed/src/stand_alone.rs
+++ b/crates/testbed/src/stand_alone.rs
@@ -69,7 +69,7 @@
         "settings": balancers::settings(&world.scenario, 0),
     });
     std::fs::write(config_file, format!("{config:#}\n")).context(config_file.display())?;
-    world.clock.begin();
+    world.clock.start();
     // Faults of balancers have no effect here.
     let (balancer_events, _) = mpsc::unbounded_channel();
     tokio::spawn(follow_timeline(Arc::clone(world), balancer_events));
--- a/crates/testbed/src/system_faults.rs
+++ b/crates/testbed/src/system_faults.rs
@@ -1,6 +1,6 @@
-//! Faults of the operating system that balancers run on, by a library that is preloaded into them
-//! (`shim/shim.c`): calls that fail temporarily, short reads and writes, steps of the wall clock,
-//! and delays.
+//! Faults of the operating system, injected by a library that is preloaded into the balancers
+//! (`shim/shim.c`): calls that fail temporarily, short reads and writes, broken connections, steps
+//! of the wall clock, and delayed writes.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -15,24 +15,25 @@
 use crate::world::World;
 
 const SOURCE: &str = include_str!("../shim/shim.c");
-/// Probabilities are passed to the library in millionths.
-const PROBABILITY_UNIT: f64 = 1e6;
+/// Converts a probability from a fraction of 1 to millionths, the unit of the control file.
+const MILLIONTHS: f64 = 1e6;
+/// Interval at which the control file is compared with the active faults.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(20);
-/// The environment variable that names the control file to the library.
-pub const CONTROL_VARIABLE: &str = "PINEFRONT_SHIM";
+/// The environment variable in which the library finds the path of the control file.
+pub const CONTROL_FILE_VARIABLE: &str = "PINEFRONT_SHIM";
 
-/// The library and the file that controls it.
+/// The paths of the compiled library and of the control file that it reads.
 #[derive(Clone, Debug)]
 pub struct PreloadedLibrary {
     pub library: PathBuf,
     pub control_file: PathBuf,
 }
 
-/// The control block, in the order of `struct control` in the library's source. Probabilities are
-/// in millionths.
+/// The content of the control file. The fields have the order of `struct control` in the library's
+/// source; probabilities are in millionths.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Control {
-    /// Probability that a call fails.
+    /// Probability that `accept4`, `socket` or `connect` fails.
     pub failing_calls: i64,
     /// Probability that a read or write is short.
     pub short_calls: i64,
@@ -40,20 +41,20 @@
     pub interrupted_calls: i64,
     /// Probability that a write is delayed.
     pub delayed_writes: i64,
-    /// The longest delay of a write.
+    /// The longest delay of a write, in microseconds.
     pub write_delay_us: i64,
-    /// Offset of the wall clock.
+    /// Offset that is added to the wall clock, in microseconds.
     pub clock_offset_us: i64,
-    /// Probability that a write breaks its connection.
+    /// Probability that a read or write breaks its connection.
     pub broken_connections: i64,
 }
 
 impl Control {
-    /// The faults that are active at that time.
-    pub fn at(timeline: &Timeline, now: Micros) -> Self {
+    /// The control block for the faults that are active at `now`.
+    pub fn active_at(timeline: &Timeline, now: Micros) -> Self {
         let probability = |kind| {
             let strength = timeline.active_global_fault(kind, now);
-            strength.map_or(0, |strength| (strength.factor * PROBABILITY_UNIT) as i64)
+            strength.map_or(0, |strength| (strength.factor * MILLIONTHS) as i64)
         };
         let delay = timeline.active_global_fault(FaultKind::HeldUp, now);
         let clock = timeline.active_global_fault(FaultKind::ClockSteps, now);
@@ -71,7 +72,7 @@
         }
     }
 
-    /// The bytes of the control file.
+    /// The bytes of the control file, with each field in native byte order.
     pub fn to_bytes(self) -> Vec<u8> {
         let fields = [
             self.failing_calls,
@@ -88,13 +89,13 @@
 }
 
 impl PreloadedLibrary {
-    /// Whether a scenario needs the library.
+    /// Whether a scenario has faults that the library injects.
     pub fn is_needed(scenario: &Scenario) -> bool {
         let mut faults = scenario.faults.iter();
         faults.any(|fault| fault.get_ref().kind.affects_operating_system())
     }
 
-    /// Builds the library with the C compiler `cc`.
+    /// Compiles the library in a folder with the C compiler `cc`, and creates its control file.
     pub fn build(folder: &Path) -> io::Result<Self> {
         let (source, library) = (folder.join("shim.c"), folder.join("libshim.so"));
         std::fs::write(&source, SOURCE)?;
@@ -116,7 +117,7 @@
         Ok(built)
     }
 
-    /// Overwrites the control file in place, since balancers have it mapped.
+    /// Overwrites the control file in place, since the balancers have mapped it into their memory.
     fn write_control(&self, control: Control) -> io::Result<()> {
         use std::os::unix::fs::FileExt;
         let file = std::fs::OpenOptions::new()
@@ -127,12 +128,12 @@
         file.write_all_at(&control.to_bytes(), 0)
     }
 
-    /// Keeps the control file up to date until the runtime ends.
+    /// Keeps the control file up to date with the active faults until the runtime shuts down.
     pub async fn follow_timeline(self, world: Arc<World>) {
         let mut written = Control::default();
         loop {
             tokio::time::sleep(UPDATE_INTERVAL).await;
-            let control = Control::at(&world.timeline(), world.now());
+            let control = Control::active_at(&world.timeline(), world.now());
             if control != written && self.write_control(control).is_ok() {
                 written = control;
             }
--- a/crates/testbed/src/tests.rs
+++ b/crates/testbed/src/tests.rs
@@ -20,8 +20,8 @@
 use crate::figures::{Figures, Second, Times};
 use crate::fleet::Known;
 use crate::fleet::leases::LeaseReport;
-use crate::soak::schedule::{self, Shape};
-use crate::world::{FoundRequest, World};
+use crate::soak::schedule::{self, ScheduleParameters};
+use crate::world::{RequestLookup, World};
 use crate::{balancers, discovery_stand_in, load, overhead, server_stand_in, soak, system_faults};
 
 const EVERY_KEY: &str = include_str!("../../model/tests/recorded/every_key.toml");
@@ -55,11 +55,11 @@
     ];
     let mut text = String::new();
     for (balancers, with) in shapes {
-        let shape = Shape {
-            seconds: 20,
+        let shape = ScheduleParameters {
+            length_seconds: 20,
             balancers,
-            rate: 200.0,
-            with,
+            requests_per_second: 200.0,
+            required_faults: with,
         };
         for seed in [0, 1, 2, 3, 17, 40, 99, 1_000_003] {
             let drawn = schedule::draw(seed, &shape);
@@ -163,8 +163,8 @@
     }
 }
 
-fn load_found() -> load::Found {
-    load::Found {
+fn load_found() -> load::LoadResults {
+    load::LoadResults {
         sent: 60,
         succeeded: 61,
         rejected: 62,
@@ -176,7 +176,7 @@
         latency_ms: times(68.0),
         lateness_ms: times(69.0),
         valid: true,
-        why_invalid: vec!["late".into()],
+        invalid_reasons: vec!["late".into()],
     }
 }
 
@@ -203,32 +203,32 @@
     }
 }
 
-fn soak_found() -> soak::Found {
-    let mut found = soak::Found {
+fn soak_found() -> soak::SoakResults {
+    let mut found = soak::SoakResults {
         failed: 90,
-        doubtful: 91,
+        failed_invalid: 91,
         invalid: 92,
-        pairs: soak::coverage::pairs(&[soak::coverage::PlayedScenario {
+        fault_pairs: soak::coverage::fault_pairs(&[soak::coverage::ScenarioRun {
             requests: 100,
             scenario: scenario(
                 "name = 'd'\nlength = '20s'\n[[faults]]\nkind = 'burst'\nat = '1s'\nfor = '2s'\n\
                  [[faults]]\nkind = 'spoilt'\nat = '2s'\nfor = '2s'",
             ),
         }]),
-        not_played: vec!["seed 93".into()],
-        ..soak::Found::default()
+        run_errors: vec!["seed 93".into()],
+        ..soak::SoakResults::default()
     };
-    found.played.push(soak::Played {
+    found.seeds.push(soak::SeedResult {
         seed: 94,
         faults: vec!["burst".into()],
         sent: 95,
         succeeded: 96,
         valid: true,
-        why_invalid: vec!["late".into()],
+        invalid_reasons: vec!["late".into()],
         rule_violations: vec!["rule 2".into()],
         rule_violation_count: 97,
-        violations: 98,
-        unexpected_ends: vec!["died".into()],
+        invariant_violations: 98,
+        unexpected_exits: vec!["died".into()],
         rerun_command: Some("run".into()),
     });
     found
@@ -319,7 +319,7 @@
     let address = discovery_stand_in::start(&world, 0).await.unwrap();
     text += &exchange_text("draining and gone", SINCE, &answer_to(address, SINCE).await);
     text += &exchange_text("those that are left", ALL, &answer_to(address, ALL).await);
-    text += &format!("== given at a start\n{}\n", world.list_document());
+    text += &format!("== given at a start\n{}\n", world.endpoint_list_json());
     compare("discovery_answers.txt", &text);
 }
 
@@ -351,7 +351,7 @@
         let head = "name = 'd'\nlength = '20s'\n[fleet]\nreports = '0s'\n";
         let scenario = scenario(&format!("{head}{rest}{usual}"));
         let world = Arc::new(World::new(scenario, 1));
-        world.clock.begin();
+        world.clock.start();
         world.apply_conditions();
         server_stand_in::start(&world, 0, false).await.unwrap();
         let address = world.server(0).unwrap().address().unwrap();
@@ -361,7 +361,7 @@
                 work: 60_000_000.0,
                 ..Request::default()
             };
-            let occupied = FoundRequest {
+            let occupied = RequestLookup {
                 number: None,
                 request: occupied,
             };
--- a/crates/testbed/src/world/mod.rs
+++ b/crates/testbed/src/world/mod.rs
@@ -1,6 +1,6 @@
-//! The simulated environment of a run: servers, discovery and the checker behind locks, and the
-//! timeline of faults that changes them. Stand-ins on sockets call this module; nothing here uses a
-//! socket.
+//! The simulated environment of a run: servers, discovery and the checker, each behind a lock, and
+//! the timeline of faults that changes them. The stand-ins call this module, which uses no socket
+//! itself.
 
 mod balancers;
 mod requests;
@@ -22,7 +22,7 @@
 use pinefront_model::server::{DuplicateFilter, ServerSpec};
 use pinefront_model::timeline::Timeline;
 use pinefront_model::traffic::Request;
-pub use requests::FoundRequest;
+pub use requests::RequestLookup;
 use requests::SentRequests;
 pub use server_host::ServerHost;
 use tokio::sync::{Notify, watch};
@@ -35,15 +35,15 @@
     pub seed: u64,
     pub clock: Clock,
     timeline: RwLock<Timeline>,
-    /// Notified when a fault was injected by hand.
+    /// Notified when a fault is injected by hand.
     pub fault_added: Notify,
     servers: RwLock<Vec<Arc<ServerHost>>>,
     registry: Mutex<EndpointRegistry>,
     pub call_queue: Mutex<CallQueue>,
-    /// Notified when the endpoint list changes.
+    /// Number of changes of the endpoint list; each change wakes the watches.
     pub list_changed: watch::Sender<u64>,
     pub checker: Mutex<Checker>,
-    /// Number of calls that discovery received.
+    /// Number of polls and watches that discovery received.
     pub discovery_calls: AtomicU64,
     sent_requests: Mutex<SentRequests>,
     duplicates: Mutex<DuplicateFilter>,
@@ -52,7 +52,7 @@
     balancers: Mutex<BalancerStates>,
 }
 
-/// Locks a mutex, also after a panic of another holder: no change leaves inconsistent state behind.
+/// Locks a mutex, even after a panic of another holder: no change leaves inconsistent state behind.
 pub fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -95,7 +95,7 @@
         self.timeline.read().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Injects a fault by hand.
+    /// Adds a fault to the timeline during the run.
     pub fn add_fault(&self, fault: &Fault) {
         let specs: Vec<ServerSpec> = self
             .servers()
@@ -122,60 +122,63 @@
         locked(&self.random).below(end)
     }
 
-    /// True with that probability. Draws nothing where it is 0.
-    pub fn draw_happens(&self, probability: f64) -> bool {
+    /// Returns true with that probability. Draws no random number where the probability is 0.
+    pub fn draw_bool(&self, probability: f64) -> bool {
         probability > 0.0 && locked(&self.random).happens(probability)
     }
 
-    /// Whether a fault of that kind is active and strikes, with its factor as the probability.
-    pub fn fault_strikes(&self, kind: FaultKind) -> bool {
+    /// Returns true if a fault of that kind is active, with its factor as the probability.
+    pub fn draw_fault(&self, kind: FaultKind) -> bool {
         let strength = self.timeline().active_global_fault(kind, self.now());
-        strength.is_some_and(|strength| self.draw_happens(strength.factor))
+        strength.is_some_and(|strength| self.draw_bool(strength.factor))
     }
 
-    /// Records that a balancer's process started or ended.
+    /// Records that a balancer process was started or is about to exit.
     pub fn set_balancer_running(&self, balancer: usize, is_running: bool) {
         locked(&self.balancers).set_running(balancer, is_running, self.now());
     }
 
-    /// How often a balancer has started; none where it does not run.
+    /// The number of starts of a balancer so far; none if it is not running.
     pub fn running_incarnation(&self, balancer: usize) -> Option<u64> {
         locked(&self.balancers).running_incarnation(balancer)
     }
 
-    /// Records that a balancer's process was interfered with.
-    pub fn disturb_balancer(&self, balancer: usize) {
-        locked(&self.balancers).disturb(balancer, self.now());
+    /// Records that a balancer process was suspended or resumed.
+    pub fn record_balancer_intervention(&self, balancer: usize) {
+        locked(&self.balancers).record_intervention(balancer, self.now());
     }
 
-    /// Whether nothing interfered with a balancer's process at `since` or later.
-    pub fn undisturbed_since(&self, balancer: usize, since: Micros) -> bool {
-        locked(&self.balancers).undisturbed_since(balancer, since)
+    /// Whether a balancer process was not started, stopped, killed, suspended or resumed at `since`
+    /// or later.
+    pub fn has_no_intervention_since(&self, balancer: usize, since: Micros) -> bool {
+        locked(&self.balancers).has_no_intervention_since(balancer, since)
     }
 
-    /// Excuses a balancer from knowing the endpoint list, since its watch fell silent.
-    pub fn excuse_balancer(&self, balancer: usize, until: Micros) {
-        locked(&self.balancers).excuse(balancer, until);
+    /// Allows a balancer to use an old endpoint list until that time, since its watch became
+    /// silent.
+    pub fn exempt_balancer(&self, balancer: usize, until: Micros) {
+        locked(&self.balancers).exempt(balancer, until);
     }
 
-    pub fn excused_until(&self, balancer: usize) -> Micros {
-        locked(&self.balancers).excused_until(balancer)
+    /// The time until which a balancer may use an old endpoint list; 0 if it never may.
+    pub fn exempt_until(&self, balancer: usize) -> Micros {
+        locked(&self.balancers).exempt_until(balancer)
     }
 
-    /// The current endpoint list as a JSON document, as a balancer gets it at its start.
-    pub fn list_document(&self) -> serde_json::Value {
+    /// The current endpoint list as JSON, in the form in which a balancer is given it at its start.
+    pub fn endpoint_list_json(&self) -> serde_json::Value {
         let now = self.now();
         let list = self.with_registry(|registry| registry.list(now));
         let targets: Vec<_> = list
             .entries
             .iter()
-            .filter_map(|entry| self.entry_document(entry))
+            .filter_map(|entry| self.endpoint_entry_json(entry))
             .collect();
         serde_json::json!({"rev": list.version, "all": true, "targets": targets})
     }
 
     /// An entry of the endpoint list as JSON; none where the server has no address yet.
-    pub fn entry_document(&self, entry: &EndpointEntry) -> Option<serde_json::Value> {
+    pub fn endpoint_entry_json(&self, entry: &EndpointEntry) -> Option<serde_json::Value> {
         let host = self.server(entry.server)?;
         let address = host.address()?;
         let spec = host.with_server(|server| server.spec.clone());
@@ -202,18 +205,19 @@
         call(&locked(&self.registry))
     }
 
-    /// Records a request that a client is about to send, so that servers can find it.
+    /// Records a request that a client is about to send, so that servers can look it up.
     pub fn register_request(&self, request: &Request) {
         locked(&self.sent_requests).add(self.now(), request);
     }
 
-    /// The request with that identity; where no client sent it, a usual request of the path's
-    /// class.
-    pub fn find_request(&self, id: &str, path: &str) -> Option<FoundRequest> {
+    /// The request with that identifier. If no client sent it, a default request of the class that
+    /// the path names; none if that class does not exist.
+    pub fn find_request(&self, id: &str, path: &str) -> Option<RequestLookup> {
         locked(&self.sent_requests).find(&self.scenario, id, path)
     }
 
-    /// Records where a server's stand-in listens. `announce` adds the server to the endpoint list.
+    /// Records the address of a server's stand-in. With `announce`, the server is added to the
+    /// endpoint list.
     pub fn set_server_address(&self, number: usize, address: SocketAddr, announce: bool) {
         if let Some(host) = self.server(number) {
             locked(&host.state).address = Some(address);
--- a/crates/testbed/src/world/requests.rs
+++ b/crates/testbed/src/world/requests.rs
@@ -1,4 +1,4 @@
-//! Requests that clients sent recently, so that servers know the work of an attempt.
+//! Requests that clients sent recently, in which servers look up the work of an attempt.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -6,24 +6,24 @@
 use pinefront_model::scenario::Scenario;
 use pinefront_model::traffic::Request;
 
-/// How long after its timeout a request is retained.
+/// How long a request is retained after its timeout, in microseconds.
 const RETENTION_US: Micros = 15_000_000;
 
-/// A request as a server finds it.
-pub struct FoundRequest {
-    /// Its number; none where the testbed's clients did not send it.
+/// The result of looking up the request of an attempt.
+pub struct RequestLookup {
+    /// The number of the request; none where no client of the testbed sent it.
     pub number: Option<u64>,
-    /// What it is.
+    /// The request that was sent, or a default request.
     pub request: Request,
 }
 
-/// When a request is removed.
+/// The time after which a request is removed.
 struct Expiry {
     at: Micros,
     number: u64,
 }
 
-/// Requests by number.
+/// Requests by number, with their expiry times in the order in which they were sent.
 #[derive(Default)]
 pub(super) struct SentRequests {
     requests: HashMap<u64, Request>,
@@ -31,7 +31,7 @@
 }
 
 impl SentRequests {
-    /// Adds a request, and removes expired ones.
+    /// Adds a request, and removes expired requests.
     pub(super) fn add(&mut self, now: Micros, request: &Request) {
         while let Some(expired) = self.expiries.pop_front_if(|expiry| expiry.at < now) {
             self.requests.remove(&expired.number);
@@ -43,24 +43,25 @@
         });
     }
 
-    /// The request with an identity; otherwise a usual request of the path's class, if there is
-    /// such a class.
-    pub(super) fn find(&self, scenario: &Scenario, id: &str, path: &str) -> Option<FoundRequest> {
+    /// The request with an identifier; otherwise a default request of the class that the path
+    /// names; none if that class does not exist.
+    pub(super) fn find(&self, scenario: &Scenario, id: &str, path: &str) -> Option<RequestLookup> {
         let number = u64::from_str_radix(id, 16).ok();
         let sent = number.and_then(|number| self.requests.get(&number));
         if let Some(request) = sent {
             let request = request.clone();
-            return Some(FoundRequest { number, request });
+            return Some(RequestLookup { number, request });
         }
-        let request = usual_request(scenario, path)?;
-        Some(FoundRequest {
+        let request = default_request(scenario, path)?;
+        Some(RequestLookup {
             number: None,
             request,
         })
     }
 }
 
-fn usual_request(scenario: &Scenario, path: &str) -> Option<Request> {
+/// A request with the settings of the class that is the first segment of the path.
+fn default_request(scenario: &Scenario, path: &str) -> Option<Request> {
     let path = path.trim_start_matches('/');
     let name = path.split(['/', '?']).next().unwrap_or("");
     let mut classes = scenario.classes.iter();
--- a/crates/testbed/src/world/server_host.rs
+++ b/crates/testbed/src/world/server_host.rs
@@ -1,4 +1,4 @@
-//! One simulated server, and those who wait for its responses.
+//! One simulated server, and the connections that wait for its responses.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,12 +13,13 @@
 
 use super::locked;
 
-/// A server behind a lock.
+/// A simulated server behind a lock, shared by the connections of its stand-in.
 pub struct ServerHost {
     pub(super) state: Mutex<HostState>,
-    /// Wakes the timer of the stand-in, which then asks for the server's next event.
+    /// Wakes the timer of the stand-in, which then reads the time of the server's next event.
     pub wake_timer: Notify,
-    /// Counts restarts. Connections of an earlier incarnation are reset.
+    /// Number of times that the server was killed or crashed. Connections of an earlier incarnation
+    /// are reset.
     pub incarnation: watch::Sender<u64>,
     /// Number of complete attempts received.
     pub attempts: AtomicU64,
@@ -26,8 +27,8 @@
 
 pub(super) struct HostState {
     pub(super) server: Server,
-    /// By job.
-    pub(super) waiting: HashMap<u64, Waiter>,
+    /// The waiting connections, by job.
+    pub(super) waiters: HashMap<u64, Waiter>,
     pub(super) address: Option<SocketAddr>,
 }
 
@@ -44,7 +45,7 @@
         Self {
             state: Mutex::new(HostState {
                 server,
-                waiting: HashMap::new(),
+                waiters: HashMap::new(),
                 address: None,
             }),
             wake_timer: Notify::new(),
@@ -58,13 +59,13 @@
         call(&mut locked(&self.state).server)
     }
 
-    /// The address of the stand-in, once it listens.
+    /// The address of the stand-in; none until it listens.
     pub fn address(&self) -> Option<SocketAddr> {
         locked(&self.state).address
     }
 
-    /// The load that a response reports now.
-    pub fn report(&self, now: Micros) -> Option<LoadReport> {
+    /// The load that a response sent at `now` reports; none where the server reports no load.
+    pub fn load_report(&self, now: Micros) -> Option<LoadReport> {
         self.with_server(|server| server.load_report(now))
     }
 
--- a/crates/testbed/src/world/servers.rs
+++ b/crates/testbed/src/world/servers.rs
@@ -1,4 +1,4 @@
-//! The simulated servers: attempts that reach them, and events of the timeline.
+//! Passes attempts and events of the timeline to the simulated servers.
 
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, PoisonError};
@@ -15,23 +15,23 @@
 use tokio::sync::oneshot;
 
 use super::server_host::{HostState, Waiter};
-use super::{FoundRequest, ServerHost, World, locked};
+use super::{RequestLookup, ServerHost, World, locked};
 
-/// Scope numbers of zones start here.
+/// The scope number of zone 0; further zones follow. Scope 0 covers all servers.
 const FIRST_ZONE_SCOPE: usize = 1;
-/// Scope numbers of cells start here, beyond those of all zones.
+/// The scope number of cell 0, larger than the scope numbers of all zones.
 const FIRST_CELL_SCOPE: usize = 1000;
 
 /// An attempt that a server received.
 pub struct ReceivedAttempt {
-    /// The job's number at the server.
+    /// The number of the job, unique in the run.
     pub job: u64,
-    /// Receives how the job ended.
+    /// Receives the outcome of the job.
     pub outcome: oneshot::Receiver<JobOutcome>,
 }
 
 impl World {
-    /// All servers that ever existed, by number.
+    /// All servers that have existed in the run, by number.
     pub fn servers(&self) -> Vec<Arc<ServerHost>> {
         self.servers
             .read()
@@ -61,11 +61,11 @@
     }
 
     /// Passes a complete attempt, whose first byte arrived at `started_at`, to a server.
-    /// `extra_work` is added to the request's work.
+    /// `extra_work`, in microseconds of CPU time, is added to the work of the request.
     pub fn receive_attempt(
         &self,
         host: &ServerHost,
-        found: &FoundRequest,
+        lookup: &RequestLookup,
         started_at: Micros,
         extra_work: f64,
     ) -> ReceivedAttempt {
@@ -74,31 +74,31 @@
         let (sender, outcome) = oneshot::channel();
         host.attempts.fetch_add(1, Ordering::Relaxed);
         let mut state = locked(&host.state);
-        if let Some(request) = found.number {
+        if let Some(request) = lookup.number {
             let observation = Observation::AttemptReceived {
                 request,
                 target: attempt_target(&state.server, now),
                 started_at,
-                work: found.request.work,
+                work: lookup.request.work,
             };
             self.record(now, observation);
         }
-        let is_duplicate = self.is_duplicate(&state.server.spec, found, now);
+        let is_duplicate = self.is_duplicate(&state.server.spec, lookup, now);
         let request_work = if is_duplicate {
             DUPLICATE_WORK_US
         } else {
-            found.request.work
+            lookup.request.work
         };
         let waiter = Waiter {
-            request: found.number,
+            request: lookup.number,
             outcome: sender,
         };
-        state.waiting.insert(id, waiter);
+        state.waiters.insert(id, waiter);
         let job = Job {
             id,
             work: extra_work + request_work,
-            off_core_time: found.request.off_core_time,
-            key: Some(found.request.key),
+            off_core_time: lookup.request.off_core_time,
+            key: Some(lookup.request.key),
         };
         self.run_job(host, &mut state, now, job);
         drop(state);
@@ -107,15 +107,15 @@
     }
 
     /// Whether the server discards an attempt as a duplicate.
-    fn is_duplicate(&self, spec: &ServerSpec, found: &FoundRequest, now: Micros) -> bool {
-        let class = self.scenario.classes[found.request.class].get_ref();
-        let has_key = found.number.is_some() && class.idempotency == Idempotency::IdempotencyKey;
+    fn is_duplicate(&self, spec: &ServerSpec, lookup: &RequestLookup, now: Micros) -> bool {
+        let class = self.scenario.classes[lookup.request.class].get_ref();
+        let has_key = lookup.number.is_some() && class.idempotency == Idempotency::IdempotencyKey;
         let scope = match class.scope {
             IdempotencyScope::All => 0,
             IdempotencyScope::Zone => FIRST_ZONE_SCOPE + spec.zone,
             IdempotencyScope::Cell => FIRST_CELL_SCOPE + spec.cell,
         };
-        let (key, window) = (found.request.idempotency_key, class.idempotency_window.0);
+        let (key, window) = (lookup.request.idempotency_key, class.idempotency_window.0);
         has_key && locked(&self.duplicates).is_duplicate(now, scope, key, window)
     }
 
@@ -131,7 +131,7 @@
         self.deliver(state, now, finished);
     }
 
-    /// Changes a server, and delivers the outcomes of jobs that end by it.
+    /// Changes a server, and delivers the outcomes of the jobs that the change ends.
     pub fn change_server(
         &self,
         host: &ServerHost,
@@ -146,7 +146,7 @@
         host.wake_timer.notify_one();
     }
 
-    /// Simulates a server up to now. Returns the time of its next event.
+    /// Advances the simulation of a server to the current time. Returns the time of its next event.
     pub fn advance_server(&self, host: &ServerHost) -> Option<Micros> {
         let now = self.now();
         let mut state = locked(&host.state);
@@ -159,7 +159,7 @@
     fn deliver(&self, state: &mut HostState, now: Micros, finished: Vec<FinishedJob>) {
         let server = state.server.spec.number;
         for job in finished {
-            let Some(waiter) = state.waiting.remove(&job.id) else {
+            let Some(waiter) = state.waiters.remove(&job.id) else {
                 continue;
             };
             if let Some(request) = waiter.request {
@@ -169,21 +169,21 @@
                     self.record(now, Observation::AttemptNotProcessed { request, server });
                 }
             }
-            // The connection may have closed meanwhile.
+            // Sending fails if the connection has closed in the meantime.
             let _ = waiter.outcome.send(job.outcome);
         }
     }
 
-    /// Cancels an attempt whose connection closed.
+    /// Cancels an attempt whose connection was closed by the balancer.
     pub fn cancel_attempt(&self, host: &ServerHost, job: u64) {
         self.change_server(host, |server, now, finished| {
             server.cancel(now, job, finished);
         });
-        locked(&host.state).waiting.remove(&job);
+        locked(&host.state).waiters.remove(&job);
     }
 
-    /// Applies an event to a server. Returns the numbers of servers that need a new stand-in on
-    /// sockets.
+    /// Applies an event to the servers; events that concern balancers have no effect. Returns the
+    /// numbers of the servers that need a new stand-in.
     pub fn apply_event(&self, event: TimelineEvent) -> Vec<usize> {
         match event {
             TimelineEvent::DrainStarted(server) => {
