--- a/crates/testbed/src/balancers/mod.rs
+++ b/crates/testbed/src/balancers/mod.rs
@@ -33,12 +33,13 @@
 const RETAINED_LOG_LINES: usize = 20;
 /// Number of log lines that an error message quotes.
 const SHOWN_LOG_LINES: usize = 5;
-/// How long a balancer may take to become ready.
+/// Longest time that a balancer may take to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Timeout of one request to the readiness endpoint.
 const READY_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a balancer may take to exit after SIGTERM before it is killed.
+/// Longest time that a balancer may take to exit after SIGTERM; then it is killed.
 const STOP_TIMEOUT: Duration = Duration::from_secs(6);
+/// Interval at which the readiness or the exit of a balancer is checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Parameters of a new balancer.
@@ -75,7 +76,7 @@
     /// Receives the log lines about leases.
     pub lease_log: LeaseLog,
     /// Resources used by earlier processes of this balancer.
-    ended_processes_usage: Usage,
+    earlier_usage: Usage,
     /// Descriptions of exits that the testbed did not request.
     pub unexpected_exits: Vec<String>,
     /// Whether the testbed has signalled the process to exit.
@@ -104,7 +105,7 @@
             log_lines: Arc::default(),
             invariant_violations: Arc::default(),
             lease_log: LeaseLog::default(),
-            ended_processes_usage: Usage::default(),
+            earlier_usage: Usage::default(),
             unexpected_exits: Vec::new(),
             is_exit_expected: false,
         })
@@ -230,7 +231,7 @@
 
     /// Sends a signal that makes the process exit.
     fn send_exit_signal(&mut self, signal: Signal) {
-        self.ended_processes_usage = self.usage();
+        self.earlier_usage = self.usage();
         self.is_exit_expected = true;
         self.send_signal(signal);
     }
@@ -272,8 +273,7 @@
     pub fn usage(&self) -> Usage {
         let running = self.child.as_ref().filter(|_| !self.is_exit_expected);
         let current = running.map(|child| Usage::of_process(child.id()));
-        self.ended_processes_usage
-            .followed_by(current.unwrap_or_default())
+        self.earlier_usage.followed_by(current.unwrap_or_default())
     }
 }
 
--- a/crates/testbed/src/balancers/settings.rs
+++ b/crates/testbed/src/balancers/settings.rs
@@ -5,7 +5,7 @@
 };
 use serde_json::{Value, json};
 
-/// How long balancers wait until a connection to a server is established.
+/// Longest time that a balancer waits for a connection to a server, in microseconds.
 const CONNECT_TIMEOUT_US: u64 = 250_000;
 
 /// The object `settings` in the configuration file of balancer `number`.
--- a/crates/testbed/src/clients/exchange.rs
+++ b/crates/testbed/src/clients/exchange.rs
@@ -19,7 +19,7 @@
 const CLOSE_AFTER_DEADLINE: Duration = Duration::from_millis(300);
 /// The request that is pipelined behind another.
 const PIPELINED_REQUEST: &[u8] = b"GET /health/live HTTP/1.1\r\nHost: lab\r\n\r\n";
-/// How long the client waits for the response to the pipelined request.
+/// Longest time that a client waits for the response to the pipelined request.
 const PIPELINED_TIMEOUT: Duration = Duration::from_secs(2);
 /// The largest number of pieces of a request while a fault splits requests.
 const MAX_REQUEST_PIECES: usize = 12;
--- a/crates/testbed/src/clients/mod.rs
+++ b/crates/testbed/src/clients/mod.rs
@@ -26,7 +26,7 @@
 use crate::http;
 use crate::world::{World, locked};
 
-/// How long a client waits until a connection to a balancer is established.
+/// Longest time that a client waits for a connection to a balancer.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// The number of the first retry, beyond the numbers of all first attempts.
 const FIRST_RETRY_NUMBER: u64 = 1 << 40;
--- a/crates/testbed/src/discovery_stand_in/list.rs
+++ b/crates/testbed/src/discovery_stand_in/list.rs
@@ -44,7 +44,8 @@
     }
 }
 
-/// The time whose endpoint list discovery serves; it is in the past while discovery is stale.
+/// The time as of which discovery serves the endpoint list: the current time, or an earlier one
+/// while discovery is stale.
 pub(super) fn served_time(world: &World) -> Micros {
     match world.timeline().discovery_state(world.now()) {
         DiscoveryState::Stale(age) => world.now().saturating_sub(age),
--- a/crates/testbed/src/discovery_stand_in/mod.rs
+++ b/crates/testbed/src/discovery_stand_in/mod.rs
@@ -38,7 +38,7 @@
 const EXEMPT_AFTER_WAIT_US: Micros = 2 * SECOND;
 /// A balancer with a silent watch is exempt at least until this long after the watch became silent.
 const EXEMPT_AFTER_SILENCE_US: Micros = 6 * SECOND;
-/// Faults that end a watch.
+/// Kinds of faults that end a watch.
 const WATCH_FAULTS: [FaultKind; 3] = [
     FaultKind::WatchesSilent,
     FaultKind::WatchesReset,
@@ -107,7 +107,7 @@
     Closed,
 }
 
-/// The treatment of a connection after a call was answered.
+/// The action on a connection after a call was answered.
 #[derive(PartialEq, Eq)]
 enum AfterCall {
     KeepAlive,
@@ -220,7 +220,7 @@
         loop {
             list_changed.mark_unchanged();
             let now = world.now();
-            if let Some(end) = self.ended_by_fault(started_at, now) {
+            if let Some(end) = self.watch_end_by_fault(started_at, now) {
                 return end;
             }
             let served_at = served_time(&world);
@@ -246,8 +246,9 @@
         }
     }
 
-    /// The end of a watch by a fault since `started_at`; none if no fault ended it.
-    fn ended_by_fault(&self, started_at: Micros, now: Micros) -> Option<WatchEnd> {
+    /// The end of a watch that a fault causes if it started after `started_at` or makes discovery
+    /// unreachable; none if no fault ends the watch.
+    fn watch_end_by_fault(&self, started_at: Micros, now: Micros) -> Option<WatchEnd> {
         let timeline = self.world.timeline();
         let silent_from = timeline.started_between(FaultKind::WatchesSilent, started_at, now);
         if let Some(from) = silent_from {
--- a/crates/testbed/src/load/mod.rs
+++ b/crates/testbed/src/load/mod.rs
@@ -29,7 +29,7 @@
     /// Addresses over which new connections are distributed in turn.
     pub addresses: Vec<SocketAddr>,
     pub path: String,
-    /// Further header lines, each with its line end.
+    /// Additional header lines, each with its line end.
     pub headers: String,
     /// Requests per second; none for a closed loop, in which each client sends its next request
     /// after the response to its last one.
--- a/crates/testbed/src/load/worker.rs
+++ b/crates/testbed/src/load/worker.rs
@@ -17,7 +17,7 @@
 use super::{LoadPlan, WorkerResults};
 use crate::http;
 
-/// How long a worker waits for a response beyond the timeout that the request states.
+/// Time that a worker waits for a response beyond the timeout that the request states.
 const TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
 /// A request is sent a second time where the reused connection had been closed.
 const MAX_SENDS: usize = 2;
--- a/crates/testbed/src/runner/load.rs
+++ b/crates/testbed/src/runner/load.rs
@@ -19,10 +19,12 @@
 use crate::world::locked;
 
 const WORKER_THREADS: usize = 2;
-/// How long the workers may run after all requests have been sent.
+/// Longest time that the workers may run after all requests have been sent.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(12);
+/// Interval at which the workers and the balancer processes are checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-const TERMINAL_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which the progress line is printed.
+const PROGRESS_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Runs the load until all requests have ended. Returns the number of requests that were dropped
 /// because the channel to a worker was full.
@@ -80,7 +82,7 @@
                 load.front_end.set_available(balancer.number, false);
             }
         }
-        if shows_progress && shown_at.elapsed() >= TERMINAL_INTERVAL {
+        if shows_progress && shown_at.elapsed() >= PROGRESS_INTERVAL {
             shown_at = Instant::now();
             show_progress(load);
         }
--- a/crates/testbed/src/runner/mod.rs
+++ b/crates/testbed/src/runner/mod.rs
@@ -32,7 +32,8 @@
 use crate::stalled_clients::run_stalled_clients;
 use crate::world::{World, locked};
 
-/// How long observations are still accepted after the last response.
+/// Time after the last response, and after the exit of the balancers, in which observations and
+/// log lines may still arrive.
 const SETTLE_DELAY: Duration = Duration::from_millis(300);
 /// A run is invalid if the 99th percentile of the load's lateness is above this value.
 const MAX_LATENESS_MS: f64 = 20.0;
@@ -236,8 +237,8 @@
         if scenario.duties == 0 && !scenario.shared_endpoint_list {
             return;
         }
-        // The threads that read the logs end shortly after the processes; their last lines are
-        // still to be counted.
+        // The threads that read the logs end shortly after the processes, and the report is to
+        // include the last lines.
         std::thread::sleep(SETTLE_DELAY);
         let terms_fallen = locked(&self.views).terms_fallen();
         cluster.leases = Some(self.group.lease_log.report(ended_at, terms_fallen));
--- a/crates/testbed/src/soak/schedule/catalog.rs
+++ b/crates/testbed/src/soak/schedule/catalog.rs
@@ -20,8 +20,8 @@
     pub(super) factor: Option<Range<f64>>,
     /// The range of the parameter `by`, in milliseconds; none where the kind has no such parameter.
     pub(super) by_ms: Option<Range<u64>>,
-    /// The largest fraction of the servers that the fault affects; none where it affects no
-    /// servers.
+    /// The largest fraction of the candidate servers that the fault affects; none where it affects
+    /// no servers.
     pub(super) max_server_fraction: Option<f64>,
     /// The largest fraction of the balancers that the fault affects; none where it affects no
     /// balancers.
--- a/crates/testbed/src/soak/schedule/mod.rs
+++ b/crates/testbed/src/soak/schedule/mod.rs
@@ -239,8 +239,9 @@
     }
 }
 
-/// The servers that a fault of a group may affect. Faults that remove servers affect servers with
-/// even numbers only; other faults of the second group avoid those.
+/// The candidate servers of a fault of a group. Faults that remove servers affect servers with
+/// even numbers only. Other faults of the second group avoid those, since the first group may have
+/// removed them.
 fn candidate_servers(template: &FaultTemplate, group: Group) -> Vec<usize> {
     let all = 0..MIN_SERVERS;
     match group {
--- a/crates/testbed/src/system_faults.rs
+++ b/crates/testbed/src/system_faults.rs
@@ -14,7 +14,8 @@
 
 use crate::world::World;
 
-const SOURCE: &str = include_str!("../shim/shim.c");
+/// The source code of the preloaded library.
+const LIBRARY_SOURCE: &str = include_str!("../shim/shim.c");
 /// Converts a probability from a fraction of 1 to millionths, the unit of the control file.
 const MILLIONTHS: f64 = 1e6;
 /// Interval at which the control file is compared with the active faults.
@@ -98,7 +99,7 @@
     /// Compiles the library in a folder with the C compiler `cc`, and creates its control file.
     pub fn build(folder: &Path) -> io::Result<Self> {
         let (source, library) = (folder.join("shim.c"), folder.join("libshim.so"));
-        std::fs::write(&source, SOURCE)?;
+        std::fs::write(&source, LIBRARY_SOURCE)?;
         let output = Command::new("cc")
             .args(["-shared", "-fPIC", "-O2", "-o"])
             .arg(&library)
--- a/crates/testbed/src/world/balancers.rs
+++ b/crates/testbed/src/world/balancers.rs
@@ -11,7 +11,7 @@
     /// Number of starts.
     incarnation: u64,
     is_running: bool,
-    /// When the process was last started, stopped, killed, suspended or resumed.
+    /// The time at which the process was last started, stopped, killed, suspended or resumed.
     last_intervention_at: Option<Micros>,
     /// Until this time the balancer may use an old endpoint list, since its watch became silent.
     exempt_until: Micros,
--- a/crates/testbed/src/world/mod.rs
+++ b/crates/testbed/src/world/mod.rs
@@ -117,7 +117,7 @@
         locked(&self.checker).record(at, observation);
     }
 
-    /// A random integer below `end`.
+    /// Draws a random integer below `end`.
     pub fn draw_below(&self, end: usize) -> usize {
         locked(&self.random).below(end)
     }
@@ -227,6 +227,7 @@
         }
     }
 
+    /// Adds a change to the endpoint list, and notifies the watches.
     fn change_list(&self, server: usize, state: EndpointState) {
         let host = self.server(server);
         let started_at = host.and_then(|host| host.with_server(|server| server.spec.started_at));
--- a/crates/testbed/src/world/requests.rs
+++ b/crates/testbed/src/world/requests.rs
@@ -6,7 +6,7 @@
 use pinefront_model::scenario::Scenario;
 use pinefront_model::traffic::Request;
 
-/// How long a request is retained after its timeout, in microseconds.
+/// Time that a request is retained after its timeout, in microseconds.
 const RETENTION_US: Micros = 15_000_000;
 
 /// The result of looking up the request of an attempt.
--- a/crates/testbed/src/world/server_host.rs
+++ b/crates/testbed/src/world/server_host.rs
@@ -25,6 +25,7 @@
     pub attempts: AtomicU64,
 }
 
+/// The state of a [`ServerHost`] that its lock protects.
 pub(super) struct HostState {
     pub(super) server: Server,
     /// The waiting connections, by job.
--- a/crates/testbed/src/world/servers.rs
+++ b/crates/testbed/src/world/servers.rs
@@ -119,6 +119,8 @@
         has_key && locked(&self.duplicates).is_duplicate(now, scope, key, window)
     }
 
+    /// Passes a job to a server, and ends the incarnation of the server if the job overloads it
+    /// during slow start.
     fn run_job(&self, host: &ServerHost, state: &mut HostState, now: Micros, job: Job) {
         let mut finished = Vec::new();
         let had_crashed = state.server.crashed_in_slow_start();
@@ -156,6 +158,8 @@
         state.server.next_event()
     }
 
+    /// Sends the outcomes of finished jobs to the waiting connections, and records them for the
+    /// checker.
     fn deliver(&self, state: &mut HostState, now: Micros, finished: Vec<FinishedJob>) {
         let server = state.server.spec.number;
         for job in finished {
@@ -214,6 +218,7 @@
         }
     }
 
+    /// Kills a server, and marks it as removed in the endpoint list.
     fn remove_server(&self, number: usize) {
         self.kill_server(number);
         self.change_list(number, EndpointState::Removed);
@@ -227,6 +232,8 @@
         host.end_incarnation();
     }
 
+    /// Replaces a killed server by a new one with the same specification and a new start time. Its
+    /// random source depends on the incarnation.
     fn restart_server(&self, number: usize) {
         let Some(host) = self.server(number) else {
             return;
@@ -244,6 +251,8 @@
         state.server = Server::new(spec, fleet, rules, random);
     }
 
+    /// Adds servers and returns their numbers. Zone, cell, machine type and speed are those
+    /// of `replaced`, where it is given.
     fn add_servers(&self, count: usize, replaced: Option<usize>) -> Vec<usize> {
         let replaced = replaced
             .and_then(|number| self.server(number))
