--- a/crates/testbed/src/cluster/fault_plan.rs
+++ b/crates/testbed/src/cluster/fault_plan.rs
@@ -1,51 +1,55 @@
-//! The faults of one seed: which members are stopped, killed, restarted or cut off when, and the
-//! faults of the network.
+//! The faults of one seed: the times at which members leave, are killed, restarted, paused or cut
+//! off, and the faults of the network.
 
 use pinefront_model::network::{LinkFault, NetworkLinks};
 use pinefront_model::random::RandomSource;
 use pinefront_model::scenario::FaultKind;
 use pinefront_model::{Micros, SECOND};
 
-/// When faults begin at the earliest, by which time all members know each other.
-const FAULTS_FROM: Micros = 8 * SECOND;
-/// When drawn faults begin at the latest.
-const FAULTS_TO: Micros = 24 * SECOND;
-/// How long after the last fault all views must agree.
-const SETTLING_TIME: Micros = 20 * SECOND;
-/// How long a plan without faults lasts.
-const CALM_TIME: Micros = 60 * SECOND;
-/// The delays of a link without faults, in microseconds.
+/// Earliest start of a fault of a member or of its links, in µs. All members have joined by then.
+const EARLIEST_FAULT_US: Micros = 8 * SECOND;
+/// Latest start of a fault of a member or of its links, in µs, and the end of the faults that
+/// affect the whole network.
+const LATEST_FAULT_US: Micros = 24 * SECOND;
+/// Time in µs after the end of the last fault within which all views must agree.
+const SETTLING_TIME_US: Micros = 20 * SECOND;
+/// Duration of the fault-free part of a plan of kind [`PlanKind::Calm`], in µs.
+const CALM_TIME_US: Micros = 60 * SECOND;
+/// The shortest and the longest delay of a link without faults, in µs.
 const BASE_DELAY_US: [Micros; 2] = [500, 3_000];
-/// Rates of loss that are drawn.
+/// Loss rates of plans of kind [`PlanKind::Lossy`], as fractions of 1.
 const LOSS_RATES: [f64; 4] = [0.05, 0.1, 0.2, 0.3];
+/// Loss rates of plans of kind [`PlanKind::Any`], as fractions of 1.
 const MIXED_LOSS_RATES: [f64; 4] = [0.02, 0.1, 0.2, 0.3];
 
-/// The kind of a plan.
+/// The kind of a fault plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum PlanKind {
-    /// Up to four faults of any kind, overlapping, in a network that loses, repeats and delays.
+    /// Up to four overlapping faults of any kind, in a network that may lose, duplicate, corrupt,
+    /// delay and replay datagrams.
     Any,
-    /// Two members can't reach each other; all others can reach both.
+    /// Two members cannot reach each other, while all other members reach both
     Pair,
-    /// A member is paused for long while it suspects another, in a calm network.
+    /// A member is paused for 3 s to 15 s while it suspects another one, in a network without
+    /// faults.
     #[value(name = "sleep")]
     Pause,
-    /// A member leaves in order, in a calm network.
+    /// A member leaves the cluster, in a network without faults.
     Leave,
-    /// A member is killed, in a calm network.
+    /// A member is killed, in a network without faults.
     Death,
-    /// Two halves are cut apart for 20 s.
+    /// The network is partitioned into two halves for 20 s.
     Halves,
-    /// Nothing but lost datagrams, up to 30 %.
+    /// Datagrams are lost at a rate of 5 % to 30 %.
     Lossy,
-    /// A member is cut off and connected again and again.
+    /// A member is repeatedly cut off and reconnected.
     #[value(name = "flaps")]
     Flapping,
-    /// No faults for a minute.
+    /// No faults for one minute.
     Calm,
 }
 
-/// The kinds drawn from a seed.
+/// The kinds of which one is drawn for a seed; a repeated kind is drawn more often.
 const DRAWN_KINDS: [PlanKind; 9] = [
     PlanKind::Any,
     PlanKind::Any,
@@ -58,24 +62,24 @@
     PlanKind::Flapping,
 ];
 
-/// What is done to a member.
+/// A change to the process of a member.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
-    /// Starts a process of the member at its usual address.
+    /// Starts a process of the member at the member's usual address.
     Start { member: usize },
     /// Starts a process of the member at the address with that index.
     StartAt { member: usize, address: usize },
-    /// Kills its process.
+    /// Kills the process of the member.
     Kill { member: usize },
-    /// Makes it leave in order.
+    /// Makes the process of the member leave the cluster and stop.
     Leave { member: usize },
-    /// Pauses its process.
+    /// Pauses the process of the member.
     Pause { member: usize },
-    /// Resumes its process.
+    /// Resumes the process of the member.
     Resume { member: usize },
 }
 
-/// An action with its time.
+/// An action and the time at which it is applied.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScheduledAction {
     pub at: Micros,
@@ -86,14 +90,14 @@
 pub struct FaultPlan {
     pub kind: PlanKind,
     pub links: NetworkLinks,
-    /// In order of time.
+    /// The actions in order of time.
     pub actions: Vec<ScheduledAction>,
-    /// The probability that a datagram is recorded and a recorded one replayed.
+    /// The probability that a datagram is recorded and a recorded datagram is replayed.
     pub replay_probability: f64,
     pub ends_at: Micros,
 }
 
-/// A fault of all links of `side`, or of those between `side` and `against`.
+/// Returns a fault of all links between the members in `side` and the other members.
 fn link_fault(kind: FaultKind, from: Micros, to: Micros, side: Vec<usize>) -> LinkFault {
     LinkFault {
         kind,
@@ -107,17 +111,18 @@
     }
 }
 
-/// A fault of every link until the drawn faults are over.
-fn fault_everywhere(kind: FaultKind, members: usize) -> LinkFault {
+/// Returns a fault of every link from the start until [`LATEST_FAULT_US`].
+fn network_fault(kind: FaultKind, members: usize) -> LinkFault {
     let all: Vec<usize> = (0..members).collect();
     LinkFault {
         against: Some(all.clone()),
-        ..link_fault(kind, 0, FAULTS_TO, all)
+        ..link_fault(kind, 0, LATEST_FAULT_US, all)
     }
 }
 
 impl FaultPlan {
-    /// Draws the plan of a seed, of the given kind and rate of loss if there are any.
+    /// Draws the plan of a seed. `kind` and `loss`, a loss rate as a fraction of 1, replace the
+    /// drawn values.
     pub fn draw(seed: u64, members: usize, kind: Option<PlanKind>, loss: Option<f64>) -> Self {
         let mut random = RandomSource::split(seed, "scenario", 0);
         let kind = kind.unwrap_or_else(|| DRAWN_KINDS[random.below(DRAWN_KINDS.len())]);
@@ -140,18 +145,19 @@
             plan.links
                 .faults
                 .retain(|fault| fault.kind != FaultKind::LinkLossy);
-            plan.lose_everywhere(members, loss);
+            plan.add_network_loss(members, loss);
         }
         plan.actions.sort_by_key(|scheduled| scheduled.at);
         let remaining = match kind {
-            PlanKind::Calm => CALM_TIME,
-            _ => SETTLING_TIME,
+            PlanKind::Calm => CALM_TIME_US,
+            _ => SETTLING_TIME_US,
         };
-        plan.ends_at = plan.last_fault_end().max(FAULTS_FROM) + remaining;
+        plan.ends_at = plan.last_fault_end().max(EARLIEST_FAULT_US) + remaining;
         plan
     }
 
-    /// When the last action or fault of the network is over.
+    /// Returns the time of the last action or of the end of the last network fault, whichever is
+    /// later.
     pub fn last_fault_end(&self) -> Micros {
         let last_action = self.actions.last().map_or(0, |scheduled| scheduled.at);
         last_action.max(self.links.last_fault_end())
@@ -161,21 +167,21 @@
         self.actions.push(ScheduledAction { at, action });
     }
 
-    fn lose_everywhere(&mut self, members: usize, loss: f64) {
+    fn add_network_loss(&mut self, members: usize, loss: f64) {
         self.links.faults.push(LinkFault {
             factor: loss,
-            ..fault_everywhere(FaultKind::LinkLossy, members)
+            ..network_fault(FaultKind::LinkLossy, members)
         });
     }
 
-    fn cut(&mut self, from: Micros, to: Micros, side: Vec<usize>) {
+    fn add_cut(&mut self, from: Micros, to: Micros, side: Vec<usize>) {
         self.links
             .faults
             .push(link_fault(FaultKind::LinkCut, from, to, side));
     }
 
     fn draw_faults(&mut self, random: &mut RandomSource, members: usize) {
-        let from = FAULTS_FROM + random.duration_below(SECOND);
+        let from = EARLIEST_FAULT_US + random.duration_below(SECOND);
         match self.kind {
             PlanKind::Any => self.draw_mixed_faults(random, members),
             PlanKind::Pair => {
@@ -183,7 +189,7 @@
                 self.links.faults.push(LinkFault {
                     against: Some(vec![pair[1]]),
                     one_way: random.happens(0.5),
-                    ..link_fault(FaultKind::LinkCut, from, FAULTS_TO, vec![pair[0]])
+                    ..link_fault(FaultKind::LinkCut, from, LATEST_FAULT_US, vec![pair[0]])
                 });
             }
             PlanKind::Pause => self.draw_pause(random, members, from),
@@ -200,7 +206,7 @@
             PlanKind::Calm => {}
             PlanKind::Lossy => {
                 let loss = LOSS_RATES[random.below(LOSS_RATES.len())];
-                self.lose_everywhere(members, loss);
+                self.add_network_loss(members, loss);
             }
         }
     }
@@ -208,24 +214,24 @@
     fn draw_mixed_faults(&mut self, random: &mut RandomSource, members: usize) {
         if random.happens(0.5) {
             let loss = MIXED_LOSS_RATES[random.below(MIXED_LOSS_RATES.len())];
-            self.lose_everywhere(members, loss);
+            self.add_network_loss(members, loss);
         }
         if random.happens(0.3) {
             self.links.faults.push(LinkFault {
                 factor: 0.1,
-                ..fault_everywhere(FaultKind::LinkRepeats, members)
+                ..network_fault(FaultKind::LinkRepeats, members)
             });
         }
         if random.happens(0.3) {
             self.links.faults.push(LinkFault {
                 factor: 0.05,
-                ..fault_everywhere(FaultKind::LinkCorrupts, members)
+                ..network_fault(FaultKind::LinkCorrupts, members)
             });
         }
         if random.happens(0.3) {
             self.links.faults.push(LinkFault {
                 by: 1_000 + random.duration_below(200_000),
-                ..fault_everywhere(FaultKind::LinkSlow, members)
+                ..network_fault(FaultKind::LinkSlow, members)
             });
         }
         self.replay_probability = if random.happens(0.5) { 0.05 } else { 0.0 };
@@ -234,8 +240,8 @@
         }
     }
 
-    /// The first member is paused while it suspects the second, which resumes and refutes
-    /// meanwhile.
+    /// Pauses a first member while it suspects a second one. The second member resumes during that
+    /// pause and refutes the suspicion.
     fn draw_pause(&mut self, random: &mut RandomSource, members: usize, from: Micros) {
         let pair = random.sample_indices(2, members);
         let (member, suspected) = (pair[0], pair[1]);
@@ -249,8 +255,8 @@
 
     fn draw_halves(&mut self, random: &mut RandomSource, members: usize, from: Micros) {
         let half = random.sample_indices(members / 2, members);
-        self.cut(from, from + 20 * SECOND, half.clone());
-        // Deaths on both sides of the cut.
+        self.add_cut(from, from + 20 * SECOND, half.clone());
+        // Members crash on both sides of the partition.
         if random.happens(0.5) {
             let other = (0..members).find(|member| !half.contains(member));
             self.schedule(from + 8 * SECOND, Action::Kill { member: half[0] });
@@ -265,22 +271,22 @@
         let mut at = from;
         for _ in 0..6 + random.below(6) {
             let duration = 200_000 + random.duration_below(3 * SECOND);
-            self.cut(at, at + duration, vec![member]);
+            self.add_cut(at, at + duration, vec![member]);
             at += duration + 200_000 + random.duration_below(2 * SECOND);
         }
     }
 
-    /// Draws one fault of any kind; none where it would pause or end a process that another fault
-    /// does.
+    /// Draws one fault of any kind. Adds none if it would pause or end the process of a member
+    /// whose process another fault already pauses or ends.
     fn draw_one_fault(&mut self, random: &mut RandomSource, members: usize) {
-        let from = FAULTS_FROM + random.duration_below(FAULTS_TO - FAULTS_FROM);
+        let from = EARLIEST_FAULT_US + random.duration_below(LATEST_FAULT_US - EARLIEST_FAULT_US);
         let to = from + 200_000 + random.duration_below(10 * SECOND);
         let member = random.below(members);
         match random.below(8) {
             0 => {
                 let count = 1 + random.below(members / 2);
                 let side = random.sample_indices(count, members);
-                self.cut(from, to, side);
+                self.add_cut(from, to, side);
             }
             1 => self.links.faults.push(LinkFault {
                 one_way: true,
@@ -290,7 +296,7 @@
                 factor: 0.3,
                 ..link_fault(FaultKind::LinkLossy, from, to, vec![member])
             }),
-            _ if self.is_hit(member) => {}
+            _ if self.has_process_fault(member) => {}
             3 => {
                 self.schedule(from, Action::Pause { member });
                 self.schedule(to, Action::Resume { member });
@@ -314,8 +320,8 @@
         }
     }
 
-    /// Whether a fault pauses or ends the process of a member.
-    fn is_hit(&self, member: usize) -> bool {
+    /// Whether the plan pauses or ends the process of a member.
+    fn has_process_fault(&self, member: usize) -> bool {
         self.actions.iter().any(|scheduled| match scheduled.action {
             Action::Kill { member: other }
             | Action::Leave { member: other }
--- a/crates/testbed/src/cluster/lease_checks.rs
+++ b/crates/testbed/src/cluster/lease_checks.rs
@@ -1,4 +1,4 @@
-//! The true history of leases in a simulation.
+//! Records the actual history of leases in a simulation and checks it.
 
 use pinefront_cluster::leases::term::Term;
 use pinefront_cluster::leases::{LeaseEvent, LossReason};
@@ -6,8 +6,8 @@
 
 use super::simulation::Simulation;
 
-/// How many violations of each kind are reported.
-const MAX_REPORTED: usize = 3;
+/// The largest number of violations of each kind that is reported.
+const MAX_REPORTED_PER_KIND: usize = 3;
 
 fn lease_term(term: Term) -> LeaseTerm {
     LeaseTerm {
@@ -17,14 +17,14 @@
 }
 
 impl Simulation<'_> {
-    /// Records the lease events of a process by true time.
+    /// Records the lease events of a process in true time.
     pub(super) fn record_lease_events(&mut self, member: usize) {
         let process = &mut self.processes[member];
         let Some(cluster) = &mut process.cluster else {
             return;
         };
         let events = cluster.take_lease_events();
-        let process_number = member as u64 * 1_000 + process.starts;
+        let process_number = member as u64 * 1_000 + process.start_count;
         for event in events {
             match event {
                 LeaseEvent::Acquired { lease, term, .. } => {
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Ends all holdings at the end of the run, and checks their history. A lease not reported as
-    /// lost is held until it expires, since a paused process cannot report.
+    /// Ends all lease holdings at the end of the run and checks their history. A lease whose loss
+    /// was not reported counts as held until it expires, since a paused process cannot report.
     pub(super) fn finish_leases(&mut self) {
         for (member, process) in self.processes.iter().enumerate() {
             let leases = process
@@ -76,10 +76,12 @@
         let ends_at = self.plan.ends_at;
         let findings = self.lease_history.analyse(ends_at);
         let stale = &self.lease_history.stale_commands;
-        let violations = findings.overlaps.iter().take(MAX_REPORTED);
-        self.checker
-            .violations
-            .extend(violations.chain(stale.iter().take(MAX_REPORTED)).cloned());
+        let overlaps = findings.overlaps.iter().take(MAX_REPORTED_PER_KIND);
+        self.checker.violations.extend(
+            overlaps
+                .chain(stale.iter().take(MAX_REPORTED_PER_KIND))
+                .cloned(),
+        );
         self.outcome.vacant_leases = self.lease_history.vacant_leases(ends_at).len();
         self.outcome.leases = findings;
     }
--- a/crates/testbed/src/cluster/mod.rs
+++ b/crates/testbed/src/cluster/mod.rs
@@ -18,19 +18,22 @@
 
 use crate::world::locked;
 
-/// What is simulated.
+/// The options of a simulation of several seeds.
 #[derive(Clone, Debug)]
 pub struct Options {
+    /// The seeds, each of which is one run.
     pub seeds: std::ops::Range<u64>,
     pub members: usize,
+    /// A fault that is injected into every member, to test that the checks find it.
     pub injected_fault: Option<InjectedFault>,
+    /// The kind of all fault plans; drawn from the seed if `None`.
     pub kind: Option<fault_plan::PlanKind>,
-    /// The rate of loss of all datagrams, in place of that of the seed.
+    /// The loss rate of all datagrams as a fraction of 1; replaces the rate drawn from the seed.
     pub loss: Option<f64>,
-    /// The number of leases; none where 0.
+    /// The number of leases; 0 runs the cluster without leases.
     pub leases: usize,
-    /// Whether to end at the first seed with a violation.
-    pub first_only: bool,
+    /// Whether to stop after the first seed with a violation.
+    pub stop_at_first_violation: bool,
 }
 
 /// The outcome of one seed.
@@ -39,7 +42,7 @@
     outcome: Outcome,
 }
 
-/// Runs all seeds on all cores until `cancelled` is set.
+/// Runs all seeds on all cores, or as many as start before `cancelled` is set.
 pub fn run(options: &Options, cancelled: &AtomicBool) -> Report {
     let next_seed = AtomicU64::new(options.seeds.start);
     let outcomes = Mutex::new(Vec::new());
@@ -57,7 +60,7 @@
                         return;
                     }
                     let outcome = simulation::run(seed, options);
-                    if options.first_only && !outcome.violations.is_empty() {
+                    if options.stop_at_first_violation && !outcome.violations.is_empty() {
                         is_finished.store(true, Ordering::Relaxed);
                     }
                     locked(&outcomes).push(SeedOutcome { seed, outcome });
--- a/crates/testbed/src/cluster/process.rs
+++ b/crates/testbed/src/cluster/process.rs
@@ -1,4 +1,4 @@
-//! One member of a simulated fleet: its process, its clock and its address.
+//! One member of a simulated fleet, with its process, its clock and its address.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -7,45 +7,47 @@
 use pinefront_model::random::RandomSource;
 use pinefront_model::{Micros, SECOND};
 
-/// How far the rate of a clock may be off, as a fraction to either side.
+/// The largest error of a clock's rate in either direction, as a fraction of 1.
 const MAX_CLOCK_RATE_ERROR: f64 = 0.01;
-/// Addresses of a network block.
+/// The number of addresses used in each /24 network.
 const ADDRESSES_PER_BLOCK: usize = 250;
 
-/// A member, whose process may not be running.
+/// A member and its process, if one is running.
 pub struct Process {
-    /// The state of the running process.
+    /// The protocol state of the running process; `None` if no process runs.
     pub cluster: Option<Cluster>,
-    /// The address of the last process.
+    /// The address of the latest process.
     pub address: SocketAddr,
-    /// The last process.
+    /// The incarnation of the latest process.
     pub incarnation: Option<Incarnation>,
     /// Whether the process is paused.
     pub is_paused: bool,
-    /// Datagrams that arrived while it was paused.
-    pub waiting: VecDeque<Vec<u8>>,
-    /// Local time at the start of the run.
+    /// Datagrams that arrived while the process was paused.
+    pub buffered_datagrams: VecDeque<Vec<u8>>,
+    /// Time of this member's clock at the start of the run, in µs.
     clock_start: Micros,
+    /// Rate of this member's clock, as a fraction of true time.
     clock_rate: f64,
-    /// The number of the last scheduled wake-up; earlier ones are void.
-    pub wake_up: u64,
-    /// How many processes were started.
-    pub starts: u64,
+    /// The number of the latest scheduled wake-up; earlier wake-ups are ignored.
+    pub last_wake_up: u64,
+    /// The number of processes that this member has started.
+    pub start_count: u64,
 }
 
 impl Process {
-    /// Creates a member without a process and with a clock of its own.
+    /// Creates a member without a process. The start and the rate of its clock are drawn from
+    /// `random`.
     pub fn new(member: usize, random: &mut RandomSource) -> Self {
         Self {
             cluster: None,
             address: member_address(member),
             incarnation: None,
             is_paused: false,
-            waiting: VecDeque::new(),
+            buffered_datagrams: VecDeque::new(),
             clock_start: SECOND + random.duration_below(1_000 * SECOND),
             clock_rate: 1.0 + MAX_CLOCK_RATE_ERROR * (2.0 * random.unit() - 1.0),
-            wake_up: 0,
-            starts: 0,
+            last_wake_up: 0,
+            start_count: 0,
         }
     }
 
@@ -60,14 +62,15 @@
     }
 }
 
-/// The address with that index; the usual one of the member with that number.
+/// Returns the address with that index, which is the usual address of the member with the same
+/// number.
 pub fn member_address(index: usize) -> SocketAddr {
     let block = (index / ADDRESSES_PER_BLOCK) as u8;
     let host = (index % ADDRESSES_PER_BLOCK) as u8 + 1;
     SocketAddr::from(([10, 0, block, host], 7_000))
 }
 
-/// The name of a member.
+/// Returns the name of a member.
 pub fn member_name(member: usize) -> String {
     format!("b{member}")
 }
--- a/crates/testbed/src/cluster/report.rs
+++ b/crates/testbed/src/cluster/report.rs
@@ -1,4 +1,4 @@
-//! The report of simulated seeds.
+//! The report on a simulation of several seeds.
 
 use std::collections::BTreeMap;
 
@@ -6,23 +6,24 @@
 use pinefront_cluster::InjectedFault;
 use serde::Serialize;
 
-use super::simulation::{LATE_SPAN, Outcome};
+use super::simulation::{LATE_SPAN_US, Outcome};
 use super::{Options, SeedOutcome};
 
-/// The largest number of violations listed; more are only counted.
+/// The largest number of violations that are listed. Further violations are only counted.
 const MAX_LISTED_VIOLATIONS: usize = 50;
 const SECONDS_PER_HOUR: f64 = 3_600.0;
 
-/// A violation of a rule by a seed.
+/// A violation found in the run of a seed.
 #[derive(Clone, Debug, Serialize)]
 pub struct Violation {
     pub seed: u64,
-    pub what: String,
-    /// The command that runs the seed again.
+    #[serde(rename = "what")]
+    pub description: String,
+    /// The command that repeats the run of the seed.
     pub replay: String,
 }
 
-/// What the seeds came to.
+/// The results of all seeds.
 #[derive(Debug, Serialize)]
 pub struct Report {
     pub seeds: u64,
@@ -33,41 +34,46 @@
     #[serde(rename = "broken_count")]
     pub violating_seeds: u64,
     pub virtual_seconds: f64,
-    /// What a member sends.
+    /// Datagrams that a member sends per second, on average.
     #[serde(rename = "datagrams_a_second")]
     pub datagrams_per_second: f64,
+    /// Bytes that a member sends per second, on average.
     #[serde(rename = "bytes_a_second")]
     pub bytes_per_second: f64,
-    /// What a member sends in the last ten seconds of each seed.
+    /// Datagrams that a member sends per second in the last ten seconds of each run, on average.
     #[serde(rename = "datagrams_a_second_late")]
     pub late_datagrams_per_second: f64,
+    /// Bytes that a member sends per second in the last ten seconds of each run, on average.
     #[serde(rename = "bytes_a_second_late")]
     pub late_bytes_per_second: f64,
-    /// From a death to each other member's noticing it, in milliseconds.
-    pub detected_ms: Distribution,
-    /// From the last fault's end until all views agreed.
+    /// Times from the crash of a process until each other member detected it, in milliseconds.
+    #[serde(rename = "detected_ms")]
+    pub detection_times_ms: Distribution,
+    /// Times from the end of the last fault until all views agreed, in milliseconds.
     #[serde(rename = "one_view_ms")]
     pub views_agree_after_ms: Distribution,
-    /// Suspicions of members that ran and were reachable, in an hour of a fleet.
+    /// Suspicions of members whose process ran and was not paused, per hour of one fleet.
     #[serde(rename = "wrong_doubts_an_hour")]
     pub wrong_suspicions_per_hour: f64,
-    /// From a lease's loss to the next acquisition, in milliseconds, by the cause of the loss.
+    /// Times from the loss of a lease to its next acquisition, in milliseconds, by the cause of the
+    /// loss.
     pub without_holder_ms: BTreeMap<&'static str, Distribution>,
-    /// Changes of the holder of one lease.
+    /// Changes of the holder of a lease per hour, on average.
     #[serde(rename = "duty_changes_an_hour")]
     pub lease_changes_per_hour: f64,
+    /// The largest number of changes of the holder of one lease within a minute.
     #[serde(rename = "duty_changes_most_a_minute")]
     pub max_lease_changes_per_minute: usize,
-    /// Holdings under an earlier term than the one before, which is harmless, since their commands
-    /// are rejected.
+    /// Lease holdings with an earlier term than the holding before, which are harmless, since their
+    /// commands are rejected.
     #[serde(rename = "terms_fallen")]
     pub decreased_terms: usize,
-    /// Leases that nobody held at the end of a seed.
+    /// Leases without a holder at the end of a run, over all seeds.
     #[serde(rename = "duties_vacant")]
     pub vacant_leases: usize,
 }
 
-/// The distribution of some values.
+/// The number, median, 99th percentile and maximum of a set of values.
 #[derive(Debug, Default, Serialize)]
 pub struct Distribution {
     pub count: usize,
@@ -76,7 +82,7 @@
     pub worst: f64,
 }
 
-/// The distribution of the given values; zeros where there are none.
+/// Returns the distribution of the given values, all zeros if there are none.
 pub fn distribution(mut values: Vec<f64>) -> Distribution {
     values.sort_by(f64::total_cmp);
     let quantile = |fraction: f64| {
@@ -101,7 +107,7 @@
         };
         let seconds = total(&|outcome| outcome.seconds).max(1e-9);
         let member_seconds = total(&|outcome| outcome.member_seconds).max(1e-9);
-        let late_seconds = LATE_SPAN as f64 / 1e6;
+        let late_seconds = LATE_SPAN_US as f64 / 1e6;
         let late_member_seconds =
             outcomes.len().max(1) as f64 * options.members as f64 * late_seconds;
         let changes = total(&|outcome| outcome.leases.changes as f64);
@@ -120,7 +126,7 @@
                 / late_member_seconds,
             late_bytes_per_second: total(&|outcome| outcome.late.bytes as f64)
                 / late_member_seconds,
-            detected_ms: collect(&|outcome| outcome.detected_ms.clone()),
+            detection_times_ms: collect(&|outcome| outcome.detection_times_ms.clone()),
             views_agree_after_ms: collect(&|outcome| {
                 outcome.views_agree_after_ms.into_iter().collect()
             }),
@@ -162,9 +168,9 @@
     outcomes
         .iter()
         .flat_map(|seed| {
-            seed.outcome.violations.iter().map(|what| Violation {
+            seed.outcome.violations.iter().map(|description| Violation {
                 seed: seed.seed,
-                what: what.clone(),
+                description: description.clone(),
                 replay: replay_command(options, seed.seed),
             })
         })
@@ -196,6 +202,6 @@
 fn fault_name(fault: InjectedFault) -> &'static str {
     InjectedFault::ALL
         .iter()
-        .find(|(_, known)| *known == fault)
+        .find(|(_, listed)| *listed == fault)
         .map_or("", |(name, _)| name)
 }
--- a/crates/testbed/src/cluster/simulation.rs
+++ b/crates/testbed/src/cluster/simulation.rs
@@ -1,5 +1,5 @@
-//! A run of many members on one virtual clock, each with a clock of its own, in a simulated
-//! network. One seed gives one run.
+//! A run of many members on one virtual clock in a simulated network. Each member also has its own
+//! clock with an error in its rate. The same seed always gives the same run.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -17,44 +17,56 @@
 use super::fault_plan::{Action, FaultPlan};
 use super::process::{Process, member_address, member_name};
 
-/// How often all views are checked.
+/// Interval between two checks of all views, in µs.
 const CHECK_INTERVAL_US: Micros = 250_000;
-/// How many members are seeds in every configuration.
+/// The number of members that serve as seeds in the configuration of every member.
 const SEEDS: usize = 3;
-/// How many members vote on leases.
+/// The number of members that vote on leases.
 const VOTERS: usize = 3;
-/// How many datagrams are recorded for replay.
+/// The largest number of datagrams that are recorded for replay.
 const MAX_RECORDED_DATAGRAMS: usize = 256;
-/// The longest time until a recorded datagram is replayed.
-const MAX_REPLAY_DELAY: Micros = 3 * SECOND;
-/// The last part of a run, whose traffic is counted apart.
-pub const LATE_SPAN: Micros = 10 * SECOND;
+/// The longest delay until a recorded datagram is replayed, in µs.
+const MAX_REPLAY_DELAY_US: Micros = 3 * SECOND;
+/// Length of the last part of a run, whose traffic is counted separately, in µs.
+pub const LATE_SPAN_US: Micros = 10 * SECOND;
 
-/// Datagrams and bytes.
+/// Numbers of datagrams and of bytes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
     pub datagrams: u64,
     pub bytes: u64,
 }
 
-/// The results of one seed.
+/// The results of the run of one seed.
 #[derive(Debug, Default)]
 pub struct Outcome {
+    /// Descriptions of the violations.
     pub violations: Vec<String>,
+    /// Virtual duration of the run.
     pub seconds: f64,
+    /// Virtual duration of the run times the number of members.
     pub member_seconds: f64,
+    /// The traffic that the processes running at the end of the run have sent.
     pub sent: Traffic,
-    /// What was sent in the last ten seconds, when start and, in most plans, faults are long over.
+    /// The part of `sent` in the last ten seconds, long after the start and, in most plans, after
+    /// the end of all faults.
     pub late: Traffic,
-    pub detected_ms: Vec<f64>,
+    /// Times from the crash of a process until each other member detected it, in milliseconds.
+    pub detection_times_ms: Vec<f64>,
+    /// Time from the end of the last fault until all views agreed, in milliseconds.
     pub views_agree_after_ms: Option<f64>,
+    /// Number of versions of members that were suspected while their process ran and was not
+    /// paused.
     pub wrong_suspicions: u64,
+    /// The findings on the history of the leases.
     pub leases: LeaseFindings,
+    /// The number of leases without a holder at the end.
     pub vacant_leases: usize,
-    /// A hash of all that was sent in its order, equal for equal runs.
-    pub trace: u64,
+    /// A hash of all sent datagrams in order, which is equal for equal runs.
+    pub trace_hash: u64,
 }
 
+/// An event of a simulation.
 enum Event {
     Action(Action),
     Arrival { to: SocketAddr, bytes: Vec<u8> },
@@ -63,24 +75,26 @@
     LateSpanBegins,
 }
 
-/// The time of an event; events of one time happen in the order in which they were scheduled.
+/// The order of events: by time, and at the same time in the order in which they were scheduled.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct EventKey {
     at: Micros,
     order: u64,
 }
 
+/// A datagram that was recorded for replay.
 struct RecordedDatagram {
     to: SocketAddr,
     bytes: Vec<u8>,
 }
 
+/// The state of a run.
 pub(super) struct Simulation<'a> {
     pub(super) now: Micros,
     last_order: u64,
     queue: BTreeMap<EventKey, Event>,
     pub(super) processes: Vec<Process>,
-    member_at: BTreeMap<SocketAddr, usize>,
+    member_by_address: BTreeMap<SocketAddr, usize>,
     pub(super) plan: FaultPlan,
     random: RandomSource,
     key: Key,
@@ -93,7 +107,7 @@
     pub(super) outcome: Outcome,
 }
 
-/// Runs one seed.
+/// Runs one seed and returns its results.
 pub fn run(seed: u64, options: &Options) -> Outcome {
     let members = options.members;
     let plan = FaultPlan::draw(seed, members, options.kind, options.loss);
@@ -109,7 +123,7 @@
         last_order: 0,
         queue: BTreeMap::new(),
         processes,
-        member_at: (0..members)
+        member_by_address: (0..members)
             .map(|member| (member_address(member), member))
             .collect(),
         checker: Checker::new(members, &plan),
@@ -129,6 +143,7 @@
 }
 
 impl Simulation<'_> {
+    /// Adds an event to the queue.
     fn schedule(&mut self, at: Micros, event: Event) {
         self.last_order += 1;
         let order = self.last_order;
@@ -140,14 +155,14 @@
             self.schedule(scheduled.at, Event::Action(scheduled.action));
         }
         self.schedule(CHECK_INTERVAL_US, Event::CheckViews);
-        let late_from = self.plan.ends_at.saturating_sub(LATE_SPAN);
+        let late_from = self.plan.ends_at.saturating_sub(LATE_SPAN_US);
         self.schedule(late_from, Event::LateSpanBegins);
         while let Some((key, event)) = self.queue.pop_first() {
             if key.at > self.plan.ends_at {
                 break;
             }
             self.now = key.at;
-            self.handle(event);
+            self.handle_event(event);
             if !self.checker.violations.is_empty() {
                 break;
             }
@@ -159,7 +174,7 @@
 
     fn into_outcome(self) -> Outcome {
         let sent = self.sent();
-        let before_late = self.outcome.late;
+        let sent_before_late_span = self.outcome.late;
         let seconds = self.now as f64 / SECOND as f64;
         Outcome {
             violations: self.checker.violations,
@@ -167,17 +182,19 @@
             member_seconds: seconds * self.processes.len() as f64,
             sent,
             late: Traffic {
-                datagrams: sent.datagrams.saturating_sub(before_late.datagrams),
-                bytes: sent.bytes.saturating_sub(before_late.bytes),
+                datagrams: sent
+                    .datagrams
+                    .saturating_sub(sent_before_late_span.datagrams),
+                bytes: sent.bytes.saturating_sub(sent_before_late_span.bytes),
             },
-            detected_ms: self.checker.detected_ms,
+            detection_times_ms: self.checker.detection_times_ms,
             views_agree_after_ms: self.checker.views_agree_after_ms,
             wrong_suspicions: self.checker.wrong_suspicions,
             ..self.outcome
         }
     }
 
-    /// What the running processes have sent.
+    /// Returns the traffic that the running processes have sent since they started.
     fn sent(&self) -> Traffic {
         let running = self
             .processes
@@ -189,14 +206,14 @@
         })
     }
 
-    fn handle(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::LateSpanBegins => self.outcome.late = self.sent(),
-            Event::Action(action) => self.act(action),
+            Event::Action(action) => self.apply_action(action),
             Event::Arrival { to, bytes } => self.deliver(to, bytes),
             Event::WakeUp { member, number } => {
                 let process = &self.processes[member];
-                if process.wake_up == number && !process.is_paused {
+                if process.last_wake_up == number && !process.is_paused {
                     self.run_timers(member);
                     self.process_output(member, false);
                 }
@@ -209,7 +226,7 @@
     }
 
     fn deliver(&mut self, to: SocketAddr, bytes: Vec<u8>) {
-        let Some(&member) = self.member_at.get(&to) else {
+        let Some(&member) = self.member_by_address.get(&to) else {
             return;
         };
         let process = &mut self.processes[member];
@@ -217,7 +234,7 @@
             return;
         }
         if process.is_paused {
-            process.waiting.push_back(bytes);
+            process.buffered_datagrams.push_back(bytes);
             return;
         }
         self.receive(member, &bytes);
@@ -225,7 +242,7 @@
     }
 
     fn receive(&mut self, member: usize, bytes: &[u8]) {
-        self.checker.datagram_arrived(member, bytes);
+        self.checker.record_arrival(member, bytes);
         let process = &mut self.processes[member];
         let local = process.local_time(self.now);
         if let Some(cluster) = &mut process.cluster {
@@ -241,19 +258,19 @@
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn apply_action(&mut self, action: Action) {
         match action {
             Action::Start { member } => self.start(member, member),
             Action::StartAt { member, address } => self.start(member, address),
             Action::Kill { member } => {
                 let process = &mut self.processes[member];
                 process.cluster = None;
-                process.waiting.clear();
-                self.checker.killed(self.now, member);
+                process.buffered_datagrams.clear();
+                self.checker.record_kill(self.now, member);
                 self.lease_history.process_ended(self.now, member);
             }
             Action::Leave { member } => {
-                self.checker.left(self.now, member);
+                self.checker.record_leave(self.now, member);
                 let process = &mut self.processes[member];
                 let local = process.local_time(self.now);
                 if let Some(cluster) = &mut process.cluster {
@@ -271,14 +288,15 @@
     fn resume(&mut self, member: usize) {
         let process = &mut self.processes[member];
         process.is_paused = false;
-        let waiting = std::mem::take(&mut process.waiting);
-        // Whether expired timers or waiting datagrams come first is up to the event loop.
+        let buffered = std::mem::take(&mut process.buffered_datagrams);
+        // The event loop of a real process may handle expired timers before or after the datagrams
+        // that arrived during the pause.
         if self.random.happens(0.5) && self.processes[member].cluster.is_some() {
             self.run_timers(member);
             let events = self.take_events(member);
             self.check_events(member, &events, true);
         }
-        for bytes in waiting {
+        for bytes in buffered {
             self.receive(member, &bytes);
         }
         self.run_timers(member);
@@ -288,13 +306,14 @@
     fn start(&mut self, member: usize, address: usize) {
         let now = self.now;
         let process = &mut self.processes[member];
-        process.starts += 1;
+        process.start_count += 1;
         process.address = member_address(address);
         process.is_paused = false;
-        process.waiting.clear();
-        let stream = member as u64 * 1_000 + process.starts;
+        process.buffered_datagrams.clear();
+        let stream = member as u64 * 1_000 + process.start_count;
         let mut random = RandomSource::split(self.seed, "process", stream);
-        // Clocks of machines differ by seconds, and one may have been set back before a restart.
+        // The clocks of machines differ by seconds, and a clock may have been set back before a
+        // restart.
         let started_at_us = 1_000 * SECOND + now + random.duration_below(4 * SECOND);
         let config = member_config(member, process.address, started_at_us);
         let local = process.local_time(now);
@@ -313,13 +332,13 @@
         }
         process.incarnation = Some(cluster.incarnation());
         process.cluster = Some(cluster);
-        self.member_at.insert(process.address, member);
+        self.member_by_address.insert(process.address, member);
         let incarnation = process.incarnation;
-        self.checker.started(now, member, incarnation);
+        self.checker.record_start(now, member, incarnation);
         self.process_output(member, false);
     }
 
-    /// Sends and checks what a process has made, and schedules its next wake-up.
+    /// Sends the datagrams of a process, checks its events and schedules its next wake-up.
     fn process_output(&mut self, member: usize, has_resumed: bool) {
         self.send(member);
         self.record_lease_events(member);
@@ -330,8 +349,8 @@
         let events = cluster.take_events();
         let next_timer = cluster.next_timer();
         let wake_up_at = process.true_time(next_timer).max(self.now + 1);
-        process.wake_up += 1;
-        let number = process.wake_up;
+        process.last_wake_up += 1;
+        let number = process.last_wake_up;
         self.schedule(wake_up_at, Event::WakeUp { member, number });
         self.check_events(member, &events, has_resumed);
     }
@@ -354,8 +373,8 @@
             return;
         };
         for OutgoingDatagram { to, mut bytes } in cluster.take_datagrams() {
-            self.outcome.trace = hash_bytes(self.outcome.trace, &bytes);
-            let Some(&other) = self.member_at.get(&to) else {
+            self.outcome.trace_hash = hash_bytes(self.outcome.trace_hash, &bytes);
+            let Some(&other) = self.member_by_address.get(&to) else {
                 continue;
             };
             let transmission = self
@@ -373,7 +392,7 @@
         }
     }
 
-    /// Records a datagram, and schedules a recorded one to arrive again.
+    /// Records a datagram, and schedules a second arrival of a random recorded datagram.
     fn record_and_replay(&mut self, to: SocketAddr, bytes: &[u8]) {
         let bytes = bytes.to_vec();
         self.recorded.push_back(RecordedDatagram { to, bytes });
@@ -383,7 +402,7 @@
         let index = self.random.below(self.recorded.len());
         let RecordedDatagram { to, bytes } = &self.recorded[index];
         let (to, bytes) = (*to, bytes.clone());
-        let at = self.now + self.random.duration_below(MAX_REPLAY_DELAY);
+        let at = self.now + self.random.duration_below(MAX_REPLAY_DELAY_US);
         self.schedule(at, Event::Arrival { to, bytes });
     }
 }
@@ -403,7 +422,7 @@
     }
 }
 
-/// Continues an FNV-1a hash.
+/// Extends an FNV-1a hash by the given bytes.
 fn hash_bytes(hash: u64, bytes: &[u8]) -> u64 {
     bytes.iter().fold(hash, |hash, byte| {
         (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
--- a/crates/testbed/src/cluster/tests.rs
+++ b/crates/testbed/src/cluster/tests.rs
@@ -14,12 +14,12 @@
         kind: None,
         loss: None,
         leases: 0,
-        first_only: injected_fault.is_some(),
+        stop_at_first_violation: injected_fault.is_some(),
     }
 }
 
 #[test]
-fn no_rule_is_broken() {
+fn runs_without_an_injected_fault_have_no_violation() {
     let report = run(&options(0..12, None), &AtomicBool::new(false));
     assert_eq!(
         (
@@ -27,47 +27,48 @@
             report
                 .violations
                 .first()
-                .map(|violation| violation.what.clone())
+                .map(|violation| violation.description.clone())
         ),
         (12, None)
     );
 }
 
-/// Four of the eight; all eight: `cargo run --release -p pinefront-testbed --features planted --
-/// accord --plant NAME`.
+/// The checks find a violation for four of the eight injectable faults. The command
+/// `cargo run --release -p pinefront-testbed --features planted -- accord --plant NAME` runs any of
+/// the eight.
 #[rstest]
-#[case::incarnation(InjectedFault::RefutationCounterDecreases)]
-#[case::silent(InjectedFault::UnresponsiveCountsAsStopped)]
-#[case::asking(InjectedFault::SuspectsWithoutProbeRequests)]
-#[case::sleep(InjectedFault::PauseUndetected)]
-fn injected_fault_is_found(#[case] injected_fault: InjectedFault) {
+#[case::refutation_counter_decreases(InjectedFault::RefutationCounterDecreases)]
+#[case::unresponsive_counts_as_stopped(InjectedFault::UnresponsiveCountsAsStopped)]
+#[case::suspects_without_probe_requests(InjectedFault::SuspectsWithoutProbeRequests)]
+#[case::pause_undetected(InjectedFault::PauseUndetected)]
+fn injected_fault_causes_a_violation(#[case] injected_fault: InjectedFault) {
     let report = run(
         &options(0..400, Some(injected_fault)),
         &AtomicBool::new(false),
     );
     assert!(
         !report.violations.is_empty(),
-        "none of {} seeds found it",
+        "no violation in {} seeds",
         report.seeds
     );
 }
 
 #[test]
-fn one_seed_is_one_run() {
+fn two_runs_of_one_seed_send_the_same_datagrams() {
     let options = Options {
         members: 10,
         kind: Some(PlanKind::Any),
         leases: 20,
         ..options(0..1, None)
     };
-    let trace = || simulation::run(7, &options).trace;
-    assert_eq!(trace(), trace());
+    let trace_hash = || simulation::run(7, &options).trace_hash;
+    assert_eq!(trace_hash(), trace_hash());
 }
 
-/// No two members hold one lease and no stale command is accepted, whatever fails; and every lease
-/// has a holder at the end.
+/// Under all drawn faults, no two members hold one lease at the same time and no member accepts a
+/// stale command. Leases are also lost and acquired again, so the checks have cases to examine.
 #[test]
-fn leases_have_one_holder_at_most() {
+fn leases_never_have_two_holders_under_faults() {
     let report = run(
         &Options {
             members: 10,
@@ -80,7 +81,7 @@
         report
             .violations
             .first()
-            .map(|violation| violation.what.clone()),
+            .map(|violation| violation.description.clone()),
         None
     );
     assert!(
--- a/crates/testbed/src/commands/agreement.rs
+++ b/crates/testbed/src/commands/agreement.rs
@@ -1,6 +1,7 @@
-//! The commands `accord` and `explore`: the cluster protocol on a virtual clock and in every order
-//! of events.
+//! The commands `accord` and `explore`. `accord` runs the cluster protocol on a virtual clock;
+//! `explore` runs the lease protocol in all orders of events up to a given depth.
 
+use std::fmt;
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -12,69 +13,102 @@
 use crate::commands::{Failure, part, seeds, write_json};
 use crate::explore::{self as explorer, Findings};
 
-/// How many violations are printed.
+/// The largest number of violations that are printed.
 const MAX_PRINTED_VIOLATIONS: usize = 10;
 
 #[derive(Args)]
 pub struct SimulateCluster {
-    /// From the first seed up to the last, which is left out
+    /// Seeds to run: FIRST..END, without END
     #[arg(long, default_value = "0..500", value_parser = seeds)]
     seeds: std::ops::Range<u64>,
+    /// Number of members of the simulated fleet
     #[arg(long, default_value_t = 30, value_parser = clap::value_parser!(u64).range(2..=600))]
     members: u64,
-    /// One kind of fault plan only
+    /// Use only fault plans of this kind, instead of a kind drawn from each seed
     #[arg(long)]
     kind: Option<cluster::fault_plan::PlanKind>,
-    /// Rate of loss of all datagrams, in place of what each seed says
+    /// Loss rate of all datagrams as a fraction of 1, instead of the rate drawn from each seed
     #[arg(long, value_parser = part)]
     loss: Option<f64>,
-    /// Leases that the members hold one at a time: 200 where no number is given
+    /// Number of leases, each held by at most one member at a time; 200 without a value
     #[arg(long = "duties", default_value_t = 0, default_missing_value = "200", num_args = 0..=1)]
     leases: usize,
-    /// Inject a fault, in a build with --features planted
+    /// Inject this fault into every member; requires a build with --features planted
     #[arg(long = "plant", value_parser = membership_fault)]
     injected_fault: Option<InjectedFault>,
+    /// Write the report to this file
     #[arg(long)]
     json: Option<PathBuf>,
 }
 
 #[derive(Args)]
 pub struct Explore {
-    /// Steps from the start
+    /// Depth of the exhaustive search in steps, at most 30
     #[arg(long, default_value_t = 7)]
     depth: u32,
-    /// Random walks of 400 steps each beside that
+    /// Number of random walks of up to 400 steps each, after the exhaustive search
     #[arg(long, default_value_t = 2_000)]
     walks: u64,
+    /// Number of members that can hold the lease
     #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u64).range(1..=3))]
     candidates: u64,
-    /// Inject a fault, to see its trace
+    /// Inject this fault into every member, to print a trace that leads to a violation
     #[arg(long = "plant", value_parser = lease_fault)]
     injected_fault: Option<leases::InjectedFault>,
+    /// Write the findings to this file
     #[arg(long)]
     json: Option<PathBuf>,
 }
 
-/// Finds a fault by its name; fails with the list of all names.
-fn fault_by_name<F: Copy>(all: &[(&str, F)], name: &str) -> Result<F, String> {
-    let known = all.iter().find(|(known, _)| *known == name);
-    known.map(|(_, fault)| *fault).ok_or_else(|| {
-        let names: Vec<&str> = all.iter().map(|(name, _)| *name).collect();
-        format!("is none of {}", names.join(", "))
-    })
+/// The reason why a value of `--plant` is rejected.
+#[derive(Debug)]
+enum InjectedFaultError {
+    /// The build has no code to inject faults into members.
+    BuiltWithoutInjection,
+    /// No fault has that name.
+    UnknownName {
+        /// The names of all faults.
+        names: Vec<&'static str>,
+    },
 }
 
-fn membership_fault(name: &str) -> Result<InjectedFault, String> {
+impl fmt::Display for InjectedFaultError {
+    fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            Self::BuiltWithoutInjection => {
+                out.write_str("the testbed was built without --features planted")
+            }
+            Self::UnknownName { names } => {
+                write!(out, "expected one of {}", names.join(", "))
+            }
+        }
+    }
+}
+
+impl std::error::Error for InjectedFaultError {}
+
+/// Returns the fault with that name.
+fn fault_by_name<F: Copy>(all: &[(&'static str, F)], name: &str) -> Result<F, InjectedFaultError> {
+    let entry = all.iter().find(|(known_name, _)| *known_name == name);
+    entry
+        .map(|(_, fault)| *fault)
+        .ok_or_else(|| InjectedFaultError::UnknownName {
+            names: all.iter().map(|(name, _)| *name).collect(),
+        })
+}
+
+fn membership_fault(name: &str) -> Result<InjectedFault, InjectedFaultError> {
     if !cfg!(feature = "planted") {
-        return Err("this lab was built without --features planted".into());
+        return Err(InjectedFaultError::BuiltWithoutInjection);
     }
     fault_by_name(&InjectedFault::ALL, name)
 }
 
-fn lease_fault(name: &str) -> Result<leases::InjectedFault, String> {
+fn lease_fault(name: &str) -> Result<leases::InjectedFault, InjectedFaultError> {
     fault_by_name(&leases::InjectedFault::ALL, name)
 }
 
+/// Runs the command `explore`.
 pub fn explore(options: &Explore, cancelled: &Arc<AtomicBool>) -> Result<(), Failure> {
     let findings = explorer::explore(&explorer::Options {
         depth: options.depth,
@@ -85,22 +119,22 @@
     });
     print_findings(&findings);
     write_json(options.json.as_deref(), &findings)?;
-    outcome(findings.violations.is_empty())
+    require_no_violation(findings.violations.is_empty())
 }
 
 fn print_findings(findings: &Findings) {
     let completeness = if findings.is_complete {
         ""
     } else {
-        " (not all: too many)"
+        " (incomplete: cancelled or too many states)"
     };
     let result = if findings.violations.is_empty() {
-        "no promise broken"
+        "no violation"
     } else {
         "BROKEN"
     };
     println!(
-        "{} states to depth {}{completeness}, {} walks of {} moves in all: {result}",
+        "{} states to depth {}{completeness}, {} random walks of {} steps in total: {result}",
         findings.states, findings.depth, findings.walks, findings.walk_steps,
     );
     for violation in &findings.violations {
@@ -108,65 +142,67 @@
     }
 }
 
-fn outcome(is_sound: bool) -> Result<(), Failure> {
+fn require_no_violation(is_sound: bool) -> Result<(), Failure> {
     if is_sound {
         Ok(())
     } else {
-        Err(Failure::Failed("a promise was broken; see above".into()))
+        Err(Failure::Failed("violations were found; see above".into()))
     }
 }
 
+/// Runs the command `accord`.
 pub fn simulate_cluster(
     options: &SimulateCluster,
     cancelled: &Arc<AtomicBool>,
 ) -> Result<(), Failure> {
-    let options_of_run = cluster::Options {
+    let simulation_options = cluster::Options {
         seeds: options.seeds.clone(),
         members: options.members as usize,
         injected_fault: options.injected_fault,
         kind: options.kind,
         loss: options.loss,
         leases: options.leases,
-        first_only: false,
+        stop_at_first_violation: false,
     };
-    let report = cluster::run(&options_of_run, cancelled);
+    let report = cluster::run(&simulation_options, cancelled);
     print_report(&report);
     if options.leases > 0 {
         print_leases(&report);
     }
     write_json(options.json.as_deref(), &report)?;
-    outcome(report.violating_seeds == 0)
+    require_no_violation(report.violating_seeds == 0)
 }
 
 fn print_report(report: &Report) {
     for violation in report.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
         println!(
             "seed {}: {}\n  {}",
-            violation.seed, violation.what, violation.replay
+            violation.seed, violation.description, violation.replay
         );
     }
     println!(
-        "{} seeds of {} members, {:.0} virtual seconds: {} broke a promise",
+        "{} seeds of {} members, {:.0} virtual seconds: {} with violations",
         report.seeds, report.members, report.virtual_seconds, report.violating_seeds
     );
     println!(
-        "a member sends {:.1} datagrams and {:.0} bytes a second, {:.1} and {:.0} in the last ten",
+        "a member sends {:.1} datagrams and {:.0} bytes per second, \
+         {:.1} and {:.0} in the last ten seconds",
         report.datagrams_per_second,
         report.bytes_per_second,
         report.late_datagrams_per_second,
         report.late_bytes_per_second
     );
-    for (what, times) in [
-        ("a death is known", &report.detected_ms),
-        ("one view after", &report.views_agree_after_ms),
+    for (label, times) in [
+        ("crash detected after", &report.detection_times_ms),
+        ("views agree after", &report.views_agree_after_ms),
     ] {
         println!(
-            "{what}: median {:.0} ms, p99 {:.0}, worst {:.0} of {}",
+            "{label}: median {:.0} ms, p99 {:.0}, worst {:.0} of {}",
             times.p50, times.p99, times.worst, times.count
         );
     }
     println!(
-        "false suspicions an hour: {:.1}",
+        "wrong suspicions per hour: {:.1}",
         report.wrong_suspicions_per_hour
     );
 }
@@ -174,12 +210,13 @@
 fn print_leases(report: &Report) {
     for (cause, times) in &report.without_holder_ms {
         println!(
-            "a lease {cause}: without a holder for {:.0} ms (median), p99 {:.0}, worst {:.0} of {}",
+            "lease without a holder ({cause}): median {:.0} ms, p99 {:.0}, worst {:.0} of {}",
             times.p50, times.p99, times.worst, times.count
         );
     }
     println!(
-        "a lease changes hands {:.1} times an hour, {} times in a minute at most; {} vacant at the end, {} terms decreased",
+        "holder changes per lease: {:.1} per hour, at most {} in one minute; \
+         {} leases vacant at the end, {} terms decreased",
         report.lease_changes_per_hour,
         report.max_lease_changes_per_minute,
         report.vacant_leases,
--- a/crates/testbed/src/explore/search.rs
+++ b/crates/testbed/src/explore/search.rs
@@ -1,4 +1,4 @@
-//! Exhaustive search, random walks, and shortening of what they find.
+//! Exhaustive search, random walks, and shrinking of the traces that lead to a violation.
 
 use std::collections::HashMap;
 
@@ -7,28 +7,32 @@
 use super::Options;
 use super::state::{State, Step};
 
-/// How many states are kept before the search ends by itself.
+/// The number of distinct states at which the exhaustive search stops.
 const MAX_STATES: usize = 60_000_000;
-/// The length of a random walk.
+/// The largest number of steps of a random walk.
 const WALK_STEPS: u64 = 400;
-/// After so many steps of a walk, restarts and repeats are allowed anew.
-const ALLOWANCE_STEPS: u64 = 40;
-/// The probability of a step without faults where there is one; otherwise hardly any round would
-/// end.
-const USUAL_STEP_PROBABILITY: f64 = 0.85;
+/// The number of steps of a walk after which its allowance of restarts and repeated messages is
+/// renewed.
+const ALLOWANCE_RENEWAL_STEPS: u64 = 40;
+/// The probability that a step of a walk is one without faults, if such a step is possible. With
+/// more faults hardly any protocol round would complete.
+const FAULT_FREE_STEP_PROBABILITY: f64 = 0.85;
 
-/// The hashes of the states seen, each with the depth that was left; seen with no more left,
-/// nothing new follows.
-type SeenStates = HashMap<u64, u8>;
+/// The hashes of the visited states, each with the largest remaining depth at which the state was
+/// visited. Another visit with the same or a smaller remaining depth reaches no new states.
+type VisitedStates = HashMap<u64, u8>;
 
 /// The result of an exhaustive search.
 pub(super) struct SearchResult {
+    /// The first violation with its trace.
     pub violation: Option<String>,
+    /// The number of distinct states visited at the last depth.
     pub states: u64,
+    /// Whether the search was neither cancelled nor stopped at [`MAX_STATES`].
     pub is_complete: bool,
 }
 
-/// A violation with the steps that led to it.
+/// A violation and the steps that lead to it.
 struct Trace {
     steps: Vec<Step>,
     violation: String,
@@ -46,21 +50,21 @@
     }
 }
 
-/// Searches all paths from a state to increasing depths.
+/// Searches all paths from a state, to increasing depths of up to `depth` steps.
 pub(super) fn search_to_depth(root: &State, depth: u8, options: &Options) -> SearchResult {
     let mut search = Search {
-        seen: SeenStates::new(),
+        visited: VisitedStates::new(),
         path: Vec::new(),
         options,
     };
     let mut violation = None;
     for depth in 1..=depth {
-        search.seen.clear();
+        search.visited.clear();
         search.path.clear();
-        if let Some(violated) = search.descend(root, depth) {
+        if let Some(description) = search.descend(root, depth) {
             let trace = Trace {
                 steps: search.path.clone(),
-                violation: violated,
+                violation: description,
             };
             violation = Some(trace.describe());
             break;
@@ -68,21 +72,24 @@
     }
     SearchResult {
         violation,
-        states: search.seen.len() as u64,
-        is_complete: search.seen.len() < MAX_STATES && !options.is_cancelled(),
+        states: search.visited.len() as u64,
+        is_complete: search.visited.len() < MAX_STATES && !options.is_cancelled(),
     }
 }
 
+/// A depth-first search to one depth.
 struct Search<'a> {
-    seen: SeenStates,
+    visited: VisitedStates,
+    /// The steps from the root to the current state.
     path: Vec<Step>,
     options: &'a Options,
 }
 
 impl Search<'_> {
-    /// Tries all steps from a state. Returns the first violation, to which `path` then leads.
+    /// Applies all possible steps to a state, down to `depth_left` further steps. Returns the first
+    /// violation found; `path` then holds the steps that lead to it.
     fn descend(&mut self, state: &State, depth_left: u8) -> Option<String> {
-        if depth_left == 0 || self.seen.len() >= MAX_STATES || self.options.is_cancelled() {
+        if depth_left == 0 || self.visited.len() >= MAX_STATES || self.options.is_cancelled() {
             return None;
         }
         for step in state.steps() {
@@ -91,9 +98,9 @@
             if let Some(violation) = next.apply(&step, self.options) {
                 return Some(violation);
             }
-            let seen_with = self.seen.entry(next.hash_value()).or_insert(0);
-            if *seen_with < depth_left {
-                *seen_with = depth_left;
+            let visited_depth = self.visited.entry(next.fingerprint()).or_insert(0);
+            if *visited_depth < depth_left {
+                *visited_depth = depth_left;
                 if let Some(violation) = self.descend(&next, depth_left - 1) {
                     return Some(violation);
                 }
@@ -104,19 +111,21 @@
     }
 }
 
-/// A random walk.
+/// The result of a random walk.
 pub(super) struct Walk {
+    /// The number of steps before the end or the violation.
     pub steps: u64,
+    /// The violation with its shrunk trace.
     pub violation: Option<String>,
 }
 
-/// Walks from the first state by random steps.
+/// Makes a random walk from the initial state.
 pub(super) fn walk(seed: u64, options: &Options) -> Walk {
     let mut random = RandomSource::split(seed, "walk", 0);
-    let mut state = State::first(options);
+    let mut state = State::initial(options);
     let mut steps = Vec::new();
     for number in 0..WALK_STEPS {
-        if number % ALLOWANCE_STEPS == 0 {
+        if number % ALLOWANCE_RENEWAL_STEPS == 0 {
             state.restarts = 0;
             state.repeats = 0;
         }
@@ -124,12 +133,12 @@
         steps.push(step.clone());
         if let Some(violation) = state.apply(&step, options) {
             let length = steps.len();
-            let trace = shortened(Trace { steps, violation }, options);
+            let trace = shrink(Trace { steps, violation }, options);
             let description = trace.describe();
             return Walk {
                 steps: number,
                 violation: Some(format!(
-                    "walk {seed}, shrunk from {length} moves: {description}"
+                    "random walk {seed}, shrunk from {length} steps: {description}"
                 )),
             };
         }
@@ -142,17 +151,18 @@
 
 fn random_step(state: &State, random: &mut RandomSource) -> Step {
     let steps = state.steps();
-    let usual: Vec<&Step> = steps.iter().filter(|step| step.is_usual()).collect();
-    if !usual.is_empty() && random.happens(USUAL_STEP_PROBABILITY) {
-        usual[random.below(usual.len())].clone()
+    let fault_free: Vec<&Step> = steps.iter().filter(|step| step.is_fault_free()).collect();
+    if !fault_free.is_empty() && random.happens(FAULT_FREE_STEP_PROBABILITY) {
+        fault_free[random.below(fault_free.len())].clone()
     } else {
         steps[random.below(steps.len())].clone()
     }
 }
 
-/// Applies steps to the first state, and returns the trace up to the first violation.
+/// Applies steps to the initial state, skipping those that are not possible. Returns the trace up
+/// to the first violation, or `None` if there is no violation.
 fn replay(steps: &[Step], options: &Options) -> Option<Trace> {
-    let mut state = State::first(options);
+    let mut state = State::initial(options);
     for (index, step) in steps.iter().enumerate() {
         if !state.allows(step) {
             continue;
@@ -165,8 +175,8 @@
     None
 }
 
-/// Leaves out steps as long as a violation remains without them.
-fn shortened(trace: Trace, options: &Options) -> Trace {
+/// Removes single steps from a trace for as long as the remaining steps still lead to a violation.
+fn shrink(trace: Trace, options: &Options) -> Trace {
     let mut shortest = replay(&trace.steps, options).unwrap_or(trace);
     loop {
         let length = shortest.steps.len();
--- a/crates/testbed/src/explore/state.rs
+++ b/crates/testbed/src/explore/state.rs
@@ -1,4 +1,4 @@
-//! The states of a few members with one lease, and the steps between them.
+//! The states of a few members that share one lease, and the steps between these states.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::rc::Rc;
@@ -15,43 +15,49 @@
 
 /// The name of the lease.
 const LEASE_NAME: &str = "d";
-/// The number of voters, which are no candidates.
+/// The number of voters. Voters are not candidates for the lease.
 pub(super) const VOTERS: usize = 3;
-/// The largest number of messages on their way; the oldest is lost beyond that.
+/// The largest number of messages in flight. If there are more, the oldest one is lost.
 const MAX_MESSAGES: usize = 7;
-/// Waits that are tried: within a round, beyond one, and beyond any lease.
+/// Durations of [`Step::Wait`]: shorter than a protocol round, longer than a round, and longer than
+/// any lease.
 const WAITS_US: [Micros; 3] = [100_000, 300_000, 1_100_000];
-/// A wait that ends this long before a lease expires is tried as well.
+/// Time before the expiry of a held lease at which a further [`Step::Wait`] ends.
 const BEFORE_EXPIRY_US: Micros = 4_000;
-/// The duration of the lease: half the longest, so that few steps outlast it.
+/// Duration of the lease: half of the longest, so that it expires within a few steps.
 const LEASE_DURATION_US: Micros = MAX_LEASE_DURATION_US / 2;
-/// Rates of slow and fast clocks, in thousandths of the true one.
-const SLOW_RATE: u64 = 990;
-const FAST_RATE: u64 = 1_010;
-/// How many restarts, stops and repeated messages a path may have.
+/// Rate of a slow clock, in thousandths of true time.
+const SLOW_RATE_PER_MILLE: u64 = 990;
+/// Rate of a fast clock, in thousandths of true time.
+const FAST_RATE_PER_MILLE: u64 = 1_010;
+/// The largest number of restarts on a path.
 const MAX_RESTARTS: u8 = 1;
+/// The largest number of orderly stops on a path.
 const MAX_STOPS: u8 = 1;
+/// The largest number of repeated messages on a path.
 const MAX_REPEATS: u8 = 1;
 
-/// One member: the voters first, then the candidates.
+/// One member, which is a voter or a candidate.
 #[derive(Clone, Hash, PartialEq, Eq)]
 struct Node {
     name: Rc<str>,
     leases: LeaseManager,
-    /// The rate of its clock, in thousandths of the true one.
-    rate: u64,
-    /// How many processes it has had.
-    processes: u64,
-    /// The greatest term of a command that it accepted.
-    accepted: Option<Term>,
+    /// The rate of the member's clock, in thousandths of true time.
+    clock_rate_per_mille: u64,
+    /// The number of processes that the member has started.
+    process_count: u64,
+    /// The greatest term under which this process acquired the lease or accepted a command.
+    accepted_term: Option<Term>,
 }
 
-/// A message on its way.
+/// A message in flight.
 #[derive(Clone, Hash, PartialEq, Eq)]
 struct MessageInFlight {
     from: usize,
     to: usize,
+    /// The id of the process that sent the message.
     sender_id: u64,
+    /// Whether the message has been delivered and remains in flight to arrive again.
     was_delivered: bool,
     message: LeaseMessage,
 }
@@ -60,12 +66,16 @@
 #[derive(Clone, Hash, PartialEq, Eq)]
 pub(super) struct State {
     now: Micros,
+    /// The voters, followed by the candidates.
     nodes: Vec<Node>,
     messages: Vec<MessageInFlight>,
-    /// The greatest term under which anybody held the lease.
-    highest: Option<Term>,
+    /// The greatest term under which a member has held the lease.
+    greatest_term: Option<Term>,
+    /// The number of restarts on the path to this state.
     pub restarts: u8,
+    /// The number of orderly stops on the path to this state.
     stops: u8,
+    /// The number of repeated messages on the path to this state.
     pub repeats: u8,
 }
 
@@ -73,28 +83,41 @@
 #[derive(Clone, Debug)]
 pub(super) enum Step {
     /// Runs the expired timers of a member.
-    Run { member: usize },
-    /// Delivers a message, which may stay to arrive again.
-    Deliver { index: usize, stays: bool },
-    /// Lets time pass.
+    RunTimers { member: usize },
+    /// Delivers a message. If `stays_in_flight` is set, the message can arrive again.
+    Deliver { index: usize, stays_in_flight: bool },
+    /// Advances the time by that duration.
     Wait(Micros),
-    /// Restarts a member without memory.
+    /// Restarts a member, which loses all its state.
     Restart { member: usize },
-    /// Stops a holder, which releases its lease.
+    /// Stops a holder in order; it releases its lease.
     Stop { member: usize },
-    /// The holder sends a command to another candidate.
+    /// Sends a command from the holder to another candidate.
     Command { from: usize, to: usize },
 }
 
 impl Step {
-    /// Whether it is a step of a network without faults.
-    pub fn is_usual(&self) -> bool {
-        matches!(self, Self::Run { .. } | Self::Deliver { stays: false, .. })
+    /// Whether the step also occurs without faults of the network or of a process.
+    pub fn is_fault_free(&self) -> bool {
+        matches!(
+            self,
+            Self::RunTimers { .. }
+                | Self::Deliver {
+                    stays_in_flight: false,
+                    ..
+                }
+        )
     }
 }
 
 impl Node {
-    fn start(member: usize, now: Micros, rate: u64, process: u64, options: &Options) -> Self {
+    fn start(
+        member: usize,
+        now: Micros,
+        clock_rate_per_mille: u64,
+        process: u64,
+        options: &Options,
+    ) -> Self {
         let voters: Vec<Rc<str>> = (0..VOTERS).map(|n| Rc::from(format!("v{n}"))).collect();
         let name = voters
             .get(member)
@@ -104,9 +127,9 @@
             voters,
             duration: LEASE_DURATION_US,
         };
-        let at = now * rate / 1_000;
-        // All members agree on the time of day to the millisecond, so that terms never decrease,
-        // whoever forgets.
+        let at = now * clock_rate_per_mille / 1_000;
+        // The wall clocks of all members agree to the millisecond. Since terms derive from them,
+        // terms do not decrease even if members restart without their state.
         let wall_clock_offset_ms = 1_000_000 + now / 1_000 - at / 1_000;
         let own_id = process_id(member, process);
         let mut leases =
@@ -118,34 +141,36 @@
         Self {
             name,
             leases,
-            rate,
-            processes: process,
-            accepted: None,
+            clock_rate_per_mille,
+            process_count: process,
+            accepted_term: None,
         }
     }
 
     fn local_time(&self, now: Micros) -> Micros {
-        now * self.rate / 1_000
+        now * self.clock_rate_per_mille / 1_000
     }
 }
 
+/// Returns the id of a process of a member.
 fn process_id(member: usize, process: u64) -> u64 {
     member as u64 * 100 + process
 }
 
 impl State {
-    /// Voters that started long ago, and candidates that start now. The clock of the first
-    /// candidate is as slow as allowed, all others as fast.
-    pub fn first(options: &Options) -> Self {
-        let rate = |member: usize| {
+    /// The initial state: voters that started two maximum lease durations ago, and candidates that
+    /// start now. The clock of the first candidate is as slow as allowed, the clocks of all others
+    /// are as fast as allowed.
+    pub fn initial(options: &Options) -> Self {
+        let clock_rate = |member: usize| {
             if member == VOTERS {
-                SLOW_RATE
+                SLOW_RATE_PER_MILLE
             } else {
-                FAST_RATE
+                FAST_RATE_PER_MILLE
             }
         };
         let mut nodes: Vec<Node> = (0..VOTERS + options.candidates)
-            .map(|member| Node::start(member, 0, rate(member), 1, options))
+            .map(|member| Node::start(member, 0, clock_rate(member), 1, options))
             .collect();
         let now = MAX_LEASE_DURATION_US * 2;
         for node in &mut nodes[VOTERS..] {
@@ -157,20 +182,20 @@
             now,
             nodes,
             messages: Vec::new(),
-            highest: None,
+            greatest_term: None,
             restarts: 0,
             stops: 0,
             repeats: 0,
         }
     }
 
-    /// The state where the first candidate holds the lease and all messages have arrived.
+    /// The state in which the first candidate holds the lease and all messages have been delivered.
     pub fn with_holder(options: &Options) -> Self {
-        let mut state = Self::first(options);
-        state.apply(&Step::Run { member: VOTERS }, options);
+        let mut state = Self::initial(options);
+        state.apply(&Step::RunTimers { member: VOTERS }, options);
         let deliver = Step::Deliver {
             index: 0,
-            stays: false,
+            stays_in_flight: false,
         };
         while !state.messages.is_empty() {
             state.apply(&deliver, options);
@@ -188,6 +213,7 @@
             .collect()
     }
 
+    /// Returns the members that hold the lease according to their own clocks.
     fn holders(&self) -> Vec<usize> {
         let lease = LeaseId::from_name(LEASE_NAME);
         let holds = |member: &usize| {
@@ -198,12 +224,12 @@
         (VOTERS..self.nodes.len()).filter(holds).collect()
     }
 
-    /// All steps that are possible here.
+    /// Returns all steps that are possible in this state.
     pub fn steps(&self) -> Vec<Step> {
         let mut steps = Vec::new();
         for (member, node) in self.nodes.iter().enumerate().skip(VOTERS) {
             if node.leases.next_timer() <= node.local_time(self.now) {
-                steps.push(Step::Run { member });
+                steps.push(Step::RunTimers { member });
             }
         }
         self.add_deliveries(&mut steps);
@@ -226,11 +252,15 @@
             if self.messages[..index].contains(message) {
                 continue;
             }
-            let stays = false;
-            steps.push(Step::Deliver { index, stays });
+            steps.push(Step::Deliver {
+                index,
+                stays_in_flight: false,
+            });
             if !message.was_delivered && self.repeats < MAX_REPEATS {
-                let stays = true;
-                steps.push(Step::Deliver { index, stays });
+                steps.push(Step::Deliver {
+                    index,
+                    stays_in_flight: true,
+                });
             }
         }
     }
@@ -239,7 +269,7 @@
         steps.extend(WAITS_US.map(Step::Wait));
         for node in &self.nodes[VOTERS..] {
             for held in node.leases.acquired_not_reported_lost() {
-                let expires_at = held.expires_at * 1_000 / node.rate;
+                let expires_at = held.expires_at * 1_000 / node.clock_rate_per_mille;
                 let at = expires_at.saturating_sub(BEFORE_EXPIRY_US);
                 if at > self.now {
                     steps.push(Step::Wait(at - self.now));
@@ -248,7 +278,7 @@
         }
     }
 
-    /// Whether a step of another path is possible here.
+    /// Whether a step that was taken on another path is possible in this state.
     pub fn allows(&self, step: &Step) -> bool {
         match step {
             Step::Deliver { index, .. } => *index < self.messages.len(),
@@ -256,27 +286,31 @@
         }
     }
 
-    /// Makes a step, and returns the violation it leads to, if any.
+    /// Applies a step, and returns the violation that it causes, if any.
     pub fn apply(&mut self, step: &Step, options: &Options) -> Option<String> {
         let now = self.now;
         match *step {
-            Step::Run { member } => {
+            Step::RunTimers { member } => {
                 let candidates = self.candidates();
                 let node = &mut self.nodes[member];
                 let at = node.local_time(now);
                 node.leases.run_timers(at, &candidates, true);
                 self.process_output(member)
             }
-            Step::Deliver { index, stays } => self.deliver(index, stays),
-            Step::Wait(span) => {
-                self.now += span;
+            Step::Deliver {
+                index,
+                stays_in_flight,
+            } => self.deliver(index, stays_in_flight),
+            Step::Wait(duration) => {
+                self.now += duration;
                 self.check_holders()
             }
             Step::Restart { member } => {
                 self.restarts += 1;
                 let node = &self.nodes[member];
-                let process = node.processes + 1;
-                self.nodes[member] = Node::start(member, now, node.rate, process, options);
+                let process = node.process_count + 1;
+                let clock_rate = node.clock_rate_per_mille;
+                self.nodes[member] = Node::start(member, now, clock_rate, process, options);
                 self.check_holders()
             }
             Step::Stop { member } => {
@@ -297,8 +331,8 @@
         }
     }
 
-    fn deliver(&mut self, index: usize, stays: bool) -> Option<String> {
-        let delivered = if stays {
+    fn deliver(&mut self, index: usize, stays_in_flight: bool) -> Option<String> {
+        let delivered = if stays_in_flight {
             self.repeats += 1;
             self.messages[index].was_delivered = true;
             self.messages[index].clone()
@@ -306,8 +340,9 @@
             self.messages.remove(index)
         };
         let sender = &self.nodes[delivered.from];
-        // Messages of an earlier process are rejected once a later one is known; here always.
-        if delivered.sender_id != process_id(delivered.from, sender.processes) {
+        // A real member rejects messages of an earlier process from the time at which it has a
+        // later process of the sender in its table. The exploration always rejects them.
+        if delivered.sender_id != process_id(delivered.from, sender.process_count) {
             return None;
         }
         let name = Rc::clone(&sender.name);
@@ -321,7 +356,7 @@
     /// Sends a member's messages and checks its events.
     fn process_output(&mut self, member: usize) -> Option<String> {
         let node = &mut self.nodes[member];
-        let sender_id = process_id(member, node.processes);
+        let sender_id = process_id(member, node.process_count);
         let messages = node.leases.take_messages();
         let events = node.leases.take_events();
         for AddressedMessage { to, message } in messages {
@@ -351,19 +386,21 @@
         let name = &node.name;
         match event {
             LeaseEvent::Acquired { term, .. } => {
-                if let Some(highest) = self.highest.filter(|highest| term <= highest) {
-                    return Some(format!("{name} holds by {term:?} after {highest:?}"));
+                if let Some(greatest) = self.greatest_term.filter(|greatest| term <= greatest) {
+                    return Some(format!(
+                        "{name} acquired the lease under {term:?}, which is not after {greatest:?}"
+                    ));
                 }
-                self.highest = Some(*term);
-                node.accepted = node.accepted.max(Some(*term));
+                self.greatest_term = Some(*term);
+                node.accepted_term = node.accepted_term.max(Some(*term));
             }
             LeaseEvent::CommandReceived { term, .. } => {
-                if let Some(accepted) = node.accepted.filter(|accepted| term < accepted) {
+                if let Some(accepted) = node.accepted_term.filter(|accepted| term < accepted) {
                     return Some(format!(
-                        "{name} takes an act of {term:?} after {accepted:?}"
+                        "{name} accepted a command under {term:?}, which is before {accepted:?}"
                     ));
                 }
-                node.accepted = Some(*term);
+                node.accepted_term = Some(*term);
             }
             _ => {}
         }
@@ -373,12 +410,17 @@
     fn check_holders(&self) -> Option<String> {
         let holders = self.holders();
         let names: Vec<&str> = holders.iter().map(|n| &*self.nodes[*n].name).collect();
-        (holders.len() > 1)
-            .then(|| format!("two hold the duty at {} us: {}", self.now, names.join(", ")))
+        (holders.len() > 1).then(|| {
+            let names = names.join(", ");
+            format!(
+                "more than one holder of the lease at {} us: {names}",
+                self.now
+            )
+        })
     }
 
-    /// The hash by which states are told apart.
-    pub fn hash_value(&self) -> u64 {
+    /// Returns the hash by which states are distinguished.
+    pub fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         self.hash(&mut hasher);
         hasher.finish()
--- a/crates/testbed/src/explore/tests.rs
+++ b/crates/testbed/src/explore/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn never_two_hold_one_lease() {
+fn lease_never_has_two_holders_without_an_injected_fault() {
     let findings = explore(&Options {
         depth: 4,
         walks: 200,
@@ -19,8 +19,8 @@
 }
 
 #[rstest]
-fn injected_fault_has_a_trace(#[values(0, 1, 2, 3, 4, 5)] which: usize) {
-    let (name, injected_fault) = InjectedFault::ALL[which];
+fn injected_fault_causes_a_violation(#[values(0, 1, 2, 3, 4, 5)] index: usize) {
+    let (name, injected_fault) = InjectedFault::ALL[index];
     let findings = explore(&Options {
         depth: 1,
         walks: 3_000,
@@ -30,7 +30,7 @@
     });
     assert!(
         !findings.violations.is_empty(),
-        "{name}: not found in {} walks",
+        "{name}: no violation in {} random walks",
         findings.walks
     );
 }
