--- a/crates/testbed/src/balancers/mod.rs
+++ b/crates/testbed/src/balancers/mod.rs
@@ -22,7 +22,7 @@
 
 use crate::error::Error;
 use crate::fleet::leases::LeaseLog;
-use crate::fleet::own_address;
+use crate::fleet::process_loopback_address;
 use crate::http;
 use crate::system_faults::{self, PreloadedLibrary};
 use crate::world::locked;
@@ -86,7 +86,7 @@
     pub fn new(setup: &BalancerSetup) -> io::Result<Self> {
         // The port is free until the balancer binds it, unless another process takes it, which the
         // start then reports.
-        let address = TcpListener::bind((own_address(), 0))?.local_addr()?;
+        let address = TcpListener::bind((process_loopback_address(), 0))?.local_addr()?;
         let config = initial_config(setup, address);
         let config_file = setup.folder.join(format!("b{}.json", setup.number));
         std::fs::write(&config_file, config.to_string())?;
--- a/crates/testbed/src/commands/scenarios.rs
+++ b/crates/testbed/src/commands/scenarios.rs
@@ -258,7 +258,7 @@
     let mut scenario = read_scenario(&options.scenario)?;
     set_balancers(&mut scenario, options.balancers)?;
     if let Some(loss) = options.loss {
-        drawn::lose(&mut scenario, loss);
+        drawn::add_network_loss(&mut scenario, loss);
     }
     let subject = binary_subject(options.binary.as_ref());
     let run_options = RunOptions {
@@ -291,7 +291,7 @@
     let mut scenario = scenario.clone();
     drawn::draw(&mut scenario, seed);
     if let Some(loss) = loss {
-        drawn::lose(&mut scenario, loss);
+        drawn::add_network_loss(&mut scenario, loss);
     }
     scenario
 }
--- a/crates/testbed/src/figures/mod.rs
+++ b/crates/testbed/src/figures/mod.rs
@@ -10,7 +10,7 @@
 use serde::Serialize;
 
 use crate::clients::{RequestCounts, Results};
-use crate::fleet::Known;
+use crate::fleet::FleetReport;
 use crate::fleet::leases::LeaseReport;
 
 /// Violations that are listed; of further ones only the number is given.
@@ -89,7 +89,7 @@
     pub seconds: Vec<Second>,
     /// What the balancers of a cluster knew of each other.
     #[serde(flatten)]
-    pub cluster: Option<Known>,
+    pub cluster: Option<FleetReport>,
     /// Whether the run was ended early.
     #[serde(rename = "cut_short")]
     pub interrupted: bool,
@@ -141,7 +141,7 @@
     pub fn is_sound(&self) -> bool {
         let cluster = self.cluster.as_ref();
         let is_cluster_sound = cluster.is_none_or(|cluster| {
-            cluster.wrongly_gone == 0 && cluster.views_agree_after_ms.is_some()
+            cluster.serving_status_errors == 0 && cluster.views_agree_after_ms.is_some()
         });
         let duties = cluster.and_then(|cluster| cluster.leases.as_ref());
         self.rule_violation_count == 0
--- a/crates/testbed/src/figures/table.rs
+++ b/crates/testbed/src/figures/table.rs
@@ -4,7 +4,7 @@
 
 use super::{Figures, Times};
 use crate::cluster::distribution;
-use crate::fleet::Known;
+use crate::fleet::FleetReport;
 use crate::fleet::leases::LeaseReport;
 
 /// Lines with a name and a text.
@@ -90,26 +90,29 @@
     }
 }
 
-fn add_cluster(table: &mut Table, cluster: &Known) {
+fn add_cluster(table: &mut Table, cluster: &FleetReport) {
     let agreement = cluster
         .views_agree_after_ms
         .map_or("NEVER AGREE".to_owned(), |ms| {
             format!("agree {ms:.0} ms after the last fault")
         });
-    table.line("views", format!("{agreement}, of {} polls", cluster.looks));
-    let text = format!("detected after {}", times(&cluster.detected_ms));
+    table.line(
+        "views",
+        format!("{agreement}, of {} polls", cluster.checked_views),
+    );
+    let text = format!("detected after {}", times(&cluster.detection_times_ms));
     table.line("failures", text);
-    if !cluster.detected_by_all_ms.is_empty() {
-        let text = format!("after {}", times(&cluster.detected_by_all_ms));
+    if !cluster.detection_by_all_times_ms.is_empty() {
+        let text = format!("after {}", times(&cluster.detection_by_all_times_ms));
         table.line("detected by all", text);
     }
     let text = format!(
         "{} calls, {:.2} a second",
-        cluster.discovery_calls, cluster.discovery_calls_a_second
+        cluster.discovery_requests, cluster.discovery_requests_per_second
     );
     table.line("discovery", text);
-    if cluster.flooded > 0 {
-        table.line("strangers sent", cluster.flooded.to_string());
+    if cluster.flood_datagrams > 0 {
+        table.line("strangers sent", cluster.flood_datagrams.to_string());
     }
     let text = format!(
         "{} suspicions, also of suspended members",
@@ -118,7 +121,7 @@
     table.line("refuted", text);
     let text = format!(
         "{}; considered dead while running: {}",
-        cluster.wrongly_gone, cluster.held_gone_while_running
+        cluster.serving_status_errors, cluster.considered_dead_while_running
     );
     table.line("wrongly dead", text);
     if let Some(leases) = &cluster.leases {
@@ -130,12 +133,12 @@
 fn add_duties(table: &mut Table, duties: &LeaseReport) {
     let text = format!(
         "{}: {} OVERLAPS, {} old terms accepted, {} changes ({} of one in a minute at most), {} vacant",
-        duties.leases,
+        duties.lease_count,
         duties.overlaps,
-        duties.old_terms_taken,
+        duties.decreased_terms,
         duties.changes,
-        duties.changes_most_a_minute,
-        duties.vacant
+        duties.max_changes_per_minute,
+        duties.vacant_leases
     );
     table.line("duties", text);
     let vacancy = distribution(duties.without_holder_ms.clone());
@@ -144,7 +147,7 @@
         vacancy.p50, vacancy.worst, vacancy.count
     );
     table.line("without a holder", text);
-    for (cause, vacancies_ms) in &duties.without_holder_by {
+    for (cause, vacancies_ms) in &duties.without_holder_ms_by_cause {
         table.line("", format!("{cause}: {}", times(vacancies_ms)));
     }
     table.lines("", &duties.details);
--- a/crates/testbed/src/fleet/addresses.rs
+++ b/crates/testbed/src/fleet/addresses.rs
@@ -1,4 +1,5 @@
-//! Addresses of the balancers of a fleet and of the relays between them, and their operator files.
+//! Addresses of the balancers of a fleet and of the relays between them, and the operator files of
+//! the balancers.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -7,69 +8,74 @@
 
 use pinefront_model::scenario::Scenario;
 
-/// How many members vote on leases; the first ones.
+/// The number of members that vote on leases, which are the first members.
 const VOTERS: usize = 3;
-/// How many members are seeds; the first ones.
+/// The number of members that are seeds, which are the first members.
 const SEEDS: usize = 3;
 
-/// The socket of the relay from one balancer to another.
+/// The socket of the relay on the link from one balancer to another.
 pub struct RelaySocket {
     pub from: usize,
     pub to: usize,
     pub socket: UdpSocket,
 }
 
-/// The addresses at which balancers receive, and those of the relays that pass on what one sends to
-/// another.
+/// The addresses of the balancers, and the relays that forward datagrams between them.
 pub struct Addresses {
+    /// The address at which each balancer receives datagrams.
     pub members: Vec<SocketAddr>,
-    /// By sender, the relay's address for each receiver's.
-    via: Vec<BTreeMap<SocketAddr, SocketAddr>>,
+    /// For each sender, the address of the relay for each address of a receiver.
+    relay_addresses: Vec<BTreeMap<SocketAddr, SocketAddr>>,
+    /// The sockets of all relays.
     pub relay_sockets: Vec<RelaySocket>,
 }
 
-/// An address that only this process uses: a port of 127.0.0.1 that is released here could be given
-/// to any other process before a balancer binds it.
-pub fn own_address() -> Ipv4Addr {
+/// Returns a loopback address that only this process uses. On 127.0.0.1, a port that is released
+/// for a balancer could be assigned to another process before the balancer binds it.
+pub fn process_loopback_address() -> Ipv4Addr {
     const NUMBERS: u32 = 250;
     let id = std::process::id();
     let [high, low] = [id / NUMBERS % NUMBERS, id % NUMBERS].map(|number| 1 + number as u8);
     Ipv4Addr::new(127, high, low, 1)
 }
 
-fn bind_free() -> io::Result<UdpSocket> {
-    UdpSocket::bind((own_address(), 0))
+/// Binds a socket to a free port.
+fn bind_free_port() -> io::Result<UdpSocket> {
+    UdpSocket::bind((process_loopback_address(), 0))
 }
 
 impl Addresses {
-    /// Chooses free addresses for so many balancers, and opens the sockets of the relays.
+    /// Chooses free addresses for the given number of balancers, and opens the sockets of the
+    /// relays.
     pub fn new(balancers: usize) -> io::Result<Self> {
-        // Bound together, so that none is given twice; released for the balancers to bind.
+        // All sockets are bound at the same time, so that no port is assigned twice. They are then
+        // closed so that the balancers can bind the ports.
         let reserved: Vec<UdpSocket> = (0..balancers)
-            .map(|_| bind_free())
+            .map(|_| bind_free_port())
             .collect::<io::Result<_>>()?;
         let members: Vec<SocketAddr> = reserved
             .iter()
             .map(UdpSocket::local_addr)
             .collect::<io::Result<_>>()?;
-        let mut via = vec![BTreeMap::new(); balancers];
+        let mut relay_addresses = vec![BTreeMap::new(); balancers];
         let mut relay_sockets = Vec::new();
-        for (from, via) in via.iter_mut().enumerate() {
+        for (from, relay_by_receiver) in relay_addresses.iter_mut().enumerate() {
             for to in (0..balancers).filter(|to| *to != from) {
-                let socket = bind_free()?;
+                let socket = bind_free_port()?;
                 socket.set_nonblocking(true)?;
-                via.insert(members[to], socket.local_addr()?);
+                relay_by_receiver.insert(members[to], socket.local_addr()?);
                 relay_sockets.push(RelaySocket { from, to, socket });
             }
         }
         Ok(Self {
             members,
-            via,
+            relay_addresses,
             relay_sockets,
         })
     }
 
-    /// Writes the operator file of a balancer that uses the address with that index.
+    /// Writes the operator file of the balancer `number`, which receives at the address with index
+    /// `address_index`, and returns the path of the file.
     pub fn operator_file(
         &self,
         scenario: &Scenario,
@@ -77,16 +83,18 @@
         address_index: usize,
         folder: &Path,
     ) -> io::Result<PathBuf> {
-        // A file for each balancer, since another may be reading its own meanwhile.
+        // Each balancer has its own key file, since another balancer may be reading its file while
+        // this one is written.
         let key = folder.join(format!("b{number}.key"));
         std::fs::write(&key, "a key for the lab's own fleet\n")?;
-        let via: String = self.via[address_index]
+        let via_entries: String = self.relay_addresses[address_index]
             .iter()
-            .map(|(to, via)| format!("\"{to}\" = \"{via}\"\n"))
+            .map(|(to, relay)| format!("\"{to}\" = \"{relay}\"\n"))
             .collect();
         let zones = &scenario.fleet.zones;
         let text = format!(
-            "[fleet]\nname = \"lab\"\nkey_file = \"{}\"\nlisten = \"{}\"\nseeds = [{}]\nzone = \"{}\"\n[fleet.via]\n{via}{}",
+            "[fleet]\nname = \"lab\"\nkey_file = \"{}\"\nlisten = \"{}\"\nseeds = [{}]\n\
+             zone = \"{}\"\n[fleet.via]\n{via_entries}{}",
             key.display(),
             self.members[address_index],
             quoted(self.members.iter().take(SEEDS)),
@@ -99,7 +107,7 @@
     }
 }
 
-/// The table `[duties]`, where the scenario has leases.
+/// Returns the table `[duties]`, or an empty text if the scenario has no leases.
 fn lease_table(scenario: &Scenario) -> String {
     if scenario.duties == 0 && !scenario.shared_endpoint_list {
         return String::new();
@@ -119,7 +127,7 @@
     )
 }
 
-/// The values in quotes and separated by commas.
+/// Returns the values in double quotes, separated by commas.
 fn quoted(values: impl Iterator<Item = impl std::fmt::Display>) -> String {
     values
         .map(|value| format!("\"{value}\""))
--- a/crates/testbed/src/fleet/drawn.rs
+++ b/crates/testbed/src/fleet/drawn.rs
@@ -1,16 +1,19 @@
-//! Faults of a fleet drawn from a seed.
+//! Faults of a fleet that are drawn from a seed.
 
 use pinefront_model::random::RandomSource;
 use pinefront_model::scenario::{Fault, FaultKind, Scenario, Span};
 use pinefront_model::{Micros, SECOND};
 
-/// The time without faults at the start, for all balancers to know each other.
-const START_TIME: Micros = 4 * SECOND;
-/// The time without faults at the end, for all views to agree again.
-const END_TIME: Micros = 8 * SECOND;
+/// Time without faults at the start, in which all balancers join the cluster, in µs.
+const FAULT_FREE_START_US: Micros = 4 * SECOND;
+/// Time without faults at the end, in which all views become equal again, in µs.
+const FAULT_FREE_END_US: Micros = 8 * SECOND;
+/// The largest number of drawn faults.
 const MAX_FAULTS: usize = 4;
+/// The shortest duration of a fault, in µs.
 const MIN_FAULT_DURATION_US: Micros = 200_000;
 
+/// The kinds that are drawn; a repeated kind is drawn more often.
 const KINDS: [FaultKind; 9] = [
     FaultKind::LinkCut,
     FaultKind::LinkCut,
@@ -23,32 +26,34 @@
     FaultKind::BalancerHurt,
 ];
 
-/// Replaces the faults of a scenario by drawn ones. No balancer is hit by two faults that end or
-/// pause its process.
+/// Replaces the faults of a scenario by drawn ones. At most one of the drawn faults affects the
+/// process of any one balancer.
 pub fn draw(scenario: &mut Scenario, seed: u64) {
     let mut random = RandomSource::split(seed, "fleet faults", 0);
     let balancers = *scenario.balancers.get_ref();
     let length = scenario.length.get_ref().0;
-    let available = length.saturating_sub(START_TIME + END_TIME).max(SECOND);
+    let available = length
+        .saturating_sub(FAULT_FREE_START_US + FAULT_FREE_END_US)
+        .max(SECOND);
     scenario.faults.clear();
-    let mut hit = Vec::new();
+    let mut balancers_with_fault = Vec::new();
     for _ in 0..=random.below(MAX_FAULTS) {
         let kind = KINDS[random.below(KINDS.len())];
-        let at = START_TIME + random.duration_below(available * 2 / 3);
+        let at = FAULT_FREE_START_US + random.duration_below(available * 2 / 3);
         let duration = MIN_FAULT_DURATION_US + random.duration_below(available / 2);
-        let duration = duration.min(START_TIME + available - at);
-        let hits_links = kind.affects_links();
-        let count = if hits_links {
+        let duration = duration.min(FAULT_FREE_START_US + available - at);
+        let affects_links = kind.affects_links();
+        let count = if affects_links {
             1 + random.below((balancers / 2).max(1))
         } else {
             1
         };
         let side = random.sample_indices(count, balancers);
-        if !hits_links && hit.contains(&side[0]) {
+        if !affects_links && balancers_with_fault.contains(&side[0]) {
             continue;
         }
-        if !hits_links {
-            hit.push(side[0]);
+        if !affects_links {
+            balancers_with_fault.push(side[0]);
         }
         let one_way = kind == FaultKind::LinkCut && random.happens(0.4);
         let by =
@@ -62,7 +67,7 @@
     }
 }
 
-/// A fault of balancers or the links between them, as a scenario file would name it.
+/// Returns a fault of the balancers in `side` or of their links, in the form of a scenario file.
 fn balancer_fault(kind: FaultKind, at: Micros, duration: Micros, side: Vec<usize>) -> Fault {
     Fault {
         kind,
@@ -81,10 +86,10 @@
     }
 }
 
-/// Loses a fraction of all datagrams between balancers throughout a scenario.
-pub fn lose(scenario: &mut Scenario, fraction: f64) {
+/// Adds the loss of a fraction of all datagrams between balancers for the whole scenario.
+pub fn add_network_loss(scenario: &mut Scenario, fraction: f64) {
     let all: Vec<usize> = (0..*scenario.balancers.get_ref()).collect();
-    let lossy = balancer_fault(
+    let loss = balancer_fault(
         FaultKind::LinkLossy,
         0,
         scenario.length.get_ref().0,
@@ -93,7 +98,7 @@
     let fault = Fault {
         against: Some(all),
         factor: Some(fraction),
-        ..lossy
+        ..loss
     };
     scenario.faults.push(toml::Spanned::new(0..0, fault));
 }
--- a/crates/testbed/src/fleet/leases.rs
+++ b/crates/testbed/src/fleet/leases.rs
@@ -1,5 +1,6 @@
-//! The history of leases as balancers log it. Their clock (`CLOCK_BOOTTIME`) is one for all processes
-//! of a machine, so that times of different processes compare to the microsecond.
+//! The history of leases according to the logs of balancers. All processes of a machine share the
+//! clock of these logs (`CLOCK_BOOTTIME`), so times of different processes are comparable to the
+//! microsecond.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -11,58 +12,64 @@
 
 use crate::world::locked;
 
-/// The largest number of log lines kept, far above what a scenario with many changes writes.
+/// The largest number of log lines that are kept, far more than a scenario with many changes of
+/// holders produces.
 const MAX_LINES: usize = 200_000;
-/// How many overlaps are described.
+/// The largest number of overlaps that are described.
 const MAX_DETAILS: usize = 5;
 
-/// What was found of leases in a scenario.
+/// The report on the leases of a scenario.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct LeaseReport {
-    /// Times that two balancers held one lease at once.
+    /// Number of times that two balancers held one lease at the same time.
     pub overlaps: u64,
-    /// Times that the greatest term a balancer knew of a lease decreased while it ran.
-    pub old_terms_taken: u64,
-    /// The spans without a holder.
+    /// Number of times that the term of a lease decreased in the views of one process.
+    #[serde(rename = "old_terms_taken")]
+    pub decreased_terms: u64,
+    /// Durations for which a lease had no holder, in milliseconds.
     pub without_holder_ms: Vec<f64>,
-    /// The same by how the holding before ended.
-    pub without_holder_by: BTreeMap<&'static str, Vec<f64>>,
-    /// Changes of holders.
+    /// The same durations, by the cause for which the previous holder lost the lease.
+    #[serde(rename = "without_holder_by")]
+    pub without_holder_ms_by_cause: BTreeMap<&'static str, Vec<f64>>,
+    /// Number of changes of the holder of a lease.
     pub changes: usize,
-    /// The largest number of changes of one lease in any minute.
-    pub changes_most_a_minute: usize,
-    /// Leases that nobody held at the end.
-    pub vacant: usize,
-    /// Leases that were ever held.
+    /// The largest number of changes of the holder of one lease within a minute.
+    #[serde(rename = "changes_most_a_minute")]
+    pub max_changes_per_minute: usize,
+    /// Number of leases without a holder at the end.
+    #[serde(rename = "vacant")]
+    pub vacant_leases: usize,
+    /// Number of leases that had a holder at any time.
     #[serde(rename = "duties")]
-    pub leases: usize,
+    pub lease_count: usize,
     /// Descriptions of the first overlaps.
     #[serde(rename = "why")]
     pub details: Vec<String>,
 }
 
 impl LeaseReport {
-    /// Whether no rule was broken.
+    /// Whether no two balancers held one lease at the same time and no term decreased.
     pub fn is_sound(&self) -> bool {
-        self.overlaps == 0 && self.old_terms_taken == 0
+        self.overlaps == 0 && self.decreased_terms == 0
     }
 }
 
-/// The time of the clock that balancers log.
-pub fn machine_now() -> Micros {
+/// Returns the time of the clock that balancers use in their logs, in µs.
+pub fn boot_time_now() -> Micros {
     let now = clock_gettime(ClockId::Boottime);
     now.tv_sec as Micros * 1_000_000 + now.tv_nsec as Micros / 1_000
 }
 
-/// What a balancer did, as logged or observed.
+/// An entry about a process of a balancer.
 #[derive(Clone, Debug)]
 enum Entry {
-    /// A line of its log.
+    /// A line of the log of the process.
     Line(String),
-    /// Its process was killed.
+    /// The process was killed.
     Killed { at: Micros },
 }
 
+/// An entry and the balancer to which it belongs.
 #[derive(Clone, Debug)]
 struct BalancerEntry {
     balancer: usize,
@@ -70,7 +77,7 @@
 }
 
 /// A log line about a lease.
-enum LeaseLine<'a> {
+enum LeaseLogLine<'a> {
     Acquired {
         at: Micros,
         lease: &'a str,
@@ -84,13 +91,13 @@
     },
 }
 
-/// The log lines of all balancers about leases, and the deaths of their processes, in order of
-/// arrival.
+/// The log lines of all balancers about leases and the kills of their processes, in the order in
+/// which they were recorded.
 #[derive(Clone, Default)]
 pub struct LeaseLog(Arc<Mutex<Vec<BalancerEntry>>>);
 
 impl LeaseLog {
-    /// Keeps a line of a balancer's log if it is about a lease.
+    /// Records a line of a balancer's log if the line is about a lease.
     pub fn record(&self, balancer: usize, line: &str) {
         let is_about_lease = line.contains(" lease acquired ") || line.contains(" lease lost ");
         let mut entries = locked(&self.0);
@@ -100,23 +107,26 @@
         }
     }
 
-    /// Records that a process ended without a log line.
+    /// Records that the process of a balancer was killed, which leaves no log line.
     pub fn record_killed(&self, balancer: usize) {
-        let entry = Entry::Killed { at: machine_now() };
+        let entry = Entry::Killed {
+            at: boot_time_now(),
+        };
         locked(&self.0).push(BalancerEntry { balancer, entry });
     }
 
-    /// Analyses all holdings at a moment when every process has ended or logged its losses.
+    /// Analyses all lease holdings. Every process must have ended or logged the loss of its leases
+    /// by then.
     pub fn report(&self, now: Micros, decreased_terms: u64) -> LeaseReport {
-        let history = history_of(&locked(&self.0));
+        let history = build_history(&locked(&self.0));
         let findings = history.analyse(now);
         let mut report = LeaseReport {
             overlaps: findings.overlaps.len() as u64,
-            old_terms_taken: decreased_terms,
+            decreased_terms,
             changes: findings.changes,
-            changes_most_a_minute: findings.max_changes_per_minute,
-            vacant: history.vacant_leases(now).len(),
-            leases: history.lease_count(),
+            max_changes_per_minute: findings.max_changes_per_minute,
+            vacant_leases: history.vacant_leases(now).len(),
+            lease_count: history.lease_count(),
             details: findings.overlaps.into_iter().take(MAX_DETAILS).collect(),
             ..LeaseReport::default()
         };
@@ -124,7 +134,7 @@
             let ms = vacancy.duration as f64 / 1_000.0;
             report.without_holder_ms.push(ms);
             report
-                .without_holder_by
+                .without_holder_ms_by_cause
                 .entry(vacancy.cause)
                 .or_default()
                 .push(ms);
@@ -133,9 +143,10 @@
     }
 }
 
-/// Builds the history. Lines of one balancer are in order, those of several in any: acquisitions
-/// are added first in order of time, then losses, then deaths.
-fn history_of(entries: &[BalancerEntry]) -> LeaseHistory {
+/// Builds the history of leases. Entries of one balancer are in order of time, but entries of
+/// different balancers are not. Therefore all acquisitions are added in order of time, then all
+/// losses, then all kills.
+fn build_history(entries: &[BalancerEntry]) -> LeaseHistory {
     let mut history = LeaseHistory::default();
     let mut acquired = Vec::new();
     let mut lost = Vec::new();
@@ -144,10 +155,10 @@
         match entry {
             Entry::Killed { at } => killed.push((*at, *balancer)),
             Entry::Line(line) => match parse_line(line) {
-                Some(LeaseLine::Acquired { at, lease, term }) => {
+                Some(LeaseLogLine::Acquired { at, lease, term }) => {
                     acquired.push((at, *balancer, lease, term));
                 }
-                Some(LeaseLine::Lost {
+                Some(LeaseLogLine::Lost {
                     until,
                     lease,
                     term,
@@ -172,14 +183,15 @@
     history
 }
 
-fn parse_line(line: &str) -> Option<LeaseLine<'_>> {
+/// Parses a log line about the acquisition or the loss of a lease.
+fn parse_line(line: &str) -> Option<LeaseLogLine<'_>> {
     let lease = field(line, "lease")?;
     let term = parse_term(field(line, "term")?)?;
     let acquired_at = field(line, "at_us").and_then(|text| text.parse().ok());
     let until = field(line, "until_us").and_then(|text| text.parse().ok());
     match (acquired_at, until) {
-        (Some(at), None) => Some(LeaseLine::Acquired { at, lease, term }),
-        (None, Some(until)) => Some(LeaseLine::Lost {
+        (Some(at), None) => Some(LeaseLogLine::Acquired { at, lease, term }),
+        (None, Some(until)) => Some(LeaseLogLine::Lost {
             until,
             lease,
             term,
@@ -194,12 +206,14 @@
     }
 }
 
+/// Returns the value of a field in a log line.
 fn field<'a>(line: &'a str, name: &str) -> Option<&'a str> {
     line.split_whitespace()
         .find_map(|word| word.strip_prefix(name)?.strip_prefix('='))
 }
 
-/// Parses a term as balancers log it.
+/// Parses a term in the format of the log and of `GET /fleet`: two hexadecimal numbers, separated
+/// by a hyphen.
 pub fn parse_term(text: &str) -> Option<LeaseTerm> {
     let (number, incarnation_id) = text.split_once('-')?;
     Some(LeaseTerm {
--- a/crates/testbed/src/fleet/leases/tests.rs
+++ b/crates/testbed/src/fleet/leases/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn holdings_are_read_from_log_lines_and_compared() {
+fn overlapping_holdings_in_log_lines_are_reported() {
     let lines = LeaseLog::default();
     lines.record(
         0,
@@ -12,14 +12,18 @@
         "INFO lease acquired lease=a term=0000000000000006-00000000000000bb at_us=9000",
     );
     lines.record(0, "INFO member joined member=b2");
-    // Said late by one that was stopped: it lost it long before.
+    // A paused balancer logs the loss of a lease late, but with the time at which it lost it.
     lines.record(
         0,
-        "INFO lease lost lease=a term=0000000000000005-00000000000000aa until_us=8000 reason=expired",
+        "INFO lease lost lease=a term=0000000000000005-00000000000000aa until_us=8000 \
+         reason=expired",
     );
-    let found = lines.report(20_000, 0);
-    assert_eq!((found.overlaps, found.changes, found.vacant), (0, 1, 0));
-    assert_eq!(found.without_holder_by["ran out"], [1.0]);
+    let report = lines.report(20_000, 0);
+    assert_eq!(
+        (report.overlaps, report.changes, report.vacant_leases),
+        (0, 1, 0)
+    );
+    assert_eq!(report.without_holder_ms_by_cause["ran out"], [1.0]);
     lines.record(
         2,
         "INFO lease acquired lease=a term=0000000000000007-00000000000000cc at_us=9500",
--- a/crates/testbed/src/fleet/relays.rs
+++ b/crates/testbed/src/fleet/relays.rs
@@ -1,5 +1,5 @@
-//! Relays between balancers: every datagram passes through one, which applies the faults of that
-//! network link; and datagrams sent from outside the fleet.
+//! Relays between balancers, and datagrams sent from outside the fleet. Every datagram between two
+//! balancers passes through the relay of their network link, which applies the faults of the link.
 
 use std::collections::VecDeque;
 use std::io;
@@ -14,35 +14,36 @@
 
 use crate::world::{World, locked};
 
-/// Far more than the longest datagram of a balancer.
-const MAX_DATAGRAM_BYTES: usize = 2_048;
-/// The longest random datagram sent from outside.
-const MAX_NOISE_BYTES: usize = 1_200;
-/// How many datagrams are recorded for replay.
+/// Size of the receive buffer, far more than the longest datagram of a balancer.
+const RECEIVE_BUFFER_BYTES: usize = 2_048;
+/// The length of the longest random datagram sent from outside.
+const MAX_RANDOM_DATAGRAM_BYTES: usize = 1_200;
+/// The largest number of datagrams that are recorded for replay.
 const MAX_RECORDED_DATAGRAMS: usize = 512;
-/// How often bursts from outside are sent.
+/// Interval between two bursts of datagrams from outside.
 const BURST_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A datagram that passed a relay.
+/// A datagram that passed through a relay.
 struct RecordedDatagram {
     to: usize,
     bytes: Vec<u8>,
 }
 
-/// What all relays have done.
+/// The counters and the recorded datagrams of all relays.
 #[derive(Default)]
-pub struct Relayed {
-    /// Datagrams passed on.
-    pub passed: AtomicU64,
-    /// Datagrams lost.
-    pub lost: AtomicU64,
-    /// Datagrams sent from outside.
-    pub flooded: AtomicU64,
-    /// The last datagrams, where any are replayed from outside.
+pub struct RelayState {
+    /// Number of datagrams that relays forwarded.
+    pub forwarded: AtomicU64,
+    /// Number of datagrams that relays dropped.
+    pub dropped: AtomicU64,
+    /// Number of datagrams sent from outside the fleet.
+    pub flood_sent: AtomicU64,
+    /// The latest datagrams, if the scenario replays datagrams from outside.
     recorded: Mutex<VecDeque<RecordedDatagram>>,
 }
 
-impl Relayed {
+impl RelayState {
+    /// Records a datagram to a balancer for replay.
     fn record(&self, to: usize, bytes: &[u8]) {
         let bytes = bytes.to_vec();
         let mut recorded = locked(&self.recorded);
@@ -52,34 +53,40 @@
         }
     }
 
-    /// A random recorded datagram to that balancer.
+    /// Returns a random one of the recorded datagrams to a balancer.
     fn random_recorded(&self, random: &mut RandomSource, to: usize) -> Option<Vec<u8>> {
         let recorded = locked(&self.recorded);
-        let matching: Vec<_> = recorded.iter().filter(|one| one.to == to).collect();
+        let matching: Vec<_> = recorded
+            .iter()
+            .filter(|datagram| datagram.to == to)
+            .collect();
         (!matching.is_empty()).then(|| matching[random.below(matching.len())].bytes.clone())
     }
 }
 
-/// The relay of one link.
+/// The relay of the link from one balancer to another.
 struct Relay {
     world: Arc<World>,
     from: usize,
     to: usize,
+    /// The address of the receiver.
     address: SocketAddr,
     socket: Arc<tokio::net::UdpSocket>,
-    relayed: Arc<Relayed>,
+    state: Arc<RelayState>,
     random: RandomSource,
-    records: bool,
+    /// Whether datagrams are recorded for replay.
+    is_recording: bool,
 }
 
-/// Relays what arrives at a socket from one balancer to another's address, until the runtime ends.
-pub fn relay(
+/// Forwards the datagrams that arrive at `socket` to `address`, the address of the receiver, until
+/// the runtime ends.
+pub fn start_relay(
     world: &Arc<World>,
     from: usize,
     to: usize,
     socket: UdpSocket,
     address: SocketAddr,
-    relayed: &Arc<Relayed>,
+    state: &Arc<RelayState>,
 ) -> io::Result<()> {
     let mut relay = Relay {
         world: Arc::clone(world),
@@ -87,16 +94,17 @@
         to,
         address,
         socket: Arc::new(tokio::net::UdpSocket::from_std(socket)?),
-        relayed: Arc::clone(relayed),
+        state: Arc::clone(state),
         random: RandomSource::split(world.seed, "relay", (from * 1_000 + to) as u64),
-        records: floods(world).next().is_some(),
+        is_recording: flood_faults(world).next().is_some(),
     };
     tokio::spawn(async move {
-        let mut bytes = [0; MAX_DATAGRAM_BYTES];
+        let mut bytes = [0; RECEIVE_BUFFER_BYTES];
         loop {
-            // An error reports that an earlier datagram was refused; the next may be a datagram.
+            // An error means that the receiver refused an earlier datagram. The relay can still
+            // receive further datagrams.
             if let Ok((length, _)) = relay.socket.recv_from(&mut bytes).await {
-                relay.pass_on(bytes[..length].to_vec()).await;
+                relay.forward(bytes[..length].to_vec()).await;
             }
         }
     });
@@ -104,8 +112,8 @@
 }
 
 impl Relay {
-    /// Passes a datagram on as the faults of the link allow.
-    async fn pass_on(&mut self, mut bytes: Vec<u8>) {
+    /// Forwards a datagram subject to the faults of the link.
+    async fn forward(&mut self, mut bytes: Vec<u8>) {
         let transmission = self.world.timeline().links.transmit(
             self.from,
             self.to,
@@ -113,17 +121,17 @@
             &mut self.random,
         );
         if transmission.copies.is_empty() {
-            self.relayed.lost.fetch_add(1, Ordering::Relaxed);
+            self.state.dropped.fetch_add(1, Ordering::Relaxed);
         }
         transmission.corrupt(&mut bytes);
-        if self.records {
-            self.relayed.record(self.to, &bytes);
+        if self.is_recording {
+            self.state.record(self.to, &bytes);
         }
         for delay in transmission.copies {
-            self.relayed.passed.fetch_add(1, Ordering::Relaxed);
+            self.state.forwarded.fetch_add(1, Ordering::Relaxed);
             let address = self.address;
             if delay == 0 {
-                // A balancer that does not run receives nothing.
+                // Sending fails if the balancer does not run; the datagram is then lost.
                 let _ = self.socket.send_to(&bytes, address).await;
                 continue;
             }
@@ -137,22 +145,23 @@
     }
 }
 
-fn floods(world: &World) -> impl Iterator<Item = LinkFault> {
+/// Returns the faults that send datagrams from outside.
+fn flood_faults(world: &World) -> impl Iterator<Item = LinkFault> {
     let faults = world.timeline().links.faults.clone();
     faults
         .into_iter()
         .filter(|fault| fault.kind == FaultKind::LinkFlood)
 }
 
-/// Sends datagrams from outside to the balancers that the scenario names, each from a socket of its
-/// own, until the runtime ends: a third random bytes, a third replayed ones, a third replayed ones
-/// with a flipped bit.
-pub fn flood(
+/// Sends datagrams from outside to the balancers that the scenario names, with one socket for each
+/// balancer, until the runtime ends. One third of the datagrams are random bytes, one third are
+/// replayed datagrams, and one third are replayed datagrams with a flipped bit.
+pub fn start_flood(
     world: &Arc<World>,
     addresses: &[SocketAddr],
-    relayed: &Arc<Relayed>,
+    state: &Arc<RelayState>,
 ) -> io::Result<()> {
-    for (number, fault) in floods(world).enumerate() {
+    for (number, fault) in flood_faults(world).enumerate() {
         for &balancer in &fault.balancers {
             let Some(&address) = addresses.get(balancer) else {
                 continue;
@@ -162,7 +171,7 @@
             let stream = (number * 1_000 + balancer) as u64;
             let source = FloodSource {
                 world: Arc::clone(world),
-                relayed: Arc::clone(relayed),
+                state: Arc::clone(state),
                 socket: tokio::net::UdpSocket::from_std(socket)?,
                 balancer,
                 address,
@@ -174,10 +183,10 @@
     Ok(())
 }
 
-/// A sender from outside.
+/// A sender of datagrams from outside to one balancer.
 struct FloodSource {
     world: Arc<World>,
-    relayed: Arc<Relayed>,
+    state: Arc<RelayState>,
     socket: tokio::net::UdpSocket,
     balancer: usize,
     address: SocketAddr,
@@ -185,11 +194,12 @@
 }
 
 impl FloodSource {
+    /// Sends datagrams for as long as the fault lasts, `fault.factor` datagrams per second.
     async fn run(mut self, fault: LinkFault) {
-        let mut ticks = tokio::time::interval(BURST_INTERVAL);
+        let mut bursts = tokio::time::interval(BURST_INTERVAL);
         let mut allowance = 0.0;
         loop {
-            ticks.tick().await;
+            bursts.tick().await;
             let now = self.world.now();
             if now < fault.from || now >= fault.to {
                 continue;
@@ -198,28 +208,30 @@
             while allowance >= 1.0 {
                 allowance -= 1.0;
                 let bytes = self.next_datagram();
-                // A full socket loses it, as it would any datagram.
+                // If the socket buffer is full, the datagram is lost, as any datagram may be.
                 if self.socket.try_send_to(&bytes, self.address).is_ok() {
-                    self.relayed.flooded.fetch_add(1, Ordering::Relaxed);
+                    self.state.flood_sent.fetch_add(1, Ordering::Relaxed);
                 }
             }
         }
     }
 
+    /// Returns the next datagram: random bytes, or a recorded datagram with or without a flipped
+    /// bit. Returns random bytes if no datagram was recorded.
     fn next_datagram(&mut self) -> Vec<u8> {
-        const NOISE: usize = 0;
-        const CORRUPTED: usize = 2;
+        const RANDOM_BYTES: usize = 0;
+        const CORRUPTED_REPLAY: usize = 2;
         let random = &mut self.random;
         let kind = random.below(3);
         let recorded = match kind {
-            NOISE => None,
-            _ => self.relayed.random_recorded(random, self.balancer),
+            RANDOM_BYTES => None,
+            _ => self.state.random_recorded(random, self.balancer),
         };
         let Some(mut bytes) = recorded else {
-            let length = 1 + random.below(MAX_NOISE_BYTES);
+            let length = 1 + random.below(MAX_RANDOM_DATAGRAM_BYTES);
             return (0..length).map(|_| random.below(256) as u8).collect();
         };
-        if kind == CORRUPTED {
+        if kind == CORRUPTED_REPLAY {
             let index = random.below(bytes.len());
             bytes[index] ^= 1 << random.below(8);
         }
--- a/crates/testbed/src/fleet/simulated_members.rs
+++ b/crates/testbed/src/fleet/simulated_members.rs
@@ -1,5 +1,5 @@
-//! Cluster members within this process, each on a socket of its own, to measure what a fleet of any
-//! size costs a balancer.
+//! Cluster members that run within this process, each with its own socket, to measure the cost of a
+//! fleet of any size for a balancer.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -13,14 +13,17 @@
 use pinefront_cluster::datagram::{Key, MAX_DATAGRAM_BYTES};
 use pinefront_cluster::{Cluster, MemberConfig, Micros, OutgoingDatagram};
 
+/// The name of the fleet.
 const FLEET: &str = "lab";
+/// The content of the key file of the fleet.
 const KEY: &str = "a key for the lab's own fleet\n";
-/// How often each member is served, far more often than members allow for.
-const SERVE_INTERVAL: Duration = Duration::from_millis(5);
-/// How many of them are seeds of the balancer.
+/// Interval at which each member handles its datagrams and timers, far shorter than the protocol
+/// requires.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// The number of simulated members that are seeds of the balancer.
 const SEEDS: usize = 3;
 
-/// Members that run until this value is dropped.
+/// Cluster members that run in a thread until this value is dropped.
 pub struct SimulatedMembers {
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
@@ -28,7 +31,7 @@
 }
 
 impl SimulatedMembers {
-    /// Starts so many members, which find each other.
+    /// Starts the given number of members, which form a cluster.
     pub fn start(members: usize) -> io::Result<Self> {
         let mut sockets = Vec::new();
         for _ in 0..members {
@@ -54,7 +57,7 @@
         })
     }
 
-    /// Writes the operator file of a balancer that joins them.
+    /// Writes the operator file of a balancer that joins these members, and returns its path.
     pub fn operator_file(&self, folder: &Path) -> io::Result<PathBuf> {
         let key = folder.join("company.key");
         std::fs::write(&key, KEY)?;
@@ -79,12 +82,13 @@
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
-            // If it failed, the balancer's view shows that its members are dead.
+            // If the thread panicked, its members appear as dead in the view of the balancer.
             let _ = thread.join();
         }
     }
 }
 
+/// Runs the members until `stop` is set.
 fn run(sockets: Vec<(SocketAddr, UdpSocket)>, seeds: &[SocketAddr], stop: &AtomicBool) {
     let Ok(key) = Key::new(KEY.as_bytes()) else {
         return;
@@ -106,9 +110,9 @@
         .collect();
     while !stop.load(Ordering::Relaxed) {
         for (cluster, socket) in &mut members {
-            serve(cluster, socket, now);
+            poll_member(cluster, socket, now);
         }
-        std::thread::sleep(SERVE_INTERVAL);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
@@ -132,8 +136,8 @@
     }
 }
 
-/// Receives, runs timers and sends for one member.
-fn serve(cluster: &mut Cluster, socket: &UdpSocket, now: impl Fn() -> Micros) {
+/// Receives the datagrams of a member, runs its expired timers and sends its datagrams.
+fn poll_member(cluster: &mut Cluster, socket: &UdpSocket, now: impl Fn() -> Micros) {
     let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
     while let Ok((length, _)) = socket.recv_from(&mut bytes) {
         cluster.receive(now(), &bytes[..length]);
@@ -143,7 +147,7 @@
     }
     cluster.take_events();
     for OutgoingDatagram { to, bytes } in cluster.take_datagrams() {
-        // The protocol allows for loss, in a full socket as in the network.
+        // The protocol tolerates the loss of datagrams, in a full socket buffer as in the network.
         let _ = socket.send_to(&bytes, to);
     }
 }
--- a/crates/testbed/src/fleet/views.rs
+++ b/crates/testbed/src/fleet/views.rs
@@ -1,7 +1,8 @@
-//! Requests each balancer's view of the others again and again, and checks it against the truth at
-//! the moment of each response: which process ran, was paused or was killed.
+//! Polls each balancer for its view of the others, and checks the view against the actual state at
+//! the time of the response: the processes that ran, were paused or had been killed.
 
 use std::collections::{BTreeMap, BTreeSet};
+use std::fmt;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -13,22 +14,22 @@
 use serde::Deserialize;
 use tokio::net::TcpStream;
 
-use crate::fleet::Known;
+use crate::fleet::FleetReport;
 use crate::fleet::leases::parse_term;
 use crate::http;
 use crate::world::{World, locked};
 
-/// How often each balancer is asked for its view.
-const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a response may take; a paused process sends none.
+/// Interval between two requests for the view of a balancer.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// The longest time to wait for a response, since a paused process sends none.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
-/// A pause that others must notice.
-const MIN_NOTICED_PAUSE: Micros = 4 * SECOND;
-/// After this long, a running balancer must not be held for dead.
-const MAX_RECOVERY_TIME: Micros = 10 * SECOND;
-/// How many violations are described.
+/// The shortest pause that the other balancers must detect, in µs.
+const MIN_DETECTABLE_PAUSE_US: Micros = 4 * SECOND;
+/// Time in µs after which a balancer that runs again must no longer be considered dead.
+const MAX_RECOVERY_TIME_US: Micros = 10 * SECOND;
+/// The largest number of violations that are described.
 const MAX_DETAILS: usize = 20;
-/// How many wrong views are described at the end.
+/// The largest number of wrong views that are described at the end.
 const MAX_WRONG_VIEWS: usize = 3;
 
 /// A member in the response to `GET /fleet`.
@@ -40,12 +41,12 @@
     state: String,
     #[serde(rename = "standing")]
     serving_status: BTreeMap<String, String>,
-    /// Earlier processes of that name that may serve.
+    /// Incarnations of earlier processes of the same name that may still serve.
     earlier: Vec<String>,
 }
 
 impl MemberView {
-    /// What is claimed of all processes of the member.
+    /// Returns the status that the view claims for each process of the member.
     fn entries(&self) -> impl Iterator<Item = ViewEntry<String>> {
         let current = if self.serving_status.contains_key("proven_gone") {
             ClaimedStatus::ProvenStopped
@@ -81,67 +82,122 @@
 }
 
 impl View {
+    /// Returns the entry of the balancer with that number.
     fn member(&self, number: usize) -> Option<&MemberView> {
         let name = format!("b{number}");
         self.members.iter().find(|member| member.name == name)
     }
 }
 
+/// The leases in the response to `GET /fleet`.
 #[derive(Debug, Deserialize)]
 struct LeasesView {
     all: Vec<LeaseView>,
 }
 
+/// A lease in the response to `GET /fleet`.
 #[derive(Debug, Deserialize)]
 struct LeaseView {
     name: String,
     term: Option<String>,
 }
 
-/// What is true of a balancer.
+/// The actual state of a balancer.
 #[derive(Clone, Debug, Default)]
-struct Truth {
-    /// The running process by its own name for it; nothing until it was asked.
+struct BalancerState {
+    /// The incarnation of the running process according to its view; `None` until its first view.
     incarnation: Option<String>,
-    runs: bool,
+    is_running: bool,
     is_paused: bool,
-    /// When it last started, ended, was paused or resumed.
-    since: Micros,
-    /// Since when it is dead, or paused for long enough to be noticed.
-    away_since: Option<Micros>,
-    noticed_by: BTreeSet<usize>,
-    /// Whether all others that ran have noticed.
-    is_noticed_by_all: bool,
-    /// Whether it was held for dead while running.
-    was_held_dead: bool,
-    /// How often its process has refuted a suspicion.
+    /// The time at which the process last started, ended, was paused or was resumed.
+    changed_at: Micros,
+    /// The time since which the process has been killed, or paused for long enough to be detected.
+    failed_since: Option<Micros>,
+    /// The balancers that have detected the failure.
+    detected_by: BTreeSet<usize>,
+    /// Whether all other running balancers have detected the failure.
+    is_detected_by_all: bool,
+    /// Whether another balancer considered it dead while it ran.
+    was_considered_dead: bool,
+    /// The number of suspicions that its process has refuted.
     refutations: u64,
 }
 
-impl Truth {
+impl BalancerState {
+    /// Whether the process runs and is not paused.
     fn is_responsive(&self) -> bool {
-        self.runs && !self.is_paused
+        self.is_running && !self.is_paused
     }
 }
 
-/// The views of all balancers against the truth.
-pub struct Views {
-    truth: Vec<Truth>,
+/// The reason why the latest view of a balancer does not agree with the actual state.
+#[derive(Clone, Debug)]
+enum ViewError {
+    /// The balancer has not sent a view yet.
+    NoView { balancer: usize },
+    /// The balancer has not sent a view since the latest event of the timeline.
+    NoViewSinceEvent { balancer: usize },
+    /// The view contains another balancer in a wrong state.
+    WrongState {
+        balancer: usize,
+        other: usize,
+        /// The state of the other balancer in the view.
+        state: String,
+        /// Whether the other balancer runs and is not paused.
+        is_responsive: bool,
+    },
+}
+
+impl fmt::Display for ViewError {
+    fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            Self::NoView { balancer } => write!(out, "no view of b{balancer} was received"),
+            Self::NoViewSinceEvent { balancer } => write!(
+                out,
+                "no view of b{balancer} was received since the latest change of a balancer"
+            ),
+            Self::WrongState {
+                balancer,
+                other,
+                state,
+                is_responsive,
+            } => {
+                let expected = if *is_responsive {
+                    "present with its current process"
+                } else {
+                    "any state but present"
+                };
+                write!(
+                    out,
+                    "b{balancer} has b{other} in state {state}, expected {expected}"
+                )
+            }
+        }
+    }
+}
+
+impl std::error::Error for ViewError {}
+
+/// Checks the views of all balancers against their actual state.
+pub struct ViewChecker {
+    balancers: Vec<BalancerState>,
     process_history: ProcessHistory<String>,
-    /// The terms that each process knew.
+    /// The terms of leases in the views of each process.
     lease_history: LeaseHistory,
-    /// All processes, whose index is their number in `lease_history`.
+    /// The incarnations of all processes; the index is the number of the process in
+    /// `lease_history`.
     incarnations: Vec<String>,
-    known: Known,
+    report: FleetReport,
+    /// The end of the last fault, in µs.
     last_fault_end: Micros,
-    /// Since when all views are right.
-    right_since: Option<Micros>,
-    /// For each balancer, what is wrong with its last view.
-    last_views: Vec<Result<(), String>>,
+    /// The time since which all views have been correct.
+    agreed_since: Option<Micros>,
+    /// For each balancer, the result of the check of its latest view.
+    last_results: Vec<Result<(), ViewError>>,
 }
 
-impl Views {
-    /// Creates the checker of a scenario in which all balancers run.
+impl ViewChecker {
+    /// Creates the checker of a scenario, which starts with all balancers running.
     pub fn new(world: &World, balancers: usize) -> Self {
         let timeline = world.timeline();
         let last_event = timeline
@@ -151,33 +207,35 @@
             .map(|scheduled| scheduled.at)
             .max()
             .unwrap_or(0);
-        let running = Truth {
-            runs: true,
-            ..Truth::default()
+        let running = BalancerState {
+            is_running: true,
+            ..BalancerState::default()
         };
         Self {
-            truth: vec![running; balancers],
+            balancers: vec![running; balancers],
             process_history: ProcessHistory::new(balancers),
             lease_history: LeaseHistory::default(),
             incarnations: Vec::new(),
-            known: Known::default(),
+            report: FleetReport::default(),
             last_fault_end: last_event.max(timeline.links.last_fault_end()),
-            right_since: None,
-            last_views: vec![Err("never asked".into()); balancers],
+            agreed_since: None,
+            last_results: (0..balancers)
+                .map(|balancer| Err(ViewError::NoView { balancer }))
+                .collect(),
         }
     }
 
-    /// Records an event of the timeline just before it happens.
-    pub fn happens(&mut self, now: Micros, event: TimelineEvent, pause_duration: Micros) {
+    /// Records an event of the timeline, just before it is applied.
+    pub fn record_event(&mut self, now: Micros, event: TimelineEvent, pause_duration: Micros) {
         let is_started = matches!(
             event,
             TimelineEvent::BalancerStarted(_) | TimelineEvent::BalancerMoved { .. }
         );
-        let (number, runs, is_paused, away_since) = match event {
+        let (number, is_running, is_paused, failed_since) = match event {
             TimelineEvent::BalancerKilled(number) => (number, false, false, Some(now)),
             TimelineEvent::BalancerStopped(number) => (number, false, false, None),
             TimelineEvent::BalancerPaused(number) => {
-                let is_long = pause_duration >= MIN_NOTICED_PAUSE;
+                let is_long = pause_duration >= MIN_DETECTABLE_PAUSE_US;
                 (number, true, true, is_long.then_some(now))
             }
             TimelineEvent::BalancerResumed(number)
@@ -185,78 +243,81 @@
             | TimelineEvent::BalancerMoved { number, .. } => (number, true, false, None),
             _ => return,
         };
-        let Some(truth) = self.truth.get_mut(number) else {
+        let Some(balancer) = self.balancers.get_mut(number) else {
             return;
         };
-        if !runs || is_started {
-            truth.incarnation = None;
-            truth.refutations = 0;
-            let has_left = !runs && away_since.is_none();
+        if !is_running || is_started {
+            balancer.incarnation = None;
+            balancer.refutations = 0;
+            let has_left = !is_running && failed_since.is_none();
             self.process_history.process_stopped(now, number, has_left);
         }
-        truth.runs = runs;
-        truth.is_paused = is_paused;
-        truth.since = now;
-        truth.away_since = away_since;
-        truth.noticed_by.clear();
-        truth.is_noticed_by_all = false;
-        for view in &mut self.last_views {
-            *view = Err("not asked since".into());
+        balancer.is_running = is_running;
+        balancer.is_paused = is_paused;
+        balancer.changed_at = now;
+        balancer.failed_since = failed_since;
+        balancer.detected_by.clear();
+        balancer.is_detected_by_all = false;
+        for (balancer, result) in self.last_results.iter_mut().enumerate() {
+            *result = Err(ViewError::NoViewSinceEvent { balancer });
         }
     }
 
-    fn violation(&mut self, now: Micros, what: &str) {
-        self.known.wrongly_gone += 1;
-        if self.known.details.len() < MAX_DETAILS {
+    fn add_violation(&mut self, now: Micros, description: &str) {
+        self.report.serving_status_errors += 1;
+        if self.report.details.len() < MAX_DETAILS {
             let seconds = now as f64 / 1e6;
-            self.known.details.push(format!("{seconds:.1} s: {what}"));
+            self.report
+                .details
+                .push(format!("{seconds:.1} s: {description}"));
         }
     }
 
-    /// Checks a view that was true at some moment between the request and the response.
+    /// Checks a view that a balancer sent in response to a request. The view refers to an unknown
+    /// time between the request and the response.
     fn check(&mut self, number: usize, requested_at: Micros, now: Micros, view: &View) {
-        self.known.looks += 1;
-        let since = self.truth[number].since;
-        if !self.truth[number].runs || requested_at < since {
+        self.report.checked_views += 1;
+        let changed_at = self.balancers[number].changed_at;
+        if !self.balancers[number].is_running || requested_at < changed_at {
             return;
         }
-        if self.truth[number].incarnation.is_none() {
+        if self.balancers[number].incarnation.is_none() {
             let incarnation = view.incarnation.clone();
-            self.truth[number].incarnation = Some(incarnation.clone());
+            self.balancers[number].incarnation = Some(incarnation.clone());
             self.process_history
-                .process_started(since, number, incarnation);
+                .process_started(changed_at, number, incarnation);
         }
         self.record_terms(view);
-        let refutations = &mut self.truth[number].refutations;
-        self.known.refutations += view.refutations.saturating_sub(*refutations);
+        let refutations = &mut self.balancers[number].refutations;
+        self.report.refutations += view.refutations.saturating_sub(*refutations);
         *refutations = view.refutations;
         let entries: Vec<_> = view.members.iter().flat_map(MemberView::entries).collect();
-        // The balancer counts itself too.
+        // The count in the view includes the balancer itself.
         let counted = view.may_serve.saturating_sub(1);
         let span = requested_at..=now;
         let errors = self
             .process_history
             .check_view(number, span, &entries, counted);
         for error in errors {
-            self.violation(now, &error);
+            self.add_violation(now, &error);
         }
         let mut result = Ok(());
-        for other in (0..self.truth.len()).filter(|other| *other != number) {
-            if let Err(wrong) = self.check_member(number, other, requested_at, now, view) {
-                result = Err(wrong);
+        for other in (0..self.balancers.len()).filter(|other| *other != number) {
+            if let Err(error) = self.check_member(number, other, requested_at, now, view) {
+                result = Err(error);
             }
         }
-        self.last_views[number] = result;
+        self.last_results[number] = result;
         self.update_agreement(now);
     }
 
-    /// Records the terms that a process knows.
+    /// Records the terms of all leases in the view of a process.
     fn record_terms(&mut self, view: &View) {
-        let known = self
+        let known_index = self
             .incarnations
             .iter()
             .position(|incarnation| *incarnation == view.incarnation);
-        let process = known.unwrap_or_else(|| {
+        let process = known_index.unwrap_or_else(|| {
             self.incarnations.push(view.incarnation.clone());
             self.incarnations.len() - 1
         });
@@ -268,7 +329,7 @@
         }
     }
 
-    /// Checks what a balancer holds of another one.
+    /// Checks the entry of another balancer in the view of a balancer.
     fn check_member(
         &mut self,
         number: usize,
@@ -276,114 +337,124 @@
         requested_at: Micros,
         now: Micros,
         view: &View,
-    ) -> Result<(), String> {
+    ) -> Result<(), ViewError> {
         let member = view.member(other);
-        let truth = self.truth[other].clone();
+        let actual = self.balancers[other].clone();
         let current =
-            member.filter(|member| truth.incarnation.as_ref() == Some(&member.incarnation));
+            member.filter(|member| actual.incarnation.as_ref() == Some(&member.incarnation));
         if let Some(current) = current {
-            let is_late = requested_at > truth.since && now > truth.since + MAX_RECOVERY_TIME;
-            let is_held_dead = current.state == "gone" && truth.is_responsive() && is_late;
-            if is_held_dead && !truth.was_held_dead {
-                self.truth[other].was_held_dead = true;
-                self.known.held_gone_while_running += 1;
+            let is_recovery_overdue =
+                requested_at > actual.changed_at && now > actual.changed_at + MAX_RECOVERY_TIME_US;
+            let is_considered_dead =
+                current.state == "gone" && actual.is_responsive() && is_recovery_overdue;
+            if is_considered_dead && !actual.was_considered_dead {
+                self.balancers[other].was_considered_dead = true;
+                self.report.considered_dead_while_running += 1;
             }
         }
-        // A process that is away is known by its former incarnation, which was forgotten with its
-        // death.
-        let is_noticed =
+        // The entry is looked up by name only, since the incarnation of a killed process was
+        // discarded when the process ended.
+        let is_detected =
             member.is_some_and(|member| matches!(member.state.as_str(), "gone" | "left"));
-        if let Some(away_since) = truth
-            .away_since
-            .filter(|at| is_noticed && requested_at >= *at)
+        if let Some(failed_since) = actual
+            .failed_since
+            .filter(|at| is_detected && requested_at >= *at)
         {
-            self.record_noticed(number, other, now - away_since);
+            self.record_detection(number, other, now - failed_since);
         }
         let state = member.map_or("unknown", |member| member.state.as_str());
-        let is_right = if truth.is_responsive() {
+        let is_responsive = actual.is_responsive();
+        let is_correct = if is_responsive {
             current.is_some() && state == "present"
         } else {
             state != "present"
         };
-        if is_right {
+        if is_correct {
             Ok(())
         } else {
-            Err(format!("b{number} holds b{other} for {state}"))
+            Err(ViewError::WrongState {
+                balancer: number,
+                other,
+                state: state.to_owned(),
+                is_responsive,
+            })
         }
     }
 
-    /// Records that a balancer noticed another's death or pause after that time.
-    fn record_noticed(&mut self, number: usize, other: usize, after: Micros) {
-        if !self.truth[other].noticed_by.insert(number) {
+    /// Records that a balancer detected the crash or the pause of another balancer after that time.
+    fn record_detection(&mut self, number: usize, other: usize, after: Micros) {
+        if !self.balancers[other].detected_by.insert(number) {
             return;
         }
         let after_ms = after as f64 / 1_000.0;
-        self.known.detected_ms.push(after_ms);
-        let noticed_by_all = (0..self.truth.len())
-            .filter(|observer| *observer != other && self.truth[*observer].is_responsive())
-            .all(|observer| self.truth[other].noticed_by.contains(&observer));
-        if noticed_by_all && !self.truth[other].is_noticed_by_all {
-            self.truth[other].is_noticed_by_all = true;
-            self.known.detected_by_all_ms.push(after_ms);
+        self.report.detection_times_ms.push(after_ms);
+        let is_detected_by_all = (0..self.balancers.len())
+            .filter(|observer| *observer != other && self.balancers[*observer].is_responsive())
+            .all(|observer| self.balancers[other].detected_by.contains(&observer));
+        if is_detected_by_all && !self.balancers[other].is_detected_by_all {
+            self.balancers[other].is_detected_by_all = true;
+            self.report.detection_by_all_times_ms.push(after_ms);
         }
     }
 
+    /// Updates the time since which the latest views of all responsive balancers have been correct.
     fn update_agreement(&mut self, now: Micros) {
-        let all_right = (0..self.truth.len())
-            .filter(|number| self.truth[*number].is_responsive())
-            .all(|number| self.last_views[number].is_ok());
-        self.right_since = if all_right {
-            self.right_since.or(Some(now))
+        let is_agreed = (0..self.balancers.len())
+            .filter(|number| self.balancers[*number].is_responsive())
+            .all(|number| self.last_results[number].is_ok());
+        self.agreed_since = if is_agreed {
+            self.agreed_since.or(Some(now))
         } else {
             None
         };
     }
 
-    /// How often the greatest term that a process knew of a lease decreased.
-    pub fn terms_fallen(&self) -> u64 {
+    /// Returns the number of times that the term of a lease decreased in the views of one process.
+    pub fn decreased_terms(&self) -> u64 {
         self.lease_history.stale_commands.len() as u64
     }
 
-    /// What was found, at the end of the scenario.
-    pub fn found(&self) -> Known {
-        let mut known = self.known.clone();
-        known.views_agree_after_ms = self
-            .right_since
+    /// Returns the report at the end of the scenario.
+    pub fn report(&self) -> FleetReport {
+        let mut report = self.report.clone();
+        report.views_agree_after_ms = self
+            .agreed_since
             .map(|since| since.saturating_sub(self.last_fault_end) as f64 / 1_000.0);
-        if known.views_agree_after_ms.is_none() {
-            let wrong = self
-                .last_views
+        if report.views_agree_after_ms.is_none() {
+            let errors = self
+                .last_results
                 .iter()
-                .filter_map(|view| view.as_ref().err());
-            known.details.extend(
-                wrong
+                .filter_map(|result| result.as_ref().err());
+            report.details.extend(
+                errors
                     .take(MAX_WRONG_VIEWS)
-                    .map(|wrong| format!("at the end {wrong}")),
+                    .map(|error| format!("at the end: {error}")),
             );
         }
-        known
+        report
     }
 }
 
-/// Requests and checks the view of one balancer until the runtime ends.
-pub async fn watch(
+/// Polls and checks the view of one balancer until the runtime ends.
+pub async fn poll_views(
     world: Arc<World>,
-    views: Arc<Mutex<Views>>,
+    checker: Arc<Mutex<ViewChecker>>,
     number: usize,
     address: SocketAddr,
 ) {
     loop {
-        tokio::time::sleep(REQUEST_INTERVAL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         let requested_at = world.now();
         let response = tokio::time::timeout(RESPONSE_TIMEOUT, request_view(address)).await;
         if let Ok(Ok(body)) = response
             && let Ok(view) = serde_json::from_slice::<View>(&body)
         {
-            locked(&views).check(number, requested_at, world.now(), &view);
+            locked(&checker).check(number, requested_at, world.now(), &view);
         }
     }
 }
 
+/// Requests the view of the balancer at that address, and returns the body of the response.
 async fn request_view(address: SocketAddr) -> std::io::Result<Vec<u8>> {
     let mut stream = TcpStream::connect(address).await?;
     let request = "GET /fleet HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n";
--- a/crates/testbed/src/runner/events.rs
+++ b/crates/testbed/src/runner/events.rs
@@ -11,7 +11,7 @@
 use crate::balancers::{Balancer, wait_until_ready};
 use crate::clients::Load;
 use crate::error::Error;
-use crate::fleet::views::Views;
+use crate::fleet::views::ViewChecker;
 use crate::server_stand_in;
 use crate::world::{World, locked};
 
@@ -77,7 +77,7 @@
 pub(super) struct ProcessController {
     pub(super) load: Arc<Load>,
     pub(super) processes: Arc<Mutex<Vec<Balancer>>>,
-    pub(super) views: Arc<Mutex<Views>>,
+    pub(super) views: Arc<Mutex<ViewChecker>>,
 }
 
 impl ProcessController {
@@ -130,7 +130,7 @@
         call: impl FnOnce(&Balancer),
     ) {
         let world = self.world();
-        locked(&self.views).happens(world.now(), event, duration);
+        locked(&self.views).record_event(world.now(), event, duration);
         self.with_process(balancer, |process| {
             call(process);
             world.disturb_balancer(balancer);
@@ -154,7 +154,7 @@
             eprintln!("pinefront-testbed: no known list: {problem}");
         }
         world.set_balancer_running(balancer, false);
-        locked(&self.views).happens(now, event, 0);
+        locked(&self.views).record_event(now, event, 0);
     }
 
     async fn kill(self, balancer: usize) {
@@ -177,7 +177,7 @@
     /// ready.
     async fn start(self, event: TimelineEvent, balancer: usize, address_of: Option<usize>) {
         let started = self.with_process(balancer, |process| {
-            locked(&self.views).happens(self.world().now(), event, 0);
+            locked(&self.views).record_event(self.world().now(), event, 0);
             self.start_process(process, balancer, address_of)
         });
         self.world().set_balancer_running(balancer, true);
--- a/crates/testbed/src/runner/mod.rs
+++ b/crates/testbed/src/runner/mod.rs
@@ -26,9 +26,9 @@
 use crate::environment::stand_in_runtime;
 use crate::error::{Context, Error};
 use crate::figures::Figures;
-use crate::fleet::Known;
-use crate::fleet::leases::machine_now;
-use crate::fleet::views::{Views, watch};
+use crate::fleet::FleetReport;
+use crate::fleet::leases::boot_time_now;
+use crate::fleet::views::{ViewChecker, poll_views};
 use crate::stalled_clients::run_stalled_clients;
 use crate::world::{World, locked};
 
@@ -98,7 +98,7 @@
     world: Arc<World>,
     group: BalancerGroup,
     load: Arc<Load>,
-    views: Arc<Mutex<Views>>,
+    views: Arc<Mutex<ViewChecker>>,
     /// CPU time that the balancers had used when the load started.
     initial_cpu_us: u64,
 }
@@ -117,7 +117,7 @@
             BalancerGroup::start(&world, subject, options.is_cluster).await
         })?;
         write_operator_files_of_moves(&world, &group)?;
-        let views = Arc::new(Mutex::new(Views::new(&world, group.addresses.len())));
+        let views = Arc::new(Mutex::new(ViewChecker::new(&world, group.addresses.len())));
         let load = Arc::new(Load::new(Arc::clone(&world), group.addresses.clone()));
         let initial_cpu_us = cpu_us(&group);
         if options.prints_usage {
@@ -142,7 +142,8 @@
         if options.is_cluster {
             for (number, address) in addresses.iter().enumerate() {
                 let views = Arc::clone(&self.views);
-                self.runtime.spawn(watch(world(), views, number, *address));
+                self.runtime
+                    .spawn(poll_views(world(), views, number, *address));
             }
         }
         self.world.clock.begin();
@@ -162,7 +163,7 @@
 
     /// Stops the balancers and collects the figures.
     fn finish(self, subject: &Subject, options: &RunOptions, dropped: u64) -> Figures {
-        let ended_at = machine_now();
+        let ended_at = boot_time_now();
         let mut cluster = options.is_cluster.then(|| self.cluster_figures());
         locked(&self.world.checker).finish(self.world.now());
         let totals = self.stop_balancers();
@@ -202,17 +203,17 @@
         figures
     }
 
-    fn cluster_figures(&self) -> Known {
+    fn cluster_figures(&self) -> FleetReport {
         let relayed = &self.group.relayed;
         let calls = self.world.discovery_calls.load(Ordering::Relaxed);
         let seconds = self.world.now().max(1) as f64 / SECOND as f64;
-        Known {
-            relayed: relayed.passed.load(Ordering::Relaxed),
-            relay_lost: relayed.lost.load(Ordering::Relaxed),
-            discovery_calls: calls,
-            discovery_calls_a_second: calls as f64 / seconds,
-            flooded: relayed.flooded.load(Ordering::Relaxed),
-            ..locked(&self.views).found()
+        FleetReport {
+            forwarded_datagrams: relayed.forwarded.load(Ordering::Relaxed),
+            dropped_datagrams: relayed.dropped.load(Ordering::Relaxed),
+            discovery_requests: calls,
+            discovery_requests_per_second: calls as f64 / seconds,
+            flood_datagrams: relayed.flood_sent.load(Ordering::Relaxed),
+            ..locked(&self.views).report()
         }
     }
 
@@ -231,15 +232,15 @@
     }
 
     /// Adds the figures of duties, where the scenario has any.
-    fn add_duties(&self, cluster: &mut Known, ended_at: Micros) {
+    fn add_duties(&self, cluster: &mut FleetReport, ended_at: Micros) {
         let scenario = &self.world.scenario;
         if scenario.duties == 0 && !scenario.shared_endpoint_list {
             return;
         }
         // The readers of the logs end with the processes.
         std::thread::sleep(SETTLE_DELAY);
-        let terms_fallen = locked(&self.views).terms_fallen();
-        cluster.leases = Some(self.group.lease_log.report(ended_at, terms_fallen));
+        let decreased_terms = locked(&self.views).decreased_terms();
+        cluster.leases = Some(self.group.lease_log.report(ended_at, decreased_terms));
     }
 }
 
--- a/crates/testbed/src/runner/setup.rs
+++ b/crates/testbed/src/runner/setup.rs
@@ -9,7 +9,7 @@
 use crate::environment::TemporaryFolder;
 use crate::error::{Context, Error};
 use crate::fleet::leases::LeaseLog;
-use crate::fleet::relays::{Relayed, flood, relay};
+use crate::fleet::relays::{RelayState, start_flood, start_relay};
 use crate::fleet::{Addresses, RelaySocket};
 use crate::system_faults::PreloadedLibrary;
 use crate::world::{World, locked};
@@ -22,7 +22,7 @@
     pub(super) addresses: Vec<SocketAddr>,
     /// The cluster addresses, where the balancers form a cluster.
     cluster: Option<Addresses>,
-    pub(super) relayed: Arc<Relayed>,
+    pub(super) relayed: Arc<RelayState>,
     pub(super) lease_log: LeaseLog,
     pub(super) folder: TemporaryFolder,
     preloaded: Option<PreloadedLibrary>,
@@ -88,10 +88,10 @@
         for RelaySocket { from, to, socket } in std::mem::take(&mut cluster.relay_sockets) {
             let address = cluster.members.get(to).copied();
             let address = address.ok_or_else(|| Error::new("no such balancer"))?;
-            relay(world, from, to, socket, address, &self.relayed)
+            start_relay(world, from, to, socket, address, &self.relayed)
                 .context("cannot relay between balancers")?;
         }
-        flood(world, &cluster.members, &self.relayed).context("no strangers")
+        start_flood(world, &cluster.members, &self.relayed).context("no strangers")
     }
 
     async fn start_balancer(
--- a/crates/testbed/src/tests.rs
+++ b/crates/testbed/src/tests.rs
@@ -18,7 +18,7 @@
 
 use crate::clients::{self, RequestCounts};
 use crate::figures::{Figures, Second, Times};
-use crate::fleet::Known;
+use crate::fleet::FleetReport;
 use crate::fleet::leases::LeaseReport;
 use crate::soak::schedule::{self, Shape};
 use crate::world::{FoundRequest, World};
@@ -84,31 +84,31 @@
 fn lease_report() -> LeaseReport {
     LeaseReport {
         overlaps: 1,
-        old_terms_taken: 2,
+        decreased_terms: 2,
         without_holder_ms: vec![3.5],
-        without_holder_by: BTreeMap::from([("killed", vec![4.5])]),
+        without_holder_ms_by_cause: BTreeMap::from([("killed", vec![4.5])]),
         changes: 5,
-        changes_most_a_minute: 6,
-        vacant: 7,
-        leases: 8,
+        max_changes_per_minute: 6,
+        vacant_leases: 7,
+        lease_count: 8,
         details: vec!["duty text".into()],
     }
 }
 
-fn known() -> Known {
-    Known {
+fn fleet_report() -> FleetReport {
+    FleetReport {
         views_agree_after_ms: Some(9.5),
-        wrongly_gone: 10,
-        detected_ms: vec![11.5],
-        detected_by_all_ms: vec![12.5],
+        serving_status_errors: 10,
+        detection_times_ms: vec![11.5],
+        detection_by_all_times_ms: vec![12.5],
         refutations: 13,
-        held_gone_while_running: 14,
-        looks: 15,
-        relayed: 16,
-        relay_lost: 17,
-        flooded: 18,
-        discovery_calls: 19,
-        discovery_calls_a_second: 20.5,
+        considered_dead_while_running: 14,
+        checked_views: 15,
+        forwarded_datagrams: 16,
+        dropped_datagrams: 17,
+        flood_datagrams: 18,
+        discovery_requests: 19,
+        discovery_requests_per_second: 20.5,
         details: vec!["view text".into()],
         leases: Some(lease_report()),
     }
@@ -158,7 +158,7 @@
             p90_ms: 50.5,
             p99_ms: 51.5,
         }],
-        cluster: Some(known()),
+        cluster: Some(fleet_report()),
         interrupted: true,
     }
 }
