--- a/crates/testbed/src/runner/events.rs
+++ b/crates/testbed/src/runner/events.rs
@@ -11,7 +11,7 @@
 use crate::balancers::{Balancer, wait_until_ready};
 use crate::clients::Load;
 use crate::error::Error;
-use crate::fleet::views::Views;
+use crate::fleet::views::ViewChecker;
 use crate::server_stand_in;
 use crate::world::{World, locked};
 
@@ -77,7 +77,7 @@
 pub(super) struct ProcessController {
     pub(super) load: Arc<Load>,
     pub(super) processes: Arc<Mutex<Vec<Balancer>>>,
-    pub(super) views: Arc<Mutex<Views>>,
+    pub(super) views: Arc<Mutex<ViewChecker>>,
 }
 
 impl ProcessController {
@@ -131,7 +131,7 @@
         call: impl FnOnce(&Balancer),
     ) {
         let world = self.world();
-        locked(&self.views).happens(world.now(), event, duration);
+        locked(&self.views).record_event(world.now(), event, duration);
         self.with_process(balancer, |process| {
             call(process);
             world.record_balancer_intervention(balancer);
@@ -159,7 +159,7 @@
             );
         }
         world.set_balancer_running(balancer, false);
-        locked(&self.views).happens(now, event, 0);
+        locked(&self.views).record_event(now, event, 0);
     }
 
     async fn kill(self, balancer: usize) {
@@ -182,7 +182,7 @@
     /// of that balancer.
     async fn start(self, event: TimelineEvent, balancer: usize, address_of: Option<usize>) {
         let started = self.with_process(balancer, |process| {
-            locked(&self.views).happens(self.world().now(), event, 0);
+            locked(&self.views).record_event(self.world().now(), event, 0);
             self.start_process(process, balancer, address_of)
         });
         self.world().set_balancer_running(balancer, true);
--- a/crates/testbed/src/runner/setup.rs
+++ b/crates/testbed/src/runner/setup.rs
@@ -9,7 +9,7 @@
 use crate::environment::TemporaryFolder;
 use crate::error::{Context, Error};
 use crate::fleet::leases::LeaseLog;
-use crate::fleet::relays::{Relayed, flood, relay};
+use crate::fleet::relays::{RelayState, start_flood, start_relay};
 use crate::fleet::{Addresses, RelaySocket};
 use crate::system_faults::PreloadedLibrary;
 use crate::world::{World, locked};
@@ -22,7 +22,7 @@
     pub(super) addresses: Vec<SocketAddr>,
     /// The cluster addresses; none where the balancers form no cluster.
     cluster: Option<Addresses>,
-    pub(super) relayed: Arc<Relayed>,
+    pub(super) relayed: Arc<RelayState>,
     pub(super) lease_log: LeaseLog,
     pub(super) folder: TemporaryFolder,
     preloaded: Option<PreloadedLibrary>,
@@ -95,11 +95,11 @@
                     "a relay leads to balancer {to}, which does not exist"
                 ))
             })?;
-            relay(world, from, to, socket, address, &self.relayed).context(format!(
+            start_relay(world, from, to, socket, address, &self.relayed).context(format!(
                 "cannot start the relay from balancer {from} to {to}"
             ))?;
         }
-        flood(world, &cluster.members, &self.relayed)
+        start_flood(world, &cluster.members, &self.relayed)
             .context("cannot start the sources of datagram floods")
     }
 
