--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -229,7 +229,8 @@
         }
     }
 
-    /// Handles the end of an attempt.
+    /// Handles the end of an attempt: records its outcome, then closes the request, places it for
+    /// another attempt, or answers it as not served.
     pub fn attempt_ended(&mut self, now: Micros, id: &str, end: AttemptEnd) {
         let Some(mut request) = self.requests.remove(id) else {
             return self.closed_request_attempt_ended(now, id, end.outcome);
--- a/crates/policy/src/decisions/admission.rs
+++ b/crates/policy/src/decisions/admission.rs
@@ -7,8 +7,8 @@
 use crate::{Host, Micros};
 
 impl<H: Host> Balancer<H> {
-    /// Decides whether a request is admitted, by the admitted share and unless it belongs to an
-    /// outlier group.
+    /// Decides randomly, with a probability that depends on the admitted share, whether a request
+    /// is admitted. A request of an outlier group is admitted only as a trial.
     pub(crate) fn admit(&mut self, now: Micros, request: &Request) -> bool {
         self.admission.update(now, &self.fleet.pressure);
         let endpoints = if self.settings.polls_loads() {
--- a/crates/policy/src/decisions/attempt_end.rs
+++ b/crates/policy/src/decisions/attempt_end.rs
@@ -52,8 +52,8 @@
         self.outcome == AttemptOutcome::TimedOut
     }
 
-    /// Returns whether the attempt was ended by the balancer, in which case its outcome provides no
-    /// information about the endpoint.
+    /// Returns whether the balancer cancelled the attempt or did not send it; then its outcome
+    /// provides no information about the endpoint.
     fn ended_by_balancer(&self) -> bool {
         matches!(
             self.outcome,
@@ -84,7 +84,8 @@
         self.release_key(now, &request);
     }
 
-    /// Records the end of an attempt.
+    /// Ends an attempt, and records its outcome for the endpoint, the class, the fleet and the
+    /// learning of decisions. Does nothing if the attempt is not in flight.
     pub(crate) fn record_attempt_end(
         &mut self,
         now: Micros,
@@ -142,8 +143,8 @@
         Some(ended)
     }
 
-    /// Detects that the network drops idle connections, from a connection that is lost immediately
-    /// after an idle time.
+    /// Assumes that the network drops idle connections if an attempt that was sent after an idle
+    /// time lost its connection immediately, and informs the other balancers if gossip is allowed.
     fn detect_idle_drop(&mut self, now: Micros, ended: &EndedAttempt) {
         let lost = ended.outcome == AttemptOutcome::ConnectionLost;
         let Some(idle_for) = ended.idle_for.filter(|_| lost) else {
@@ -225,7 +226,8 @@
         0.0
     }
 
-    /// Sets the time for which an endpoint is avoided after an attempt that did not run there.
+    /// Sets the time until which an endpoint is avoided after a failed attempt: later than now only
+    /// if the attempt did not run there.
     fn back_off(&mut self, now: Micros, class: usize, ended: &EndedAttempt) {
         let not_run = ended.outcome.proves_not_run();
         let fraction = if not_run {
--- a/crates/policy/src/decisions/concurrency.rs
+++ b/crates/policy/src/decisions/concurrency.rs
@@ -22,7 +22,8 @@
 const MIN_SUBSET_LIMIT: f64 = 2.0;
 /// Number of standard deviations by which requests in flight may exceed the subset's limit at full
 /// headroom, to allow for random variation while latencies are low. One standard deviation is the
-/// square root of the limit.
+/// square root of the limit. In addition, one standard deviation divided by the square root of the
+/// number of balancers is allowed at any headroom.
 const VARIATION_STANDARD_DEVIATIONS: f64 = 6.0;
 /// Fraction of a request by which a limit must exceed the requests in flight to allow one more.
 /// With one half, a limit of one request could never grow.
@@ -68,8 +69,12 @@
                 || in_flight + LIMIT_ROUND_UP_FRACTION < self.concurrency_limit(now, index))
     }
 
-    /// Returns whether the limits of the subset together allow another request. Each limit alone
-    /// may be less than one request, so the square root of their sum is added for random variation.
+    /// Returns whether this balancer may have another request in flight. Its requests in flight at
+    /// all responsive endpoints are compared with the sum of the limits of the first responsive
+    /// endpoints in the preference order, as many as the subset has; each limit alone may be less
+    /// than one request. To allow for random variation, the sum may be exceeded by some standard
+    /// deviations (see `VARIATION_STANDARD_DEVIATIONS`): more with more headroom, and fewer in a
+    /// larger fleet. `MIN_SUBSET_LIMIT` requests are always allowed.
     pub(crate) fn subset_has_capacity(&self, now: Micros) -> bool {
         let lost_before = self.lost_before(now);
         let order = self.subset.current_order(now);
--- a/crates/policy/src/decisions/endpoint_list.rs
+++ b/crates/policy/src/decisions/endpoint_list.rs
@@ -21,8 +21,8 @@
 const FIRST_RETRY_INTERVAL_DIVISOR: Micros = 64;
 /// Maximum number of times that the delay doubles.
 const MAX_RETRY_DOUBLINGS: u32 = 4;
-/// Factor applied to the earlier weights in the average when a new weight is listed. Lists may be
-/// late, and balancers that follow each list would oscillate.
+/// Factor applied to the earlier weights in the average each time an endpoint is listed. Lists may
+/// be late, so balancers that adopted each listed weight at once would oscillate.
 const WEIGHT_RETENTION: f64 = 0.9;
 
 /// An endpoint on the list.
@@ -93,7 +93,8 @@
         }
     }
 
-    /// Handles an endpoint on the list.
+    /// Handles an endpoint on the list, which is added if it is new and may receive requests from
+    /// now on.
     pub fn endpoint_listed(&mut self, listed: ListedEndpoint<'_>) {
         let slot = self.endpoints.find_or_add(listed.id);
         let endpoint = &mut self.endpoints[slot.index];
--- a/crates/policy/src/decisions/features.rs
+++ b/crates/policy/src/decisions/features.rs
@@ -6,10 +6,12 @@
 use crate::state::endpoint::Endpoint;
 use crate::{Host, Micros};
 
-/// Load of an endpoint that reports no requests in flight, in requests.
-const IDLE_REPORTED_LOAD: f64 = 0.2;
-/// Load of an endpoint without requests of this balancer in flight, in requests of average work.
-const IDLE_OWN_LOAD: f64 = 0.5;
+/// Offset added to the polled load of every endpoint, in requests, so that the log ratio of an
+/// endpoint without load is not extreme.
+const POLLED_LOAD_OFFSET: f64 = 0.2;
+/// Offset added to the estimated load of every endpoint, in requests of average work, so that the
+/// log ratio of an endpoint without load is not extreme.
+const ESTIMATED_LOAD_OFFSET: f64 = 0.5;
 /// Offset added to a reported utilisation, which may be 0.
 const UTILISATION_OFFSET: f64 = 0.1;
 /// Exponent of the capacity by which the load is divided.
@@ -18,7 +20,7 @@
 const REPORT_DECAY_EXPONENT: f64 = -2.0;
 
 impl<H: Host> Balancer<H> {
-    /// Returns the feature rows of the candidates.
+    /// Returns one row of features for each candidate, in the order of `candidates`.
     pub(crate) fn feature_rows(&self, now: Micros, candidates: &[usize]) -> Vec<FeatureRow> {
         let freshness = self.report_freshness(now, candidates);
         let log_ratios_of = |value: &dyn Fn(&Endpoint) -> Option<f64>| {
@@ -61,8 +63,9 @@
         candidates.iter().map(freshness).collect()
     }
 
-    /// Returns the log ratios of the candidates' loads: own work in flight and the other balancers'
-    /// part of the reported queue or, if loads are polled, the reported requests in flight.
+    /// Returns the log ratios of the candidates' loads. A load is the own work in flight plus the
+    /// other balancers' part of the reported queue; if loads are polled, it is the reported number
+    /// of requests in flight.
     fn loads(&self, now: Micros, candidates: &[usize], freshness: &[f64]) -> Vec<f64> {
         let lost_before = self.lost_before(now);
         let sharing_balancers = self.subset_size().sharing_balancers;
@@ -72,12 +75,12 @@
             if let Some(in_flight) = endpoint.reported_in_flight
                 && polls_loads
             {
-                return Some(IDLE_REPORTED_LOAD + in_flight * freshness[i]);
+                return Some(POLLED_LOAD_OFFSET + in_flight * freshness[i]);
             }
             let queue = endpoint.reported_queue.unwrap_or(0.0);
             let others = (1.0 - 1.0 / sharing_balancers) * freshness[i] * queue;
             let own = endpoint.in_flight_since(lost_before).work;
-            Some(IDLE_OWN_LOAD + own + others)
+            Some(ESTIMATED_LOAD_OFFSET + own + others)
         };
         let loads: Vec<_> = candidates.iter().enumerate().map(load).collect();
         log_ratios(&loads, MAX_LOG_RATIO)
--- a/crates/policy/src/decisions/gossip.rs
+++ b/crates/policy/src/decisions/gossip.rs
@@ -1,5 +1,6 @@
-//! Gossip between balancers. The load ledger of each endpoint is owned by one balancer; the others
-//! report their attempts to the owner and request the endpoint's load from it.
+//! Gossip between balancers. Each endpoint has a load ledger: a record of the attempts in flight
+//! and the outcomes that all balancers reported for the endpoint. The ledger is owned by one
+//! balancer; the others report their attempts to the owner and request the endpoint's load from it.
 
 use crate::balancer::Balancer;
 use crate::gossip_message::{GossipMessage, PeerOutcome};
--- a/crates/policy/src/decisions/key_order.rs
+++ b/crates/policy/src/decisions/key_order.rs
@@ -67,7 +67,8 @@
         }
     }
 
-    /// Reinserts a key queue, and sets the timer for the next time at which its state can change.
+    /// Puts a key queue back into the table after its processing, and sets the timer for the next
+    /// time at which its state can change.
     fn restore_key_queue(&mut self, now: Micros, key: u64, mut queue: KeyQueue) {
         let cooldown = Some(queue.cooldown_until).filter(|_| queue.is_idle());
         let latest_starts = queue
@@ -98,8 +99,8 @@
         }
     }
 
-    /// Handles the end of an attempt for a key. An attempt that may still run starts a cooldown of
-    /// the key.
+    /// Records for a key that one of its attempts has ended. An attempt that may still run starts a
+    /// cooldown of the key.
     pub(crate) fn key_attempt_ended(&mut self, now: Micros, key: u64, outcome: AttemptOutcome) {
         let Some(queue) = self.key_queues.queues.get_mut(&key) else {
             return;
@@ -117,7 +118,9 @@
         }
     }
 
-    /// Handles the end of an attempt whose request is already closed.
+    /// Handles the end of an attempt whose request is already closed. If the request is ordered by
+    /// key, the attempt no longer blocks the key, or starts a cooldown of the key if it may still
+    /// run.
     pub(crate) fn closed_request_attempt_ended(
         &mut self,
         now: Micros,
--- a/crates/policy/src/decisions/latency.rs
+++ b/crates/policy/src/decisions/latency.rs
@@ -30,7 +30,8 @@
 }
 
 impl<H: Host> Balancer<H> {
-    /// Returns the latency in microseconds per request in flight, for an endpoint of this capacity.
+    /// Returns the expected latency in microseconds per request in flight at an endpoint, by its
+    /// current capacity.
     pub(crate) fn latency_per_request(&self, now: Micros, index: usize) -> f64 {
         let objective = self.settings.shortest_latency_objective() as f64;
         let measured = &self.fleet.latency_per_request;
--- a/crates/policy/src/decisions/placement.rs
+++ b/crates/policy/src/decisions/placement.rs
@@ -135,7 +135,7 @@
         true
     }
 
-    /// Records a new attempt at its endpoint.
+    /// Creates an attempt, and records at its endpoint that it is in flight.
     fn open_attempt(
         &mut self,
         now: Micros,
--- a/crates/policy/src/decisions/queueing.rs
+++ b/crates/policy/src/decisions/queueing.rs
@@ -62,7 +62,9 @@
         self.schedule_queue_timer();
     }
 
-    /// Returns whether a request would be sent in time from this position of the queue.
+    /// Returns whether a request should wait at this position of the queue: its expected wait is a
+    /// small part of the time until its latest start, and there are enough endpoints per balancer
+    /// that other balancers do not take the freed capacity.
     fn should_queue(&self, now: Micros, request: &Request, position: usize) -> bool {
         let rate = self.fleet.succeeded.read(now, RECENT_HORIZON_US) / self.recent_span(now);
         let wait = self.queue.unsent_before(position) as f64 / rate.max(MIN_SERVED_REQUESTS_PER_US);
--- a/crates/policy/src/decisions/retry.rs
+++ b/crates/policy/src/decisions/retry.rs
@@ -17,7 +17,8 @@
 const MAX_LOST_CONNECTIONS: usize = 2;
 /// Time after which a rejected request may be retried, as a multiple of the expected latency.
 const RETRY_AFTER_LATENCIES: f64 = 0.5;
-/// Percentage of failed attempts at an endpoint above which responses count as lost.
+/// Percentage of failed attempts above which an endpoint is assumed to lose responses, so that
+/// attempts time out early if they cannot be cancelled.
 pub(crate) const MAX_FAILURE_PERCENT: u64 = 10;
 /// Timeout of an attempt if responses are lost, as a multiple of the expected latency.
 const ATTEMPT_TIMEOUT_LATENCIES: f64 = 3.0;
--- a/crates/policy/src/decisions/slow_start.rs
+++ b/crates/policy/src/decisions/slow_start.rs
@@ -31,8 +31,9 @@
             + (1.0 - slow_start.initial_capacity) * age as f64 / slow_start.duration as f64
     }
 
-    /// Returns the budget of an endpoint in the current interval of its slow start. Unused work of
-    /// an interval expires.
+    /// Returns the work budget of an endpoint in the current interval; unlimited outside slow
+    /// start. An interval lasts one overload window, counted from the start of the endpoint. Unused
+    /// work expires at its end.
     pub(crate) fn slow_start_budget(&self, now: Micros, index: usize) -> SlowStartBudget {
         if !self.in_slow_start(now, index) {
             return SlowStartBudget::UNLIMITED;
--- a/crates/policy/src/scoring/learning.rs
+++ b/crates/policy/src/scoring/learning.rs
@@ -90,8 +90,9 @@
     }
 }
 
-/// Returns the selected candidate's probability under the current weights and its gradient, through
-/// softplus, normalisation and projection; `None` if the candidate is no longer selectable.
+/// Returns the probability with which the current weights select the candidate of the sample, and
+/// its gradient, computed through softplus, normalisation and projection; `None` if the candidate
+/// is no longer selectable.
 pub(crate) fn selection_gradient(
     weights: &FeatureRow,
     sample: &DecisionSample,
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -22,7 +22,7 @@
     /// Endpoints within `scope` discard a second run that starts within `window` microseconds of
     /// the first.
     IdempotencyKey {
-        /// The endpoints that share the key.
+        /// The endpoints that share one set of idempotency keys.
         scope: IdempotencyScope,
         /// Time in microseconds for which the endpoints store the key.
         window: Micros,
@@ -84,9 +84,10 @@
     pub weights_listed: bool,
     /// Whether attempts may be cancelled.
     pub can_cancel: bool,
-    /// Whether endpoints report their load in responses to probes, and only there.
+    /// Whether endpoints report their load only in responses to probes.
     pub load_from_probes: bool,
-    /// Whether endpoints report their load neither with responses nor to probes.
+    /// Whether endpoints report their load neither in responses to requests nor in responses to
+    /// probes.
     pub load_unreported: bool,
     /// Whether balancers may send gossip to one another.
     pub gossip_allowed: bool,
--- a/crates/policy/src/state/class_latency.rs
+++ b/crates/policy/src/state/class_latency.rs
@@ -87,7 +87,8 @@
     }
 }
 
-/// Moves the minimum latency towards the current average.
+/// Moves the minimum latency towards the current average: quickly if the average is lower, and very
+/// slowly if it is higher.
 pub(crate) fn track_min_latency(minimum: &mut Option<f64>, average: f64) {
     let minimum = minimum.get_or_insert(average);
     let rate = if average < *minimum {
--- a/crates/policy/src/state/endpoint.rs
+++ b/crates/policy/src/state/endpoint.rs
@@ -47,8 +47,9 @@
     pub(crate) min_latency: Option<f64>,
     /// Decaying sum of the time in flight of succeeded attempts, in microseconds.
     pub(crate) busy_time: DecayingSum,
-    /// Time of the first attempt since the endpoint last responded; `None` if every attempt was
-    /// followed by a response.
+    /// Time of the first attempt since the endpoint last responded; `None` if no attempt was sent
+    /// since. It is also cleared when the last attempt in flight ends without information about the
+    /// endpoint.
     pub(crate) unanswered_since: Option<Micros>,
     /// Latest deadline of the requests that were sent to the endpoint.
     pub(crate) latest_deadline: Micros,
@@ -65,7 +66,7 @@
     pub(crate) last_success: Micros,
     /// Time at which something was last sent to the endpoint or received from it.
     pub(crate) last_used: Option<Micros>,
-    /// Reports of other balancers, if this balancer owns the endpoint's ledger.
+    /// Reports of all balancers, if this balancer owns the ledger of the endpoint.
     pub(crate) ledger: LoadLedger,
     pub(crate) slow_start_usage: SlowStartUsage,
 }
--- a/crates/policy/src/state/endpoint_table.rs
+++ b/crates/policy/src/state/endpoint_table.rs
@@ -43,7 +43,7 @@
 }
 
 impl EndpointTable {
-    /// Returns the index of an endpoint.
+    /// Returns the index of the endpoint with this name.
     pub(crate) fn index_of(&self, id: &str) -> Option<usize> {
         self.index_by_id.get(id).copied()
     }
--- a/crates/policy/src/state/idle_drops.rs
+++ b/crates/policy/src/state/idle_drops.rs
@@ -8,7 +8,8 @@
 /// Shortest idle time in microseconds after which the loss of a connection can be an idle drop.
 const MIN_DROPPED_IDLE_US: Micros = 200_000;
 /// Divisor of the latency objective that gives the time within which a connection must be lost to
-/// count as an idle drop. A connection lost by a crash takes longer.
+/// count as an idle drop. The loss of a connection through a crash of the endpoint takes longer to
+/// arrive.
 const DROP_OBJECTIVE_DIVISOR: Micros = 100;
 
 /// Idle time in microseconds from which connections are assumed to be dropped, and the end of that
--- a/crates/policy/src/state/load_ledger.rs
+++ b/crates/policy/src/state/load_ledger.rs
@@ -1,4 +1,5 @@
-//! Load of an endpoint as reported by the other balancers to the owner of its ledger.
+//! The load ledger of an endpoint: a record of the attempts in flight and the outcomes that the
+//! balancers, the owner of the ledger included, reported for the endpoint.
 //!
 //! Invariant: gossip may be lost, so an entry expires after `GOSSIP_HORIZON_US`, and outcomes decay
 //! with that horizon.
@@ -7,7 +8,7 @@
 use crate::gossip_message::PeerOutcome;
 use crate::state::decaying::{DecayingSum, MICROS_PER_SECOND};
 
-/// Time in microseconds for which reports of other balancers count; longer than requests take.
+/// Time in microseconds for which reports of balancers count; longer than requests take.
 const GOSSIP_HORIZON_US: f64 = 4.0 * MICROS_PER_SECOND;
 /// Maximum number of attempts in one ledger.
 const MAX_LEDGER_ENTRIES: usize = 1024;
--- a/crates/policy/src/state/load_polls.rs
+++ b/crates/policy/src/state/load_polls.rs
@@ -3,10 +3,10 @@
 use crate::Micros;
 use crate::state::request::Request;
 
-/// The waiting requests, and the time of the last request without a suitable endpoint.
+/// The waiting requests, and the time at which one last found no suitable endpoint.
 #[derive(Default)]
 pub(crate) struct LoadPolls {
-    /// Requests with polled loads that were not received yet.
+    /// Requests that wait for a polled load.
     pub(crate) requests: Vec<Request>,
     /// Time at which a request last found no endpoint that would meet its objective according to
     /// the polled loads.
--- a/crates/policy/src/state/request.rs
+++ b/crates/policy/src/state/request.rs
@@ -108,7 +108,7 @@
         self.attempts.is_empty()
     }
 
-    /// Returns the position of the attempt in flight.
+    /// Returns the position of the attempt in flight among the attempts.
     pub(crate) fn attempt_in_flight(&self) -> Option<usize> {
         self.attempts.iter().position(|attempt| attempt.in_flight)
     }
@@ -118,7 +118,8 @@
         self.attempts.iter().filter(|attempt| attempt.may_have_run)
     }
 
-    /// Returns an attempt of the request as recorded at its endpoint.
+    /// Returns the entry with which an endpoint records an attempt of this request that was sent at
+    /// `sent_at`.
     pub(crate) fn in_flight_attempt(&self, sent_at: Micros) -> InFlightAttempt {
         InFlightAttempt {
             sent_at,
--- a/crates/policy/src/state/slow_start_budget.rs
+++ b/crates/policy/src/state/slow_start_budget.rs
@@ -1,6 +1,7 @@
 //! Work budget of an endpoint in slow start.
 
-/// Work by which a request may exceed a budget, relative to an average request.
+/// Work by which a request may exceed a budget, relative to an average request. With a budget below
+/// one request nothing is sent.
 const MAX_BUDGET_OVERRUN: f64 = 0.5;
 
 /// Work sent to an endpoint in one interval of its slow start.
@@ -30,8 +31,8 @@
         limit: f64::INFINITY,
     };
 
-    /// Returns whether a request of this work fits. With a limit below one request the overrun is
-    /// not granted either, because the overruns of many balancers would add up.
+    /// Returns whether a request of this work fits. With a limit below one request nothing fits:
+    /// the overrun is not granted either, because the overruns of many balancers would add up.
     pub(crate) fn allows(&self, work: f64) -> bool {
         self.limit >= 1.0 && self.used + work <= self.limit + MAX_BUDGET_OVERRUN
     }
--- a/crates/policy/src/state/subset.rs
+++ b/crates/policy/src/state/subset.rs
@@ -15,8 +15,8 @@
 const MIN_SUBSET_SIZE: usize = 2;
 /// Minimum number of endpoints in a subset if loads are polled before each selection.
 const MIN_POLLED_SUBSET_SIZE: usize = 6;
-/// Number of balancers at which each endpoint is shared by one balancer more than the minimum. The
-/// excess is inversely proportional to the number of balancers.
+/// Divided by the number of balancers, this is the number of balancers that share an endpoint in
+/// addition to `MIN_SHARING_BALANCERS`: one in a fleet of this size, and fewer in a larger fleet.
 const EXTRA_SHARING_FLEET_SIZE: usize = 4;
 /// Distance between the starts of neighbouring balancers as a fraction of the ring: the inverse of
 /// the golden ratio.
@@ -63,7 +63,9 @@
         self.zone_first_order.clear();
     }
 
-    /// Returns the size of the subset.
+    /// Returns the smallest size at which every endpoint is shared by enough balancers (see
+    /// `MIN_SHARING_BALANCERS` and `EXTRA_SHARING_FLEET_SIZE`), but at least the minimum size and
+    /// at most the number of ready endpoints.
     pub(crate) fn size(&self, settings: &Settings) -> SubsetSize {
         let (ready, balancers) = (self.preference_order.len(), settings.balancers);
         let least = if settings.polls_loads() {
