--- a/crates/cluster/src/cluster/gossip.rs
+++ b/crates/cluster/src/cluster/gossip.rs
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Contacts a seed that is not among the alive members: at the start, and after a partition
-    /// whose other side is no longer in the table.
+    /// Probes a random seed that is not among the alive members. This is how members find each
+    /// other at the start, and after a partition whose other side is no longer in the table.
     pub(super) fn contact_seed(&mut self) {
         let is_alone = self.table.alive().next().is_none();
         let interval = if is_alone {
--- a/crates/cluster/src/cluster/lease_control.rs
+++ b/crates/cluster/src/cluster/lease_control.rs
@@ -89,7 +89,7 @@
         is_sent
     }
 
-    /// Sends a note about a lease to a member.
+    /// Sends a note about a lease to a member, whether this member holds the lease or not.
     pub fn send_lease_note(&mut self, now: Micros, lease: LeaseId, to: &Rc<str>, body: Vec<u8>) {
         self.now = self.now.max(now);
         if let Some(leases) = &mut self.lease_manager {
--- a/crates/cluster/src/cluster/mod.rs
+++ b/crates/cluster/src/cluster/mod.rs
@@ -84,9 +84,9 @@
     lease_manager: Option<LeaseManager>,
     /// The time for which the lease manager's timer is scheduled.
     lease_timer_at: Micros,
-    /// The time of the last reply to each sender with a superseded incarnation, by name.
+    /// The time of the last reply by `reply_to_old_incarnation` to each sender, by name.
     old_incarnation_replies: BTreeMap<String, Micros>,
-    /// No datagram is sent before this time, because another process has this member's name.
+    /// No datagram is sent before this time, because an earlier-started process has the same name.
     send_disabled_until: Micros,
 }
 
--- a/crates/cluster/src/cluster/receive.rs
+++ b/crates/cluster/src/cluster/receive.rs
@@ -13,7 +13,8 @@
 /// The shortest interval between two replies to a sender with a superseded incarnation, and between
 /// two sends of the table to a member that was dead and sends again.
 const CORRECTION_INTERVAL_US: Micros = 500_000;
-/// How long this process sends nothing after it was established that another process has its name.
+/// How long this process sends nothing after a conflict with an earlier-started process of the same
+/// name. Each further conflict restarts the pause.
 const NAME_CONFLICT_SEND_PAUSE_US: Micros = 30_000_000;
 
 impl Cluster {
@@ -48,7 +49,8 @@
         Ok(())
     }
 
-    /// Whether a later process of the sender's name is known.
+    /// Whether another process of the sender's name is known with the same or a greater refutation
+    /// counter.
     fn is_superseded(&self, datagram: &Datagram) -> bool {
         self.table.member(&datagram.sender).is_some_and(|member| {
             member.record.incarnation != datagram.incarnation
--- a/crates/cluster/src/cluster/suspicions.rs
+++ b/crates/cluster/src/cluster/suspicions.rs
@@ -10,7 +10,7 @@
 /// The ratio of the longest suspicion to the shortest one. Independent suspicions shorten a
 /// suspicion from the longest to the shortest.
 const MAX_TO_MIN_SUSPICION_RATIO: f64 = 3.0;
-/// The number of independent suspicions at which a suspicion is shortest.
+/// The number of processes that must suspect a member independently for the shortest suspicion.
 const SUSPICIONS_FOR_MIN_TIMEOUT: f64 = 3.0;
 
 impl Cluster {
--- a/crates/cluster/src/leases/config.rs
+++ b/crates/cluster/src/leases/config.rs
@@ -5,8 +5,8 @@
 use super::term::LeaseId;
 use crate::Micros;
 
-/// The largest relative difference between the rates of any two clocks: each may be off by 1 %,
-/// plus rounding.
+/// The largest relative difference between the rates of any two clocks. Each may be off by 1 %,
+/// which gives 2.02 %; the rest is a margin that covers rounding.
 pub const MAX_CLOCK_RATE_DIFFERENCE: f64 = 0.025;
 /// The longest lease duration that an operator file may set. A voter that starts grants nothing for
 /// this time, extended by the clock margin.
--- a/crates/cluster/src/leases/events.rs
+++ b/crates/cluster/src/leases/events.rs
@@ -68,10 +68,10 @@
         lease: LeaseId,
         /// The sender's term.
         term: Term,
-        /// The command; empty if a new holder announces its term.
+        /// The command; empty if the message only announces the term of a new holder.
         body: Vec<u8>,
     },
-    /// A note about a lease arrived from a member that need not hold it.
+    /// A note about a lease arrived. Its sender does not have to be the holder of the lease.
     NoteReceived {
         /// The name of the sender.
         from: Rc<str>,
--- a/crates/cluster/src/leases/manager/mod.rs
+++ b/crates/cluster/src/leases/manager/mod.rs
@@ -63,7 +63,7 @@
     own_name: Rc<str>,
     /// The random identifier of this process, which is part of its terms.
     own_incarnation_id: u64,
-    /// The Unix time in milliseconds at local time 0, by this process's clock.
+    /// The Unix time in milliseconds at which this process's local time was 0, by its wall clock.
     wall_clock_offset_ms: u64,
     voter: Option<Voter>,
     tracked: BTreeMap<LeaseId, TrackedLease>,
@@ -80,7 +80,8 @@
     recent_pauses: VecDeque<Micros>,
     cooldown_until: Micros,
     is_stopping: bool,
-    /// The greatest term number that this process may have used for a lease no longer tracked.
+    /// The greatest term number that this process may have used for a lease that it no longer
+    /// tracks, or for any lease of an earlier manager.
     min_term_number: u64,
     is_quorum_lost: bool,
     /// The number of successive rounds without a majority of replies.
@@ -191,8 +192,8 @@
     }
 
     /// Returns the term under which a lease is held now and for at least `required` longer. This
-    /// must be called immediately before each action under the lease: no other check makes such an
-    /// action safe.
+    /// must be called immediately before each action under the lease: an earlier check does not
+    /// make the action safe.
     pub fn holds(&self, now: Micros, lease: LeaseId, required: Micros) -> Option<Term> {
         match &self.tracked.get(&lease)?.state {
             LeaseState::Held(held) if now + required < held.expires_at => Some(held.term),
@@ -205,7 +206,8 @@
         self.fencing_tokens.greatest_known_term(lease)
     }
 
-    /// Whether a majority of voters replies.
+    /// Whether the quorum is not reported as lost: true at first, and false from
+    /// [`LeaseEvent::QuorumLost`] to [`LeaseEvent::QuorumRestored`].
     pub fn has_quorum(&self) -> bool {
         !self.is_quorum_lost
     }
--- a/crates/cluster/src/leases/manager/rounds.rs
+++ b/crates/cluster/src/leases/manager/rounds.rs
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Bids again for all held leases under the same terms.
+    /// Renews all held leases by bidding again under the same terms, which extends their grants.
     pub(super) fn renew(&mut self, now: Micros) {
         self.renew_at = now + self.config.duration / RENEWALS_PER_LEASE;
         let held: Vec<LeaseId> = self
--- a/crates/cluster/src/leases/messages.rs
+++ b/crates/cluster/src/leases/messages.rs
@@ -87,7 +87,7 @@
         lease: LeaseId,
         /// The sender's term.
         term: Term,
-        /// The command; empty if a new holder announces its term.
+        /// The command; empty if the message only announces the term of a new holder.
         body: Vec<u8>,
     },
     /// A note about a lease, to its holder.
--- a/crates/cluster/src/leases/voter.rs
+++ b/crates/cluster/src/leases/voter.rs
@@ -122,8 +122,10 @@
         Ok(())
     }
 
-    /// Releases a term. A release that arrives before the bid for the same term prevents that term
-    /// from being granted; a release of an earlier term has no effect.
+    /// Releases a term. A release of the granted term makes the lease available immediately. A
+    /// release that arrives before the bid for its term prevents that term from being granted, but
+    /// only if the voter stores an earlier grant of the lease that is no longer active. Any other
+    /// release has no effect.
     pub fn release(&mut self, now: Micros, lease: LeaseId, term: Term) {
         let Some(grant) = self.grants.get_mut(&lease) else {
             return;
--- a/crates/cluster/src/membership/failure_detector.rs
+++ b/crates/cluster/src/membership/failure_detector.rs
@@ -47,8 +47,10 @@
     relayed_probes: Vec<RelayedProbe>,
     /// The members still to be probed before any member is probed again.
     remaining_targets: Vec<Rc<str>>,
-    /// Lengthens timeouts while replies are missing, since the fault may be in this process; 0
-    /// while replies arrive.
+    /// The degree by which timeouts are lengthened, since the fault may be in this process. It
+    /// rises by 1 with each refutation, each pause of this process, and each probe that got neither
+    /// a reply nor the reports of all requested relays. Each answered probe lowers it by 1, down to
+    /// 0.
     health_penalty: u32,
     /// The number of the last probe.
     pub last_number: u32,
@@ -75,12 +77,12 @@
         self.remaining_targets.pop()
     }
 
-    /// Increases the health penalty.
+    /// Lengthens timeouts by one step, up to `MAX_HEALTH_PENALTY` steps.
     pub fn increase_health_penalty(&mut self) {
         self.health_penalty = (self.health_penalty + 1).min(MAX_HEALTH_PENALTY);
     }
 
-    /// Decreases the health penalty.
+    /// Shortens lengthened timeouts by one step.
     pub fn decrease_health_penalty(&mut self) {
         self.health_penalty = self.health_penalty.saturating_sub(1);
     }
@@ -105,7 +107,7 @@
         Some(number)
     }
 
-    /// Removes and returns a relayed probe.
+    /// Removes and returns the relayed probe for which this process uses the given number.
     pub fn take_relayed_probe(&mut self, number: u32) -> Option<RelayedProbe> {
         let index = self
             .relayed_probes
--- a/crates/cluster/src/membership/member.rs
+++ b/crates/cluster/src/membership/member.rs
@@ -82,10 +82,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StopProof {
-    /// The process announced it after its last response.
+    /// The process announced that it has stopped serving, after its last response.
     #[serde(rename = "said_so")]
     Announced,
-    /// The operators confirmed it, and no datagram of the process has arrived since.
+    /// The operators confirmed that the process is dead, and no datagram of it has arrived since.
     #[serde(rename = "struck")]
     ConfirmedDead,
 }
--- a/crates/cluster/src/membership/merge.rs
+++ b/crates/cluster/src/membership/merge.rs
@@ -110,8 +110,10 @@
             .min_by_key(|&index| self.members[index].state_since)
     }
 
-    /// Merges a record about this member. Only this process decides its state, so it refutes a
-    /// wrong record by a greater refutation counter.
+    /// Merges a record with this member's name. If it states that this process is not alive, or is
+    /// about another process, it is refuted with a greater refutation counter, as only this process
+    /// decides its state. Records of another process are counted as name conflicts. A record with a
+    /// smaller counter is ignored, and a member that has left refutes nothing.
     fn merge_own(&mut self, record: &MemberRecord) -> MergeOutcome {
         let is_other_process = record.incarnation != self.own_record.incarnation;
         let is_wrong = record.state != MemberState::Alive || is_other_process;
--- a/crates/cluster/src/membership/table.rs
+++ b/crates/cluster/src/membership/table.rs
@@ -84,8 +84,8 @@
             .filter(|member| member.record.state == MemberState::Alive)
     }
 
-    /// The number of processes besides this one that may serve. It never decreases because a
-    /// process is unresponsive.
+    /// The number of processes besides this one that may serve. An unresponsive process is still
+    /// counted.
     pub fn count_possibly_serving(&self) -> usize {
         self.members
             .iter()
--- a/crates/cluster/src/messages.rs
+++ b/crates/cluster/src/messages.rs
@@ -103,8 +103,8 @@
         self.refutation_counter == other.refutation_counter && self.incarnation == other.incarnation
     }
 
-    /// The largest number of bytes of the record in a datagram: texts, address, incarnation,
-    /// counter, state, suspecting process and version.
+    /// The largest number of bytes that the record takes up in a datagram: texts, address,
+    /// incarnation, counter, state, suspecting process and version.
     pub fn max_encoded_length(&self) -> usize {
         const LENGTHS_BYTES: usize = 2;
         const ADDRESS_BYTES: usize = 19;
--- a/crates/cluster/src/shared_list/publisher.rs
+++ b/crates/cluster/src/shared_list/publisher.rs
@@ -156,8 +156,8 @@
         }
     }
 
-    /// The current full list. The same entries produce the same bytes, so that chunks of two such
-    /// pages can be combined.
+    /// The page with the current full list. The same entries always produce the same bytes, so that
+    /// chunks of two pages with the same number can be combined.
     fn full_page(&self) -> Page {
         let entries = self.entries.values().map(String::as_str);
         Page {
--- a/crates/cluster/src/shared_list/subscriber.rs
+++ b/crates/cluster/src/shared_list/subscriber.rs
@@ -88,13 +88,15 @@
     /// The last known page of the holder.
     last_page: u32,
     next_request_at: Micros,
-    /// The time at which the last valid heartbeat arrived.
+    /// The time at which the last valid heartbeat arrived. It is valid if the holder watches
+    /// discovery and its last page was applied here.
     last_heartbeat_at: Option<Micros>,
     rejected: Option<RejectedTerm>,
 }
 
 impl ListSubscriber {
-    /// Whether the list is as fresh as the holder's, so that this member need not poll discovery.
+    /// Whether a valid heartbeat of the holder arrived recently and its list was not rejected, so
+    /// that this member need not poll discovery.
     pub fn is_fresh(&self, now: Micros) -> bool {
         self.last_heartbeat_at
             .is_some_and(|at| now < at + HEARTBEAT_TIMEOUT_US)
