--- a/crates/proxy/src/close_reason.rs
+++ b/crates/proxy/src/close_reason.rs
@@ -28,7 +28,8 @@
 
 close_reasons! {
     // Clients' connections.
-    /// The client closed the connection between requests, or a close by this balancer is complete.
+    /// The client closed the connection between requests. If this balancer had begun to close it,
+    /// the reason for that is logged instead.
     ClientClosed = "client_closed",
     /// The client closed the connection with a request in flight.
     ClientDisconnected = "client_disconnected",
--- a/crates/proxy/src/cluster/node.rs
+++ b/crates/proxy/src/cluster/node.rs
@@ -142,7 +142,8 @@
         self.process_output();
     }
 
-    /// Records that a poll of discovery failed.
+    /// Records that a poll of discovery failed, after which the published list counts as
+    /// unconfirmed.
     pub fn record_poll_failure(&mut self) {
         self.shared_lists.record_poll_failure();
         self.process_output();
--- a/crates/proxy/src/cluster/shared_lists.rs
+++ b/crates/proxy/src/cluster/shared_lists.rs
@@ -129,7 +129,7 @@
         self.send_to_zones(now, cluster, &messages);
     }
 
-    /// Records that a poll of discovery failed.
+    /// Records that a poll of discovery failed, after which heartbeats no longer confirm the list.
     pub fn record_poll_failure(&mut self) {
         if let Some(publisher) = &mut self.publisher {
             publisher.set_watching(false);
--- a/crates/proxy/src/config/proxy_config.rs
+++ b/crates/proxy/src/config/proxy_config.rs
@@ -48,7 +48,7 @@
     pub endpoint_idle_timeout: Micros,
     /// Maximum time to establish a connection to an endpoint, in microseconds.
     pub connect_timeout: Micros,
-    /// Maximum time between polls of discovery, in microseconds; none if discovery pushes lists.
+    /// Maximum time between polls of discovery, in microseconds; `None` if discovery pushes lists.
     pub max_poll_interval: Option<Micros>,
     /// Whether the responses of endpoints carry load reports.
     pub reports_load: bool,
--- a/crates/proxy/src/connections/accept.rs
+++ b/crates/proxy/src/connections/accept.rs
@@ -223,7 +223,6 @@
             .is_some_and(|registered| has_pending_connection(&registered.listener))
     }
 
-    /// Closes the listener.
     pub fn close_listener(&mut self) {
         if let Some(registered) = self.listener.take() {
             self.handle.remove(registered.token);
--- a/crates/proxy/src/connections/attempt.rs
+++ b/crates/proxy/src/connections/attempt.rs
@@ -143,8 +143,8 @@
         self.schedule_attempt_end(now, key, number, AttemptOutcome::Cancelled);
     }
 
-    /// Reports the end of an attempt in a later iteration, as this runs within a call from the
-    /// policy.
+    /// Reports the end of an attempt to the policy in a later iteration of the event loop, because
+    /// the policy is still in the call that led here.
     fn schedule_attempt_end(
         &mut self,
         now: Micros,
@@ -174,8 +174,8 @@
         }
     }
 
-    /// Sends a health check; returns none if that is not possible. The health check times out after
-    /// the connect timeout, as a later response would report an outdated load.
+    /// Sends a health check; returns `None` if that is not possible. The health check times out
+    /// after the connect timeout, as a later response would report an outdated load.
     fn send_probe(&mut self, endpoint: EndpointKey, now: Micros) -> Option<()> {
         let path = self.config.probe_path.clone()?;
         let key = self.acquire_connection(endpoint).ok()?;
--- a/crates/proxy/src/connections/attempt/tests.rs
+++ b/crates/proxy/src/connections/attempt/tests.rs
@@ -75,7 +75,7 @@
 }
 
 /// Sends a request on a new client connection. Returns the index of the endpoint connection that
-/// received it, or none if the request was rejected.
+/// received it, or `None` if the request was rejected.
 fn send_request(
     harness: &mut TestHarness,
     endpoint: &TcpListener,
--- a/crates/proxy/src/connections/http_message.rs
+++ b/crates/proxy/src/connections/http_message.rs
@@ -23,7 +23,8 @@
 /// Line end after a chunk.
 const CRLF: &[u8] = b"\r\n";
 
-/// Header fields that apply to one connection only, or that each sender generates itself.
+/// Header fields that are not forwarded: they apply to one connection only, or each sender
+/// generates its own.
 const HOP_BY_HOP_FIELDS: [&str; 9] = [
     "connection",
     "content-length",
@@ -90,14 +91,14 @@
         .filter(move |field| field.name.eq_ignore_ascii_case(name))
 }
 
-/// Returns the value of the first field with this name, without surrounding blanks; none if it is
-/// not valid UTF-8.
+/// Returns the value of the first field with this name, without surrounding blanks; `None` if it is
+/// missing or not valid UTF-8.
 pub fn field_value<'a>(fields: &[Header<'a>], name: &str) -> Option<&'a str> {
     let value = fields_named(fields, name).next()?.value;
     std::str::from_utf8(value).ok().map(str::trim)
 }
 
-/// Returns the value of a field that must not be repeated; none if it is missing, repeated or not
+/// Returns the value of a field that must not be repeated; `None` if it is missing, repeated or not
 /// valid UTF-8.
 pub fn unique_field_value<'a>(fields: &[Header<'a>], name: &str) -> Option<&'a str> {
     field_value(fields, name).filter(|_| fields_named(fields, name).count() == 1)
@@ -255,7 +256,8 @@
         && !contains_token(response.headers, "connection", "close")
 }
 
-/// Whether a field is end-to-end, so that it is forwarded.
+/// Whether a field applies to the whole path from the client to the endpoint, so that it is
+/// forwarded.
 pub fn is_end_to_end(name: &str) -> bool {
     !HOP_BY_HOP_FIELDS
         .iter()
--- a/crates/proxy/src/connections/own_pages.rs
+++ b/crates/proxy/src/connections/own_pages.rs
@@ -31,7 +31,7 @@
         true
     }
 
-    /// Returns the status and the text of a page; none if there is no such page.
+    /// Returns the status and the text of a page; `None` if there is no such page.
     fn own_page(&self, path: &str) -> Option<(StatusCode, String)> {
         match path {
             "/health/ready" if self.is_ready() => Some((StatusCode::OK, "ready\n".into())),
--- a/crates/proxy/src/connections/request.rs
+++ b/crates/proxy/src/connections/request.rs
@@ -20,7 +20,8 @@
 #[cfg(test)]
 mod tests;
 
-/// Maximum time reserved for the transfer of the response back to the client.
+/// Maximum part of a request's remaining time that is reserved for sending the response to the
+/// client, in microseconds.
 const MAX_RETURN_TIME_US: Micros = 10_000;
 /// Divisor of the remaining time that limits this reserve for short remaining times.
 const RETURN_TIME_DIVISOR: Micros = 10;
--- a/crates/proxy/src/connections/request_error.rs
+++ b/crates/proxy/src/connections/request_error.rs
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Returns the reason for closing the connection after the response; none if the next request
+    /// Returns the reason for closing the connection after the response; `None` if the next request
     /// can be read from the connection.
     pub fn close_reason(self) -> Option<CloseReason> {
         match self {
--- a/crates/proxy/src/connections/request_parser.rs
+++ b/crates/proxy/src/connections/request_parser.rs
@@ -74,7 +74,7 @@
     pub ordering_key: Option<u64>,
 }
 
-/// Finds the end of the message at the front of the bytes; returns none while part of it is
+/// Finds the end of the message at the front of the bytes; returns `None` while part of it is
 /// missing.
 ///
 /// # Errors
@@ -180,7 +180,7 @@
     path.split('?').next().unwrap_or(path)
 }
 
-/// Returns the index of the class named by the first part of the path; none if the class field
+/// Returns the index of the class named by the first part of the path; `None` if the class field
 /// names another one.
 fn class_index(config: &Config, fields: &[Header], path: &str) -> Option<usize> {
     let path_class = path.strip_prefix('/')?.split('/').next()?;
--- a/crates/proxy/src/connections/response.rs
+++ b/crates/proxy/src/connections/response.rs
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Records the end of an attempt. Returns none for a health check and for a request that is no
-    /// longer in flight.
+    /// Records the end of an attempt. Returns `None` for a health check and for a request that is
+    /// no longer in flight.
     fn finish_exchange(
         &mut self,
         exchange: &Exchange,
--- a/crates/proxy/src/connections/send_guard.rs
+++ b/crates/proxy/src/connections/send_guard.rs
@@ -88,9 +88,9 @@
         Ok(())
     }
 
-    /// Checks that the endpoint accepts requests at the connection's address. No request is sent
-    /// during the grace period of a drain: it is reserved for delays of the process before it reads
-    /// the drain notice and before it writes.
+    /// Checks that the endpoint accepts requests at the connection's address. Nothing is sent to a
+    /// draining endpoint, not even in the grace period: that time covers the delays until this
+    /// process reads the drain notice, and until it writes.
     fn check_endpoint(&self, connection: &EndpointConnection) -> Result<(), SendRefusal> {
         let endpoint = self.endpoints.get(connection.endpoint);
         let endpoint = endpoint.ok_or(SendRefusal::Draining)?;
--- a/crates/proxy/src/discovery/endpoint_update.rs
+++ b/crates/proxy/src/discovery/endpoint_update.rs
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Marks all endpoints as removed, before the entries of a complete list restore those that it
-    /// names.
+    /// Marks all endpoints as removed if unlisted endpoints stay usable (`stays_usable`), and as
+    /// draining otherwise. The active entries of the complete list that follows clear the mark.
     pub fn mark_all_removed(&mut self, now: Micros, stays_usable: bool) {
         for endpoint in self.endpoints.values_mut() {
             if stays_usable {
@@ -84,7 +84,8 @@
     }
 
     /// Records that an endpoint was removed from the list. Where unlisted endpoints stay usable,
-    /// its address is kept for as long as the policy may use it.
+    /// its address is kept for as long as the policy may use it; otherwise the endpoint counts as
+    /// draining.
     pub fn endpoint_removed(&mut self, id: &str, now: Micros, stays_usable: bool) {
         let key = self.endpoints.get_or_insert(id);
         match self.endpoints.get_mut(key) {
@@ -159,7 +160,7 @@
 }
 
 /// Returns the start time of an endpoint's process as stated by its entry, in microseconds of Unix
-/// time. 0 means that it started long ago.
+/// time. 0, also if the entry states none, means that it started long ago.
 pub fn stated_start(entry: &Value) -> Result<Micros, ListError> {
     let millis = optional(entry, "boot_ms", Value::as_u64)?.unwrap_or(0);
     Ok(millis.saturating_mul(1000))
--- a/crates/proxy/src/discovery/handler.rs
+++ b/crates/proxy/src/discovery/handler.rs
@@ -71,7 +71,7 @@
         self.state.borrow_mut().schedule_discovery_timer();
     }
 
-    /// Handles the response to a poll.
+    /// Handles the response to a poll: applies its list, and schedules the next poll.
     fn handle_response(&mut self, id: ConnectionId, body: &[u8], keep_alive: bool) {
         match self.apply_response(id, body) {
             Ok(summary) => {
--- a/crates/proxy/src/discovery/partial_list.rs
+++ b/crates/proxy/src/discovery/partial_list.rs
@@ -13,17 +13,17 @@
 pub struct PartialEntry {
     /// Id of the endpoint.
     pub id: String,
-    /// State of the endpoint; none where the text ends before it.
+    /// State of the endpoint; `None` where the text ends before it.
     pub state: Option<String>,
 }
 
 /// The received part of an endpoint list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PartialList {
-    /// Version of the list; none before it was received.
+    /// Version of the list; `None` before it was received.
     pub version: Option<u64>,
-    /// Whether this is the complete list rather than a list of changes; none before that field was
-    /// received.
+    /// Whether this is the complete list rather than a list of changes; `None` before that field
+    /// was received.
     pub is_complete: Option<bool>,
     /// The entries whose id was received.
     pub entries: Vec<PartialEntry>,
--- a/crates/proxy/src/discovery/polling_schedule/backoff.rs
+++ b/crates/proxy/src/discovery/polling_schedule/backoff.rs
@@ -24,7 +24,8 @@
 #[derive(Default)]
 pub(super) struct Backoff {
     failures: u32,
-    /// When a response was lost with its connection, in microseconds; none after the next response.
+    /// When a response was lost with its connection, in microseconds; `None` after the next
+    /// response.
     response_lost_at: Option<Micros>,
     /// When the last response was received, in microseconds.
     last_response_at: Option<Micros>,
--- a/crates/proxy/src/discovery/polling_schedule/in_flight.rs
+++ b/crates/proxy/src/discovery/polling_schedule/in_flight.rs
@@ -41,7 +41,7 @@
             .is_some_and(|poll| poll.connection == connection)
     }
 
-    /// Whether a watch is established at discovery.
+    /// Whether the current poll is a watch that was sent.
     pub fn is_watching(&self) -> bool {
         self.current
             .is_some_and(|poll| poll.is_watch && poll.stage == PollStage::Sent)
@@ -118,7 +118,7 @@
             .collect()
     }
 
-    /// Marks the poll on a newly established connection as sent. Returns that poll, or none if no
+    /// Marks the poll on a newly established connection as sent. Returns that poll, or `None` if no
     /// poll was waiting for the connection.
     pub fn mark_sent(&mut self, connection: ConnectionId) -> Option<Poll> {
         let mut polls = self.current.iter_mut().chain(&mut self.superseded);
--- a/crates/proxy/src/discovery/polling_schedule/list_state.rs
+++ b/crates/proxy/src/discovery/polling_schedule/list_state.rs
@@ -12,7 +12,7 @@
 
 /// The version of the endpoint list and its verification.
 pub(super) struct ListState {
-    /// The known version; none if the complete list has to be polled.
+    /// The known version; `None` if the complete list has to be polled.
     pub version: Option<u64>,
     /// Whether the version is based on the cached list and was not confirmed by a complete list
     /// yet.
@@ -53,7 +53,8 @@
         self.is_unverified &= !summary.is_complete;
     }
 
-    /// Records the accepted list of a response.
+    /// Records the accepted list of a response. Changes to a cached list that is not verified yet
+    /// schedule its verification.
     pub fn update(
         &mut self,
         now: Micros,
--- a/crates/proxy/src/discovery/polling_schedule/mod.rs
+++ b/crates/proxy/src/discovery/polling_schedule/mod.rs
@@ -2,10 +2,10 @@
 //! each response. This module does no I/O and reads no clock.
 //!
 //! One poll is current at a time. An overdue poll is superseded by another poll on a new
-//! connection. Its response is still accepted until the new poll gets a response or the old one
-//! expires: closing the connection would waste its position in discovery's queue, which is
+//! connection. Its response is still accepted until it expires, if its list is newer than the known
+//! one: closing the connection would waste the poll's position in discovery's queue, which is
 //! processed whether a client is still connected or not, and everything written to a connection
-//! counts as delivered.
+//! counts as delivered. Only a few superseded polls are kept; the oldest one beyond that is closed.
 
 use nanorand::{Rng, WyRand};
 use pinefront_policy::Micros;
@@ -29,7 +29,8 @@
 mod watch;
 
 /// Wait of the queued poll that precedes a watch, in microseconds. If the queued poll itself were
-/// the watch, the time at which its wait ends would be unknown.
+/// the watch, the time at which its wait ends would be unknown, as the time in discovery's queue is
+/// unknown.
 const QUEUED_POLL_WAIT_US: Micros = 1_000;
 /// Minimum time between two polls, in microseconds, for a discovery that responds immediately.
 const MIN_POLL_INTERVAL_US: Micros = 100_000;
@@ -191,7 +192,8 @@
         expiries.chain(current).chain(verify).min()
     }
 
-    /// Returns the next action that is due. The caller repeats the call until it returns none.
+    /// Returns the next due action: close a connection, send a poll, or verify the cached list. An
+    /// overdue poll is superseded first. The caller repeats the call until it returns `None`.
     pub fn next_action(&mut self, now: Micros, settings: PollingSettings) -> Option<PollAction> {
         if let Some(expired) = self.polls.take_expired(now) {
             self.close_poll(&expired);
--- a/crates/proxy/src/discovery/polling_schedule/settings.rs
+++ b/crates/proxy/src/discovery/polling_schedule/settings.rs
@@ -3,7 +3,8 @@
 use pinefront_policy::Micros;
 
 /// Maximum wait of a watch, in microseconds. While discovery is unreachable, its changes count as
-/// delivered 2 s after the wait of the open watch, so a longer wait bridges a longer partition.
+/// delivered only 2 s after the end of the open watch's wait, so with a longer wait they count as
+/// delivered later, which bridges a longer partition.
 pub(super) const MAX_WATCH_WAIT_US: Micros = 20_000_000;
 /// Maximum wait of a watch as a fraction of the poll interval. A discovery that has lost the watch
 /// counts this balancer as notified after that interval, so the next poll must be sent before.
@@ -45,7 +46,7 @@
 /// The settings that the polling schedule depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PollingSettings {
-    /// Maximum time between polls, in microseconds; none where discovery pushes lists.
+    /// Maximum time between polls, in microseconds; `None` where discovery pushes lists.
     pub max_poll_interval: Option<Micros>,
     /// Number of balancers that share discovery.
     pub balancers: usize,
--- a/crates/proxy/src/discovery/polling_schedule/tests/simulation.rs
+++ b/crates/proxy/src/discovery/polling_schedule/tests/simulation.rs
@@ -35,7 +35,7 @@
 pub(super) struct SimulatedPoll {
     query: ListQuery,
     sent: Micros,
-    /// When discovery serves it; none before it was admitted.
+    /// When discovery serves it; `None` before it was admitted.
     served_at: Option<Micros>,
 }
 
@@ -62,7 +62,7 @@
     pub settings: PollingSettings,
     pub random: WyRand,
     pub network: Network,
-    /// Since when polls are accepted; none while they are not.
+    /// Since when polls are accepted; `None` while they are not.
     pub open_since: Option<Micros>,
     /// When the state of the network changes.
     pub network_changes_at: Micros,
@@ -70,7 +70,7 @@
     pub silence_at: Micros,
     /// When the list changes.
     pub change_at: Micros,
-    /// On average, one in this many responses is truncated; none if all are complete.
+    /// On average, one in this many responses is truncated; `None` if all are complete.
     pub responses_per_truncation: Option<u64>,
     /// Time that a connection takes to be established.
     pub connect_delay: Micros,
--- a/crates/proxy/src/discovery/polling_schedule/watch.rs
+++ b/crates/proxy/src/discovery/polling_schedule/watch.rs
@@ -23,7 +23,7 @@
 pub(super) struct WatchState {
     /// Whether a watch was opened before.
     pub has_watched: bool,
-    /// When the last poll for changes got its response, in microseconds; none once the next poll
+    /// When the last poll for changes got its response, in microseconds; `None` once the next poll
     /// was sent.
     pub answered_at: Option<Micros>,
 }
--- a/crates/proxy/src/discovery/response.rs
+++ b/crates/proxy/src/discovery/response.rs
@@ -21,7 +21,7 @@
     pub keep_alive: bool,
 }
 
-/// Parses the response at the start of `bytes`, or returns none while part of it is missing.
+/// Parses the response at the start of `bytes`, or returns `None` while part of it is missing.
 /// `is_closed` means that the peer sends no more bytes, which ends a body of unknown length.
 ///
 /// # Errors
--- a/crates/proxy/src/lifecycle/error.rs
+++ b/crates/proxy/src/lifecycle/error.rs
@@ -40,7 +40,7 @@
     Listen {
         /// Address that cannot be bound.
         address: SocketAddr,
-        /// The error of the system.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The address for gossip cannot be bound.
@@ -48,7 +48,7 @@
     Gossip {
         /// Address that cannot be bound.
         address: Option<SocketAddr>,
-        /// The error of the system.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The event loop failed repeatedly.
@@ -70,7 +70,7 @@
     Gossip {
         /// Address that cannot be bound.
         address: Option<SocketAddr>,
-        /// The error of the system.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
--- a/crates/proxy/src/lifecycle/reload/tests.rs
+++ b/crates/proxy/src/lifecycle/reload/tests.rs
@@ -216,7 +216,7 @@
 /// Number of executions of each request by the endpoints, by its id.
 type ExecutionCounts = Arc<Mutex<HashMap<String, usize>>>;
 
-/// Reads a message and returns its head and body; none once the connection is closed.
+/// Reads a message and returns its head and body; `None` once the connection is closed.
 fn read_message(stream: &mut BufReader<TcpStream>) -> Option<(String, String)> {
     let (mut head, mut length) = (String::new(), 0);
     while !head.ends_with("\r\n\r\n") {
--- a/crates/proxy/src/lifecycle/shutdown.rs
+++ b/crates/proxy/src/lifecycle/shutdown.rs
@@ -26,9 +26,9 @@
 const PARTIAL_REQUEST_PERIOD_US: Micros = 500_000;
 /// Interval of the checks whether the shutdown is complete, in microseconds.
 const CHECK_INTERVAL_US: Micros = 20_000;
-/// Time after the signal at which the shutdown completes unless a client awaits a response, in
-/// microseconds. Requests are limited by their own deadlines, which may be later in some
-/// deployments.
+/// Time after the signal from which the shutdown no longer waits for anything but clients that
+/// await a response, in microseconds. Requests are limited by their own deadlines, which may be
+/// later in some deployments.
 const MAX_SHUTDOWN_US: Micros = 10_000_000;
 
 impl Proxy {
--- a/crates/proxy/src/state/endpoint.rs
+++ b/crates/proxy/src/state/endpoint.rs
@@ -13,7 +13,7 @@
 pub struct Endpoint {
     /// Id in the endpoint list.
     pub id: Rc<str>,
-    /// Address of the endpoint; none until the endpoint is listed as active.
+    /// Address of the endpoint; `None` until the endpoint is listed as active.
     pub address: Option<SocketAddr>,
     /// Idle connections; the most recently used one is at the end.
     pub idle_connections: Vec<EndpointConnectionKey>,
@@ -22,7 +22,8 @@
     /// Time until which each connection carries only one request because the endpoint sent
     /// unsolicited bytes, in microseconds.
     pub single_use_until: Micros,
-    /// When the endpoint was reported as draining or removed, in microseconds.
+    /// When the endpoint was reported as draining, or was removed while unlisted endpoints do not
+    /// stay usable, in microseconds.
     pub draining_since: Option<Micros>,
     /// When the endpoint was removed from the list without draining, in microseconds, if unlisted
     /// endpoints stay usable.
@@ -96,7 +97,7 @@
         self.endpoints.values_mut()
     }
 
-    /// Removes an endpoint.
+    /// Removes an endpoint and its id.
     pub fn remove(&mut self, key: EndpointKey) -> Option<Endpoint> {
         let endpoint = self.endpoints.remove(key)?;
         self.by_id.remove(&endpoint.id);
--- a/crates/proxy/src/state/endpoint_connection.rs
+++ b/crates/proxy/src/state/endpoint_connection.rs
@@ -44,7 +44,7 @@
     pub read_buffer: ReadBuffer,
     /// Bytes to be sent.
     pub write_buffer: WriteBuffer,
-    /// The exchange in progress; none while the connection is idle.
+    /// The exchange in progress; `None` while the connection is idle.
     pub exchange: Option<Exchange>,
     /// Number of exchanges completed so far.
     pub requests_carried: u64,
--- a/crates/proxy/src/state/gossip_socket.rs
+++ b/crates/proxy/src/state/gossip_socket.rs
@@ -35,7 +35,7 @@
         })
     }
 
-    /// Opens a socket at `address`; returns none if `current` is already bound to this address or
+    /// Opens a socket at `address`; returns `None` if `current` is already bound to this address or
     /// no address is given.
     ///
     /// # Errors
--- a/crates/proxy/src/state/proxy.rs
+++ b/crates/proxy/src/state/proxy.rs
@@ -56,7 +56,7 @@
     pub log: Logger,
     /// Registers sockets with the event loop.
     pub handle: LoopHandle<'static, Proxy>,
-    /// Listener for client connections; none once the shutdown has closed it.
+    /// Listener for client connections; `None` once the shutdown has closed it.
     pub listener: Option<RegisteredListener>,
     /// Client connections.
     pub clients: SlotMap<ClientKey, ClientConnection>,
@@ -66,7 +66,7 @@
     pub requests: RequestTable,
     /// Endpoints that have been named in an endpoint list.
     pub endpoints: EndpointTable,
-    /// Discovery's connections and poll schedule.
+    /// Connections to discovery, and the schedule of its polls.
     pub discovery: Discovery,
     /// Socket for gossip between balancers, if the settings allow it.
     pub gossip_socket: Option<GossipSocket>,
--- a/crates/proxy/src/state/request.rs
+++ b/crates/proxy/src/state/request.rs
@@ -14,7 +14,7 @@
 pub struct Request {
     /// Request id, assigned by the client.
     pub id: Rc<str>,
-    /// Connection of the client; none once the client has its response or has disconnected.
+    /// Connection of the client; `None` once the client has its response or has disconnected.
     pub client: Option<ClientKey>,
     /// Request line and the header fields that are forwarded.
     pub head: Vec<Bytes>,
@@ -26,7 +26,7 @@
     pub has_body: bool,
     /// Length of the whole message in bytes.
     pub message_length: usize,
-    /// Connection of each attempt; none once the attempt has ended.
+    /// Connection of each attempt; `None` once the attempt has ended.
     pub attempts: Vec<Option<EndpointConnectionKey>>,
     /// Idempotency, according to the settings in effect when the request was received.
     pub idempotency: Idempotency,
@@ -41,7 +41,7 @@
     }
 }
 
-/// A request one of whose attempts has ended.
+/// The state of a request when one of its attempts ends.
 pub struct FinishedAttempt {
     /// Request id.
     pub request_id: Rc<str>,
@@ -81,7 +81,6 @@
         self.requests.get_mut(key)
     }
 
-    /// Returns the number of requests.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
@@ -116,7 +115,7 @@
     }
 
     /// Records the end of an attempt that was started at `started_at`, in microseconds. Returns
-    /// none if the request is no longer in flight.
+    /// `None` if the request is no longer in flight.
     pub fn finish_attempt(
         &mut self,
         key: RequestKey,
--- a/crates/proxy/tests/edges/harness.rs
+++ b/crates/proxy/tests/edges/harness.rs
@@ -196,8 +196,8 @@
     }
 }
 
-/// Reads one message including its body; returns none if the connection ends before the message is
-/// complete.
+/// Reads one message including its body; returns `None` if the connection ends before the message
+/// is complete.
 fn read_message(stream: &mut TcpStream, unread: &mut Vec<u8>) -> Option<Vec<u8>> {
     loop {
         if let Some(length) = message_length(unread) {
