--- a/crates/testbed/src/discovery_stand_in/mod.rs
+++ b/crates/testbed/src/discovery_stand_in/mod.rs
@@ -129,7 +129,7 @@
             match self.answer(Call::parse(&request.path)).await {
                 Ok(AfterCall::KeepAlive) => {}
                 Ok(AfterCall::Close) | Err(_) => return,
-                Ok(AfterCall::Reset) => return http::reset(self.stream),
+                Ok(AfterCall::Reset) => return http::reset_connection(self.stream),
             }
         }
     }
--- a/crates/testbed/src/http/tests.rs
+++ b/crates/testbed/src/http/tests.rs
@@ -5,17 +5,23 @@
 #[rstest]
 #[case(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", Some((200, 38..40, true)))]
 #[case(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab", None)]
-#[case(b"HTTP/1.1 503 No\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n", Some((503, 47..58, true)))]
-#[case(b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", Some((200, 57..57, false)))]
+#[case(
+    b"HTTP/1.1 503 No\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n",
+    Some((503, 47..58, true))
+)]
+#[case(
+    b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
+    Some((200, 57..57, false))
+)]
 #[case(b"HTTP/1.1 200 OK\r\n\r\nab", None)]
-fn responses_are_parsed_once_complete(
+fn a_response_is_parsed_once_it_is_complete(
     #[case] text: &[u8],
-    #[case] wanted: Option<(u16, std::ops::Range<usize>, bool)>,
+    #[case] expected: Option<(u16, std::ops::Range<usize>, bool)>,
 ) {
-    let found = parse_response(text, false)
+    let parsed = parse_response(text, false)
         .unwrap()
-        .map(|found| (found.status, found.body, found.keep_alive));
-    assert_eq!(found, wanted);
+        .map(|response| (response.status, response.body, response.keep_alive));
+    assert_eq!(parsed, expected);
 }
 
 #[rstest]
@@ -29,11 +35,11 @@
 }
 
 #[test]
-fn requests_carry_their_identity() {
+fn the_identity_and_timeout_of_a_request_are_parsed() {
     let text = b"GET /look/1 HTTP/1.1\r\nX-Txn: ab\r\nX-Remaining-Ms: 90\r\n\r\n";
-    let found = parse_request(text).unwrap().unwrap();
+    let request = parse_request(text).unwrap().unwrap();
     assert_eq!(
-        (found.id.as_deref(), found.remaining_ms, found.end),
+        (request.id.as_deref(), request.remaining_ms, request.end),
         (Some("ab"), Some(90), text.len())
     );
     assert_eq!(parse_request(&text[..30]).unwrap(), None);
--- a/crates/testbed/src/server_stand_in.rs
+++ b/crates/testbed/src/server_stand_in.rs
@@ -100,7 +100,7 @@
 
     async fn serve(self, mut stream: TcpStream) {
         if !self.host.with_server(Server::connect) {
-            return http::reset(stream);
+            return http::reset_connection(stream);
         }
         // Nagle's algorithm would delay responses that are written in pieces.
         let _ = stream.set_nodelay(true);
@@ -114,7 +114,7 @@
             self.host.with_server(Server::disconnect);
         }
         if ending == Ending::Reset {
-            http::reset(stream);
+            http::reset_connection(stream);
         }
     }
 }
