--- a/crates/testbed/src/baseline.rs
+++ b/crates/testbed/src/baseline.rs
@@ -1,5 +1,6 @@
-//! Simple load balancing policies as stand-in balancers, for comparison: one attempt per request,
-//! another only where a connection was refused, without limits, outlier detection or slow start.
+//! Stand-in balancers with simple load balancing policies, for comparison. A
+//! request is attempted again only where no connection could be opened. There are no limits, no
+//! outlier detection and no slow start.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,27 +19,32 @@
 use crate::http;
 use crate::world::{World, locked};
 
-/// How often the endpoint list is read.
+/// Interval between reads of the endpoint list.
 const LIST_INTERVAL: Duration = Duration::from_millis(200);
-/// Number of servers that a request is tried at while connections are refused.
+/// Maximum number of servers at which a request is attempted while no connection can be opened.
 const MAX_ATTEMPTS: usize = 3;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Subtracted from the client's timeout, for the way back.
+/// Subtracted from the client's timeout, so that the response reaches the client in time.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(10);
-/// The timeout where a request states none, in milliseconds.
+/// Timeout of a request that states none, in milliseconds.
 const DEFAULT_TIMEOUT_MS: u64 = 1000;
 const BAD_GATEWAY: &[u8] = b"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n";
 
-/// How an endpoint is selected.
+/// The method by which an endpoint is selected for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Policy {
+    /// An endpoint drawn at random
     Random,
+    /// Each endpoint in turn
     RoundRobin,
+    /// The endpoint with the fewest requests in flight
     LeastInFlight,
+    /// Of two endpoints drawn at random, the one with fewer requests in flight
     TwoChoices,
 }
 
 impl Policy {
+    /// All policies.
     pub const ALL: [Self; 4] = [
         Self::Random,
         Self::RoundRobin,
@@ -46,6 +52,7 @@
         Self::TwoChoices,
     ];
 
+    /// The name of the policy in tables.
     pub fn name(self) -> &'static str {
         match self {
             Self::Random => "random",
@@ -63,7 +70,7 @@
     idle_connections: Arc<Mutex<Vec<TcpStream>>>,
 }
 
-/// A stand-in balancer.
+/// A stand-in balancer that uses one policy.
 struct BaselineBalancer {
     number: usize,
     policy: Policy,
@@ -83,8 +90,8 @@
         next_turn: AtomicUsize::new(number),
         random: Mutex::new(RandomSource::split(world.seed, "baseline", number as u64)),
     });
-    balancer.read_list(world);
-    tokio::spawn(follow_list(Arc::clone(&balancer), Arc::clone(world)));
+    balancer.update_endpoints(world);
+    tokio::spawn(poll_list(Arc::clone(&balancer), Arc::clone(world)));
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             tokio::spawn(serve(Arc::clone(&balancer), stream));
@@ -93,10 +100,10 @@
     Ok(address)
 }
 
-async fn follow_list(balancer: Arc<BaselineBalancer>, world: Arc<World>) {
+async fn poll_list(balancer: Arc<BaselineBalancer>, world: Arc<World>) {
     loop {
         tokio::time::sleep(LIST_INTERVAL).await;
-        balancer.read_list(&world);
+        balancer.update_endpoints(&world);
     }
 }
 
@@ -127,24 +134,25 @@
     }
 }
 
-/// Counts an attempt as in flight until it is dropped, also when its future is.
-struct InFlight(Arc<AtomicUsize>);
+/// Counts an attempt as in flight until this value is dropped, also if the attempt is cancelled.
+struct InFlightGuard(Arc<AtomicUsize>);
 
-impl InFlight {
+impl InFlightGuard {
     fn start(endpoint: &Endpoint) -> Self {
         endpoint.in_flight.fetch_add(1, Ordering::Relaxed);
         Self(Arc::clone(&endpoint.in_flight))
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 impl BaselineBalancer {
-    fn select(&self) -> Option<Arc<Endpoint>> {
+    /// Selects an endpoint by the policy; none where the endpoint list is empty.
+    fn select_endpoint(&self) -> Option<Arc<Endpoint>> {
         let endpoints = locked(&self.endpoints);
         let count = endpoints.len();
         if count == 0 {
@@ -157,7 +165,8 @@
             Policy::Random => draw(),
             Policy::RoundRobin => take_turn(),
             Policy::LeastInFlight => {
-                // Starts at another endpoint each time, so that ties don't all go to the first.
+                // The search starts at another endpoint each time, so that the first endpoint
+                // doesn't win all ties.
                 let first = take_turn();
                 let indices = (0..count).map(|step| (first + step) % count);
                 indices.min_by_key(in_flight).unwrap_or(first)
@@ -170,8 +179,8 @@
         Some(Arc::clone(&endpoints[index]))
     }
 
-    /// Brings the endpoints up to date with the endpoint list.
-    fn read_list(&self, world: &World) {
+    /// Updates the endpoints from the endpoint list, and records the changes for the checker.
+    fn update_endpoints(&self, world: &World) {
         let now = world.now();
         let list = world.with_registry(|registry| registry.list(now));
         let active: Vec<usize> = list
@@ -183,10 +192,10 @@
         let address_of = |server| world.server(server).and_then(|host| host.address());
         let mut endpoints = locked(&self.endpoints);
         endpoints.retain(|endpoint| {
-            let is_same = address_of(endpoint.server) == Some(endpoint.address);
-            let stays = active.contains(&endpoint.server) && is_same;
+            let is_same_address = address_of(endpoint.server) == Some(endpoint.address);
+            let stays = active.contains(&endpoint.server) && is_same_address;
             if !stays {
-                self.record(world, endpoint.server, true);
+                self.record_endpoint(world, endpoint.server, true);
             }
             stays
         });
@@ -197,7 +206,7 @@
             let Some(address) = address_of(server) else {
                 continue;
             };
-            self.record(world, server, false);
+            self.record_endpoint(world, server, false);
             endpoints.push(Arc::new(Endpoint {
                 server,
                 address,
@@ -207,20 +216,21 @@
         }
     }
 
-    fn record(&self, world: &World, server: usize, draining: bool) {
+    fn record_endpoint(&self, world: &World, server: usize, is_draining: bool) {
         let observation = Observation::EndpointReported {
             balancer: self.number,
             server,
-            is_draining: draining,
+            is_draining,
         };
         world.record(world.now(), observation);
     }
 
-    /// Forwards a request. Returns the response's bytes; none where no server processed it.
+    /// Forwards a request to an endpoint, at most [`MAX_ATTEMPTS`] times while no connection can be
+    /// opened. Returns the bytes of the response; none if no server processed the request.
     async fn forward(&self, message: &[u8]) -> Option<Vec<u8>> {
         for _ in 0..MAX_ATTEMPTS {
-            let endpoint = self.select()?;
-            let _in_flight = InFlight::start(&endpoint);
+            let endpoint = self.select_endpoint()?;
+            let _in_flight = InFlightGuard::start(&endpoint);
             let idle = std::iter::from_fn(|| locked(&endpoint.idle_connections).pop())
                 .find(http::is_reusable);
             let stream = match idle {
@@ -235,8 +245,8 @@
     }
 }
 
-/// Sends a request on a connection. Returns the response's bytes; none where the server did not
-/// process it.
+/// Sends a request on a connection. Returns the bytes of the response, which is a 502 where the
+/// exchange failed; none if the server rejected the request.
 async fn exchange(endpoint: &Endpoint, mut stream: TcpStream, message: &[u8]) -> Option<Vec<u8>> {
     let _ = stream.set_nodelay(true);
     if stream.write_all(message).await.is_err() {
--- a/crates/testbed/src/stand_alone/tests.rs
+++ b/crates/testbed/src/stand_alone/tests.rs
@@ -12,11 +12,23 @@
     "kind=slow%0Aat&for=1s",
     Ok("kind = \"slow\\nat\"\nfor = \"1s\"\nat = \"0s\"\n")
 )]
-#[case("factor=1%0Azone%3D2", Err("field 'factor' holds a line break"))]
-#[case("length=9", Err("no field 'length'"))]
-fn a_form_becomes_a_fault_and_nothing_else(#[case] form: &str, #[case] wanted: Result<&str, &str>) {
+#[case(
+    "factor=1%0Azone%3D2",
+    Err("field 'factor': expected a value without line breaks")
+)]
+#[case(
+    "length=9",
+    Err(
+        "unknown field 'length': expected kind, at, for, over, servers, zone, machine, part, \
+         factor or by"
+    )
+)]
+fn a_form_is_converted_to_the_toml_of_one_fault_only(
+    #[case] form: &str,
+    #[case] expected: Result<&str, &str>,
+) {
     assert_eq!(
-        fault_toml(form).map_err(|problem| problem.to_string()),
-        wanted.map(str::to_owned).map_err(str::to_owned)
+        fault_toml(form).map_err(|error| error.to_string()),
+        expected.map(str::to_owned).map_err(str::to_owned)
     );
 }
