--- a/crates/testbed/src/commands/agreement.rs
+++ b/crates/testbed/src/commands/agreement.rs
@@ -9,7 +9,7 @@
 use pinefront_cluster::{InjectedFault, leases};
 
 use crate::cluster::{self, Report};
-use crate::commands::{Failure, part, seeds, write_json};
+use crate::commands::{Failure, parse_fraction, parse_seed_range, write_json};
 use crate::explore::{self as explorer, Findings};
 
 /// How many violations are printed.
@@ -18,7 +18,7 @@
 #[derive(Args)]
 pub struct SimulateCluster {
     /// From the first seed up to the last, which is left out
-    #[arg(long, default_value = "0..500", value_parser = seeds)]
+    #[arg(long, default_value = "0..500", value_parser = parse_seed_range)]
     seeds: std::ops::Range<u64>,
     #[arg(long, default_value_t = 30, value_parser = clap::value_parser!(u64).range(2..=600))]
     members: u64,
@@ -26,7 +26,7 @@
     #[arg(long)]
     kind: Option<cluster::fault_plan::PlanKind>,
     /// Rate of loss of all datagrams, in place of what each seed says
-    #[arg(long, value_parser = part)]
+    #[arg(long, value_parser = parse_fraction)]
     loss: Option<f64>,
     /// Leases that the members hold one at a time: 200 where no number is given
     #[arg(long = "duties", default_value_t = 0, default_missing_value = "200", num_args = 0..=1)]
--- a/crates/testbed/src/commands/measuring.rs
+++ b/crates/testbed/src/commands/measuring.rs
@@ -7,103 +7,112 @@
 
 use clap::Args;
 
-use crate::commands::{Failure, binaries, duration, write_json};
+use crate::commands::{Failure, binaries_or_default, parse_duration, write_json};
 use crate::environment::stand_in_runtime;
 use crate::error::Error;
 use crate::load::{self, Found};
-use crate::overhead::{self, Point};
+use crate::overhead::{self, OverheadMeasurement};
 
-/// The highest rate of a load, in requests per second.
-const MAX_RATE: f64 = 1e6;
+/// The highest rate that `--rate` accepts, in requests per second.
+const MAX_RATE_PER_SECOND: f64 = 1e6;
 
 #[derive(Args)]
-pub struct LoadAt {
-    /// Such as <http://127.0.0.1:8080/look/1>
+pub struct Load {
+    /// Address and path to load, such as <http://127.0.0.1:8080/look/1>; loopback only
     url: String,
-    /// Requests a second
+    /// Requests per second
     #[arg(long, default_value_t = 1000.0)]
     rate: f64,
-    /// How long, such as 10s
-    #[arg(long = "for", default_value = "10s", value_parser = duration)]
+    /// Duration of the load, such as 10s
+    #[arg(long = "for", default_value = "10s", value_parser = parse_duration)]
     duration: Duration,
-    /// Connections at most; as many as it takes where none are named
+    /// Maximum number of connections; unlimited by default
     #[arg(long)]
     clients: Option<usize>,
-    /// The timeout that each request states
-    #[arg(long, default_value = "2s", value_parser = duration)]
-    wait: Duration,
-    /// A further header line for each request, such as 'X-Lane: look'
-    #[arg(long)]
-    field: Vec<String>,
+    /// Timeout of each request, which its headers state
+    #[arg(long = "wait", value_name = "WAIT", default_value = "2s", value_parser = parse_duration)]
+    timeout: Duration,
+    /// Additional header line of each request, such as 'X-Lane: look'; can be repeated
+    #[arg(long = "field", value_name = "FIELD")]
+    headers: Vec<String>,
+    /// Number of threads that send the requests
     #[arg(long, default_value_t = 2)]
     threads: usize,
-    /// Also start a stand-in that responds at once, and load that
+    /// Start a stand-in server that responds immediately, and load it instead of the URL's address
     #[arg(long)]
     own_server: bool,
+    /// Write the figures to this file
     #[arg(long)]
     json: Option<PathBuf>,
 }
 
 #[derive(Args)]
 pub struct Overhead {
+    /// Numbers of servers to measure with
     #[arg(long, value_delimiter = ',', default_value = "4,20,100")]
     servers: Vec<usize>,
+    /// Numbers of client connections to measure with, for each number of servers
     #[arg(long, value_delimiter = ',', default_value = "16,500")]
     clients: Vec<usize>,
-    /// Requests a second
+    /// Requests per second
     #[arg(long, default_value_t = 2000.0)]
     rate: f64,
-    /// How long each part is measured
-    #[arg(long = "for", default_value = "4s", value_parser = duration)]
+    /// Duration of each load that is measured
+    #[arg(long = "for", default_value = "4s", value_parser = parse_duration)]
     duration: Duration,
-    /// How long a server takes
-    #[arg(long, default_value = "2ms", value_parser = duration)]
-    work: Duration,
-    /// The balancer's program; of two, the second is measured beside the first at each point
+    /// Time that a server takes to process a request
+    #[arg(long = "work", value_name = "WORK", default_value = "2ms", value_parser = parse_duration)]
+    processing_time: Duration,
+    /// Balancer program, by default the one in the folder of this program; with two, both are
+    /// measured with each number of servers and clients, and their CPU time is compared
     #[arg(long)]
     binary: Vec<PathBuf>,
+    /// Number of threads that send the requests
     #[arg(long, default_value_t = 2)]
     threads: usize,
-    /// Without an operator file and then in clusters of so many members, before the first number of
-    /// servers and clients
-    #[arg(long, value_delimiter = ',')]
-    fleet: Vec<usize>,
+    /// Measure a balancer without an operator file, then in clusters with these numbers of members;
+    /// only the first number of servers and the first number of clients are used
+    #[arg(long = "fleet", value_name = "FLEET", value_delimiter = ',')]
+    cluster_sizes: Vec<usize>,
+    /// Write the figures to this file
     #[arg(long)]
     json: Option<PathBuf>,
 }
 
 fn is_valid_rate(rate: f64) -> bool {
-    rate > 0.0 && rate <= MAX_RATE
+    rate > 0.0 && rate <= MAX_RATE_PER_SECOND
 }
 
-impl LoadAt {
-    fn check(&self) -> Result<(), Failure> {
+impl Load {
+    fn validate(&self) -> Result<(), Failure> {
         let has_clients = self.clients != Some(0);
         if !is_valid_rate(self.rate) || !has_clients || self.duration.is_zero() {
-            let reason = "--rate must be over 0 and at most 1000000, --clients and --for over 0";
-            return Err(Failure::Wrong(reason.into()));
+            let reason = "invalid load: expected --rate above 0 and at most 1000000, \
+                          --clients and --for above 0";
+            return Err(Failure::InvalidInput(reason.into()));
         }
-        let is_malformed = |field: &&String| !field.contains(':') || field.contains(['\r', '\n']);
-        if let Some(field) = self.field.iter().find(is_malformed) {
-            let field = field.escape_debug();
-            let reason = format!("--field '{field}' is no 'Name: value'");
-            return Err(Failure::Wrong(reason));
+        let is_malformed =
+            |header: &&String| !header.contains(':') || header.contains(['\r', '\n']);
+        if let Some(header) = self.headers.iter().find(is_malformed) {
+            let header = header.escape_debug();
+            let reason = format!("--field: invalid header line '{header}': expected 'Name: value'");
+            return Err(Failure::InvalidInput(reason));
         }
         Ok(())
     }
 }
 
-/// Loads an address of this machine.
-pub fn load_at(options: &LoadAt, stop: &Arc<AtomicBool>) -> Result<(), Failure> {
-    options.check()?;
+/// Sends load to an address of this machine, and prints the results.
+pub fn generate_load(options: &Load, stop: &Arc<AtomicBool>) -> Result<(), Failure> {
+    options.validate()?;
     let (mut address, path) =
-        load::parse_url(&options.url).map_err(|problem| Failure::Wrong(problem.to_string()))?;
+        load::parse_url(&options.url).map_err(|error| Failure::InvalidInput(error.to_string()))?;
     let runtime = stand_in_runtime().map_err(Error::from)?;
     if options.own_server {
         let server = overhead::start_plain_server(Duration::ZERO);
         address = runtime.block_on(server).map_err(Error::from)?;
     }
-    let headers = options.field.iter().map(|field| format!("{field}\r\n"));
+    let headers = options.headers.iter().map(|header| format!("{header}\r\n"));
     let plan = load::Plan {
         addresses: vec![address],
         path,
@@ -112,7 +121,7 @@
         duration: options.duration,
         clients: options.clients,
         threads: options.threads,
-        timeout: options.wait,
+        timeout: options.timeout,
         seed: 1,
     };
     let found = load::run(plan, stop)?;
@@ -129,7 +138,7 @@
 
 fn print_load(found: &Found) {
     println!(
-        "{} sent, {} succeeded ({:.0} a second), {} rejected, {} failed, {} unanswered",
+        "{} sent, {} succeeded ({:.0} per second), {} rejected, {} failed, {} unanswered",
         found.sent,
         found.succeeded,
         found.rate_succeeded,
@@ -139,28 +148,28 @@
     );
     let latency = &found.latency_ms;
     println!(
-        "latency from the scheduled time: p50 {:.3} ms, p90 {:.3}, p99 {:.3}, max {:.3}",
+        "latency since the scheduled time, ms: p50 {:.3}, p90 {:.3}, p99 {:.3}, max {:.3}",
         latency.p50, latency.p90, latency.p99, latency.max
     );
     let lateness = &found.lateness_ms;
     println!(
-        "own lateness: p50 {:.3} ms, p99 {:.3}, max {:.3}",
+        "lateness of the load itself, ms: p50 {:.3}, p99 {:.3}, max {:.3}",
         lateness.p50, lateness.p99, lateness.max
     );
 }
 
 impl Overhead {
-    fn check(&self) -> Result<(), Failure> {
+    fn validate(&self) -> Result<(), Failure> {
         let has_zero = self.clients.contains(&0) || self.servers.contains(&0);
         if !is_valid_rate(self.rate) || has_zero || self.duration.is_zero() {
-            let reason =
-                "--rate must be over 0 and at most 1000000, --servers, --clients and --for over 0";
-            return Err(Failure::Wrong(reason.into()));
+            let reason = "invalid measurement: expected --rate above 0 and at most 1000000, \
+                          --servers, --clients and --for above 0";
+            return Err(Failure::InvalidInput(reason.into()));
         }
         Ok(())
     }
 
-    fn options(
+    fn measurement_options(
         &self,
         binary: &Path,
         members: Option<usize>,
@@ -170,50 +179,53 @@
             binary: binary.to_owned(),
             rate: self.rate,
             duration: self.duration,
-            work: self.work,
+            processing_time: self.processing_time,
             threads: self.threads,
             members,
             stop: Arc::clone(stop),
         }
     }
 
-    /// Measures clusters of several sizes.
+    /// Measures a balancer without an operator file, then in a cluster of each size.
     fn measure_clusters(
         &self,
         servers: usize,
         clients: usize,
         stop: &Arc<AtomicBool>,
-    ) -> Result<Vec<Point>, Failure> {
-        let binaries = binaries(&self.binary);
+    ) -> Result<Vec<OverheadMeasurement>, Failure> {
+        let binaries = binaries_or_default(&self.binary);
         println!("{}", overhead::CLUSTER_TABLE_HEAD);
-        let mut points = Vec::new();
-        let sizes = self.fleet.iter().copied().map(Some);
+        let mut measurements = Vec::new();
+        let sizes = self.cluster_sizes.iter().copied().map(Some);
         for members in [None].into_iter().chain(sizes) {
             if !stop.load(Ordering::Relaxed) {
-                let options = self.options(&binaries[0], members, stop);
-                let point = overhead::measure(servers, clients, &options)?;
-                println!("{}", point.cluster_row());
-                points.push(point);
+                let options = self.measurement_options(&binaries[0], members, stop);
+                let measurement = overhead::measure(servers, clients, &options)?;
+                println!("{}", measurement.cluster_row());
+                measurements.push(measurement);
             }
         }
-        Ok(points)
+        Ok(measurements)
     }
 
-    /// Measures each binary at all numbers of servers and clients.
-    fn measure_binaries(&self, stop: &Arc<AtomicBool>) -> Result<Vec<Vec<Point>>, Failure> {
-        let binaries = binaries(&self.binary);
-        let mut all: Vec<Vec<Point>> = binaries.iter().map(|_| Vec::new()).collect();
+    /// Measures each binary with every number of servers and clients.
+    fn measure_binaries(
+        &self,
+        stop: &Arc<AtomicBool>,
+    ) -> Result<Vec<Vec<OverheadMeasurement>>, Failure> {
+        let binaries = binaries_or_default(&self.binary);
+        let mut all: Vec<Vec<OverheadMeasurement>> = binaries.iter().map(|_| Vec::new()).collect();
         println!("{}", overhead::TABLE_HEAD);
         for &servers in &self.servers {
             for &clients in &self.clients {
-                for (binary, points) in binaries.iter().zip(&mut all) {
+                for (binary, measurements) in binaries.iter().zip(&mut all) {
                     if stop.load(Ordering::Relaxed) {
                         continue;
                     }
-                    let options = self.options(binary, None, stop);
-                    let point = overhead::measure(servers, clients, &options)?;
-                    println!("{}", point.row());
-                    points.push(point);
+                    let options = self.measurement_options(binary, None, stop);
+                    let measurement = overhead::measure(servers, clients, &options)?;
+                    println!("{}", measurement.row());
+                    measurements.push(measurement);
                 }
             }
         }
@@ -221,38 +233,41 @@
     }
 }
 
-/// Measures the overhead of balancers.
+/// Measures the overhead of balancers, and prints a row of a table for each measurement.
 pub fn measure_overhead(options: &Overhead, stop: &Arc<AtomicBool>) -> Result<(), Failure> {
-    options.check()?;
+    options.validate()?;
     let json = options.json.as_deref();
-    if let ([_, ..], [servers, ..], [clients, ..]) =
-        (&*options.fleet, &*options.servers, &*options.clients)
-    {
-        let points = options.measure_clusters(*servers, *clients, stop)?;
-        return write_json(json, &serde_json::json!({"points": points}));
+    if let ([_, ..], [servers, ..], [clients, ..]) = (
+        &*options.cluster_sizes,
+        &*options.servers,
+        &*options.clients,
+    ) {
+        let measurements = options.measure_clusters(*servers, *clients, stop)?;
+        return write_json(json, &serde_json::json!({"points": measurements}));
     }
     let all = options.measure_binaries(stop)?;
     if let [first, second] = all.as_slice() {
         print_cpu_ratio(first, second);
     }
-    let points = all.iter();
-    let points: Vec<_> = points
-        .map(|points| serde_json::json!({"points": points}))
+    let measurements = all.iter();
+    let measurements: Vec<_> = measurements
+        .map(|measurements| serde_json::json!({"points": measurements}))
         .collect();
-    match points.as_slice() {
+    match measurements.as_slice() {
         [only] => write_json(json, only),
         several => write_json(json, &several),
     }
 }
 
-fn print_cpu_ratio(first: &[Point], second: &[Point]) {
+fn print_cpu_ratio(first: &[OverheadMeasurement], second: &[OverheadMeasurement]) {
     let pairs = first.iter().zip(second);
     let ratios: Vec<f64> = pairs
         .map(|(first, second)| second.cpu_us_per_request / first.cpu_us_per_request)
         .collect();
     let mean = ratios.iter().sum::<f64>() / ratios.len().max(1) as f64;
     println!(
-        "CPU a request, second against first: {mean:.3} on the mean of {} points",
+        "CPU time per request, second binary relative to the first: {mean:.3} \
+         (mean ratio of {} measurements)",
         ratios.len()
     );
 }
--- a/crates/testbed/src/commands/mod.rs
+++ b/crates/testbed/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands of `pinefront-testbed`: their arguments, and what each does.
+//! The commands of `pinefront-testbed`: their arguments and implementations.
 
 pub mod agreement;
 pub mod measuring;
@@ -18,54 +18,57 @@
 use crate::report;
 use crate::runner::{RunOptions, Subject, run};
 
-/// Why a command failed.
+/// The reason why a command failed, which decides the exit code.
 pub enum Failure {
-    /// A scenario or an argument is wrong: exit code 2.
-    Wrong(String),
-    /// The command could not be carried out, or a run is not sound: exit code 1.
+    /// A scenario or an argument is invalid: exit code 2.
+    InvalidInput(String),
+    /// The command could not be carried out, or a run violated a rule: exit code 1.
     Failed(String),
 }
 
 impl From<Error> for Failure {
-    fn from(problem: Error) -> Self {
-        Self::Failed(problem.to_string())
+    fn from(error: Error) -> Self {
+        Self::Failed(error.to_string())
     }
 }
 
-/// Reads and checks a scenario file.
+/// Reads and validates a scenario file.
 pub fn read_scenario(path: &Path) -> Result<Scenario, Failure> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path)
-        .map_err(|problem| Failure::Wrong(format!("{name}: {problem}")))?;
+        .map_err(|error| Failure::InvalidInput(format!("cannot read scenario {name}: {error}")))?;
     parse_scenario(&text, &name)
 }
 
-/// Parses and checks the text of a scenario.
+/// Parses and validates the text of a scenario; errors start with `name`.
 pub fn parse_scenario(text: &str, name: &str) -> Result<Scenario, Failure> {
-    validation::decode_scenario(text, name).map_err(|problems| {
-        let problems: Vec<_> = problems.iter().map(ToString::to_string).collect();
-        Failure::Wrong(problems.join("\n"))
+    validation::decode_scenario(text, name).map_err(|errors| {
+        let errors: Vec<_> = errors.iter().map(ToString::to_string).collect();
+        Failure::InvalidInput(errors.join("\n"))
     })
 }
 
-/// Replaces the number of balancers of a scenario, where one is given.
-pub fn set_balancers(scenario: &mut Scenario, balancers: Option<usize>) -> Result<(), Failure> {
+/// Replaces the number of balancers of a scenario where the command line gives one.
+pub fn override_balancer_count(
+    scenario: &mut Scenario,
+    balancers: Option<usize>,
+) -> Result<(), Failure> {
     let Some(balancers) = balancers else {
         return Ok(());
     };
     validation::set_balancer_count(scenario, balancers)
-        .map_err(|reason| Failure::Wrong(format!("--balancers: {reason}")))
+        .map_err(|reason| Failure::InvalidInput(format!("--balancers: {reason}")))
 }
 
-/// Writes a value as JSON, where a path is given.
+/// Writes a value as JSON to a file; does nothing without a path.
 pub fn write_json(path: Option<&Path>, value: &impl serde::Serialize) -> Result<(), Failure> {
     let Some(path) = path else {
         return Ok(());
     };
     let text = serde_json::to_string_pretty(value)
-        .map_err(|problem| Failure::Failed(problem.to_string()))?;
+        .map_err(|error| Failure::Failed(format!("cannot convert figures to JSON: {error}")))?;
     std::fs::write(path, text + "\n")
-        .map_err(|problem| Failure::Failed(format!("{}: {problem}", path.display())))
+        .map_err(|error| Failure::Failed(format!("cannot write {}: {error}", path.display())))
 }
 
 /// Runs a scenario and prints the table of its figures.
@@ -85,31 +88,32 @@
     Ok(figures)
 }
 
-/// Fails where a run is not sound.
+/// Returns an error unless all runs are sound, see [`Figures::is_sound`].
 pub fn require_sound(figures: &[&Figures]) -> Result<(), Failure> {
     if figures.iter().all(|figures| figures.is_sound()) {
         Ok(())
     } else {
-        let text = "a rule was violated or a balancer died; see above";
+        let text = "a rule was violated or a balancer ended unexpectedly; see the figures above";
         Err(Failure::Failed(text.into()))
     }
 }
 
-/// The balancers named, or the one beside this program.
-pub fn binaries(named: &[PathBuf]) -> Vec<PathBuf> {
-    if named.is_empty() {
+/// The given balancer programs; without any, the one in the folder of this program.
+pub fn binaries_or_default(binaries: &[PathBuf]) -> Vec<PathBuf> {
+    if binaries.is_empty() {
         vec![balancers::default_binary()]
     } else {
-        named.to_vec()
+        binaries.to_vec()
     }
 }
 
-/// The balancer named, or the one beside this program.
-pub fn binary_subject(named: Option<&PathBuf>) -> Subject {
-    Subject::Binary(named.cloned().unwrap_or_else(balancers::default_binary))
+/// The given balancer program as the subject of a run; without one, the program in the folder of
+/// this program.
+pub fn binary_subject(binary: Option<&PathBuf>) -> Subject {
+    Subject::Binary(binary.cloned().unwrap_or_else(balancers::default_binary))
 }
 
-/// Writes a report into a folder, where one is given.
+/// Writes a report into a folder and prints its path; does nothing without a folder.
 pub fn write_report(
     folder: Option<&Path>,
     scenario: &Scenario,
@@ -118,41 +122,43 @@
     let Some(folder) = folder else {
         return Ok(());
     };
-    let path = report::write(folder, scenario, runs)?;
+    let path = report::write_page(folder, scenario, runs)?;
     println!("report: {}", path.display());
     Ok(())
 }
 
 /// Parses a range of seeds such as `0..500`.
-pub fn seeds(text: &str) -> Result<Range<u64>, Error> {
+pub fn parse_seed_range(text: &str) -> Result<Range<u64>, Error> {
     let (from, to) = text
         .split_once("..")
-        .ok_or_else(|| Error::new("is no range such as 0..500"))?;
+        .ok_or_else(|| Error::new("expected a range of seeds such as 0..500"))?;
     let number = |text: &str| {
         text.parse::<u64>()
-            .map_err(|problem| Error::new(problem.to_string()))
+            .map_err(|error| Error::new(format!("invalid seed '{text}': {error}")))
     };
     let range = number(from)?..number(to)?;
     if range.is_empty() {
-        Err(Error::new("holds no seed"))
+        Err(Error::new(
+            "the range is empty: expected a range such as 0..500",
+        ))
     } else {
         Ok(range)
     }
 }
 
 /// Parses a fraction from 0 to below 1.
-pub fn part(text: &str) -> Result<f64, Error> {
-    let part = text
+pub fn parse_fraction(text: &str) -> Result<f64, Error> {
+    let fraction = text
         .parse::<f64>()
-        .map_err(|problem| Error::new(problem.to_string()))?;
-    if (0.0..1.0).contains(&part) {
-        Ok(part)
+        .map_err(|error| Error::new(error.to_string()))?;
+    if (0.0..1.0).contains(&fraction) {
+        Ok(fraction)
     } else {
-        Err(Error::new("must be from 0 up to 1"))
+        Err(Error::new("expected a fraction from 0 to below 1"))
     }
 }
 
 /// Parses a duration such as `300ms`.
-pub fn duration(text: &str) -> Result<Duration, humantime::DurationError> {
+pub fn parse_duration(text: &str) -> Result<Duration, humantime::DurationError> {
     humantime::parse_duration(text)
 }
--- a/crates/testbed/src/commands/scenarios.rs
+++ b/crates/testbed/src/commands/scenarios.rs
@@ -1,5 +1,5 @@
-//! Commands that run scenarios: calm ones, from files, with a cluster, with simple policies, and
-//! stand-ins alone.
+//! Commands that run scenarios: one without faults, one from a file, with a cluster, with simple
+//! policies, and stand-ins without balancers.
 
 use std::net::SocketAddr;
 use std::ops::Range;
@@ -13,8 +13,9 @@
 use crate::balancers;
 use crate::baseline::Policy;
 use crate::commands::{
-    Failure, binaries, binary_subject, parse_scenario, part, read_scenario, require_sound,
-    run_and_print, seeds, set_balancers, write_json, write_report,
+    Failure, binaries_or_default, binary_subject, override_balancer_count, parse_fraction,
+    parse_scenario, parse_seed_range, read_scenario, require_sound, run_and_print, write_json,
+    write_report,
 };
 use crate::figures::Figures;
 use crate::fleet::drawn;
@@ -23,117 +24,132 @@
 
 #[derive(Args)]
 pub struct Demo {
-    /// How long, such as 30s
+    /// Duration of the load, such as 30s
     #[arg(long = "for", default_value = "30s")]
     duration: String,
+    /// Number of stand-in servers
     #[arg(long, default_value_t = 12)]
     servers: usize,
+    /// Number of balancers
     #[arg(long, default_value_t = 2)]
     balancers: usize,
-    /// Requests a second
+    /// Requests per second
     #[arg(long, default_value_t = 200.0)]
     rate: f64,
+    /// Seed of the random numbers
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Go on until Ctrl-C, an hour at most
+    /// Run until Ctrl-C, for one hour at most, regardless of --for
     #[arg(long)]
     keep_open: bool,
     /// Write the figures to this file
     #[arg(long)]
     json: Option<PathBuf>,
-    /// The balancer's program; the one beside this program where none is named
+    /// Balancer program; by default the one in the folder of this program
     #[arg(long)]
     binary: Option<PathBuf>,
 }
 
 #[derive(Args)]
 pub struct Run {
+    /// Scenario file
     scenario: PathBuf,
-    /// How many, in place of what the scenario says
+    /// Number of balancers, instead of the scenario's number
     #[arg(long)]
     balancers: Option<usize>,
-    /// A balancer's program; two of them run in turns and are compared
+    /// Balancer program, by default the one in the folder of this program; two programs run in turn
+    /// and are compared
     #[arg(long)]
     binary: Vec<PathBuf>,
+    /// Seed of the random numbers, instead of the scenario's seed
     #[arg(long)]
     seed: Option<u64>,
-    /// How often each runs the scenario, with the next seed each time
+    /// How many times each program runs the scenario, once by default; the seed increases by 1 each
+    /// time
     #[arg(long)]
     rounds: Option<u64>,
     /// Write the figures to this file
     #[arg(long)]
     json: Option<PathBuf>,
-    /// Write a page with plots into this folder
+    /// Write a report page with plots to this folder
     #[arg(long)]
     report: Option<PathBuf>,
 }
 
 #[derive(Args)]
-pub struct Compare {
+pub struct Baseline {
+    /// Scenario file
     scenario: PathBuf,
-    /// All where none is named
-    #[arg(long)]
-    policy: Vec<Policy>,
-    /// Run it with the balancer beside this program as well
-    #[arg(long)]
-    ours: bool,
-    /// Run it with this balancer as well
-    #[arg(long)]
-    binary: Vec<PathBuf>,
+    /// Load balancing policy, all by default; can be repeated
+    #[arg(long = "policy", value_name = "POLICY")]
+    policies: Vec<Policy>,
+    /// Also run the scenario with the balancer in the folder of this program
+    #[arg(long = "ours")]
+    with_default_binary: bool,
+    /// Also run the scenario with this balancer program; can be repeated
+    #[arg(long = "binary", value_name = "BINARY")]
+    binaries: Vec<PathBuf>,
+    /// Seed of the random numbers, instead of the scenario's seed
     #[arg(long)]
     seed: Option<u64>,
     /// Write the figures to this file
     #[arg(long)]
     json: Option<PathBuf>,
-    /// Write a page with plots into this folder
+    /// Write a report page with plots to this folder
     #[arg(long)]
     report: Option<PathBuf>,
 }
 
 #[derive(Args)]
 pub struct StandAlone {
-    /// A scenario whose servers stand in; a usual one where none is named
+    /// Scenario file with the servers and faults; by default, a scenario without faults
     scenario: Option<PathBuf>,
+    /// Number of stand-in servers without a scenario file
     #[arg(long, default_value_t = 12)]
     servers: usize,
-    /// Where the page listens
+    /// Address at which the page is served
     #[arg(long, default_value = "127.0.0.1:0")]
     page: SocketAddr,
-    /// Where a balancer that is started by hand will listen
+    /// Address at which the balancer that is started by hand will listen
     #[arg(long, default_value = "127.0.0.1:8080")]
     listen: SocketAddr,
-    /// Write the configuration for that balancer to this file
+    /// Write the configuration of the balancer that is started by hand to this file
     #[arg(long, default_value = "balancer.json")]
     config: PathBuf,
 }
 
 #[derive(Args)]
 pub struct ClusterRun {
+    /// Scenario file
     scenario: PathBuf,
-    /// How many, in place of what the scenario says
+    /// Number of balancers, instead of the scenario's number
     #[arg(long)]
     balancers: Option<usize>,
+    /// Seed of the random numbers, instead of the scenario's seed
     #[arg(long)]
     seed: Option<u64>,
-    /// Faults drawn from each of these seeds, in place of the scenario's own
-    #[arg(long, value_parser = seeds)]
+    /// Range of seeds, such as 0..500; each is run with faults drawn from it instead of the
+    /// scenario's faults
+    #[arg(long, value_parser = parse_seed_range)]
     seeds: Option<Range<u64>>,
-    /// Fraction of all datagrams between balancers that is lost all the time, beside the scenario's
-    /// faults
-    #[arg(long, value_parser = part)]
+    /// Fraction of all datagrams between balancers that is lost throughout the run, in addition to
+    /// the other faults
+    #[arg(long, value_parser = parse_fraction)]
     loss: Option<f64>,
-    /// The balancer's program; the one beside this program where none is named
+    /// Balancer program; by default the one in the folder of this program
     #[arg(long)]
     binary: Option<PathBuf>,
+    /// Write the figures to this file
     #[arg(long)]
     json: Option<PathBuf>,
 }
 
-/// Runs calm traffic with the balancer under test.
-pub fn demo(demo: &Demo, stop: &Arc<AtomicBool>) -> Result<(), Failure> {
+/// Runs traffic without faults with the balancer under test.
+pub fn run_demo(demo: &Demo, stop: &Arc<AtomicBool>) -> Result<(), Failure> {
     let duration = if demo.keep_open { "1h" } else { &demo.duration };
     let text = format!(
-        "name = \"demo\"\nlength = \"{duration}\"\nbalancers = {}\nseed = {}\n[fleet]\nservers = {}\n[traffic]\nrate = {:?}\n",
+        "name = \"demo\"\nlength = \"{duration}\"\nbalancers = {}\nseed = {}\n\
+         [fleet]\nservers = {}\n[traffic]\nrate = {:?}\n",
         demo.balancers, demo.seed, demo.servers, demo.rate
     );
     let scenario = parse_scenario(&text, "demo")?;
@@ -157,10 +173,10 @@
 }
 
 /// Runs a scenario from a file.
-pub fn run(run: &Run, stop: &Arc<AtomicBool>) -> Result<(), Failure> {
+pub fn run_from_file(run: &Run, stop: &Arc<AtomicBool>) -> Result<(), Failure> {
     let mut scenario = read_scenario(&run.scenario)?;
-    set_balancers(&mut scenario, run.balancers)?;
-    let binaries = binaries(&run.binary);
+    override_balancer_count(&mut scenario, run.balancers)?;
+    let binaries = binaries_or_default(&run.binary);
     let options = run_options(stop);
     let first_seed = run.seed.unwrap_or(scenario.seed);
     let mut all: Vec<Vec<Figures>> = binaries.iter().map(|_| Vec::new()).collect();
@@ -184,14 +200,14 @@
     require_sound(&all)
 }
 
-/// Mean and standard deviation of the differences of pairs.
+/// Mean and standard deviation of the differences between paired runs.
 pub struct Difference {
     pub mean: f64,
-    pub deviation: f64,
+    pub standard_deviation: f64,
 }
 
-/// The second figure less the first, pair by pair.
-pub fn difference(
+/// Statistics of a figure of the second runs minus that of the first, pair by pair.
+pub fn paired_difference(
     first: &[Figures],
     second: &[Figures],
     figure: impl Fn(&Figures) -> f64,
@@ -208,40 +224,41 @@
         .sum();
     Difference {
         mean,
-        deviation: (squares / (count - 1.0).max(1.0)).sqrt(),
+        standard_deviation: (squares / (count - 1.0).max(1.0)).sqrt(),
     }
 }
 
-/// Prints the comparison of two balancers, and returns it as JSON.
+/// Prints the comparison of the runs of two balancers, and returns it as JSON.
 fn compare_runs(first: &[Figures], second: &[Figures]) -> serde_json::Value {
-    let service = difference(first, second, |figures| figures.service);
-    let cpu_us = difference(first, second, |figures| figures.cpu_us_per_request);
+    let service = paired_difference(first, second, |figures| figures.service);
+    let cpu_us = paired_difference(first, second, |figures| figures.cpu_us_per_request);
     println!(
-        "second less first, mean and spread over {} pairs:",
+        "second minus first, mean and standard deviation over {} pairs:",
         first.len().min(second.len())
     );
     println!(
-        "  service  {:+.4} (spread {:.4})\n  CPU us   {:+.1} (spread {:.1})",
-        service.mean, service.deviation, cpu_us.mean, cpu_us.deviation
+        "  service              {:+.4} (sd {:.4})\n  CPU per request, us  {:+.1} (sd {:.1})",
+        service.mean, service.standard_deviation, cpu_us.mean, cpu_us.standard_deviation
     );
     serde_json::json!({
         "first": first,
         "second": second,
         "service_difference": service.mean,
-        "service_spread": service.deviation,
+        "service_spread": service.standard_deviation,
         "cpu_us_difference": cpu_us.mean,
-        "cpu_us_spread": cpu_us.deviation,
+        "cpu_us_spread": cpu_us.standard_deviation,
     })
 }
 
-/// Runs stand-ins without load.
-pub fn stand(options: &StandAlone, stop: &Arc<AtomicBool>) -> Result<(), Failure> {
+/// Runs stand-ins without load and without a balancer.
+pub fn run_stand_ins(options: &StandAlone, stop: &Arc<AtomicBool>) -> Result<(), Failure> {
     let scenario = if let Some(path) = &options.scenario {
         read_scenario(path)?
     } else {
         let servers = options.servers;
         let text = format!(
-            "name = \"stand\"\nlength = \"24h\"\nbalancers = 1\n[fleet]\nservers = {servers}\n"
+            "name = \"stand\"\nlength = \"24h\"\nbalancers = 1\n\
+             [fleet]\nservers = {servers}\n"
         );
         parse_scenario(&text, "stand")?
     };
@@ -256,7 +273,7 @@
 /// Runs a scenario with balancers that form a cluster.
 pub fn run_cluster(options: &ClusterRun, stop: &Arc<AtomicBool>) -> Result<(), Failure> {
     let mut scenario = read_scenario(&options.scenario)?;
-    set_balancers(&mut scenario, options.balancers)?;
+    override_balancer_count(&mut scenario, options.balancers)?;
     if let Some(loss) = options.loss {
         drawn::lose(&mut scenario, loss);
     }
@@ -273,12 +290,12 @@
     };
     let mut all = Vec::new();
     for seed in seeds.take_while(|_| !stop.load(Ordering::Relaxed)) {
-        let drawn = draw_faults(&scenario, seed, options.loss);
-        let figures = run_and_print(&drawn, seed, &subject, &run_options)?;
+        let scenario_with_faults = draw_faults(&scenario, seed, options.loss);
+        let figures = run_and_print(&scenario_with_faults, seed, &subject, &run_options)?;
         if !figures.is_sound() {
             let path = options.scenario.display();
             let next = seed + 1;
-            println!("again: pinefront-testbed fleet {path} --seeds {seed}..{next}");
+            println!("run again with: pinefront-testbed fleet {path} --seeds {seed}..{next}");
         }
         all.push(figures);
     }
@@ -286,7 +303,7 @@
     require_sound(&all.iter().collect::<Vec<_>>())
 }
 
-/// Replaces the faults of a scenario by ones drawn from a seed.
+/// A copy of the scenario with faults that are drawn from a seed, and with the loss of datagrams.
 fn draw_faults(scenario: &Scenario, seed: u64, loss: Option<f64>) -> Scenario {
     let mut scenario = scenario.clone();
     drawn::draw(&mut scenario, seed);
@@ -297,19 +314,21 @@
 }
 
 /// Runs a scenario with simple policies, and prints a comparison.
-pub fn compare(compare: &Compare, stop: &Arc<AtomicBool>) -> Result<(), Failure> {
-    let scenario = read_scenario(&compare.scenario)?;
-    let policies = if compare.policy.is_empty() {
+pub fn compare_policies(baseline: &Baseline, stop: &Arc<AtomicBool>) -> Result<(), Failure> {
+    let scenario = read_scenario(&baseline.scenario)?;
+    let policies = if baseline.policies.is_empty() {
         Policy::ALL.to_vec()
     } else {
-        compare.policy.clone()
+        baseline.policies.clone()
     };
-    let ours = compare.ours.then(balancers::default_binary);
-    let binaries = ours.into_iter().chain(compare.binary.iter().cloned());
+    let default_binary = baseline.with_default_binary.then(balancers::default_binary);
+    let binaries = default_binary
+        .into_iter()
+        .chain(baseline.binaries.iter().cloned());
     let subjects = binaries
         .map(Subject::Binary)
         .chain(policies.into_iter().map(Subject::Policy));
-    let seed = compare.seed.unwrap_or(scenario.seed);
+    let seed = baseline.seed.unwrap_or(scenario.seed);
     let options = run_options(stop);
     let mut all = Vec::new();
     for subject in subjects {
@@ -319,19 +338,20 @@
     }
     print_comparison(&all);
     let runs: Vec<_> = all.iter().collect();
-    write_report(compare.report.as_deref(), &scenario, &runs)?;
-    write_json(compare.json.as_deref(), &all)
+    write_report(baseline.report.as_deref(), &scenario, &runs)?;
+    write_json(baseline.json.as_deref(), &all)
 }
 
 fn print_comparison(runs: &[Figures]) {
     println!(
-        "| who | service | succeeded | p50 ms | p99 ms | rules violated |\n| --- | --- | --- | --- | --- | --- |"
+        "| balancer | service | succeeded | p50 ms | p99 ms | rule violations |\n\
+         | --- | --- | --- | --- | --- | --- |"
     );
     for run in runs {
         let succeeded = run.counts.succeeded as f64 / run.counts.sent.max(1) as f64;
         println!(
             "| {} | {:.3} | {:.1} % | {:.0} | {:.0} | {} |",
-            run.who,
+            run.subject,
             run.service,
             100.0 * succeeded,
             run.latency_ms.p50,
--- a/crates/testbed/src/commands/soaking.rs
+++ b/crates/testbed/src/commands/soaking.rs
@@ -8,64 +8,66 @@
 
 use clap::Args;
 
-use crate::commands::{Failure, binary_subject, duration, seeds, write_json};
-use crate::soak as soak_tests;
+use crate::commands::{Failure, binary_subject, parse_duration, parse_seed_range, write_json};
+use crate::soak;
 
-/// The shortest scenario, in seconds.
-const MIN_SECONDS: u64 = 8;
+/// The shortest scenario, in seconds; a shorter `--for` is raised to it.
+const MIN_SCENARIO_SECONDS: u64 = 8;
 
 #[derive(Args)]
 pub struct Soak {
-    /// From the first seed up to the last, which is left out
-    #[arg(long, default_value = "0..10", value_parser = seeds)]
+    /// Range of seeds; the end is not included
+    #[arg(long, default_value = "0..10", value_parser = parse_seed_range)]
     seeds: Range<u64>,
-    /// How long each scenario is
-    #[arg(long = "for", default_value = "20s", value_parser = duration)]
+    /// Length of each scenario, at least 8s
+    #[arg(long = "for", default_value = "20s", value_parser = parse_duration)]
     duration: Duration,
-    /// Scenarios that run at the same time
+    /// Number of scenarios that run at the same time
     #[arg(long, default_value_t = 3)]
     parallel: usize,
-    /// How many balancers, in place of a drawn number
+    /// Number of balancers in each scenario, instead of a drawn number
     #[arg(long)]
     balancers: Option<usize>,
-    /// Requests a second
+    /// Requests per second
     #[arg(long, default_value_t = 200.0)]
     rate: f64,
-    /// A fault that every scenario has beside the drawn ones
-    #[arg(long)]
-    with: Vec<String>,
+    /// Kind of fault that every scenario contains in addition to the drawn ones; can be repeated
+    #[arg(long = "with", value_name = "WITH")]
+    additional_faults: Vec<String>,
     /// Folder for the schedules of failing seeds
-    #[arg(long, default_value = "target/soak")]
-    save: PathBuf,
-    /// Leave out what a failing schedule does not need
+    #[arg(long = "save", value_name = "SAVE", default_value = "target/soak")]
+    schedule_folder: PathBuf,
+    /// Remove the faults from a failing schedule that it does not need in order to fail
     #[arg(long)]
     shrink: bool,
-    /// The balancer's program; the one beside this program where none is named
+    /// Balancer program; by default the one in the folder of this program
     #[arg(long)]
     binary: Option<PathBuf>,
+    /// Write the results to this file
     #[arg(long)]
     json: Option<PathBuf>,
 }
 
-/// Runs scenarios drawn from seeds.
-pub fn soak(options: &Soak, stop: &Arc<AtomicBool>) -> Result<(), Failure> {
-    let shape = soak_tests::schedule::Shape {
-        seconds: options.duration.as_secs().max(MIN_SECONDS),
+/// Runs scenarios drawn from seeds, and prints the number of failures.
+pub fn run_soak(options: &Soak, stop: &Arc<AtomicBool>) -> Result<(), Failure> {
+    let shape = soak::schedule::Shape {
+        seconds: options.duration.as_secs().max(MIN_SCENARIO_SECONDS),
         balancers: options.balancers,
         rate: options.rate,
-        with: options.with.clone(),
+        with: options.additional_faults.clone(),
     };
-    let soak_options = soak_tests::Options {
+    let soak_options = soak::Options {
         seeds: options.seeds.clone(),
         shape,
         parallel: options.parallel,
-        save: options.save.clone(),
+        save: options.schedule_folder.clone(),
         shrinks: options.shrink,
         subject: binary_subject(options.binary.as_ref()),
     };
-    let found = soak_tests::soak(&soak_options, stop);
+    let found = soak::soak(&soak_options, stop);
     println!(
-        "{} scenarios run, {} violated a rule, {} more on a machine that was too slow (as it was on {}), {} not run; {} pairs of faults met",
+        "{} scenarios run: {} violated a rule, {} more did on a machine that was too slow \
+         ({} runs in all were too slow); {} not run; {} pairs of faults overlapped",
         found.played.len(),
         found.failed,
         found.doubtful,
@@ -75,11 +77,11 @@
     );
     write_json(options.json.as_deref(), &found)?;
     if found.failed + found.not_played.len() > 0 {
-        let text = "a rule was violated or a scenario not run; see above";
+        let text = "a rule was violated or a scenario could not be run; see above";
         return Err(Failure::Failed(text.into()));
     }
     if found.invalid == found.played.len() {
-        let text = "the machine was too slow in every scenario: there is no result";
+        let text = "no valid result: the machine was too slow in every scenario";
         return Err(Failure::Failed(text.into()));
     }
     Ok(())
--- a/crates/testbed/src/environment.rs
+++ b/crates/testbed/src/environment.rs
@@ -1,4 +1,4 @@
-//! What a run needs of the machine: a folder, a runtime and descriptors.
+//! Resources of the machine that a run needs: a temporary folder, a runtime and file descriptors.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -6,10 +6,10 @@
 
 use tokio::runtime::Runtime;
 
-/// Threads of the stand-ins.
+/// Number of threads that run the stand-ins.
 const STAND_IN_THREADS: usize = 3;
 
-/// A temporary folder of a run, which is removed with the value.
+/// A temporary folder of a run, which is removed when the value is dropped.
 pub struct TemporaryFolder(PathBuf);
 
 impl TemporaryFolder {
@@ -29,12 +29,12 @@
 
 impl Drop for TemporaryFolder {
     fn drop(&mut self) {
-        // What can't be removed is left to the system's cleanup of temporary files.
+        // Files that can't be removed are left to the system's cleanup of temporary files.
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// The runtime of the stand-ins.
+/// Creates the runtime of the stand-ins.
 pub fn stand_in_runtime() -> io::Result<Runtime> {
     tokio::runtime::Builder::new_multi_thread()
         .worker_threads(STAND_IN_THREADS)
@@ -42,11 +42,12 @@
         .build()
 }
 
-/// Raises the limit on open descriptors to the maximum.
+/// Raises the limit on open file descriptors to the maximum that the process may set.
 pub fn raise_descriptor_limit() {
     use rustix::process::{Resource, getrlimit, setrlimit};
     let mut limit = getrlimit(Resource::Nofile);
     limit.current = limit.maximum;
-    // Where this is not permitted, the usual limit must do; errors say when it doesn't.
+    // Where the system refuses, the limit stays as it was; opening a file or socket beyond it then
+    // returns an error.
     let _ = setrlimit(Resource::Nofile, limit);
 }
--- a/crates/testbed/src/error.rs
+++ b/crates/testbed/src/error.rs
@@ -1,13 +1,13 @@
-//! The error of the testbed: what could not be done, as text for its user.
+//! The error type of the testbed: a text for the user.
 
 use std::fmt;
 
-/// Why a run, a measurement or a report failed.
+/// The reason why a run, a measurement or a report failed.
 #[derive(Debug)]
 pub struct Error(String);
 
 impl Error {
-    /// An error with that text.
+    /// Creates an error that is displayed as `text`.
     pub fn new(text: impl Into<String>) -> Self {
         Self(text.into())
     }
@@ -22,19 +22,19 @@
 impl std::error::Error for Error {}
 
 impl From<std::io::Error> for Error {
-    fn from(problem: std::io::Error) -> Self {
-        Self(problem.to_string())
+    fn from(error: std::io::Error) -> Self {
+        Self(error.to_string())
     }
 }
 
-/// Adds what was attempted to an error.
+/// Adds a description of the failed action to an error.
 pub trait Context<T> {
-    /// Turns the error into one that starts with `action`.
+    /// Converts the error into one whose text is `action`, a colon and the original text.
     fn context(self, action: impl fmt::Display) -> Result<T, Error>;
 }
 
 impl<T, E: fmt::Display> Context<T> for Result<T, E> {
     fn context(self, action: impl fmt::Display) -> Result<T, Error> {
-        self.map_err(|problem| Error::new(format!("{action}: {problem}")))
+        self.map_err(|error| Error::new(format!("{action}: {error}")))
     }
 }
--- a/crates/testbed/src/figures/table.rs
+++ b/crates/testbed/src/figures/table.rs
@@ -1,31 +1,31 @@
-//! The figures of a run as a table of plain text.
+//! The figures of a run as a plain-text table.
 
 use std::fmt::Write as _;
 
-use super::{Figures, Times};
+use super::{Figures, PercentilesMs};
 use crate::cluster::distribution;
 use crate::fleet::Known;
 use crate::fleet::leases::LeaseReport;
 
-/// Lines with a name and a text.
+/// A text of lines that each have a name column and a text column.
 struct Table(String);
 
 impl Table {
-    fn line(&mut self, name: &str, text: impl AsRef<str>) {
+    fn add_line(&mut self, name: &str, text: impl AsRef<str>) {
         // Writing to a string cannot fail.
         let _ = writeln!(self.0, "  {name:<16} {}", text.as_ref());
     }
 
-    /// One line with the name for each text.
-    fn lines<'a>(&mut self, name: &str, texts: impl IntoIterator<Item = &'a String>) {
+    /// Adds a line for each text, all with the same name.
+    fn add_lines<'a>(&mut self, name: &str, texts: impl IntoIterator<Item = &'a String>) {
         for text in texts {
-            self.line(name, text);
+            self.add_line(name, text);
         }
     }
 }
 
 impl Figures {
-    /// The table, one line for each figure.
+    /// Formats the figures as a table for people.
     pub fn table(&self) -> String {
         let mut table = Table(String::new());
         self.add_requests(&mut table);
@@ -43,118 +43,129 @@
             "{} sent, {} succeeded, {} rejected, {} failed",
             counts.sent, counts.succeeded, counts.rejected, counts.failed
         );
-        table.line("requests", text);
+        table.add_line("requests", text);
         if counts.unanswered + counts.disconnected + counts.unreachable > 0 {
             let text = format!(
-                "{} unanswered, {} disconnected by their clients, {} reached no balancer",
+                "{} unanswered, {} disconnected by their clients, {} could not reach a balancer",
                 counts.unanswered, counts.disconnected, counts.unreachable
             );
-            table.line("", text);
+            table.add_line("", text);
         }
-        let Times { p50, p90, p99, max } = self.latency_ms;
+        let PercentilesMs { p50, p90, p99, max } = self.latency_ms;
         let text = format!("p50 {p50:.1} ms, p90 {p90:.1}, p99 {p99:.1}, max {max:.1}");
-        table.line("latency", text);
+        table.add_line("latency", text);
         let parts = &self.service_parts;
         let text = format!(
             "{:.3} (overall {:.3}, worst 10 s {:.3}, worst class {:.3}, tail {:.3})",
             self.service, parts.overall, parts.worst_10s, parts.worst_class, parts.tail
         );
-        table.line("service", text);
+        table.add_line("service", text);
     }
 
     fn add_costs(&self, table: &mut Table) {
         if self.cpu_us_per_request > 0.0 {
             let text = format!(
-                "{}: {:.0} us of CPU a request, {:.1} MB at most",
+                "{}, CPU time per request {:.0} us, largest memory {:.1} MB",
                 self.balancers, self.cpu_us_per_request, self.memory_mb
             );
-            table.line("balancers", text);
+            table.add_line("balancers", text);
         }
-        let text = format!("{:.3} a request", self.attempts_per_request);
-        table.line("attempts", text);
-        let Times { p99, max, .. } = self.lateness_ms;
-        table.line("load's lateness", format!("p99 {p99:.2} ms, max {max:.2}"));
-        table.line("testbed", format!("{:.0} MB", self.testbed_memory_mb));
+        let text = format!("{:.3} per request", self.attempts_per_request);
+        table.add_line("attempts", text);
+        let PercentilesMs { p99, max, .. } = self.lateness_ms;
+        table.add_line("load lateness", format!("p99 {p99:.2} ms, max {max:.2}"));
+        table.add_line("testbed", format!("{:.0} MB", self.testbed_memory_mb));
     }
 
     fn add_violations(&self, table: &mut Table) {
         match self.rule_violation_count {
-            0 => table.line("rules", "none violated"),
+            0 => table.add_line("rules", "none violated"),
             count => {
-                table.line("rules", format!("{count} VIOLATED"));
-                table.lines("", &self.rule_violations);
+                table.add_line("rules", format!("{count} VIOLATED"));
+                table.add_lines("", &self.rule_violations);
             }
         }
-        table.lines("DIED", &self.unexpected_ends);
-        table.lines("INVALID", &self.why_invalid);
+        table.add_lines("DIED", &self.unexpected_ends);
+        table.add_lines("INVALID", &self.why_invalid);
     }
 }
 
 fn add_cluster(table: &mut Table, cluster: &Known) {
     let agreement = cluster
         .views_agree_after_ms
-        .map_or("NEVER AGREE".to_owned(), |ms| {
-            format!("agree {ms:.0} ms after the last fault")
+        .map_or("NEVER AGREED".to_owned(), |ms| {
+            format!("agreed {ms:.0} ms after the last fault")
         });
-    table.line("views", format!("{agreement}, of {} polls", cluster.looks));
-    let text = format!("detected after {}", times(&cluster.detected_ms));
-    table.line("failures", text);
+    table.add_line(
+        "views",
+        format!("{agreement}; {} views checked", cluster.looks),
+    );
+    let text = format!(
+        "detected after {}",
+        format_distribution(&cluster.detected_ms)
+    );
+    table.add_line("failures", text);
     if !cluster.detected_by_all_ms.is_empty() {
-        let text = format!("after {}", times(&cluster.detected_by_all_ms));
-        table.line("detected by all", text);
+        let text = format!("after {}", format_distribution(&cluster.detected_by_all_ms));
+        table.add_line("detected by all", text);
     }
     let text = format!(
-        "{} calls, {:.2} a second",
+        "{} calls, {:.2} per second",
         cluster.discovery_calls, cluster.discovery_calls_a_second
     );
-    table.line("discovery", text);
+    table.add_line("discovery", text);
     if cluster.flooded > 0 {
-        table.line("strangers sent", cluster.flooded.to_string());
+        let text = format!("{} datagrams from outside the cluster", cluster.flooded);
+        table.add_line("flood", text);
     }
     let text = format!(
-        "{} suspicions, also of suspended members",
+        "{} suspicions, including those of suspended members",
         cluster.refutations
     );
-    table.line("refuted", text);
+    table.add_line("refuted", text);
     let text = format!(
-        "{}; considered dead while running: {}",
+        "{} times; considered dead while running: {} balancers",
         cluster.wrongly_gone, cluster.held_gone_while_running
     );
-    table.line("wrongly dead", text);
+    table.add_line("wrongly dead", text);
     if let Some(leases) = &cluster.leases {
-        add_duties(table, leases);
+        add_leases(table, leases);
     }
-    table.lines("", &cluster.details);
+    table.add_lines("", &cluster.details);
 }
 
-fn add_duties(table: &mut Table, duties: &LeaseReport) {
+fn add_leases(table: &mut Table, leases: &LeaseReport) {
     let text = format!(
-        "{}: {} OVERLAPS, {} old terms accepted, {} changes ({} of one in a minute at most), {} vacant",
-        duties.leases,
-        duties.overlaps,
-        duties.old_terms_taken,
-        duties.changes,
-        duties.changes_most_a_minute,
-        duties.vacant
+        "{}: {} OVERLAPS, {} decreased terms, {} changes of holder \
+         (at most {} of one lease in a minute), {} without a holder at the end",
+        leases.leases,
+        leases.overlaps,
+        leases.old_terms_taken,
+        leases.changes,
+        leases.changes_most_a_minute,
+        leases.vacant
     );
-    table.line("duties", text);
-    let vacancy = distribution(duties.without_holder_ms.clone());
+    table.add_line("leases", text);
+    let vacancy = distribution(leases.without_holder_ms.clone());
     let text = format!(
-        "{:.0} ms (median), worst {:.0} of {}",
+        "median {:.0} ms, longest {:.0} ms of {}",
         vacancy.p50, vacancy.worst, vacancy.count
     );
-    table.line("without a holder", text);
-    for (cause, vacancies_ms) in &duties.without_holder_by {
-        table.line("", format!("{cause}: {}", times(vacancies_ms)));
+    table.add_line("without a holder", text);
+    for (cause, vacancies_ms) in &leases.without_holder_by {
+        table.add_line(
+            "",
+            format!("{cause}: {}", format_distribution(vacancies_ms)),
+        );
     }
-    table.lines("", &duties.details);
+    table.add_lines("", &leases.details);
 }
 
-/// Median, maximum and number of some durations in milliseconds.
-fn times(values_ms: &[f64]) -> String {
-    let spread = distribution(values_ms.to_vec());
+/// Formats the median, the maximum and the number of durations in milliseconds.
+fn format_distribution(values_ms: &[f64]) -> String {
+    let distribution = distribution(values_ms.to_vec());
     format!(
-        "{:.0} ms, worst {:.0} of {}",
-        spread.p50, spread.worst, spread.count
+        "median {:.0} ms, longest {:.0} ms of {}",
+        distribution.p50, distribution.worst, distribution.count
     )
 }
--- a/crates/testbed/src/load/mod.rs
+++ b/crates/testbed/src/load/mod.rs
@@ -17,7 +17,7 @@
 
 use crate::clients::latency_histogram;
 use crate::error::{Context, Error};
-use crate::figures::Times;
+use crate::figures::PercentilesMs;
 use crate::pace::{CHANNEL_CAPACITY, Scheduled, send_on_schedule};
 
 /// The 99th percentile of lateness beyond which a run is invalid.
@@ -58,8 +58,8 @@
     #[serde(rename = "rate_asked")]
     pub rate_sent: f64,
     pub rate_succeeded: f64,
-    pub latency_ms: Times,
-    pub lateness_ms: Times,
+    pub latency_ms: PercentilesMs,
+    pub lateness_ms: PercentilesMs,
     pub valid: bool,
     pub why_invalid: Vec<String>,
 }
@@ -167,8 +167,8 @@
     found.dropped = dropped;
     found.rate_sent = found.sent as f64 / seconds;
     found.rate_succeeded = found.succeeded as f64 / seconds;
-    found.latency_ms = Times::of(&results.latency);
-    found.lateness_ms = Times::of(&results.lateness);
+    found.latency_ms = PercentilesMs::from_histogram_us(&results.latency);
+    found.lateness_ms = PercentilesMs::from_histogram_us(&results.lateness);
     let lateness_ms = found.lateness_ms.p99;
     if plan.rate.is_some() && lateness_ms > MAX_LATENESS_MS {
         let reason = format!("the load was late: p99 {lateness_ms:.2} ms");
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,9 +1,9 @@
-//! `pinefront-testbed`: runs balancers before stand-in servers on this machine, with faults, and
-//! measures them.
+//! `pinefront-testbed`: runs balancers in front of stand-in servers on this machine, injects faults
+//! and measures the balancers.
 
 #![cfg_attr(
     test,
-    // A test that lists its cases in a row reads better whole.
+    // A test that lists its cases in sequence is easier to read as one function.
     allow(
         clippy::default_trait_access,
         clippy::needless_for_each,
@@ -47,49 +47,56 @@
 
 use crate::commands::Failure;
 use crate::commands::agreement::{Explore, SimulateCluster, explore, simulate_cluster};
-use crate::commands::measuring::{LoadAt, Overhead, load_at, measure_overhead};
+use crate::commands::measuring::{Load, Overhead, generate_load, measure_overhead};
 use crate::commands::scenarios::{
-    ClusterRun, Compare, Demo, Run, StandAlone, compare, demo, run, run_cluster, stand,
+    Baseline, ClusterRun, Demo, Run, StandAlone, compare_policies, run_cluster, run_demo,
+    run_from_file, run_stand_ins,
 };
-use crate::commands::soaking::{Soak, soak};
+use crate::commands::soaking::{Soak, run_soak};
 
-/// Runs pinefront before stand-in servers on this machine, with faults, and measures it.
+/// Runs pinefront in front of stand-in servers on this machine, injects faults and measures it.
 ///
-/// Exit codes: 0 success, 1 a rule was violated, a balancer died or the testbed failed, 2 a
-/// scenario or an argument is wrong.
+/// Exit codes: 0 for success; 1 if a rule was violated, a balancer ended unexpectedly or the
+/// testbed failed; 2 if a scenario or an argument is invalid.
 #[derive(Parser)]
 #[command(version)]
-struct Line {
+struct CommandLine {
     #[command(subcommand)]
     command: Command,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serves calm traffic with the balancer before stand-in servers
+    /// Runs the balancer in front of stand-in servers, at a constant request rate without faults
     Demo(Demo),
-    /// Runs a scenario from a file
+    /// Runs a scenario from a file, and prints its figures
     Run(Run),
-    /// Starts stand-in servers and discovery alone, with a page to inject faults by hand
-    Stand(StandAlone),
-    /// Loads an HTTP address of this machine, open loop
-    Load(LoadAt),
-    /// Measures the overhead of a balancer: the same load directly on servers and through it
+    /// Starts stand-in servers and discovery without a balancer, and a page to inject faults by
+    /// hand
+    #[command(name = "stand")]
+    StandAlone(StandAlone),
+    /// Sends requests to an HTTP address of this machine at a given rate (open loop)
+    Load(Load),
+    /// Measures the overhead of a balancer: the same load sent to servers directly and through it
     Overhead(Overhead),
-    /// Runs a scenario with balancers that form a cluster, with a relay on each link between two of
-    /// them
-    Fleet(ClusterRun),
-    /// Simulates the cluster protocol of many members on a virtual clock, under faults drawn from seeds
-    Accord(SimulateCluster),
-    /// Tries every order of events for a few members and one lease, up to a depth
+    /// Runs a scenario with balancers that form a cluster, with a relay on each link between two
+    /// balancers
+    #[command(name = "fleet")]
+    ClusterRun(ClusterRun),
+    /// Simulates the cluster protocol with many members on a virtual clock, under faults drawn from
+    /// seeds
+    #[command(name = "accord")]
+    SimulateCluster(SimulateCluster),
+    /// Explores every order of events for a few members and one lease, up to a depth
     Explore(Explore),
-    /// Runs scenarios drawn from seeds, with faults that overlap
+    /// Runs scenarios with overlapping faults that are drawn from seeds
     Soak(Soak),
     /// Runs a scenario with simple policies as stand-in balancers, for comparison
-    Baseline(Compare),
+    Baseline(Baseline),
 }
 
-/// Sets `stop` at Ctrl-C or SIGTERM, which ends a run early; its figures are printed all the same.
+/// Sets `stop` at Ctrl-C or SIGTERM, which ends a run early. The figures of the run are still
+/// printed.
 fn watch_signals(stop: &Arc<AtomicBool>) {
     let stop = Arc::clone(stop);
     std::thread::spawn(move || {
@@ -112,30 +119,30 @@
 }
 
 fn main() -> ExitCode {
-    let line = Line::parse();
+    let command_line = CommandLine::parse();
     environment::raise_descriptor_limit();
     let stop = Arc::new(AtomicBool::new(false));
     watch_signals(&stop);
-    let done = match &line.command {
-        Command::Demo(options) => demo(options, &stop),
-        Command::Run(options) => run(options, &stop),
-        Command::Stand(options) => stand(options, &stop),
-        Command::Load(options) => load_at(options, &stop),
+    let result = match &command_line.command {
+        Command::Demo(options) => run_demo(options, &stop),
+        Command::Run(options) => run_from_file(options, &stop),
+        Command::StandAlone(options) => run_stand_ins(options, &stop),
+        Command::Load(options) => generate_load(options, &stop),
         Command::Overhead(options) => measure_overhead(options, &stop),
-        Command::Fleet(options) => run_cluster(options, &stop),
+        Command::ClusterRun(options) => run_cluster(options, &stop),
         Command::Explore(options) => explore(options, &stop),
-        Command::Soak(options) => soak(options, &stop),
-        Command::Accord(options) => simulate_cluster(options, &stop),
-        Command::Baseline(options) => compare(options, &stop),
+        Command::Soak(options) => run_soak(options, &stop),
+        Command::SimulateCluster(options) => simulate_cluster(options, &stop),
+        Command::Baseline(options) => compare_policies(options, &stop),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Failure::Wrong(problem)) => {
-            eprintln!("pinefront-testbed: {problem}");
+        Err(Failure::InvalidInput(error)) => {
+            eprintln!("pinefront-testbed: {error}");
             ExitCode::from(2)
         }
-        Err(Failure::Failed(problem)) => {
-            eprintln!("pinefront-testbed: {problem}");
+        Err(Failure::Failed(error)) => {
+            eprintln!("pinefront-testbed: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/testbed/src/overhead.rs
+++ b/crates/testbed/src/overhead.rs
@@ -1,5 +1,5 @@
-//! The overhead of a balancer: the same load directly on servers and through a balancer, in one
-//! measurement.
+//! Measurement of the overhead of a balancer: the same load is sent to servers directly and through
+//! the balancer, one after the other.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -21,17 +21,18 @@
 use crate::world::{World, locked};
 use crate::{discovery_stand_in, http};
 
-/// Load before the measurement, in which connections are opened and the balancer learns.
+/// Duration of the load before the measurement, in which connections are opened and the balancer
+/// collects statistics.
 const WARM_UP: Duration = Duration::from_secs(2);
-/// How long the members of a cluster take to find each other.
+/// The time given to the members of a cluster to find each other.
 const CLUSTER_FORMATION: Duration = Duration::from_secs(8);
 /// How long clients wait for a response.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(2);
 const SEED: u64 = 1;
 
-/// One measurement.
+/// The figures of one measurement. Direct load goes to the servers, without the balancer.
 #[derive(Clone, Debug, Serialize)]
-pub struct Point {
+pub struct OverheadMeasurement {
     pub servers: usize,
     pub clients: usize,
     pub rate: f64,
@@ -45,50 +46,55 @@
     pub added_p99_ms: f64,
     #[serde(rename = "cpu_us_per_ticket")]
     pub cpu_us_per_request: f64,
-    /// Requests per second in a closed loop.
+    /// Successful requests per second through the balancer in a closed loop.
     pub highest_rate: f64,
     pub memory_mb: f64,
-    /// Members of the balancer's cluster, itself included; none where it has no operator file.
+    /// Number of members of the balancer's cluster, including itself; none without an operator
+    /// file.
     pub members: Option<usize>,
-    /// CPU time without load, as a fraction of one core.
+    /// CPU time of the balancer without load, as a fraction of one core.
     #[serde(rename = "cpu_part_at_rest")]
     pub idle_cpu_fraction: f64,
+    /// Results of the load through the balancer.
     pub through: Found,
     pub valid: bool,
 }
 
-/// What is measured, and how.
+/// Options of a measurement.
 pub struct Options {
     pub binary: PathBuf,
+    /// Requests per second.
     pub rate: f64,
+    /// Duration of each load.
     pub duration: Duration,
-    /// How long a server takes to respond.
-    pub work: Duration,
+    /// Time that a server takes to process a request.
+    pub processing_time: Duration,
     pub threads: usize,
-    /// Members of the balancer's cluster, itself included; none for no cluster.
+    /// Number of members of the balancer's cluster, including itself; none to run without a
+    /// cluster.
     pub members: Option<usize>,
     pub stop: Arc<AtomicBool>,
 }
 
-/// Starts a server that responds to each request after the same time. Returns its address.
-pub async fn start_plain_server(work: Duration) -> std::io::Result<SocketAddr> {
+/// Starts a server that responds to each request after `processing_time`. Returns its address.
+pub async fn start_plain_server(processing_time: Duration) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            tokio::spawn(serve(stream, work));
+            tokio::spawn(serve(stream, processing_time));
         }
     });
     Ok(address)
 }
 
-async fn serve(mut stream: TcpStream, work: Duration) {
+async fn serve(mut stream: TcpStream, processing_time: Duration) {
     let _ = stream.set_nodelay(true);
     let mut buffer = Vec::new();
     while let Some(request) = http::read_request(&mut stream, &mut buffer).await {
         buffer.drain(..request.end);
-        if !work.is_zero() {
-            tokio::time::sleep(work).await;
+        if !processing_time.is_zero() {
+            tokio::time::sleep(processing_time).await;
         }
         let written = http::write_response(&mut stream, "200 OK", "", "served\n").await;
         if written.is_err() {
@@ -97,13 +103,13 @@
     }
 }
 
-/// A balancer before plain servers.
+/// A running balancer in front of plain servers.
 struct Setup {
     runtime: Runtime,
     servers: Vec<SocketAddr>,
     balancer: Mutex<Vec<Balancer>>,
     balancer_address: SocketAddr,
-    /// Other members of the cluster, which end with the value.
+    /// Other members of the cluster, which are stopped when the value is dropped.
     _members: Option<SimulatedMembers>,
     _folder: TemporaryFolder,
 }
@@ -111,10 +117,13 @@
 impl Setup {
     fn start(servers: usize, options: &Options) -> Result<Self, Error> {
         let runtime = stand_in_runtime().context("cannot start threads")?;
-        let world = Arc::new(World::new(scenario(servers, options.work)?, SEED));
+        let world = Arc::new(World::new(
+            scenario(servers, options.processing_time)?,
+            SEED,
+        ));
         let folder = TemporaryFolder::new()?;
         let (servers, discovery) = runtime.block_on(async {
-            let servers = start_servers(&world, servers, options.work).await?;
+            let servers = start_servers(&world, servers, options.processing_time).await?;
             let discovery = discovery_stand_in::start(&world, 0).await?;
             Ok::<_, Error>((servers, discovery))
         })?;
@@ -122,7 +131,7 @@
             .members
             .map(|members| SimulatedMembers::start(members.saturating_sub(1)))
             .transpose()
-            .context("cannot start the fleet's other members")?;
+            .context("cannot start the other members of the cluster")?;
         let operator_file = members
             .as_ref()
             .map(|members| members.operator_file(folder.path()))
@@ -163,33 +172,34 @@
 }
 
 /// A scenario whose servers report no load.
-fn scenario(servers: usize, work: Duration) -> Result<Scenario, Error> {
-    let work_us = work.as_micros().max(1);
+fn scenario(servers: usize, processing_time: Duration) -> Result<Scenario, Error> {
+    let work_us = processing_time.as_micros().max(1);
     let text = format!(
-        "name = \"overhead\"\nlength = \"1h\"\nbalancers = 1\n[fleet]\nservers = {servers}\nzones = [\"a\"]\nreports = \"0s\"\n\
-         idle = \"60s\"\n[[use_cases]]\nname = \"look\"\neffect = \"redoable\"\nwork = \"{work_us}us\"\npromised_time = \"500ms\"\n\
-         hard_stop = \"2s\"\n"
+        "name = \"overhead\"\nlength = \"1h\"\nbalancers = 1\n\
+         [fleet]\nservers = {servers}\nzones = [\"a\"]\nreports = \"0s\"\nidle = \"60s\"\n\
+         [[use_cases]]\nname = \"look\"\neffect = \"redoable\"\n\
+         work = \"{work_us}us\"\npromised_time = \"500ms\"\nhard_stop = \"2s\"\n"
     );
     validation::decode_scenario(&text, "overhead")
-        .map_err(|problems| Error::new(problems[0].to_string()))
+        .map_err(|errors| Error::new(errors[0].to_string()))
 }
 
 async fn start_servers(
     world: &World,
     count: usize,
-    work: Duration,
+    processing_time: Duration,
 ) -> Result<Vec<SocketAddr>, Error> {
     let mut addresses = Vec::new();
     for number in 0..count {
-        let address = start_plain_server(work).await?;
+        let address = start_plain_server(processing_time).await?;
         world.set_server_address(number, address, false);
         addresses.push(address);
     }
     Ok(addresses)
 }
 
-/// The loads of one measurement, and the resources that the balancer used.
-struct Measured {
+/// The results of the loads of one measurement, and the resources that the balancer used.
+struct LoadResults {
     direct: Found,
     through: Found,
     closed_loop: Found,
@@ -198,11 +208,15 @@
     memory_mb: f64,
 }
 
-/// Measures a balancer before that many servers, under load from that many client connections.
-pub fn measure(servers: usize, clients: usize, options: &Options) -> Result<Point, Error> {
+/// Measures a balancer in front of `servers` servers, under load from `clients` connections.
+pub fn measure(
+    servers: usize,
+    clients: usize,
+    options: &Options,
+) -> Result<OverheadMeasurement, Error> {
     let setup = Setup::start(servers, options)?;
     let run = |addresses: &[SocketAddr], rate: Option<f64>, duration: Duration| {
-        let plan = plan(addresses, rate, duration, clients, options.threads);
+        let plan = load_plan(addresses, rate, duration, clients, options.threads);
         load::run(plan, &options.stop)
     };
     let (rate, duration) = (Some(options.rate), options.duration);
@@ -212,16 +226,16 @@
     if options.members.is_some() {
         std::thread::sleep(CLUSTER_FORMATION);
     }
-    let idle_from = setup.usage();
+    let usage_before_idle = setup.usage();
     std::thread::sleep(duration);
-    let idle_cpu_us = setup.usage().cpu_us - idle_from.cpu_us;
-    let loaded_from = setup.usage();
+    let idle_cpu_us = setup.usage().cpu_us - usage_before_idle.cpu_us;
+    let usage_before_load = setup.usage();
     let through = run(&balancer, rate, duration)?;
-    let loaded_cpu_us = setup.usage().cpu_us - loaded_from.cpu_us;
+    let loaded_cpu_us = setup.usage().cpu_us - usage_before_load.cpu_us;
     let closed_loop = run(&balancer, None, duration)?;
     let memory_mb = setup.usage().memory_mb();
     setup.stop();
-    let measured = Measured {
+    let results = LoadResults {
         direct,
         through,
         closed_loop,
@@ -229,10 +243,10 @@
         loaded_cpu_us,
         memory_mb,
     };
-    Ok(Point::new(servers, clients, options, measured))
+    Ok(OverheadMeasurement::new(servers, clients, options, results))
 }
 
-fn plan(
+fn load_plan(
     addresses: &[SocketAddr],
     rate: Option<f64>,
     duration: Duration,
@@ -252,17 +266,22 @@
     }
 }
 
-/// Head of the table of [`Point::row`], in Markdown.
-pub const TABLE_HEAD: &str = "| servers | clients | p50 direct, ms | p50 through | ratio | p99 direct | p99 through | ratio | CPU a request, us | highest rate |\n\
-                              | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |";
-/// Head of the table of [`Point::cluster_row`], in Markdown.
-pub const CLUSTER_TABLE_HEAD: &str = "| members | core at rest | CPU a request, us | memory, MB | p50 through, ms | p99 through | highest rate |\n\
-                                      | --- | --- | --- | --- | --- | --- | --- |";
+/// Head of the table of [`OverheadMeasurement::row`], in Markdown.
+pub const TABLE_HEAD: &str = "| servers | clients \
+    | p50 direct, ms | p50 through balancer, ms | p50 ratio \
+    | p99 direct, ms | p99 through balancer, ms | p99 ratio \
+    | CPU per request, us | highest rate, requests/s |\n\
+    | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |";
+/// Head of the table of [`OverheadMeasurement::cluster_row`], in Markdown.
+pub const CLUSTER_TABLE_HEAD: &str = "| members | idle CPU, % of a core \
+    | CPU per request, us | memory, MB \
+    | p50 through balancer, ms | p99 through balancer, ms | highest rate, requests/s |\n\
+    | --- | --- | --- | --- | --- | --- | --- |";
 
-impl Point {
-    fn new(servers: usize, clients: usize, options: &Options, measured: Measured) -> Self {
-        let through = measured.through;
-        let (direct_ms, through_ms) = (&measured.direct.latency_ms, &through.latency_ms);
+impl OverheadMeasurement {
+    fn new(servers: usize, clients: usize, options: &Options, results: LoadResults) -> Self {
+        let through = results.through;
+        let (direct_ms, through_ms) = (&results.direct.latency_ms, &through.latency_ms);
         let duration_us = options.duration.as_micros().max(1) as f64;
         Self {
             servers,
@@ -276,25 +295,25 @@
             p99_ratio: through_ms.p99 / direct_ms.p99,
             added_p50_ms: through_ms.p50 - direct_ms.p50,
             added_p99_ms: through_ms.p99 - direct_ms.p99,
-            cpu_us_per_request: measured.loaded_cpu_us as f64 / through.sent.max(1) as f64,
-            highest_rate: measured.closed_loop.rate_succeeded,
-            memory_mb: measured.memory_mb,
+            cpu_us_per_request: results.loaded_cpu_us as f64 / through.sent.max(1) as f64,
+            highest_rate: results.closed_loop.rate_succeeded,
+            memory_mb: results.memory_mb,
             members: options.members,
-            idle_cpu_fraction: measured.idle_cpu_us as f64 / duration_us,
-            valid: measured.direct.valid && through.valid,
+            idle_cpu_fraction: results.idle_cpu_us as f64 / duration_us,
+            valid: results.direct.valid && through.valid,
             through,
         }
     }
 
-    fn validity(&self) -> &'static str {
+    fn validity_note(&self) -> &'static str {
         if self.valid {
             ""
         } else {
-            " (invalid: the load was late)"
+            " (invalid: the load itself was late)"
         }
     }
 
-    /// A row of the table that compares clusters of several sizes.
+    /// Formats a row of the table that compares clusters of several sizes.
     pub fn cluster_row(&self) -> String {
         let members = self
             .members
@@ -307,11 +326,11 @@
             self.through_p50_ms,
             self.through_p99_ms,
             self.highest_rate,
-            self.validity()
+            self.validity_note()
         )
     }
 
-    /// A row of the table.
+    /// Formats a row of the table that compares numbers of servers and clients.
     pub fn row(&self) -> String {
         format!(
             "| {} | {} | {:.2} | {:.2} | {:.2} | {:.2} | {:.2} | {:.2} | {:.1} | {:.0} |{}",
@@ -325,7 +344,7 @@
             self.p99_ratio,
             self.cpu_us_per_request,
             self.highest_rate,
-            self.validity()
+            self.validity_note()
         )
     }
 }
--- a/crates/testbed/src/report/plots.rs
+++ b/crates/testbed/src/report/plots.rs
@@ -1,4 +1,4 @@
-//! Plots of a report, as SVG.
+//! The plots of a report, drawn as SVG.
 
 use pinefront_model::SECOND;
 use pinefront_model::scenario::Scenario;
@@ -7,14 +7,14 @@
 use plotters::prelude::*;
 
 use crate::error::Error;
-use crate::figures::{Figures, Second};
+use crate::figures::{Figures, SecondFigures};
 
 const WIDTH_PX: u32 = 860;
-/// Height of a plot over time.
+/// Height of a plot over time, in pixels.
 const CURVES_HEIGHT_PX: u32 = 230;
-/// Height of a bar chart.
+/// Height of a bar chart, in pixels.
 const BARS_HEIGHT_PX: u32 = 200;
-/// Colours of the runs, in turn.
+/// Colours of the runs, by number of the run; repeated from the start for further runs.
 const COLOURS: [RGBColor; 6] = [
     RGBColor(31, 119, 180),
     RGBColor(214, 39, 40),
@@ -24,64 +24,65 @@
     RGBColor(70, 70, 70),
 ];
 const FAULT_COLOUR: RGBColor = RGBColor(240, 200, 90);
-/// The narrowest band of a fault, as a fraction of the scenario's length.
+/// The minimum width of the band that marks a fault, as a fraction of the scenario's length.
 const MIN_BAND_FRACTION: f64 = 1.0 / 400.0;
 
-type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
+type DrawingSurface<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 type Chart<'a, 'b> = ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
-fn error(problem: impl std::fmt::Display) -> Error {
-    Error::new(format!("cannot draw a plot: {problem}"))
+fn plot_error(error: impl std::fmt::Display) -> Error {
+    Error::new(format!("cannot draw a plot: {error}"))
 }
 
 /// The colour of a run.
-pub(super) fn colour(run: usize) -> &'static RGBColor {
+pub(super) fn run_colour(run: usize) -> &'static RGBColor {
     &COLOURS[run % COLOURS.len()]
 }
 
-/// A curve of a plot over time.
+/// A curve of a plot over time: a figure of one run for each second.
 pub(super) struct Curve {
     name: String,
+    /// Pairs of a time in seconds and a value.
     points: Vec<(f64, f64)>,
     colour: &'static RGBColor,
 }
 
 impl Curve {
-    /// The curve of a figure of a run, by second.
+    /// Creates the curve of a figure of a run. `number` is the number of the run.
     pub(super) fn new(
         run: &Figures,
         number: usize,
         suffix: &str,
-        figure: impl Fn(&Second) -> f64,
+        figure: impl Fn(&SecondFigures) -> f64,
     ) -> Self {
         let seconds = run.seconds.iter().enumerate();
         let points = seconds.map(|(second, figures)| (second as f64, figure(figures)));
         Self {
-            name: format!("{} (seed {}){suffix}", run.who, run.seed),
+            name: format!("{} (seed {}){suffix}", run.subject, run.seed),
             points: points.collect(),
-            colour: colour(number),
+            colour: run_colour(number),
         }
     }
 
-    /// The greatest value.
-    pub(super) fn max(&self) -> f64 {
+    /// The greatest value, at least 0.
+    pub(super) fn max_value(&self) -> f64 {
         self.points.iter().map(|point| point.1).fold(0.0, f64::max)
     }
 }
 
-/// The time in which a fault is active, in seconds.
-struct Band {
+/// The time in which a fault is active, in seconds since the start of the scenario.
+struct FaultPeriod {
     from: f64,
     to: f64,
 }
 
-/// A plot of curves over the seconds of a scenario, with faults as bands behind them.
+/// A plot of curves over the seconds of a scenario, with a shaded band for each fault behind them.
 pub(super) struct TimePlot<'a> {
     pub(super) scenario: &'a Scenario,
     pub(super) curves: &'a [Curve],
     /// The upper end of the vertical axis.
-    pub(super) max: f64,
-    pub(super) unit: &'a str,
+    pub(super) y_max: f64,
+    pub(super) y_label: &'a str,
     pub(super) legend: SeriesLabelPosition,
 }
 
@@ -96,24 +97,24 @@
         Ok(svg)
     }
 
-    fn draw_on(self, area: &Area) -> Result<(), Error> {
+    fn draw_on(self, area: &DrawingSurface) -> Result<(), Error> {
         let length = seconds(self.scenario.length.get_ref().0);
-        area.fill(&WHITE).map_err(error)?;
+        area.fill(&WHITE).map_err(plot_error)?;
         let mut chart = ChartBuilder::on(area)
             .margin(8)
             .margin_right(20)
             .x_label_area_size(28)
             .y_label_area_size(56)
-            .build_cartesian_2d(0.0..length, 0.0..self.max)
-            .map_err(error)?;
+            .build_cartesian_2d(0.0..length, 0.0..self.y_max)
+            .map_err(plot_error)?;
         chart
             .configure_mesh()
             .x_desc("seconds")
-            .y_desc(self.unit)
+            .y_desc(self.y_label)
             .light_line_style(WHITE)
             .draw()
-            .map_err(error)?;
-        self.draw_bands(&mut chart, length)?;
+            .map_err(plot_error)?;
+        self.draw_fault_bands(&mut chart, length)?;
         self.draw_curves(&mut chart)?;
         chart
             .configure_series_labels()
@@ -121,25 +122,25 @@
             .background_style(WHITE.mix(0.8))
             .border_style(BLACK.mix(0.3))
             .draw()
-            .map_err(error)?;
-        area.present().map_err(error)
+            .map_err(plot_error)?;
+        area.present().map_err(plot_error)
     }
 
-    fn draw_bands(&self, chart: &mut Chart, length: f64) -> Result<(), Error> {
-        let bands = self.scenario.faults.iter().map(|fault| {
+    fn draw_fault_bands(&self, chart: &mut Chart, length: f64) -> Result<(), Error> {
+        let periods = self.scenario.faults.iter().map(|fault| {
             let fault = fault.get_ref();
-            Band {
+            FaultPeriod {
                 from: seconds(fault.at.0),
                 to: seconds(fault.at.0 + fault.over.0 + fault.duration.0),
             }
         });
-        let rectangles = bands.map(|band| {
-            let min_to = band.from + length * MIN_BAND_FRACTION;
-            let to = band.to.max(min_to).min(length);
-            let corners = [(band.from, 0.0), (to, self.max)];
+        let rectangles = periods.map(|period| {
+            let min_to = period.from + length * MIN_BAND_FRACTION;
+            let to = period.to.max(min_to).min(length);
+            let corners = [(period.from, 0.0), (to, self.y_max)];
             Rectangle::new(corners, FAULT_COLOUR.mix(0.25).filled())
         });
-        chart.draw_series(rectangles).map_err(error)?;
+        chart.draw_series(rectangles).map_err(plot_error)?;
         Ok(())
     }
 
@@ -148,7 +149,7 @@
             let style = curve.colour.stroke_width(2);
             chart
                 .draw_series(LineSeries::new(curve.points.iter().copied(), style))
-                .map_err(error)?
+                .map_err(plot_error)?
                 .label(&curve.name)
                 .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], style));
         }
@@ -156,33 +157,33 @@
     }
 }
 
-/// Draws a bar for each server.
+/// Draws a bar chart of the number of attempts at each server.
 pub(super) fn draw_bars(counts: &[u64], colour: RGBColor) -> Result<String, Error> {
     let mut svg = String::new();
     let area = SVGBackend::with_string(&mut svg, (WIDTH_PX, BARS_HEIGHT_PX)).into_drawing_area();
-    area.fill(&WHITE).map_err(error)?;
+    area.fill(&WHITE).map_err(plot_error)?;
     let max = counts.iter().copied().max().unwrap_or(1).max(1) as f64;
     let mut chart = ChartBuilder::on(&area)
         .margin(8)
         .x_label_area_size(28)
         .y_label_area_size(56)
         .build_cartesian_2d(0.0..counts.len().max(1) as f64, 0.0..1.05 * max)
-        .map_err(error)?;
+        .map_err(plot_error)?;
     chart
         .configure_mesh()
         .disable_x_mesh()
-        .x_desc("server, by number")
+        .x_desc("server number")
         .y_desc("attempts")
         .light_line_style(WHITE)
         .draw()
-        .map_err(error)?;
+        .map_err(plot_error)?;
     let bars = counts.iter().enumerate().map(|(server, count)| {
         let left = server as f64;
         let corners = [(left + 0.1, 0.0), (left + 0.9, *count as f64)];
         Rectangle::new(corners, colour.filled())
     });
-    chart.draw_series(bars).map_err(error)?;
-    area.present().map_err(error)?;
+    chart.draw_series(bars).map_err(plot_error)?;
+    area.present().map_err(plot_error)?;
     drop(chart);
     drop(area);
     Ok(svg)
--- a/crates/testbed/src/report/tests.rs
+++ b/crates/testbed/src/report/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
 
 #[test]
-fn what_a_run_says_cannot_break_the_page() {
+fn texts_of_a_run_are_escaped_in_the_page() {
     let scenario = pinefront_model::validation::decode_scenario(
-        "name = 'd'\nlength = '2s'\nabout = '<b>&'",
-        "d.toml",
+        "name = 'test'\nlength = '2s'\nabout = '<b>&'",
+        "scenario.toml",
     )
     .unwrap();
     let run = Figures {
-        who: "a<script>".into(),
+        subject: "a<script>".into(),
         seconds: vec![
-            Second {
+            SecondFigures {
                 service: 0.5,
                 p50_ms: 1.0,
                 p90_ms: 2.0,
@@ -23,15 +23,17 @@
         rule_violation_count: 1,
         ..Figures::default()
     };
-    let page = page(&scenario, &[&run]).unwrap();
+    let page = render_page(&scenario, &[&run]).unwrap();
     assert!(page.contains("&lt;b&gt;&amp;") && page.contains("rule 1 &lt;i&gt;"));
     assert!(!page.contains("<script>") && page.matches("<svg").count() == 5);
 }
 
 #[test]
-fn an_empty_run_has_a_page_too() {
-    let scenario =
-        pinefront_model::validation::decode_scenario("name = 'd'\nlength = '2s'", "d.toml")
-            .unwrap();
-    assert!(page(&scenario, &[&Figures::default()]).is_ok());
+fn a_page_is_rendered_for_an_empty_run() {
+    let scenario = pinefront_model::validation::decode_scenario(
+        "name = 'test'\nlength = '2s'",
+        "scenario.toml",
+    )
+    .unwrap();
+    assert!(render_page(&scenario, &[&Figures::default()]).is_ok());
 }
--- a/crates/testbed/src/runner/mod.rs
+++ b/crates/testbed/src/runner/mod.rs
@@ -182,7 +182,7 @@
         let cpu_us = totals.cpu_us.saturating_sub(self.initial_cpu_us);
         let mut figures = Figures {
             scenario: scenario.name.clone(),
-            who: subject.name(),
+            subject: subject.name(),
             seed: self.world.seed,
             balancers: *scenario.balancers.get_ref(),
             servers: attempts_by_server.len(),
--- a/crates/testbed/src/tests.rs
+++ b/crates/testbed/src/tests.rs
@@ -1,9 +1,9 @@
-//! What the testbed writes for others, held in place: schedules that a soak draws, JSON figures,
-//! what the stand-ins send, what a client sends, and the settings that a balancer is given, each
-//! compared byte for byte with what is recorded.
+//! Tests that guard the output formats of the testbed against unintended changes: the schedules
+//! that a soak test draws, JSON figures, the responses of stand-ins, the requests of clients and
+//! the settings of balancers. Each is compared byte for byte with a recorded file.
 //!
-//! `RECORD_TESTBED=1 cargo test -p pinefront-testbed` writes the recordings anew; only a change
-//! that is meant to alter one of these forms may do so.
+//! `RECORD_TESTBED=1 cargo test -p pinefront-testbed` overwrites the recorded files. Only a change
+//! that is meant to alter one of these formats may do so.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -17,23 +17,26 @@
 use tokio::net::TcpStream;
 
 use crate::clients::{self, RequestCounts};
-use crate::figures::{Figures, Second, Times};
+use crate::figures::{Figures, PercentilesMs, SecondFigures};
 use crate::fleet::Known;
 use crate::fleet::leases::LeaseReport;
 use crate::soak::schedule::{self, Shape};
 use crate::world::{FoundRequest, World};
 use crate::{balancers, discovery_stand_in, load, overhead, server_stand_in, soak, system_faults};
 
+/// A scenario with every key that a scenario file can have.
 const EVERY_KEY: &str = include_str!("../../model/tests/recorded/every_key.toml");
 
-fn compare(name: &str, text: &str) {
+/// Asserts that a text equals a recorded file. The first line that differs is reported.
+fn assert_matches_recording(name: &str, text: &str) {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR"))
         .join("src/recorded")
         .join(name);
     if std::env::var_os("RECORD_TESTBED").is_some() {
         std::fs::write(&path, text).unwrap();
     }
-    let recorded = std::fs::read_to_string(&path).expect("the recording is there");
+    let recorded = std::fs::read_to_string(&path)
+        .unwrap_or_else(|error| panic!("cannot read {}: {error}", path.display()));
     for (number, (line, recorded)) in text.lines().zip(recorded.lines()).enumerate() {
         assert_eq!(line, recorded, "{name}:{}", number + 1);
     }
@@ -41,11 +44,11 @@
 }
 
 fn scenario(text: &str) -> Scenario {
-    validation::decode_scenario(text, "d.toml").unwrap()
+    validation::decode_scenario(text, "scenario.toml").unwrap()
 }
 
 #[test]
-fn a_soak_draws_the_recorded_schedules() {
+fn soak_schedules_match_the_recording() {
     let shapes = [
         (None, vec![]),
         (
@@ -63,21 +66,21 @@
         };
         for seed in [0, 1, 2, 3, 17, 40, 99, 1_000_003] {
             let drawn = schedule::draw(seed, &shape);
-            let read = soak::parse_schedule(&drawn).unwrap();
-            assert_eq!(read.faults.len(), drawn.matches("[[faults]]").count());
+            let scenario = soak::parse_schedule(&drawn).unwrap();
+            assert_eq!(scenario.faults.len(), drawn.matches("[[faults]]").count());
             text += &drawn;
             text += "# ----\n";
         }
     }
-    compare("soak_schedules.toml", &text);
+    assert_matches_recording("soak_schedules.toml", &text);
 }
 
-fn times(from: f64) -> Times {
-    Times {
-        p50: from,
-        p90: from + 0.1,
-        p99: from + 0.2,
-        max: from + 0.3,
+fn percentiles(first: f64) -> PercentilesMs {
+    PercentilesMs {
+        p50: first,
+        p90: first + 0.1,
+        p99: first + 0.2,
+        max: first + 0.3,
     }
 }
 
@@ -95,7 +98,7 @@
     }
 }
 
-fn known() -> Known {
+fn cluster_figures() -> Known {
     Known {
         views_agree_after_ms: Some(9.5),
         wrongly_gone: 10,
@@ -117,7 +120,7 @@
 fn figures() -> Figures {
     Figures {
         scenario: "day name".into(),
-        who: "pinefront".into(),
+        subject: "pinefront".into(),
         seed: 21,
         balancers: 22,
         servers: 23,
@@ -130,8 +133,8 @@
             disconnected: 29,
             unreachable: 30,
         },
-        latency_ms: times(31.0),
-        lateness_ms: times(32.0),
+        latency_ms: percentiles(31.0),
+        lateness_ms: percentiles(32.0),
         valid: true,
         why_invalid: vec!["late".into()],
         service: 0.33,
@@ -152,18 +155,18 @@
         testbed_memory_mb: 44.5,
         attempts_per_request: 45.5,
         attempts_by_server: vec![46, 47],
-        seconds: vec![Second {
+        seconds: vec![SecondFigures {
             service: 0.48,
             p50_ms: 49.5,
             p90_ms: 50.5,
             p99_ms: 51.5,
         }],
-        cluster: Some(known()),
+        cluster: Some(cluster_figures()),
         interrupted: true,
     }
 }
 
-fn load_found() -> load::Found {
+fn load_results() -> load::Found {
     load::Found {
         sent: 60,
         succeeded: 61,
@@ -173,15 +176,15 @@
         dropped: 65,
         rate_sent: 66.5,
         rate_succeeded: 67.5,
-        latency_ms: times(68.0),
-        lateness_ms: times(69.0),
+        latency_ms: percentiles(68.0),
+        lateness_ms: percentiles(69.0),
         valid: true,
         why_invalid: vec!["late".into()],
     }
 }
 
-fn overhead_point() -> overhead::Point {
-    overhead::Point {
+fn overhead_measurement() -> overhead::OverheadMeasurement {
+    overhead::OverheadMeasurement {
         servers: 70,
         clients: 71,
         rate: 72.5,
@@ -198,12 +201,12 @@
         memory_mb: 83.5,
         members: Some(84),
         idle_cpu_fraction: 85.5,
-        through: load_found(),
+        through: load_results(),
         valid: true,
     }
 }
 
-fn soak_found() -> soak::Found {
+fn soak_results() -> soak::Found {
     let mut found = soak::Found {
         failed: 90,
         doubtful: 91,
@@ -211,7 +214,7 @@
         pairs: soak::coverage::pairs(&[soak::coverage::PlayedScenario {
             requests: 100,
             scenario: scenario(
-                "name = 'd'\nlength = '20s'\n[[faults]]\nkind = 'burst'\nat = '1s'\nfor = '2s'\n\
+                "name = 'test'\nlength = '20s'\n[[faults]]\nkind = 'burst'\nat = '1s'\nfor = '2s'\n\
                  [[faults]]\nkind = 'spoilt'\nat = '2s'\nfor = '2s'",
             ),
         }]),
@@ -235,22 +238,24 @@
 }
 
 #[test]
-fn figures_are_written_under_the_recorded_keys() {
+fn json_figures_match_the_recording() {
     let texts = [
         serde_json::to_string_pretty(&figures()),
         serde_json::to_string_pretty(&Figures::default()),
-        serde_json::to_string_pretty(&load_found()),
-        serde_json::to_string_pretty(&overhead_point()),
-        serde_json::to_string_pretty(&soak_found()),
+        serde_json::to_string_pretty(&load_results()),
+        serde_json::to_string_pretty(&overhead_measurement()),
+        serde_json::to_string_pretty(&soak_results()),
     ];
     let text: String = texts.into_iter().map(|text| text.unwrap() + "\n").collect();
-    compare("figures.json", &text);
+    assert_matches_recording("figures.json", &text);
 }
 
-/// A world whose servers listen at fixed addresses; its clock stands at 0.
+/// A world whose servers have fixed addresses and whose clock has not been started. `rest` is added
+/// to the text of its scenario.
 fn world(rest: &str) -> Arc<World> {
     let scenario = scenario(&format!(
-        "name = 'd'\nlength = '20s'\n[fleet]\nservers = 3\n[discovery]\ndelay = ['0s', '0s']\n{rest}"
+        "name = 'test'\nlength = '20s'\n[fleet]\nservers = 3\n\
+         [discovery]\ndelay = ['0s', '0s']\n{rest}"
     ));
     let world = Arc::new(World::new(scenario, 1));
     for number in 0..3 {
@@ -260,75 +265,92 @@
     world
 }
 
-/// Sends one text on a new connection and returns all that comes within a moment of silence.
-async fn answer_to(address: std::net::SocketAddr, text: &str) -> String {
+/// Sends a text on a new connection. Returns all bytes that are received until the connection ends
+/// or is silent for 600 ms.
+async fn response_to(address: std::net::SocketAddr, text: &str) -> String {
     let mut stream = TcpStream::connect(address).await.unwrap();
     stream.write_all(text.as_bytes()).await.unwrap();
     let mut received = Vec::new();
-    let quiet = std::time::Duration::from_millis(600);
-    while let Ok(Ok(count)) = tokio::time::timeout(quiet, stream.read_buf(&mut received)).await
+    let max_silence = std::time::Duration::from_millis(600);
+    while let Ok(Ok(count)) =
+        tokio::time::timeout(max_silence, stream.read_buf(&mut received)).await
         && count > 0
     {}
     String::from_utf8_lossy(&received).into_owned()
 }
 
-fn exchange_text(title: &str, request: &str, answer: &str) -> String {
-    format!("== {title}\n{request:?}\n{answer:?}\n")
+fn exchange_text(title: &str, request: &str, response: &str) -> String {
+    format!("== {title}\n{request:?}\n{response:?}\n")
 }
 
-const ALL: &str = "GET /v1/targets HTTP/1.1\r\nHost: d\r\n\r\n";
-const SINCE: &str = "GET /v1/targets?since=3&timeout_ms=100 HTTP/1.1\r\nHost: d\r\n\r\n";
-const WATCH: &str = "GET /v1/targets?since=0&timeout_ms=50 HTTP/1.1\r\nHost: d\r\n\r\n";
+const LIST_REQUEST: &str = "GET /v1/targets HTTP/1.1\r\nHost: d\r\n\r\n";
+const WATCH_FROM_VERSION_3: &str =
+    "GET /v1/targets?since=3&timeout_ms=100 HTTP/1.1\r\nHost: d\r\n\r\n";
+const WATCH_FROM_VERSION_0: &str =
+    "GET /v1/targets?since=0&timeout_ms=50 HTTP/1.1\r\nHost: d\r\n\r\n";
 
 #[tokio::test]
-async fn discovery_answers_as_recorded() {
+async fn discovery_responses_match_the_recording() {
     let fault = |kind: &str, factor: &str| {
         format!("[[faults]]\nkind = '{kind}'\nat = '0s'\nfor = '20s'\n{factor}")
     };
     let cases = [
-        ("the whole list", String::new(), ALL),
-        ("a watch behind", String::new(), WATCH),
-        ("a watch without news", String::new(), SINCE),
-        ("refused", fault("lists_refused", "factor = 1.0"), ALL),
+        ("the whole list", String::new(), LIST_REQUEST),
+        ("a watch behind", String::new(), WATCH_FROM_VERSION_0),
+        ("a watch without news", String::new(), WATCH_FROM_VERSION_3),
+        (
+            "refused",
+            fault("lists_refused", "factor = 1.0"),
+            LIST_REQUEST,
+        ),
         (
             "the whole list on a watch",
             fault("lists_whole", "factor = 1.0"),
-            WATCH,
+            WATCH_FROM_VERSION_0,
         ),
         (
             "a strange entry",
             fault("lists_strange", "factor = 1.0"),
-            ALL,
+            LIST_REQUEST,
         ),
-        ("cut", fault("lists_cut", "factor = 1.0"), ALL),
-        ("gone", fault("discovery_gone", ""), ALL),
+        ("cut", fault("lists_cut", "factor = 1.0"), LIST_REQUEST),
+        ("gone", fault("discovery_gone", ""), LIST_REQUEST),
     ];
     let mut text = String::new();
     for (title, rest, request) in cases {
         let world = world(&rest);
         let address = discovery_stand_in::start(&world, 0).await.unwrap();
-        text += &exchange_text(title, request, &answer_to(address, request).await);
+        text += &exchange_text(title, request, &response_to(address, request).await);
     }
     let world = world("");
-    for what in [
+    for event in [
         pinefront_model::timeline::TimelineEvent::DrainStarted(0),
         pinefront_model::timeline::TimelineEvent::ServerCrashed(1),
     ] {
-        world.apply_event(what);
+        world.apply_event(event);
     }
     let address = discovery_stand_in::start(&world, 0).await.unwrap();
-    text += &exchange_text("draining and gone", SINCE, &answer_to(address, SINCE).await);
-    text += &exchange_text("those that are left", ALL, &answer_to(address, ALL).await);
+    text += &exchange_text(
+        "draining and gone",
+        WATCH_FROM_VERSION_3,
+        &response_to(address, WATCH_FROM_VERSION_3).await,
+    );
+    text += &exchange_text(
+        "those that are left",
+        LIST_REQUEST,
+        &response_to(address, LIST_REQUEST).await,
+    );
     text += &format!("== given at a start\n{}\n", world.list_document());
-    compare("discovery_answers.txt", &text);
+    assert_matches_recording("discovery_answers.txt", &text);
 }
 
 #[tokio::test]
-async fn servers_answer_as_recorded() {
+async fn server_responses_match_the_recording() {
     let fault =
         |kind: &str| format!("[[faults]]\nkind = '{kind}'\nat = '0s'\nfor = '20s'\nfactor = 1.0\n");
     let request = "GET /look/1 HTTP/1.1\r\nX-Txn: 00000000000000ab\r\nX-Remaining-Ms: 900\r\n\r\n";
-    let usual = "[[use_cases]]\nname = 'look'\neffect = 'redoable'\nwork = '1us'\npromised_time = '1s'\nhard_stop = '2s'\n";
+    let class = "[[use_cases]]\nname = 'look'\neffect = 'redoable'\nwork = '1us'\n\
+                 promised_time = '1s'\nhard_stop = '2s'\n";
     let cases = [
         ("served", String::new(), request),
         ("no identity", String::new(), "GET /look/1 HTTP/1.1\r\n\r\n"),
@@ -347,36 +369,36 @@
     ];
     let mut text = String::new();
     for (title, rest, request) in cases {
-        let full = title == "full";
-        let head = "name = 'd'\nlength = '20s'\n[fleet]\nreports = '0s'\n";
-        let scenario = scenario(&format!("{head}{rest}{usual}"));
+        let is_full = title == "full";
+        let head = "name = 'test'\nlength = '20s'\n[fleet]\nreports = '0s'\n";
+        let scenario = scenario(&format!("{head}{rest}{class}"));
         let world = Arc::new(World::new(scenario, 1));
         world.clock.begin();
         world.apply_conditions();
         server_stand_in::start(&world, 0, false).await.unwrap();
         let address = world.server(0).unwrap().address().unwrap();
-        if full {
-            let occupied = Request {
+        if is_full {
+            let long_request = Request {
                 number: 1,
                 work: 60_000_000.0,
                 ..Request::default()
             };
-            let occupied = FoundRequest {
+            let long_request = FoundRequest {
                 number: None,
-                request: occupied,
+                request: long_request,
             };
             let host = world.server(0).unwrap();
             for _ in 0..host.with_server(|server| server.spec.cores) {
-                let _ = world.receive_attempt(&host, &occupied, 0, 0.0);
+                let _ = world.receive_attempt(&host, &long_request, 0, 0.0);
             }
         }
-        text += &exchange_text(title, request, &answer_to(address, request).await);
+        text += &exchange_text(title, request, &response_to(address, request).await);
     }
-    compare("server_answers.txt", &text);
+    assert_matches_recording("server_answers.txt", &text);
 }
 
 #[test]
-fn a_server_tells_its_load_as_recorded() {
+fn load_report_header_has_the_expected_format() {
     let text = server_stand_in::load_header(&pinefront_model::server::LoadReport {
         in_flight: 3,
         queue: 2,
@@ -386,7 +408,7 @@
 }
 
 #[test]
-fn clients_and_balancers_are_told_as_recorded() {
+fn client_requests_and_balancer_settings_match_the_recording() {
     let scenario = scenario(EVERY_KEY);
     let world = World::new(scenario.clone(), 1);
     let mut text = String::new();
@@ -405,15 +427,15 @@
         text += &format!("{:?}\n", String::from_utf8(request).unwrap());
     }
     text += &serde_json::to_string_pretty(&balancers::settings(&scenario, 4)).unwrap();
-    let plain = self::scenario("name = 'd'\nlength = '20s'\n[discovery]\nask_within = '0s'");
+    let minimal = self::scenario("name = 'test'\nlength = '20s'\n[discovery]\nask_within = '0s'");
     text += "\n";
-    text += &serde_json::to_string_pretty(&balancers::settings(&plain, 0)).unwrap();
+    text += &serde_json::to_string_pretty(&balancers::settings(&minimal, 0)).unwrap();
     text += "\n";
-    compare("clients_and_settings.txt", &text);
+    assert_matches_recording("clients_and_settings.txt", &text);
 }
 
 #[test]
-fn the_preloaded_library_is_told_as_recorded() {
+fn fault_control_for_the_preloaded_library_has_the_expected_layout() {
     let bytes: Vec<u8> = (1_i64..=7).flat_map(i64::to_ne_bytes).collect();
     let control = system_faults::Control {
         failing_calls: 1,
