--- a/crates/testbed/src/figures/mod.rs
+++ b/crates/testbed/src/figures/mod.rs
@@ -38,7 +38,8 @@
     }
 }
 
-/// The service score and the latencies of the requests that were scheduled in one second of a run.
+/// The service score of one second of a run, and the latencies of the successful requests that were
+/// scheduled in it.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct SecondFigures {
     pub service: f64,
@@ -60,12 +61,15 @@
     pub servers: usize,
     #[serde(rename = "tickets")]
     pub counts: RequestCounts,
+    /// Latency of successful attempts: time from when an attempt was scheduled until its response.
     pub latency_ms: PercentilesMs,
     /// Lateness of the load itself: time from when an attempt was scheduled until it was sent.
     pub lateness_ms: PercentilesMs,
-    /// Whether the load was fast enough. If false, [`Self::why_invalid`] lists the reasons.
+    /// Whether the load and the machine were fast enough. If false, [`Self::why_invalid`] lists the
+    /// reasons.
     pub valid: bool,
     pub why_invalid: Vec<String>,
+    /// The service score, from 0 to 1.
     pub service: f64,
     pub service_parts: ServiceScore,
     #[serde(rename = "rules_broken")]
--- a/crates/testbed/src/overhead.rs
+++ b/crates/testbed/src/overhead.rs
@@ -30,7 +30,8 @@
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(2);
 const SEED: u64 = 1;
 
-/// The figures of one measurement. Direct load goes to the servers, without the balancer.
+/// The figures of one measurement. Figures named `direct` are of the load that is sent to the
+/// servers without the balancer, and those named `through` of the load through the balancer.
 #[derive(Clone, Debug, Serialize)]
 pub struct OverheadMeasurement {
     pub servers: usize,
@@ -46,7 +47,8 @@
     pub added_p99_ms: f64,
     #[serde(rename = "cpu_us_per_ticket")]
     pub cpu_us_per_request: f64,
-    /// Successful requests per second through the balancer in a closed loop.
+    /// Successful requests per second through the balancer in a closed loop, where each client sends
+    /// its next request after a response.
     pub highest_rate: f64,
     pub memory_mb: f64,
     /// Number of members of the balancer's cluster, including itself; none without an operator
--- a/crates/testbed/src/stand_alone.rs
+++ b/crates/testbed/src/stand_alone.rs
@@ -78,10 +78,8 @@
     let (balancer_events, _) = mpsc::unbounded_channel();
     tokio::spawn(follow_timeline(Arc::clone(world), balancer_events));
     tokio::spawn(accept_page_requests(Arc::clone(world), listener));
-    println!(
-        "{} stand-in servers are running; discovery listens on {discovery}",
-        world.servers().len()
-    );
+    let servers = world.servers().len();
+    println!("{servers} stand-in servers are running; discovery listens on {discovery}");
     println!(
         "  start a balancer:    pinefront serve --config {}",
         config_file.display()
