--- a/crates/testbed/src/baseline.rs
+++ b/crates/testbed/src/baseline.rs
@@ -1,6 +1,6 @@
-//! Stand-in balancers with simple load balancing policies, for comparison. A
-//! request is attempted again only where no connection could be opened. The policies have no
-//! limits, outlier detection or slow start.
+//! Stand-in balancers with simple load balancing policies, for comparison. A request is attempted
+//! again only if no connection could be opened. The policies have no limits, outlier detection or
+//! slow start.
 
 use std::io;
 use std::net::SocketAddr;
--- a/crates/testbed/src/commands/measuring.rs
+++ b/crates/testbed/src/commands/measuring.rs
@@ -124,34 +124,34 @@
         timeout: options.timeout,
         seed: 1,
     };
-    let found = load::run(plan, stop)?;
+    let results = load::run(plan, stop)?;
     runtime.shutdown_background();
-    print_load(&found);
-    write_json(options.json.as_deref(), &found)?;
-    if found.valid {
+    print_load(&results);
+    write_json(options.json.as_deref(), &results)?;
+    if results.valid {
         Ok(())
     } else {
-        let reasons = found.why_invalid.join("; ");
+        let reasons = results.why_invalid.join("; ");
         Err(Failure::Failed(format!("the run is invalid: {reasons}")))
     }
 }
 
-fn print_load(found: &Found) {
+fn print_load(results: &Found) {
     println!(
         "{} sent, {} succeeded ({:.0} per second), {} rejected, {} failed, {} unanswered",
-        found.sent,
-        found.succeeded,
-        found.rate_succeeded,
-        found.rejected,
-        found.failed,
-        found.unanswered
+        results.sent,
+        results.succeeded,
+        results.rate_succeeded,
+        results.rejected,
+        results.failed,
+        results.unanswered
     );
-    let latency = &found.latency_ms;
+    let latency = &results.latency_ms;
     println!(
         "latency since the scheduled time, ms: p50 {:.3}, p90 {:.3}, p99 {:.3}, max {:.3}",
         latency.p50, latency.p90, latency.p99, latency.max
     );
-    let lateness = &found.lateness_ms;
+    let lateness = &results.lateness_ms;
     println!(
         "lateness of the load itself, ms: p50 {:.3}, p99 {:.3}, max {:.3}",
         lateness.p50, lateness.p99, lateness.max
--- a/crates/testbed/src/commands/soaking.rs
+++ b/crates/testbed/src/commands/soaking.rs
@@ -64,23 +64,23 @@
         shrinks: options.shrink,
         subject: binary_subject(options.binary.as_ref()),
     };
-    let found = soak::soak(&soak_options, stop);
+    let results = soak::soak(&soak_options, stop);
     println!(
         "{} scenarios run: {} violated a rule, {} more did on a machine that was too slow \
          ({} runs in all were too slow); {} not run; {} pairs of faults overlapped",
-        found.played.len(),
-        found.failed,
-        found.doubtful,
-        found.invalid,
-        found.not_played.len(),
-        found.pairs.len()
+        results.played.len(),
+        results.failed,
+        results.doubtful,
+        results.invalid,
+        results.not_played.len(),
+        results.pairs.len()
     );
-    write_json(options.json.as_deref(), &found)?;
-    if found.failed + found.not_played.len() > 0 {
+    write_json(options.json.as_deref(), &results)?;
+    if results.failed + results.not_played.len() > 0 {
         let text = "a rule was violated or a scenario could not be run; see above";
         return Err(Failure::Failed(text.into()));
     }
-    if found.invalid == found.played.len() {
+    if results.invalid == results.played.len() {
         let text = "no valid result: the machine was too slow in every scenario";
         return Err(Failure::Failed(text.into()));
     }
--- a/crates/testbed/src/http.rs
+++ b/crates/testbed/src/http.rs
@@ -57,8 +57,8 @@
 /// valid UTF-8.
 fn header_value<'a>(headers: &[Header<'a>], name: &str) -> Option<&'a str> {
     let mut headers = headers.iter();
-    let found = headers.find(|header| header.name.eq_ignore_ascii_case(name))?;
-    std::str::from_utf8(found.value).ok().map(str::trim)
+    let header = headers.find(|header| header.name.eq_ignore_ascii_case(name))?;
+    std::str::from_utf8(header.value).ok().map(str::trim)
 }
 
 /// Where a body ends in a message that states no length.
--- a/crates/testbed/src/overhead.rs
+++ b/crates/testbed/src/overhead.rs
@@ -47,8 +47,8 @@
     pub added_p99_ms: f64,
     #[serde(rename = "cpu_us_per_ticket")]
     pub cpu_us_per_request: f64,
-    /// Successful requests per second through the balancer in a closed loop, where each client sends
-    /// its next request after a response.
+    /// Successful requests per second through the balancer in a closed loop, where each client
+    /// sends its next request after a response.
     pub highest_rate: f64,
     pub memory_mb: f64,
     /// Number of members of the balancer's cluster, including itself; none without an operator
@@ -106,7 +106,7 @@
 }
 
 /// A running balancer in front of plain servers.
-struct Setup {
+struct MeasurementSetup {
     runtime: Runtime,
     servers: Vec<SocketAddr>,
     balancer: Mutex<Vec<Balancer>>,
@@ -116,7 +116,7 @@
     _folder: TemporaryFolder,
 }
 
-impl Setup {
+impl MeasurementSetup {
     fn start(servers: usize, options: &Options) -> Result<Self, Error> {
         let runtime = stand_in_runtime().context("cannot start threads")?;
         let world = Arc::new(World::new(
@@ -216,7 +216,7 @@
     clients: usize,
     options: &Options,
 ) -> Result<OverheadMeasurement, Error> {
-    let setup = Setup::start(servers, options)?;
+    let setup = MeasurementSetup::start(servers, options)?;
     let run = |addresses: &[SocketAddr], rate: Option<f64>, duration: Duration| {
         let plan = load_plan(addresses, rate, duration, clients, options.threads);
         load::run(plan, &options.stop)
