--- a/crates/testbed/src/commands/agreement.rs
+++ b/crates/testbed/src/commands/agreement.rs
@@ -10,7 +10,7 @@
 use pinefront_cluster::{InjectedFault, leases};
 
 use crate::cluster::{self, Report};
-use crate::commands::{Failure, part, seeds, write_json};
+use crate::commands::{Failure, parse_fraction, parse_seed_range, write_json};
 use crate::explore::{self as explorer, Findings};
 
 /// The largest number of violations that are printed.
@@ -19,7 +19,7 @@
 #[derive(Args)]
 pub struct SimulateCluster {
     /// Seeds to run: FIRST..END, without END
-    #[arg(long, default_value = "0..500", value_parser = seeds)]
+    #[arg(long, default_value = "0..500", value_parser = parse_seed_range)]
     seeds: std::ops::Range<u64>,
     /// Number of members of the simulated fleet
     #[arg(long, default_value_t = 30, value_parser = clap::value_parser!(u64).range(2..=600))]
@@ -28,7 +28,7 @@
     #[arg(long)]
     kind: Option<cluster::fault_plan::PlanKind>,
     /// Loss rate of all datagrams as a fraction of 1, instead of the rate drawn from each seed
-    #[arg(long, value_parser = part)]
+    #[arg(long, value_parser = parse_fraction)]
     loss: Option<f64>,
     /// Number of leases, each held by at most one member at a time; 200 without a value
     #[arg(long = "duties", default_value_t = 0, default_missing_value = "200", num_args = 0..=1)]
--- a/crates/testbed/src/load/mod.rs
+++ b/crates/testbed/src/load/mod.rs
@@ -17,7 +17,7 @@
 
 use crate::clients::latency_histogram;
 use crate::error::{Context, Error};
-use crate::figures::Times;
+use crate::figures::PercentilesMs;
 use crate::pace::{CHANNEL_CAPACITY, Scheduled, send_on_schedule};
 
 /// A run is invalid if the 99th percentile of its lateness is above this value.
@@ -59,8 +59,8 @@
     #[serde(rename = "rate_asked")]
     pub rate_sent: f64,
     pub rate_succeeded: f64,
-    pub latency_ms: Times,
-    pub lateness_ms: Times,
+    pub latency_ms: PercentilesMs,
+    pub lateness_ms: PercentilesMs,
     pub valid: bool,
     #[serde(rename = "why_invalid")]
     pub invalid_reasons: Vec<String>,
@@ -179,8 +179,8 @@
     results.dropped = dropped;
     results.rate_sent = results.sent as f64 / seconds;
     results.rate_succeeded = results.succeeded as f64 / seconds;
-    results.latency_ms = Times::of(&workers.latency);
-    results.lateness_ms = Times::of(&workers.lateness);
+    results.latency_ms = PercentilesMs::from_histogram_us(&workers.latency);
+    results.lateness_ms = PercentilesMs::from_histogram_us(&workers.lateness);
     let lateness_ms = results.lateness_ms.p99;
     if plan.rate.is_some() && lateness_ms > MAX_LATENESS_MS {
         let reason = format!(
