--- a/crates/model/src/checker/observation.rs
+++ b/crates/model/src/checker/observation.rs
@@ -146,11 +146,10 @@
                 balancer: number,
                 deadline: due,
                 ..
-            } => write!(
-                out,
-                "received by balancer {number}, deadline {}",
-                Seconds(*due)
-            ),
+            } => {
+                let due = Seconds(*due);
+                write!(out, "received by balancer {number}, deadline {due}")
+            }
             Self::AttemptReceived {
                 target: AttemptTarget { server, .. },
                 started_at: start,
--- a/crates/testbed/src/figures/table.rs
+++ b/crates/testbed/src/figures/table.rs
@@ -96,10 +96,8 @@
         .map_or("NEVER AGREED".to_owned(), |ms| {
             format!("agreed {ms:.0} ms after the last fault")
         });
-    table.add_line(
-        "views",
-        format!("{agreement}; {} views checked", cluster.checked_views),
-    );
+    let text = format!("{agreement}; {} views checked", cluster.checked_views);
+    table.add_line("views", text);
     let text = format!(
         "detected after {}",
         format_distribution(&cluster.detection_times_ms)
--- a/crates/testbed/src/fleet/views.rs
+++ b/crates/testbed/src/fleet/views.rs
@@ -343,14 +343,7 @@
         let current =
             member.filter(|member| actual.incarnation.as_ref() == Some(&member.incarnation));
         if let Some(current) = current {
-            let is_recovery_overdue =
-                requested_at > actual.changed_at && now > actual.changed_at + MAX_RECOVERY_TIME_US;
-            let is_considered_dead =
-                current.state == "gone" && actual.is_responsive() && is_recovery_overdue;
-            if is_considered_dead && !actual.was_considered_dead {
-                self.balancers[other].was_considered_dead = true;
-                self.report.considered_dead_while_running += 1;
-            }
+            self.check_considered_dead(other, current, requested_at, now);
         }
         // The entry is looked up by name only, since the incarnation of a killed process was
         // discarded when the process ended.
@@ -381,6 +374,26 @@
         }
     }
 
+    /// Checks whether a view considers the running process of a balancer dead although its time to
+    /// recover has passed.
+    fn check_considered_dead(
+        &mut self,
+        other: usize,
+        current: &MemberView,
+        requested_at: Micros,
+        now: Micros,
+    ) {
+        let actual = &mut self.balancers[other];
+        let is_recovery_overdue =
+            requested_at > actual.changed_at && now > actual.changed_at + MAX_RECOVERY_TIME_US;
+        let is_considered_dead =
+            current.state == "gone" && actual.is_responsive() && is_recovery_overdue;
+        if is_considered_dead && !actual.was_considered_dead {
+            actual.was_considered_dead = true;
+            self.report.considered_dead_while_running += 1;
+        }
+    }
+
     /// Records that a balancer detected the crash or the pause of another balancer after that time.
     fn record_detection(&mut self, number: usize, other: usize, after: Micros) {
         if !self.balancers[other].detected_by.insert(number) {
