--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -6,6 +6,7 @@
 pub mod leases;
 pub mod relays;
 pub mod simulated_members;
+mod view_error;
 pub mod views;
 
 use serde::Serialize;
