--- a/crates/proxy/src/discovery/polling_schedule/mod.rs
+++ b/crates/proxy/src/discovery/polling_schedule/mod.rs
@@ -28,9 +28,8 @@
 mod tests;
 mod watch;
 
-/// Wait of the queued poll that precedes a watch, in microseconds. If the queued poll itself were
-/// the watch, the time at which its wait ends would be unknown, as the time in discovery's queue is
-/// unknown.
+/// Wait of the queued poll that precedes a watch, in microseconds. If that poll itself were the
+/// watch, the end of its wait would be unknown, as its time in discovery's queue is unknown.
 const QUEUED_POLL_WAIT_US: Micros = 1_000;
 /// Minimum time between two polls, in microseconds, for a discovery that responds immediately.
 const MIN_POLL_INTERVAL_US: Micros = 100_000;
@@ -55,9 +54,8 @@
 ///
 /// It guarantees that a change is received at the latest **6 s after it was made and discovery
 /// accepts polls**. If a watch was open and timed out, the limit is **2 s after the end of that
-/// watch's wait** instead, where that is later. Both limits assume that discovery responds to a
-/// poll within 1.7 s of accepting it. `docs/network.md` derives the bound for each path, and the
-/// tests cover all paths.
+/// watch's wait**, if that is later. Both limits assume that discovery responds to a poll within
+/// 1.7 s of accepting it. `docs/network.md` derives the bound for each path; tests cover all paths.
 pub struct PollingSchedule {
     list: ListState,
     polls: PollsInFlight,
@@ -119,8 +117,7 @@
         }
     }
 
-    /// Delays the next poll to `until` plus a random part of `spread` (both in microseconds), as
-    /// another balancer forwards the list.
+    /// Delays the next poll to `until` plus a random part of `spread` (µs), as a peer sends lists.
     pub fn pause_until(&mut self, until: Micros, spread: Micros) {
         self.next_poll_at = Some(until + self.random.generate_range(0..=spread));
     }
