--- a/crates/cluster/src/cluster/receive.rs
+++ b/crates/cluster/src/cluster/receive.rs
@@ -124,8 +124,8 @@
         let address = member.record.address;
         let state = member.record.state;
         let is_suspected_or_dead = !matches!(state, MemberState::Alive | MemberState::Left);
-        // There is no reply to gossip: two members that consider each other dead would reply to
-        // each other without end.
+        // Gossip gets no reply, as two members that consider each other dead would otherwise reply
+        // to each other endlessly.
         if is_suspected_or_dead && datagram.message != Message::Gossip {
             let record = member.record.clone();
             self.send(address, Message::Gossip, vec![record]);
--- a/crates/model/src/checker/observation.rs
+++ b/crates/model/src/checker/observation.rs
@@ -62,7 +62,7 @@
         /// The advertised remaining time, in microseconds.
         remaining: Micros,
     },
-    /// A server rejected an attempt and thereby proved that it did not process it.
+    /// A server rejected an attempt, which proves that it did not process the attempt.
     AttemptNotProcessed {
         /// The request.
         request: u64,
--- a/crates/proxy/src/cluster/shared_lists.rs
+++ b/crates/proxy/src/cluster/shared_lists.rs
@@ -16,7 +16,7 @@
 const MAX_SEND_TIME_US: Micros = 20_000;
 
 /// The shared lists at this balancer, which subscribes to the list of its own zone and publishes
-/// the lists of any zones whose lease it holds.
+/// the list of each zone whose lease it holds.
 pub struct SharedLists {
     zones: SharedListZones,
     /// The lease of this balancer's zone.
--- a/crates/proxy/src/connections/accept.rs
+++ b/crates/proxy/src/connections/accept.rs
@@ -99,7 +99,7 @@
             }
             warn!(state.log, "accept failed"; "error" => %error);
             // A connection in the backlog counts as accepted, so an idle connection is closed to
-            // make room for it. If closing one did not help, closing more would not help either.
+            // make room for it. If accept still fails after that, closing more would not help.
             let can_evict = failure == AcceptFailure::ProcessLimit && !has_evicted;
             if !can_evict || !state.evict_idle_connection() {
                 state.pause_accepting();
--- a/crates/proxy/src/connections/request/tests.rs
+++ b/crates/proxy/src/connections/request/tests.rs
@@ -72,8 +72,8 @@
     assert_eq!(harness.proxy.state.borrow().counters.requests_received, 0);
 }
 
-/// Starts a proxy that orders requests by key. Its timeouts are so long that a slow test does not
-/// reach them.
+/// Starts a proxy that orders requests by key. Its timeouts are long enough not to expire during a
+/// slow test.
 fn start_ordered_by_key() -> TestHarness {
     TestHarness::with_configuration(|document| {
         let settings = &mut document["settings"];
--- a/crates/proxy/src/discovery/polling_schedule/settings.rs
+++ b/crates/proxy/src/discovery/polling_schedule/settings.rs
@@ -81,8 +81,8 @@
     }
 
     /// Returns the maximum delay of the first poll after the start of a process, in microseconds.
-    /// There is no delay where discovery pushes lists, as its changes count as delivered from the
-    /// start.
+    /// The delay is zero if discovery pushes lists, as changes then count as delivered from the
+    /// start of the process.
     pub(super) fn max_first_poll_delay(self) -> Micros {
         let limit = match self.max_poll_interval {
             Some(_) => MAX_FIRST_POLL_DELAY_US,
--- a/crates/proxy/tests/edges/harness.rs
+++ b/crates/proxy/tests/edges/harness.rs
@@ -321,8 +321,8 @@
     file
 }
 
-/// Received bytes as text for comparison: escaped, with one line each, and with names in place of
-/// addresses.
+/// Received bytes as text for comparison: escaped, with a line break after each received one, and
+/// with names instead of addresses.
 pub struct Recording {
     names: HashMap<String, &'static str>,
     text: String,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -22,8 +22,8 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// Longest valid cooldown of a key, in microseconds: one hour. No request waits that long, and
-/// sums of times could overflow with longer cooldowns.
+/// Longest valid cooldown of a key, in microseconds: one hour. Requests do not wait that long,
+/// and sums of times could overflow with longer cooldowns.
 const MAX_KEY_COOLDOWN_US: Micros = 3_600_000_000;
 /// Priority weight of a class whose settings contain no weight.
 const DEFAULT_PRIORITY_WEIGHT: f64 = 1.0;
--- a/crates/simulator-adapter/tests/simulator_wire.rs
+++ b/crates/simulator-adapter/tests/simulator_wire.rs
@@ -21,8 +21,8 @@
 const STEPS: u64 = 1_500;
 const STEP_US: u64 = 4_000;
 
-/// A xorshift generator. It is implemented here because another version of a library could draw
-/// other numbers and thereby change the script.
+/// A xorshift generator. It is implemented here because another version of a library could
+/// generate other numbers, which would change the script.
 struct Random(u64);
 
 impl Random {
