--- a/crates/model/src/server/load.rs
+++ b/crates/model/src/server/load.rs
@@ -17,7 +17,7 @@
 #[derive(Default)]
 pub(super) struct Overload {
     is_overloaded: bool,
-    /// Time since which the condition for the next change of state has been met.
+    /// Time since which the condition for the next change of state has been true.
     condition_since: Option<Micros>,
 }
 
@@ -26,7 +26,7 @@
         self.is_overloaded
     }
 
-    /// Duration for which the condition for the next change of state must be met.
+    /// Duration for which the condition for the next change of state must be true.
     fn required_duration(&self, fleet: &Fleet) -> Micros {
         if self.is_overloaded {
             fleet.overload_recovery.0
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Time of the next change of state, provided that its condition remains met.
+    /// Time of the next change of state, provided that its condition remains true.
     pub(super) fn next_change(&self, fleet: &Fleet) -> Option<Micros> {
         Some(self.condition_since? + self.required_duration(fleet))
     }
@@ -53,12 +53,12 @@
             return;
         }
         let cores = cores as f64;
-        let is_condition_met = if self.is_overloaded {
+        let is_condition_true = if self.is_overloaded {
             running as f64 <= RECOVERY_BUSY_FRACTION * cores && waiting == 0
         } else {
             waiting as f64 > fleet.overload_queue_per_core * cores
         };
-        let since = is_condition_met.then(|| self.condition_since.unwrap_or(now));
+        let since = is_condition_true.then(|| self.condition_since.unwrap_or(now));
         let required = self.required_duration(fleet);
         let changes = since.is_some_and(|since| now >= since + required);
         self.is_overloaded ^= changes;
--- a/crates/testbed/src/cluster/simulation.rs
+++ b/crates/testbed/src/cluster/simulation.rs
@@ -72,7 +72,7 @@
     Arrival { to: SocketAddr, bytes: Vec<u8> },
     WakeUp { member: usize, number: u64 },
     CheckViews,
-    LateSpanBegins,
+    LateSpanStarted,
 }
 
 /// The order of events: by time, and at the same time in the order in which they were scheduled.
@@ -156,7 +156,7 @@
         }
         self.schedule(CHECK_INTERVAL_US, Event::CheckViews);
         let late_from = self.plan.ends_at.saturating_sub(LATE_SPAN_US);
-        self.schedule(late_from, Event::LateSpanBegins);
+        self.schedule(late_from, Event::LateSpanStarted);
         while let Some((key, event)) = self.queue.pop_first() {
             if key.at > self.plan.ends_at {
                 break;
@@ -208,7 +208,7 @@
 
     fn handle_event(&mut self, event: Event) {
         match event {
-            Event::LateSpanBegins => self.outcome.late = self.sent(),
+            Event::LateSpanStarted => self.outcome.late = self.sent(),
             Event::Action(action) => self.apply_action(action),
             Event::Arrival { to, bytes } => self.deliver(to, bytes),
             Event::WakeUp { member, number } => {
