--- a/crates/model/src/checker/observation.rs
+++ b/crates/model/src/checker/observation.rs
@@ -62,7 +62,7 @@
         /// The advertised remaining time, in microseconds.
         remaining: Micros,
     },
-    /// A server rejected an attempt and thereby proved that it did not process it.
+    /// A server rejected an attempt, which proves that it did not process the attempt.
     AttemptNotProcessed {
         /// The request.
         request: u64,
@@ -146,11 +146,10 @@
                 balancer: number,
                 deadline: due,
                 ..
-            } => write!(
-                out,
-                "received by balancer {number}, deadline {}",
-                Seconds(*due)
-            ),
+            } => {
+                let due = Seconds(*due);
+                write!(out, "received by balancer {number}, deadline {due}")
+            }
             Self::AttemptReceived {
                 target: AttemptTarget { server, .. },
                 started_at: start,
